--- /dev/null
+++ b/decide/digest_test.go
@@ -0,0 +1,168 @@
+//go:build amd64
+
+package decide_test
+
+// A digest of the module's decisions, held by testdata/decisions.txt: random legal events, the fleet's among them, are given to
+// modules of many seeds, and what they answer is hashed. A change that is meant to alter no decision leaves the file as it is.
+// The encoding names no Go identifier, so that it outlives renames; the text of log lines is left out. Only on amd64: other
+// architectures fuse multiplications and additions, which changes the last bits.
+//
+// To record the file anew after a change that is meant to alter decisions: go test -run TestDecisionsDigest -args -record
+
+import (
+	"bytes"
+	"crypto/sha256"
+	"encoding/json"
+	"flag"
+	"fmt"
+	"hash"
+	"os"
+	"path/filepath"
+	"testing"
+	"time"
+
+	"starlingvalve/decide"
+)
+
+var recordDigest = flag.Bool("record", false, "record testdata/decisions.txt anew")
+
+const digestSeeds = 200
+
+// writeActions adds actions to a digest and returns how many counted.
+func writeActions(h hash.Hash, actions []decide.Action) int {
+	count := 0
+	for _, a := range actions {
+		count++
+		switch a := a.(type) {
+		case decide.Send:
+			fmt.Fprintln(h, "send", a.ID, a.Server, int64(a.Timeout))
+		case decide.Refuse:
+			fmt.Fprintln(h, "reject", a.ID, int64(a.HoldOff))
+		case decide.Fail:
+			fmt.Fprintln(h, "fail", a.ID)
+		case decide.CancelAttempt:
+			fmt.Fprintln(h, "cancel", a.ID, a.Attempt)
+		case decide.SetTimer:
+			fmt.Fprintln(h, "timer", int64(a.After), a.Token)
+		case decide.Probe:
+			fmt.Fprintln(h, "probe", a.Server)
+		case decide.SendMessage:
+			fmt.Fprintln(h, "message", a.To, a.ToAll, a.Data)
+		case decide.Subscribe:
+			fmt.Fprintln(h, "subscribe", a.On)
+		case decide.FetchList:
+			fmt.Fprintln(h, "fetch")
+		case decide.CloseIdle:
+			fmt.Fprintln(h, "close idle", a.Server)
+		default: // a log line
+			count--
+		}
+	}
+	return count
+}
+
+// writeWindow adds what the module reports of a window.
+func writeWindow(h hash.Hash, w decide.FleetWindow) {
+	fmt.Fprintln(h, "window", int64(w.Since))
+	for _, z := range w.Zones {
+		fmt.Fprintln(h, "zone", z.Zone, z.Attempts, z.Lost, z.Servers, z.LostServers, z.OK, z.Listed, z.Begun, z.Rate)
+	}
+	for _, t := range w.Tenants {
+		fmt.Fprintln(h, "tenant", t.Name, t.UID, t.Committed, t.Staged, t.Digest, t.Refused, t.Open, t.Arrived, t.Admitted, t.Rate)
+	}
+}
+
+// writeHeld adds what the module says it holds.
+func writeHeld(h hash.Hash, m *decide.Module) error {
+	for _, fact := range m.Holds() {
+		value, err := json.Marshal(fact.Value)
+		if err != nil {
+			return err
+		}
+		fmt.Fprintf(h, "held %s %s\n", fact.Key, value)
+	}
+	return nil
+}
+
+// feedFleet gives the module one random event of the fleet or of the operators' settings.
+func feedFleet(w *world, i int) {
+	revision := uint64(1 + i - w.r.Intn(5)%(i+1))
+	switch w.r.Intn(4) {
+	case 0:
+		w.handle(decide.ZoneTold{Zone: fmt.Sprint("z", w.r.Intn(2)), Revision: revision, Serving: w.r.Intn(4) == 0,
+			Share: []float64{0, 0, 0.5, 1}[w.r.Intn(4)], Floor: float64(w.r.Intn(3)) / 4, Rate: float64(w.r.Intn(3)) / 2,
+			Trial: w.r.Intn(3) == 0, Age: time.Duration(w.r.Intn(500)) * time.Millisecond,
+			Valid: time.Duration(w.r.Intn(2000)) * time.Millisecond})
+	case 1:
+		committed := rules(revision, func(g *decide.TenantRules) {
+			g.Rate = float64(w.r.Intn(100))
+			if w.r.Intn(3) == 0 {
+				g.Classes = []string{"c0"}
+			}
+			if w.r.Intn(3) == 0 {
+				g.Routes = []decide.TenantRoute{{Zone: "z0", Weight: 1}, {Zone: "z1", Weight: 2}}
+				g.RefuseElse = w.r.Intn(2) == 0
+			}
+		})
+		w.handle(decide.TenantTold{Name: []string{"a", "b"}[w.r.Intn(2)], UID: uint64(1 + i/40), Revision: revision,
+			Committed: committed, Staged: rules(revision+1, nil), Removing: w.r.Intn(8) == 0, Gone: w.r.Intn(12) == 0})
+	case 2:
+		w.handle(decide.ShareTold{Epoch: revision, Slots: 1 + w.r.Intn(4), Rates: map[string]float64{"a": float64(w.r.Intn(40)),
+			"b": float64(w.r.Intn(40))}, Valid: time.Duration(w.r.Intn(3000)) * time.Millisecond})
+	case 3:
+		changed := w.set
+		changed.Nodes = 1 + w.r.Intn(6)
+		changed.HoldOffs = w.r.Intn(2) == 0
+		w.handle(decide.SettingsChanged{Settings: changed})
+	}
+}
+
+// decisionDigest runs one seed and returns its line of the file.
+func decisionDigest(t *testing.T, seed int64) string {
+	t.Helper()
+	h, count := sha256.New(), 0
+	w := newWorld(seed)
+	w.set.Fleet = seed%2 == 0
+	w.mutate = func(_ *world, actions []decide.Action) []decide.Action {
+		count += writeActions(h, actions)
+		return actions
+	}
+	w.start()
+	for i := range 40 {
+		if w.set.Fleet {
+			feedFleet(w, i)
+		}
+		w.run(100*time.Millisecond, 3*testRate, true)
+		writeWindow(h, w.module.Window(w.now))
+		if err := writeHeld(h, w.module); err != nil {
+			t.Fatalf("seed %d: %v", seed, err)
+		}
+	}
+	return fmt.Sprintf("%d %d %x\n", seed, count, h.Sum(nil)[:16])
+}
+
+func TestDecisionsDigest(t *testing.T) {
+	file := filepath.Join("testdata", "decisions.txt")
+	var digests bytes.Buffer
+	for seed := int64(1); seed <= digestSeeds; seed++ {
+		digests.WriteString(decisionDigest(t, seed))
+	}
+	if *recordDigest {
+		if err := os.WriteFile(file, digests.Bytes(), 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(file)
+	if err != nil {
+		t.Fatal(err)
+	}
+	got, recorded := bytes.Split(digests.Bytes(), []byte("\n")), bytes.Split(want, []byte("\n"))
+	if len(got) != len(recorded) {
+		t.Fatalf("%d lines, %d are recorded", len(got), len(recorded))
+	}
+	for i := range got {
+		if !bytes.Equal(got[i], recorded[i]) {
+			t.Fatalf("seed, actions, digest: %s; recorded: %s", got[i], recorded[i])
+		}
+	}
+}
