--- /dev/null
+++ b/internal/fleet/agent/golden_test.go
@@ -0,0 +1,88 @@
+package agent
+
+import (
+	"bytes"
+	"encoding/json"
+	"fmt"
+	"regexp"
+	"slices"
+	"strings"
+	"testing"
+
+	"github.com/prometheus/client_golang/prometheus"
+
+	"starlingvalve/internal/fleet"
+	"starlingvalve/internal/golden"
+)
+
+// The records of the durable copy.
+func TestRecordBytes(t *testing.T) {
+	golden.JSON[baseRecord](t, "base")
+	golden.JSON[differenceRecord](t, "difference")
+	golden.JSON[scopedTenant](t, "scoped-tenant")
+}
+
+// A whole file of the durable copy: a base and two differences. It is decoded, and its content encoded to the same bytes.
+func TestCopyFileBytes(t *testing.T) {
+	directive, err := json.Marshal(fleet.Directive{Phase: fleet.Left, Share: 0.5, ValidMS: 5000, Reason: "lost"})
+	if err != nil {
+		t.Fatal(err)
+	}
+	shares, err := json.Marshal(fleet.Shares{Epoch: 3, Incarnation: 7, Slots: 4, Rates: map[string]float64{"a": 2.5}})
+	if err != nil {
+		t.Fatal(err)
+	}
+	base := baseRecord{Node: "n1", Services: []string{"billing"}, Revision: 5, Items: []fleet.Item{{Key: "share/n1", Rev: 4, Body: shares}}}
+	differences := []differenceRecord{
+		{Since: 5, Revision: 6, Items: []fleet.Item{{Key: "zone/a", Rev: 6, Body: directive}}},
+		{Since: 6, Revision: 9, Items: []fleet.Item{{Key: "zone/a", Rev: 9, Gone: true}}},
+	}
+	file, err := encodeBase(base)
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, difference := range differences {
+		if file, err = appendRecord(file, difference); err != nil {
+			t.Fatal(err)
+		}
+	}
+	golden.Check(t, "intent.copy", file)
+	stored, err := decodeCopy(file, "n1")
+	if err != nil || stored.copy.Revision != 9 || stored.truncated || !slices.Equal(stored.services, base.Services) {
+		t.Fatalf("%+v, %v", stored, err)
+	}
+	again := stored.copy.Read(0, nil)
+	whole, err := encodeBase(baseRecord{Node: "n1", Services: stored.services, Revision: again.Revision, Items: again.Items})
+	if err != nil || !bytes.Contains(whole, shares) {
+		t.Fatalf("%v: %s", err, whole)
+	}
+	golden.Check(t, "intent.copy.base", whole)
+}
+
+var describedMetric = regexp.MustCompile(`fqName: "([^"]*)".*constLabels: \{(.*)\}, variableLabels: \{(.*)\}`)
+
+// described is a registerer that notes what is registered.
+type described struct {
+	prometheus.Registerer
+	lines []string
+}
+
+func (d *described) MustRegister(all ...prometheus.Collector) {
+	for _, c := range all {
+		descs := make(chan *prometheus.Desc, 8)
+		c.Describe(descs)
+		close(descs)
+		for desc := range descs {
+			m := describedMetric.FindStringSubmatch(desc.String())
+			d.lines = append(d.lines, fmt.Sprintf("%s {%s} {%s}\n", m[1], m[2], m[3]))
+		}
+	}
+}
+
+// The names and labels of the metrics.
+func TestMetricNames(t *testing.T) {
+	d := &described{}
+	newMetrics(d)
+	slices.Sort(d.lines)
+	golden.Check(t, "metrics.txt", []byte(strings.Join(d.lines, "")))
+}
