--- a/cmd/starlingvalve/main.go
+++ b/cmd/balancer/main.go
@@ -1,4 +1,4 @@
-// Command starlingvalve is a load-balancing proxy node.
+// Command balancer is a load-balancing proxy node.
 package main
 
 import (
@@ -12,14 +12,14 @@
 	"runtime/debug"
 	"syscall"
 
-	"starlingvalve/internal/node"
+	"meadowsill/internal/node"
 )
 
 const gcPercent = 400 // the heap is small: fewer collections leave the one core to requests
 
 func main() {
 	if err := run(); err != nil {
-		fmt.Fprintln(os.Stderr, "starlingvalve:", err)
+		fmt.Fprintln(os.Stderr, "balancer:", err)
 		os.Exit(1)
 	}
 }
--- a/cmd/listd/agent_flags_test.go
+++ b/cmd/discovery/agent_flags_test.go
@@ -5,7 +5,7 @@
 	"strings"
 	"testing"
 
-	"starlingvalve/internal/fleet"
+	"meadowsill/internal/fleet"
 )
 
 // A bad scope stops the agent at its start with one line that names the flag, and nothing is written.
--- a/cmd/listd/agents_test.go
+++ b/cmd/discovery/agents_test.go
@@ -9,7 +9,7 @@
 	"strings"
 	"testing"
 
-	"starlingvalve/internal/lab/simulated"
+	"meadowsill/internal/lab/simulated"
 )
 
 func decode(resp *http.Response, v any) bool {
--- a/cmd/listd/cluster_test.go
+++ b/cmd/discovery/cluster_test.go
@@ -12,25 +12,25 @@
 	"testing"
 	"time"
 
-	"starlingvalve/internal/lab/listdlab"
-	"starlingvalve/internal/registry/linear"
+	"meadowsill/internal/lab/discoverylab"
+	"meadowsill/internal/registry/linearizability"
 )
 
 type cluster struct {
-	*listdlab.Cluster
+	*discoverylab.Cluster
 	t   *testing.T
 	mu  sync.Mutex
-	ops []linear.Op // the history of writes and consistent reads, for the linearizability check
+	ops []linearizability.Op // the history of writes and consistent reads, for the linearizability check
 }
 
-// bin is the listd under test, built once; with LISTD_RACE=1 in the environment with the race detector, which makes these tests
+// bin is the discovery under test, built once; with DISCOVERY_RACE=1 in the environment with the race detector, which makes these tests
 // several times as long.
 var bin string
 
-var raceOn = os.Getenv("LISTD_RACE") != ""
+var raceOn = os.Getenv("DISCOVERY_RACE") != ""
 
 func TestMain(m *testing.M) {
-	dir, err := os.MkdirTemp("", "listd-test")
+	dir, err := os.MkdirTemp("", "discovery-test")
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(1)
@@ -39,11 +39,11 @@
 	if raceOn { // the raft store's boltdb fails checkptr, which comes with it
 		args = append(args, "-race", "-gcflags=all=-d=checkptr=0")
 	}
-	if out, err := exec.Command("go", append(args, "starlingvalve/cmd/listd")...).CombinedOutput(); err != nil {
+	if out, err := exec.Command("go", append(args, "meadowsill/cmd/discovery")...).CombinedOutput(); err != nil {
 		fmt.Fprintf(os.Stderr, "build: %v\n%s", err, out)
 		os.Exit(1)
 	}
-	bin = filepath.Join(dir, "listd")
+	bin = filepath.Join(dir, "discovery")
 	code := m.Run()
 	os.RemoveAll(dir)
 	os.Exit(code)
@@ -51,7 +51,7 @@
 
 func startCluster(t *testing.T, n int, extra ...string) *cluster {
 	t.Helper()
-	lc, err := listdlab.Start(bin, t.TempDir(), n, extra...)
+	lc, err := discoverylab.Start(bin, t.TempDir(), n, extra...)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -80,13 +80,13 @@
 	return i
 }
 
-func (c *cluster) record(o linear.Op) { c.mu.Lock(); c.ops = append(c.ops, o); c.mu.Unlock() }
+func (c *cluster) record(o linearizability.Op) { c.mu.Lock(); c.ops = append(c.ops, o); c.mu.Unlock() }
 
 // register tries each replica in turn, following X-Leader's replica, until one acknowledges or 30 s pass. Each
 // try is recorded: acknowledged, or of unknown outcome unless the replica said at once that it does not lead.
 func (c *cluster) register(id string, from int) bool {
 	for end, i := time.Now().Add(30*time.Second), from; time.Now().Before(end); i = (i + 1) % len(c.HTTP) {
-		op := linear.Op{Client: 2, Write: true, ID: id, Call: time.Now().UnixNano()}
+		op := linearizability.Op{Client: 2, Write: true, ID: id, Call: time.Now().UnixNano()}
 		code, msg := c.Register(i, id, 60000)
 		op.Return, op.Unknown = time.Now().UnixNano(), code != http.StatusOK
 		if !strings.Contains(msg, "not the leader") {
--- a/cmd/listd/drift_test.go
+++ b/cmd/discovery/drift_test.go
@@ -9,8 +9,8 @@
 	"strings"
 	"testing"
 
-	"starlingvalve/internal/fleet"
-	"starlingvalve/internal/fleet/drift"
+	"meadowsill/internal/fleet"
+	"meadowsill/internal/fleet/drift"
 )
 
 type driftAnswer struct {
--- a/cmd/listd/failover_test.go
+++ b/cmd/discovery/failover_test.go
@@ -9,8 +9,8 @@
 	"testing"
 	"time"
 
-	"starlingvalve/internal/fleet"
-	"starlingvalve/internal/lab/faults"
+	"meadowsill/internal/fleet"
+	"meadowsill/internal/lab/faults"
 )
 
 // staged says how many nodes have staged a tenant, by the leader.
--- a/cmd/listd/fleet_test.go
+++ b/cmd/discovery/fleet_test.go
@@ -9,8 +9,8 @@
 	"testing"
 	"time"
 
-	"starlingvalve/internal/fleet"
-	"starlingvalve/internal/lab/simulated"
+	"meadowsill/internal/fleet"
+	"meadowsill/internal/lab/simulated"
 )
 
 // fleetUp is three replicas, and agents as processes, each with a node that the test plays.
--- a/cmd/listd/list_test.go
+++ b/cmd/discovery/list_test.go
@@ -14,9 +14,9 @@
 	"testing"
 	"time"
 
-	"starlingvalve/internal/lab/faults"
-	"starlingvalve/internal/lab/listdlab"
-	"starlingvalve/internal/registry/linear"
+	"meadowsill/internal/lab/discoverylab"
+	"meadowsill/internal/lab/faults"
+	"meadowsill/internal/registry/linearizability"
 )
 
 // The leader is killed during a burst of registrations: none acknowledged is lost on any replica, the killed one
@@ -59,7 +59,7 @@
 				return
 			default:
 			}
-			op := linear.Op{Client: 1, Call: time.Now().UnixNano()}
+			op := linearizability.Op{Client: 1, Call: time.Now().UnixNano()}
 			a, err := c.Read(i, "?consistent=1")
 			op.Return = time.Now().UnixNano()
 			if err != nil {
@@ -121,7 +121,7 @@
 			reads++
 		}
 	}
-	lin := linear.Check(history, 10*time.Second)
+	lin := linearizability.Check(history, 10*time.Second)
 	t.Logf("linearizability: %d ids, %d operations (%d consistent reads), %d violations, %d unknown", lin.Ids, len(history),
 		reads, len(lin.Violations), len(lin.Unknown))
 	if len(lin.Violations) > 0 || reads < 10 {
@@ -131,7 +131,7 @@
 		t.Errorf("only %d of 300 acknowledged", ackCount.Load())
 	}
 	for i := range 3 {
-		var a listdlab.Answer
+		var a discoverylab.Answer
 		var err error
 		for end := time.Now().Add(20 * time.Second); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
 			if a, err = c.Read(i, ""); err == nil {
@@ -178,13 +178,13 @@
 		}
 	}
 	go io.Copy(io.Discard, logs)
-	fromAgent := func() (listdlab.Answer, time.Duration) {
+	fromAgent := func() (discoverylab.Answer, time.Duration) {
 		resp, err := http.Get("http://" + line.Listen + "/registry/instances")
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer resp.Body.Close()
-		var a listdlab.Answer
+		var a discoverylab.Answer
 		json.NewDecoder(resp.Body).Decode(&a)
 		ms, _ := strconv.Atoi(resp.Header.Get("X-List-Age-Ms"))
 		return a, time.Duration(ms) * time.Millisecond
--- a/cmd/listd/main.go
+++ b/cmd/discovery/main.go
@@ -1,10 +1,10 @@
-// Command listd is the project's discovery service (docs/discovery.md).
+// Command discovery is the project's discovery service (docs/discovery.md).
 //
-//	listd serve --id a --peer a=RAFT=HTTP --peer b=RAFT=HTTP --peer c=RAFT=HTTP --dir DATA
-//	listd agent --replica HTTP --replica HTTP --listen 127.0.0.1:PORT
-//	listd serve ... --fleet FILE.toml
-//	listd agent ... --node NAME --zone ZONE --dir DATA [--service NAME ...]
-//	listd tenants apply FILE | status NAME | delete NAME --replica HTTP --replica HTTP
+//	discovery serve --id a --peer a=RAFT=HTTP --peer b=RAFT=HTTP --peer c=RAFT=HTTP --dir DATA
+//	discovery agent --replica HTTP --replica HTTP --listen 127.0.0.1:PORT
+//	discovery serve ... --fleet FILE.toml
+//	discovery agent ... --node NAME --zone ZONE --dir DATA [--service NAME ...]
+//	discovery tenants apply FILE | status NAME | delete NAME --replica HTTP --replica HTTP
 //
 // serve runs one replica of three or five: PROTOCOL's GET /registry/instances and the registration API.
 // agent runs beside a node and serves it the list it watches from the replicas.
@@ -29,15 +29,15 @@
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 	"github.com/spf13/cobra"
 
-	"starlingvalve/internal/fleet"
-	fleetagent "starlingvalve/internal/fleet/agent"
-	"starlingvalve/internal/fleet/control"
-	"starlingvalve/internal/registry/agent"
-	"starlingvalve/internal/registry/replica"
+	"meadowsill/internal/fleet"
+	fleetagent "meadowsill/internal/fleet/agent"
+	"meadowsill/internal/fleet/control"
+	"meadowsill/internal/registry/agent"
+	"meadowsill/internal/registry/replica"
 )
 
 func main() {
-	root := &cobra.Command{Use: "listd", Short: "The list of app servers, replicated", SilenceUsage: true}
+	root := &cobra.Command{Use: "discovery", Short: "The list of app servers, replicated", SilenceUsage: true}
 	root.AddCommand(serveCmd(), agentCmd(), tenantsCmd())
 	if err := root.Execute(); err != nil {
 		os.Exit(1)
--- a/cmd/listd/olddata_test.go
+++ b/cmd/discovery/olddata_test.go
@@ -16,8 +16,8 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"starlingvalve/internal/lab/listdlab"
-	"starlingvalve/internal/registry"
+	"meadowsill/internal/lab/discoverylab"
+	"meadowsill/internal/registry"
 )
 
 // unpack lays a replica's data, packed as .tar.gz, into dir.
@@ -63,7 +63,7 @@
 	if err := os.WriteFile(file, []byte("slots = 3"), 0o644); err != nil {
 		t.Fatal(err)
 	}
-	network, err := listdlab.ReserveNetwork()
+	network, err := discoverylab.ReserveNetwork()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/listd/reports_test.go
+++ b/cmd/discovery/reports_test.go
@@ -9,7 +9,7 @@
 	"strings"
 	"testing"
 
-	"starlingvalve/internal/lab/simulated"
+	"meadowsill/internal/lab/simulated"
 )
 
 // agentCount reads one of the agent's counters.
--- a/cmd/listd/rollout_test.go
+++ b/cmd/discovery/rollout_test.go
@@ -15,7 +15,7 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"starlingvalve/internal/fleet"
+	"meadowsill/internal/fleet"
 )
 
 // tenant reads a tenant at the leader: a follower may be a moment behind.
@@ -132,7 +132,7 @@
 			}
 			out, err := exec.Command(f.Bin, append([]string{"tenants"}, args...)...).CombinedOutput()
 			if !strings.Contains(string(out), want) || (err == nil) != ok {
-				t.Errorf("listd tenants %s: %v, %s; want %q", args[0], err, out, want)
+				t.Errorf("discovery tenants %s: %v, %s; want %q", args[0], err, out, want)
 			}
 		}
 		toml := func(text string) { os.WriteFile(file, []byte(text), 0o644) }
--- a/cmd/listd/scope_test.go
+++ b/cmd/discovery/scope_test.go
@@ -5,7 +5,7 @@
 	"slices"
 	"testing"
 
-	"starlingvalve/internal/fleet"
+	"meadowsill/internal/fleet"
 )
 
 // putFor proposes a tenant's next generation in a service.
--- a/cmd/listd/tenants.go
+++ b/cmd/discovery/tenants.go
@@ -17,9 +17,9 @@
 	"github.com/cenkalti/backoff/v5"
 	"github.com/spf13/cobra"
 
-	"starlingvalve/internal/fleet"
-	"starlingvalve/internal/fleet/tenants"
-	"starlingvalve/internal/registry/replica"
+	"meadowsill/internal/fleet"
+	"meadowsill/internal/fleet/tenants"
+	"meadowsill/internal/registry/replica"
 )
 
 // tenantsCmd is the operators' side of the tenants' API (docs/fleet.md): apply, status and delete.
--- a/cmd/listd/tenants_test.go
+++ b/cmd/discovery/tenants_test.go
@@ -13,12 +13,12 @@
 	"strings"
 	"testing"
 
-	"starlingvalve/internal/fleet"
-	"starlingvalve/internal/fleet/tenants"
+	"meadowsill/internal/fleet"
+	"meadowsill/internal/fleet/tenants"
 )
 
-// leaderStandIn answers the tenants' API from the core itself, one request at a time.
-type leaderStandIn struct {
+// leaderStub answers the tenants' API from the core itself, one request at a time.
+type leaderStub struct {
 	s     tenants.State
 	rev   uint64
 	calls []string
@@ -28,12 +28,12 @@
 
 func firstEpoch(string) uint64 { return 1 }
 
-func (l *leaderStandIn) apply(c tenants.Command) error {
+func (l *leaderStub) apply(c tenants.Command) error {
 	_, err := l.s.Apply(c, firstEpoch, func() uint64 { l.rev++; return l.rev })
 	return err
 }
 
-func (l *leaderStandIn) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (l *leaderStub) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	l.calls = append(l.calls, r.Method)
 	name, status := strings.CutSuffix(strings.TrimPrefix(r.URL.Path, "/fleet/v1/tenants/"), "/status")
 	var err error
@@ -72,7 +72,7 @@
 }
 
 // settle carries the tenant's rollout through, as no node is present.
-func (l *leaderStandIn) settle() {
+func (l *leaderStub) settle() {
 	j := tenants.NewJudge(tenants.Config{Slots: 1})
 	for range 3 {
 		for _, c := range j.Step(0, &l.s, tenants.Present{Epoch: firstEpoch}) {
@@ -84,7 +84,7 @@
 const brandFile = "name = \"lulu\"\n[quota]\nrate = %d\n"
 
 func TestTenantsCommands(t *testing.T) {
-	l := &leaderStandIn{}
+	l := &leaderStub{}
 	leader := httptest.NewServer(l)
 	defer leader.Close()
 	follower := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/cmd/listd/zone_test.go
+++ b/cmd/discovery/zone_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"starlingvalve/internal/fleet"
+	"meadowsill/internal/fleet"
 )
 
 // A zone is lost, and the raft leader with it: every agent hears one directive; when the zone answers again it returns by steps,
--- a/cmd/fleetlab/calibrate.go
+++ b/cmd/fleetlab/calibrate.go
@@ -13,7 +13,7 @@
 
 	"github.com/spf13/cobra"
 
-	"starlingvalve/internal/scale/calibrate"
+	"meadowsill/internal/scale/calibrate"
 )
 
 // calibrateCmd measures real and hollow nodes in turn on one schedule.
@@ -55,8 +55,8 @@
 	cmd.Flags().DurationVar(&plan.For, "for", 30*time.Second, "length of each of the two windows")
 	cmd.Flags().Uint64Var(&plan.Seed, "seed", 1, "of the load")
 	cmd.Flags().IntVar(&repeats, "repeats", 3, "times that both are measured, in turn")
-	cmd.Flags().StringVar(&bin.Node, "node-binary", "bin/starlingvalve", "the node program")
-	cmd.Flags().StringVar(&bin.Listd, "listd-binary", "bin/listd", "the listd program")
+	cmd.Flags().StringVar(&bin.Node, "node-binary", "bin/balancer", "the node program")
+	cmd.Flags().StringVar(&bin.Discovery, "discovery-binary", "bin/discovery", "the discovery program")
 	cmd.Flags().StringVar(&out, "out", "logs/scale", "where the run's directory is made")
 	return cmd
 }
--- a/cmd/fleetlab/capacity.go
+++ b/cmd/fleetlab/capacity.go
@@ -6,7 +6,7 @@
 
 	"github.com/spf13/cobra"
 
-	"starlingvalve/internal/capacity"
+	"meadowsill/internal/capacity"
 )
 
 // benchCommand is how the benchmarks are run that capacity measure reads, for each package with such ones.
--- a/cmd/fleetlab/capacity_test.go
+++ b/cmd/fleetlab/capacity_test.go
@@ -9,7 +9,7 @@
 	"strings"
 	"testing"
 
-	"starlingvalve/internal/lab/datapath"
+	"meadowsill/internal/lab/datapath"
 )
 
 // execute runs a command line in this process.
--- a/cmd/fleetlab/datapath.go
+++ b/cmd/fleetlab/datapath.go
@@ -12,7 +12,7 @@
 
 	"github.com/spf13/cobra"
 
-	"starlingvalve/internal/lab/datapath"
+	"meadowsill/internal/lab/datapath"
 )
 
 func datapathCmd() *cobra.Command {
@@ -47,9 +47,9 @@
 			_, err = fmt.Fprintf(c.OutOrStdout(), "%s\n", raw)
 			return err
 		}}
-	cmd.Flags().StringVar(&plan.Binary, "node-binary", "bin/starlingvalve", "the node program")
+	cmd.Flags().StringVar(&plan.Binary, "node-binary", "bin/balancer", "the node program")
 	cmd.Flags().IntVar(&plan.Nodes, "nodes", 2200, "nodes of the fleet, by the node's settings")
-	cmd.Flags().IntVar(&plan.Servers, "servers", 26_000, "entries of the list, all of them the one stand-in app server")
+	cmd.Flags().IntVar(&plan.Servers, "servers", 26_000, "entries of the list, all of them the one stub app server")
 	cmd.Flags().Float64Var(&plan.RequestsPerS, "requests", 77, "requests a second through the node, and as many directly")
 	cmd.Flags().Float64Var(&plan.ChangesPerS, "changes", 0.082, "changes of the list a second")
 	cmd.Flags().DurationVar(&plan.Latency, "latency", 5*time.Millisecond, "of the app server's work")
--- a/cmd/fleetlab/fleet_test.go
+++ b/cmd/fleetlab/fleet_test.go
@@ -36,7 +36,7 @@
 func TestFleetRulesCatchNodesThatDoNotFollow(t *testing.T) {
 	lab, node := build(t)
 	path := filepath.Join(t.TempDir(), "alone.toml")
-	os.WriteFile(path, []byte("duration_s = 22\n[fleet]\nnodes = 4\nservers = 6\nzones = [\"a\", \"b\", \"c\"]\ndiscovery = \"listd\"\ncontrol = true\nfollow = false\n"+
+	os.WriteFile(path, []byte("duration_s = 22\n[fleet]\nnodes = 4\nservers = 6\nzones = [\"a\", \"b\", \"c\"]\ndiscovery = \"replicated\"\ncontrol = true\nfollow = false\n"+
 		"[load]\nrate = 60\naccounts = [\"sahil-pets\", \"oasis-toys\"]\n"+
 		"[[events]]\nat_s = 5\ndo = \"tenant\"\ntenant = \"oasis-toys\"\nquota_per_s = 100\nburst = 10\n"+
 		"[[events]]\nat_s = 8\ndo = \"drift\"\nnodes = \"3\"\n"+
--- a/cmd/fleetlab/hollow.go
+++ b/cmd/fleetlab/hollow.go
@@ -9,7 +9,7 @@
 
 	"github.com/spf13/cobra"
 
-	"starlingvalve/internal/scale/hollow"
+	"meadowsill/internal/scale/hollow"
 )
 
 // hollowCmd runs hollow nodes and app servers for the scale runner, which starts it and speaks to it over its standard input
--- a/cmd/fleetlab/main.go
+++ b/cmd/fleetlab/main.go
@@ -1,4 +1,4 @@
-// Command fleetlab runs the project's fleet lab: real node processes on loopback against stand-in app servers
+// Command fleetlab runs the project's fleet lab: real node processes on loopback against stub app servers
 // and discovery, with faults between them, under a scenario's timeline (docs/lab.md).
 //
 //	fleetlab list                 the bundled scenarios
@@ -25,11 +25,11 @@
 
 	"github.com/spf13/cobra"
 
-	"starlingvalve/internal/lab"
-	"starlingvalve/internal/lab/listdlab"
-	"starlingvalve/internal/lab/report"
-	"starlingvalve/internal/lab/simulated"
-	"starlingvalve/lab/scenarios"
+	"meadowsill/internal/lab"
+	"meadowsill/internal/lab/discoverylab"
+	"meadowsill/internal/lab/report"
+	"meadowsill/internal/lab/simulated"
+	"meadowsill/lab/scenarios"
 )
 
 func main() {
@@ -39,7 +39,7 @@
 }
 
 func root() *cobra.Command {
-	cmd := &cobra.Command{Use: "fleetlab", Short: "Run fleets of starlingvalve nodes through faults on loopback",
+	cmd := &cobra.Command{Use: "fleetlab", Short: "Run fleets of balancer nodes through faults on loopback",
 		SilenceUsage: true}
 	cmd.AddCommand(listCmd(), runCmd(), reportCmd(), discoveryCmd(), simulateCmd(), scaleCmd(), hollowCmd(), calibrateCmd(),
 		capacityCmd(), datapathCmd())
@@ -76,7 +76,7 @@
 }
 
 func runCmd() *cobra.Command {
-	var out, binary, listdBinary, membersBinary string
+	var out, binary, discoveryBinary, membershipBinary string
 	var seed uint64
 	var nodes int
 	cmd := &cobra.Command{Use: "run NAME|FILE.toml", Short: "Run a scenario and write its report", Args: cobra.ExactArgs(1),
@@ -88,11 +88,11 @@
 			if binary != "" {
 				s.Fleet.NodeBinary = binary
 			}
-			if listdBinary != "" {
-				s.Fleet.ListdBin = listdBinary
+			if discoveryBinary != "" {
+				s.Fleet.DiscoveryBinary = discoveryBinary
 			}
-			if membersBinary != "" {
-				s.Fleet.MembersBin = membersBinary
+			if membershipBinary != "" {
+				s.Fleet.MembershipBinary = membershipBinary
 			}
 			if seed != 0 {
 				s.Seed = seed
@@ -128,9 +128,9 @@
 			return writeReport(c, dir, recs)
 		}}
 	cmd.Flags().StringVar(&out, "out", "logs/lab", "where run directories are made")
-	cmd.Flags().StringVar(&binary, "node-binary", "", "the node program (default: the scenario's, bin/starlingvalve)")
-	cmd.Flags().StringVar(&listdBinary, "listd-binary", "", "the listd program (default: the scenario's, bin/listd)")
-	cmd.Flags().StringVar(&membersBinary, "members-binary", "", "the members program (default: the scenario's, bin/members)")
+	cmd.Flags().StringVar(&binary, "node-binary", "", "the node program (default: the scenario's, bin/balancer)")
+	cmd.Flags().StringVar(&discoveryBinary, "discovery-binary", "", "the discovery program (default: the scenario's, bin/discovery)")
+	cmd.Flags().StringVar(&membershipBinary, "membership-binary", "", "the membership program (default: the scenario's, bin/membership)")
 	cmd.Flags().Uint64Var(&seed, "seed", 0, "a seed other than the scenario's")
 	cmd.Flags().IntVar(&nodes, "nodes", 0, "a number of nodes other than the scenario's")
 	return cmd
@@ -199,10 +199,10 @@
 }
 
 func discoveryCmd() *cobra.Command {
-	var p listdlab.Plan
+	var p discoverylab.Plan
 	var out, binary string
 	var nodes int
-	cmd := &cobra.Command{Use: "discovery", Short: "Measure listd: writes/s, fan-out, memory per watcher, failover, catch-up",
+	cmd := &cobra.Command{Use: "discovery", Short: "Measure discovery: writes/s, fan-out, memory per watcher, failover, catch-up",
 		Args: cobra.NoArgs, RunE: func(c *cobra.Command, _ []string) error {
 			dir := filepath.Join(out, "discovery-"+time.Now().UTC().Format("20060102T150405"))
 			if err := os.MkdirAll(dir, 0o755); err != nil {
@@ -214,7 +214,7 @@
 			if nodes > 0 {
 				f, err = simulated.Measure(binary, dir, simulated.Plan{Nodes: nodes, Rollouts: 25, Tenants: 200, Drifts: 20, Losses: 5, Steady: 10 * time.Second}, log)
 			} else {
-				f, err = listdlab.Experiment(binary, dir, p, log)
+				f, err = discoverylab.Experiment(binary, dir, p, log)
 			}
 			if raw, _ := json.MarshalIndent(f, "", "  "); string(raw) != "null" {
 				os.WriteFile(filepath.Join(dir, "figures.json"), raw, 0o644)
@@ -230,6 +230,6 @@
 	cmd.Flags().IntVar(&p.Writers, "writers", 16, "concurrent writers")
 	cmd.Flags().DurationVar(&p.WriteFor, "write-for", 3*time.Second, "how long writes/s is measured")
 	cmd.Flags().StringVar(&out, "out", "logs/lab", "where the run directory is made")
-	cmd.Flags().StringVar(&binary, "listd-binary", "bin/listd", "the listd program")
+	cmd.Flags().StringVar(&binary, "discovery-binary", "bin/discovery", "the discovery program")
 	return cmd
 }
--- a/cmd/fleetlab/main_test.go
+++ b/cmd/fleetlab/main_test.go
@@ -18,11 +18,11 @@
 func build(t *testing.T) (lab, node string) {
 	t.Helper()
 	dir := t.TempDir()
-	cmd := exec.Command("go", "build", "-o", dir+"/", "starlingvalve/cmd/fleetlab", "starlingvalve/cmd/starlingvalve", "starlingvalve/cmd/listd", "starlingvalve/cmd/members")
+	cmd := exec.Command("go", "build", "-o", dir+"/", "meadowsill/cmd/fleetlab", "meadowsill/cmd/balancer", "meadowsill/cmd/discovery", "meadowsill/cmd/membership")
 	if out, err := cmd.CombinedOutput(); err != nil {
 		t.Fatalf("build: %v\n%s", err, out)
 	}
-	return filepath.Join(dir, "fleetlab"), filepath.Join(dir, "starlingvalve")
+	return filepath.Join(dir, "fleetlab"), filepath.Join(dir, "balancer")
 }
 
 type labReport struct {
@@ -65,8 +65,8 @@
 func run(t *testing.T, lab, node, scenario string) (labReport, string) {
 	t.Helper()
 	out := t.TempDir()
-	cmd := exec.Command(lab, "run", scenario, "--out", out, "--node-binary", node, "--listd-binary", filepath.Join(filepath.Dir(node), "listd"),
-		"--members-binary", filepath.Join(filepath.Dir(node), "members"))
+	cmd := exec.Command(lab, "run", scenario, "--out", out, "--node-binary", node, "--discovery-binary", filepath.Join(filepath.Dir(node), "discovery"),
+		"--membership-binary", filepath.Join(filepath.Dir(node), "membership"))
 	var stdout bytes.Buffer
 	cmd.Stdout, cmd.Stderr = &stdout, &stdout
 	guard := time.AfterFunc(3*time.Minute, func() { cmd.Process.Kill() })
@@ -113,11 +113,11 @@
 	}
 }
 
-// The same on listd's replicas with an agent per node: a drain and a removal reach the nodes that discovery
+// The same on discovery's replicas with an agent per node: a drain and a removal reach the nodes that discovery
 // can reach in time; two nodes cut off from it are updated at the heal.
-func TestListdScenarioBreaksNoRule(t *testing.T) {
+func TestDiscoveryScenarioBreaksNoRule(t *testing.T) {
 	lab, node := build(t)
-	r, dir := run(t, lab, node, "listd-small")
+	r, dir := run(t, lab, node, "discovery-small")
 	if len(r.Breaches) != 0 {
 		t.Errorf("breaches: %v (see %s)", r.Breaches, dir)
 	}
@@ -130,11 +130,11 @@
 	}
 }
 
-// Every link of listd named and faulted: raft and agent links lossy, the leader and an agent killed and back, two
+// Every link of discovery named and faulted: raft and agent links lossy, the leader and an agent killed and back, two
 // agents cut off from the replicas. Nothing breaks, and the CPU of agents and replicas is counted.
-func TestListdLinksAndProcessesAreFaulted(t *testing.T) {
+func TestDiscoveryLinksAndProcessesAreFaulted(t *testing.T) {
 	lab, node := build(t)
-	r, dir := run(t, lab, node, "listd-links")
+	r, dir := run(t, lab, node, "discovery-links")
 	if len(r.Breaches) != 0 {
 		t.Errorf("breaches: %v (see %s)", r.Breaches, dir)
 	}
--- a/cmd/fleetlab/scale.go
+++ b/cmd/fleetlab/scale.go
@@ -15,22 +15,22 @@
 
 	"github.com/spf13/cobra"
 
-	"starlingvalve/internal/lab/bounds"
-	"starlingvalve/internal/scale"
-	"starlingvalve/internal/scale/hollow"
-	"starlingvalve/lab/sweeps"
+	"meadowsill/internal/lab/bounds"
+	"meadowsill/internal/scale"
+	"meadowsill/internal/scale/hollow"
+	"meadowsill/lab/sweeps"
 )
 
-// defaultListd is the listd program that is built with this one.
-const defaultListd = "bin/listd"
+// defaultDiscovery is the discovery program that is built with this one.
+const defaultDiscovery = "bin/discovery"
 
 // scaleFlags are the flags of scale.
 type scaleFlags struct {
-	out, listd, commit, listdCommit string
-	seed                            uint64
-	unscoped                        bool
-	repeats                         int
-	sizes                           []float64
+	out, discovery, commit, discoveryCommit string
+	seed                                    uint64
+	unscoped                                bool
+	repeats                                 int
+	sizes                                   []float64
 }
 
 func scaleCmd() *cobra.Command {
@@ -38,9 +38,9 @@
 	cmd := &cobra.Command{Use: "scale NAME|FILE.toml", Short: "Measure how the control plane bears its size, over one dimension (docs/scale.md)",
 		Args: cobra.ExactArgs(1), RunE: func(c *cobra.Command, args []string) error { return runScale(c, args[0], flags) }}
 	cmd.Flags().StringVar(&flags.out, "out", "logs/scale", "where the run's directory is made")
-	cmd.Flags().StringVar(&flags.listd, "listd-binary", defaultListd, "the listd program")
+	cmd.Flags().StringVar(&flags.discovery, "discovery-binary", defaultDiscovery, "the discovery program")
 	cmd.Flags().StringVar(&flags.commit, "commit", "", "the commit of this program; by default as its build says")
-	cmd.Flags().StringVar(&flags.listdCommit, "listd-commit", "", "the commit of the listd program; by default as its build says; of the default program, --commit")
+	cmd.Flags().StringVar(&flags.discoveryCommit, "discovery-commit", "", "the commit of the discovery program; by default as its build says; of the default program, --commit")
 	cmd.Flags().Uint64Var(&flags.seed, "seed", 0, "a seed other than the sweep's")
 	cmd.Flags().IntVar(&flags.repeats, "repeats", 0, "repeats other than the sweep's")
 	cmd.Flags().Float64SliceVar(&flags.sizes, "sizes", nil, "sizes other than the sweep's, as 25,50,100,200,400")
@@ -106,8 +106,8 @@
 	if err := scale.Check(plan, limits); err != nil {
 		return fmt.Errorf("sweep %s: %w", plan.Name, err)
 	}
-	if _, err := os.Stat(flags.listd); err != nil {
-		return fmt.Errorf("--listd-binary: %w", err)
+	if _, err := os.Stat(flags.discovery); err != nil {
+		return fmt.Errorf("--discovery-binary: %w", err)
 	}
 	self, err := os.Executable()
 	if err != nil {
@@ -125,8 +125,8 @@
 	log := slog.New(slog.NewJSONHandler(logFile, nil)).With("run", filepath.Base(dir))
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	results, err := scale.Run(ctx, plan, scale.Options{Dir: dir, Progress: c.ErrOrStderr(), Commit: flags.ownCommit(), ListdCommit: flags.replicasCommit(),
-		Machine: machine, Limits: limits, StartReplicas: scale.ListdReplicas(flags.listd), StartHollow: hollowProcess(self, log)})
+	results, err := scale.Run(ctx, plan, scale.Options{Dir: dir, Progress: c.ErrOrStderr(), Commit: flags.ownCommit(), DiscoveryCommit: flags.replicasCommit(),
+		Machine: machine, Limits: limits, StartReplicas: scale.DiscoveryReplicas(flags.discovery), StartHollow: hollowProcess(self, log)})
 	if err != nil {
 		return err
 	}
@@ -189,17 +189,17 @@
 	return commitOf(info)
 }
 
-// replicasCommit is the listd program's commit.
+// replicasCommit is the discovery program's commit.
 func (f scaleFlags) replicasCommit() string {
-	if f.listdCommit != "" {
-		return f.listdCommit
+	if f.discoveryCommit != "" {
+		return f.discoveryCommit
 	}
-	if info, err := buildinfo.ReadFile(f.listd); err == nil {
+	if info, err := buildinfo.ReadFile(f.discovery); err == nil {
 		if commit := commitOf(info); commit != unknownCommit {
 			return commit
 		}
 	}
-	if f.listd != defaultListd {
+	if f.discovery != defaultDiscovery {
 		return unknownCommit
 	}
 	return f.ownCommit()
--- a/cmd/fleetlab/scale_test.go
+++ b/cmd/fleetlab/scale_test.go
@@ -11,14 +11,14 @@
 	"testing"
 	"time"
 
-	"starlingvalve/internal/scale"
+	"meadowsill/internal/scale"
 )
 
 // buildScale builds what a sweep runs.
 func buildScale(t *testing.T) (dir string) {
 	t.Helper()
 	dir = t.TempDir()
-	cmd := exec.Command("go", "build", "-o", dir+"/", "starlingvalve/cmd/fleetlab", "starlingvalve/cmd/listd")
+	cmd := exec.Command("go", "build", "-o", dir+"/", "meadowsill/cmd/fleetlab", "meadowsill/cmd/discovery")
 	if out, err := cmd.CombinedOutput(); err != nil {
 		t.Fatalf("build: %v\n%s", err, out)
 	}
@@ -28,7 +28,7 @@
 // scaleCommand makes a command that runs a sweep with its results under out.
 func scaleCommand(dir, sweep, out string, args ...string) (*exec.Cmd, *bytes.Buffer) {
 	cmd := exec.Command(filepath.Join(dir, "fleetlab"), append([]string{"scale", sweep, "--out", out,
-		"--listd-binary", filepath.Join(dir, "listd"), "--commit", "test"}, args...)...)
+		"--discovery-binary", filepath.Join(dir, "discovery"), "--commit", "test"}, args...)...)
 	var text bytes.Buffer
 	cmd.Stdout, cmd.Stderr = &text, &text
 	return cmd, &text
@@ -118,7 +118,7 @@
 		var text bytes.Buffer
 		cmd.SetOut(&text)
 		cmd.SetErr(&text)
-		cmd.SetArgs([]string{"scale", file, "--out", out, "--listd-binary", os.Args[0]})
+		cmd.SetArgs([]string{"scale", file, "--out", out, "--discovery-binary", os.Args[0]})
 		err := cmd.Execute()
 		if err == nil || !strings.Contains(err.Error(), row.want) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%v, want one line with %q", err, row.want)
--- a/cmd/fleetlab/simulate.go
+++ b/cmd/fleetlab/simulate.go
@@ -13,7 +13,7 @@
 
 	"github.com/spf13/cobra"
 
-	"starlingvalve/internal/fleet/sim"
+	"meadowsill/internal/fleet/sim"
 )
 
 // simulateCmd plays the fleet's cores on seeded schedules, in this process alone.
--- a/cmd/fleetlab/simulate_cores.go
+++ b/cmd/fleetlab/simulate_cores.go
@@ -7,8 +7,8 @@
 	"sync"
 	"time"
 
-	tenantsplay "starlingvalve/internal/fleet/tenants/play"
-	zonesplay "starlingvalve/internal/fleet/zones/play"
+	tenantsplay "meadowsill/internal/fleet/tenants/simulation"
+	zonesplay "meadowsill/internal/fleet/zones/simulation"
 )
 
 // corePlays are the plays of one core by kind. How many nodes there are, and for how long, is the play's own choice.
--- a/cmd/fleetlab/simulate_drift.go
+++ b/cmd/fleetlab/simulate_drift.go
@@ -8,8 +8,8 @@
 	"sync"
 	"time"
 
-	"starlingvalve/internal/fleet/drift"
-	driftplay "starlingvalve/internal/fleet/drift/play"
+	"meadowsill/internal/fleet/drift"
+	driftplay "meadowsill/internal/fleet/drift/simulation"
 )
 
 // simulateDrift plays the drift detector's core: seeds plays from first on, each of the given length. The error is the
--- a/cmd/members/main.go
+++ b/cmd/membership/main.go
@@ -1,7 +1,7 @@
-// Command members runs one member of the fleet's gossip on its own, for the lab and the tests: it serves its
+// Command membership runs one member of the fleet's gossip on its own, for the lab and the tests: it serves its
 // view at /view (JSON) and metrics at /metrics, and leaves at SIGTERM (docs/membership.md).
 //
-//	members run --name m1 --bind 127.5.0.1:7946 --seed 127.5.0.2:7946 --http 127.5.0.1:9000
+//	membership run --name m1 --bind 127.5.0.1:7946 --seed 127.5.0.2:7946 --http 127.5.0.1:9000
 package main
 
 import (
@@ -19,11 +19,11 @@
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 	"github.com/spf13/cobra"
 
-	"starlingvalve/internal/membership"
+	"meadowsill/internal/membership"
 )
 
 func main() {
-	root := &cobra.Command{Use: "members", Short: "One member of the fleet's gossip", SilenceUsage: true}
+	root := &cobra.Command{Use: "membership", Short: "One member of the fleet's gossip", SilenceUsage: true}
 	var cfg membership.Config
 	var httpAddr string
 	run := &cobra.Command{Use: "run", Args: cobra.NoArgs, Short: "Join and serve the view",
--- a/cmd/members/main_test.go
+++ b/cmd/membership/main_test.go
@@ -14,7 +14,7 @@
 	"testing"
 	"time"
 
-	"starlingvalve/internal/membership"
+	"meadowsill/internal/membership"
 )
 
 type fleet struct {
@@ -25,7 +25,7 @@
 
 func start(t *testing.T, n int) *fleet {
 	dir := t.TempDir()
-	if out, err := exec.Command("go", "build", "-o", dir+"/", "starlingvalve/cmd/members").CombinedOutput(); err != nil {
+	if out, err := exec.Command("go", "build", "-o", dir+"/", "meadowsill/cmd/membership").CombinedOutput(); err != nil {
 		t.Fatalf("build: %v\n%s", err, out)
 	}
 	f := &fleet{t: t}
@@ -37,7 +37,7 @@
 		if i > 0 {
 			args = append(args, "--seed", fmt.Sprintf("127.5.%d.1:7946", net))
 		}
-		cmd := exec.Command(filepath.Join(dir, "members"), args...)
+		cmd := exec.Command(filepath.Join(dir, "membership"), args...)
 		cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 		if err := cmd.Start(); err != nil {
 			t.Fatal(err)
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -10,8 +10,8 @@
 	"io"
 	"os"
 
-	"starlingvalve/decide"
-	"starlingvalve/internal/wire"
+	"meadowsill/internal/wire"
+	"meadowsill/policy"
 )
 
 func main() {
@@ -23,7 +23,7 @@
 
 func run(in io.Reader, out io.Writer) error {
 	r, w := bufio.NewReaderSize(in, 1<<20), bufio.NewWriterSize(out, 1<<20)
-	nodes := map[int]*decide.Module{}
+	nodes := map[int]*policy.Module{}
 	var reply []byte
 	for number := 1; ; number++ {
 		line, err := r.ReadBytes('\n')
@@ -47,7 +47,7 @@
 	}
 }
 
-func answer(nodes map[int]*decide.Module, line []byte) ([]wire.Reply, error) {
+func answer(nodes map[int]*policy.Module, line []byte) ([]wire.Reply, error) {
 	batch, err := wire.DecodeBatch(line)
 	if err != nil {
 		return nil, err
@@ -58,7 +58,7 @@
 		for i, h := range g.Events {
 			switch {
 			case h.Start != nil:
-				nodes[g.Node] = decide.New(h.Start.Settings, h.Start.Seed)
+				nodes[g.Node] = policy.New(h.Start.Settings, h.Start.Seed)
 			case h.Retire:
 				delete(nodes, g.Node)
 				reply.Actions = nil // a dead instance does nothing
--- a/internal/capacity/agentchecks.go
+++ b/internal/capacity/agentchecks.go
@@ -1,6 +1,6 @@
 package capacity
 
-import "starlingvalve/internal/fleet"
+import "meadowsill/internal/fleet"
 
 // calmReports is how many reports a second of a node are in its calm traffic, by which it was measured.
 const calmReports = 1.0
--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -9,7 +9,7 @@
 	"strings"
 	"testing"
 
-	"starlingvalve/internal/fleet"
+	"meadowsill/internal/fleet"
 )
 
 const (
--- a/internal/capacity/catalog.go
+++ b/internal/capacity/catalog.go
@@ -150,9 +150,9 @@
 	timed(ReportEncode, RoleNode, "a report as JSON", perTenant, "internal/fleet", "ReportEncode"),
 	timed(ReportDecode, RoleLeader, "reading a report", perTenant, "internal/fleet", "ReportDecode"),
 
-	timed(Difference, RoleAgent, "a difference of two reports and its body", perTenant, "internal/fleet/reportdiff", "Difference"),
-	sized(DifferenceBytes, RoleAgent, "body of a difference, by its changed rows", perRow, "internal/fleet/reportdiff", "DifferenceBody", "body-B"),
-	timed(Apply, RoleLeader, "reading a difference, and the whole report of it", perTenant, "internal/fleet/reportdiff", "Apply"),
+	timed(Difference, RoleAgent, "a difference of two reports and its body", perTenant, "internal/fleet/reportdelta", "Difference"),
+	sized(DifferenceBytes, RoleAgent, "body of a difference, by its changed rows", perRow, "internal/fleet/reportdelta", "DifferenceBody", "body-B"),
+	timed(Apply, RoleLeader, "reading a difference, and the whole report of it", perTenant, "internal/fleet/reportdelta", "Apply"),
 
 	timed(GuardScope, RoleLeader, "Guard of a join in a scope", perTenant, "internal/fleet/control", "GuardInScope"),
 	timed(MayJoinScope, RoleLeader, "MayJoin of a report in a scope", perTenant, "internal/fleet/control", "MayJoinInScope"),
@@ -180,14 +180,14 @@
 	timed(CopyDecode, RoleAgent, "reading the copy back", perTenant, "internal/fleet/agent", "Decode"),
 	sized(CopyHeap, RoleAgent, "heap of the copy", perTenant, "internal/fleet/agent", "Heap", "heap-B"),
 
-	timed(ModuleList, RoleNode, "the module's update for one change of the list", perServer, "decide", "ListOneChange"),
-	timed(ModuleTick, RoleNode, "the module's round of checks, no request open", perServer, "decide", "Tick"),
-	timed(ModuleWindow, RoleNode, "Window, for each report", perTenant, "decide", "Window"),
-	timed(ModuleHolds, RoleNode, "Holds, for each report", perTenant, "decide", "Holds"),
-	timed(HoldsList, RoleNode, "Holds of the list, for each report", perServer, "decide", "HoldsList"),
+	timed(ModuleList, RoleNode, "the module's update for one change of the list", perServer, "policy", "ListOneChange"),
+	timed(ModuleTick, RoleNode, "the module's round of checks, no request open", perServer, "policy", "Tick"),
+	timed(ModuleWindow, RoleNode, "Window, for each report", perTenant, "policy", "Window"),
+	timed(ModuleHolds, RoleNode, "Holds, for each report", perTenant, "policy", "Holds"),
+	timed(HoldsList, RoleNode, "Holds of the list, for each report", perServer, "policy", "HoldsList"),
 	timed(FillTenants, RoleNode, "digests of the tenants, for each report", perTenant, "internal/fleet/drift", "FillTenants"),
 	timed(FillServers, RoleNode, "digests of the list, for each report", perServer, "internal/fleet/drift", "FillServers"),
-	timed(ModuleLoad, RoleNode, "a module's load of all tenants", perTenant, "decide", "TenantsLoad"),
+	timed(ModuleLoad, RoleNode, "a module's load of all tenants", perTenant, "policy", "TenantsLoad"),
 
 	taken(AgentBytes, RoleAgent, "all calls to the replicas, calm, one tenant", perNode, BytesPerS),
 	taken(AgentCPU, RoleAgent, "processor time, calm, one tenant", perNode, CorePercent),
--- a/internal/capacity/datapath.go
+++ b/internal/capacity/datapath.go
@@ -64,7 +64,7 @@
 	return out, nil
 }
 
-// workMS is the stand-in's work on a request.
+// workMS is the stub's work on a request.
 const workMS = 5.0
 
 // quiet says whether a run can be judged: the direct call's own p99 leaves room for what is allowed to be seen.
--- a/internal/capacity/leaderchecks.go
+++ b/internal/capacity/leaderchecks.go
@@ -1,6 +1,6 @@
 package capacity
 
-import "starlingvalve/internal/fleet"
+import "meadowsill/internal/fleet"
 
 const (
 	replicasToday      = 3.0    // voters that answer watches
--- a/internal/capacity/measure.go
+++ b/internal/capacity/measure.go
@@ -14,7 +14,7 @@
 )
 
 const (
-	modulePath      = "starlingvalve/"
+	modulePath      = "meadowsill/"
 	benchmarkPrefix = "Capacity"
 	fewestSizes     = 3 // that a fit is made from
 	secondsPerNano  = 1e-9
--- a/internal/capacity/measure_test.go
+++ b/internal/capacity/measure_test.go
@@ -15,7 +15,7 @@
 		if d.benchmark == (benchmark{}) {
 			continue
 		}
-		fmt.Fprintf(&b, "pkg: starlingvalve/%s\n", d.benchmark.pkg)
+		fmt.Fprintf(&b, "pkg: meadowsill/%s\n", d.benchmark.pkg)
 		for _, size := range []int{100, 200, 400, 800} {
 			for repeat := range 3 {
 				value, unit := cost(size, repeat), "ns/op"
--- a/internal/fleet/agent/agent.go
+++ b/internal/fleet/agent/agent.go
@@ -14,10 +14,10 @@
 	"github.com/prometheus/client_golang/prometheus"
 	"golang.org/x/sys/unix"
 
-	"starlingvalve/internal/fleet"
-	"starlingvalve/internal/fleet/drift"
-	"starlingvalve/internal/fleet/reportdiff"
-	"starlingvalve/internal/fleet/session"
+	"meadowsill/internal/fleet"
+	"meadowsill/internal/fleet/drift"
+	"meadowsill/internal/fleet/reportdelta"
+	"meadowsill/internal/fleet/session"
 )
 
 // Config places an agent.
@@ -58,11 +58,11 @@
 	report  *carried      // the node's newest
 	reports chan struct{} // holds one: a report is to be carried
 	last    fleet.ReportAnswer
-	lastAt  fleet.Time        // when the leader last answered
-	lost    bool              // no replica took the last report
-	fenced  bool              // the node's newest incarnation has a successor elsewhere
-	sender  reportdiff.Sender // of the goroutine that carries
-	inc     uint64            // the largest incarnation seen, and its largest seq
+	lastAt  fleet.Time         // when the leader last answered
+	lost    bool               // no replica took the last report
+	fenced  bool               // the node's newest incarnation has a successor elsewhere
+	sender  reportdelta.Sender // of the goroutine that carries
+	inc     uint64             // the largest incarnation seen, and its largest seq
 	seq     uint64
 }
 
--- a/internal/fleet/agent/bench_test.go
+++ b/internal/fleet/agent/bench_test.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"testing"
 
-	"starlingvalve/internal/fleet"
+	"meadowsill/internal/fleet"
 )
 
 // benchSizes are the numbers of tenants that the copy is measured with.
--- a/internal/fleet/agent/capacity_bench_test.go
+++ b/internal/fleet/agent/capacity_bench_test.go
@@ -6,7 +6,7 @@
 	"runtime"
 	"testing"
 
-	"starlingvalve/internal/fleet"
+	"meadowsill/internal/fleet"
 )
 
 // The sizes are steps towards the plan of docs/CAPACITY.md, 170,000 tenants. The last is all that one answer may hold:
--- a/internal/fleet/agent/carry.go
+++ b/internal/fleet/agent/carry.go
@@ -11,7 +11,7 @@
 	"slices"
 	"time"
 
-	"starlingvalve/internal/fleet"
+	"meadowsill/internal/fleet"
 )
 
 const (
--- a/internal/fleet/agent/copy.go
+++ b/internal/fleet/agent/copy.go
@@ -14,7 +14,7 @@
 
 	"github.com/google/btree"
 
-	"starlingvalve/internal/fleet"
+	"meadowsill/internal/fleet"
 )
 
 // goneKept is how many items that are gone are remembered: a node that watches from before them gets everything.
--- a/internal/fleet/agent/copy_test.go
+++ b/internal/fleet/agent/copy_test.go
@@ -9,7 +9,7 @@
 	"github.com/google/go-cmp/cmp"
 	"pgregory.net/rapid"
 
-	"starlingvalve/internal/fleet"
+	"meadowsill/internal/fleet"
 )
 
 // intended is a control plane that knows nothing but its items.
--- a/internal/fleet/agent/disk.go
+++ b/internal/fleet/agent/disk.go
@@ -8,7 +8,7 @@
 	"path/filepath"
 	"slices"
 
-	"starlingvalve/internal/fleet"
+	"meadowsill/internal/fleet"
 )
 
 const (
--- a/internal/fleet/agent/disk_test.go
+++ b/internal/fleet/agent/disk_test.go
@@ -14,7 +14,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"starlingvalve/internal/fleet"
+	"meadowsill/internal/fleet"
 )
 
 // tenantOf is a tenant's item of a committed and a staged service; "-": there is no such generation.
--- a/internal/fleet/agent/golden_test.go
+++ b/internal/fleet/agent/golden_test.go
@@ -11,8 +11,8 @@
 
 	"github.com/prometheus/client_golang/prometheus"
 
-	"starlingvalve/internal/fleet"
-	"starlingvalve/internal/golden"
+	"meadowsill/internal/fleet"
+	"meadowsill/internal/golden"
 )
 
 // The records of the durable copy.
--- a/internal/fleet/agent/outgoing.go
+++ b/internal/fleet/agent/outgoing.go
@@ -4,8 +4,8 @@
 	"errors"
 	"net/http"
 
-	"starlingvalve/internal/fleet"
-	"starlingvalve/internal/fleet/reportdiff"
+	"meadowsill/internal/fleet"
+	"meadowsill/internal/fleet/reportdelta"
 )
 
 // Kinds of bodies in which a report is sent, and their paths. A replica of the build before has no path for differences, and
@@ -24,7 +24,7 @@
 
 // newCarried makes the report rep, read from raw, one to carry; newer says that it has more members than this build knows.
 func newCarried(rep fleet.Report, raw []byte, newer bool) *carried {
-	return &carried{raw: raw, rep: reportdiff.Normalize(rep), newer: newer, done: make(chan struct{})}
+	return &carried{raw: raw, rep: reportdelta.Normalize(rep), newer: newer, done: make(chan struct{})}
 }
 
 // outgoing is a report as it is sent.
@@ -44,7 +44,7 @@
 	if !ok {
 		return whole
 	}
-	body, err := reportdiff.Encode(d)
+	body, err := reportdelta.Encode(d)
 	if err != nil || len(body) >= len(c.raw) {
 		return whole
 	}
--- a/internal/fleet/agent/outgoing_test.go
+++ b/internal/fleet/agent/outgoing_test.go
@@ -18,9 +18,9 @@
 	"github.com/google/go-cmp/cmp/cmpopts"
 	"github.com/prometheus/client_golang/prometheus"
 
-	"starlingvalve/internal/fleet"
-	"starlingvalve/internal/fleet/reportdiff"
-	"starlingvalve/internal/fleet/session"
+	"meadowsill/internal/fleet"
+	"meadowsill/internal/fleet/reportdelta"
+	"meadowsill/internal/fleet/session"
 )
 
 // differenceLeader stands in for the leader: it makes whole reports of differences as a replica does.
@@ -31,7 +31,7 @@
 	lose      bool // the next answer is lost
 	stale     bool // the next difference is answered with the wish, whatever its base
 	cut       int  // the next difference is cut short to so many bytes; 0: it is not
-	bases     reportdiff.Bases
+	bases     reportdelta.Bases
 	has       fleet.Report
 	log       []string // of the reports that came: path and seq, or what was wrong
 }
@@ -70,7 +70,7 @@
 			return ans, http.StatusBadRequest
 		}
 		l.log = append(l.log, fmt.Sprint("whole ", r.Seq))
-		l.has = reportdiff.Normalize(r)
+		l.has = reportdelta.Normalize(r)
 		if !l.lastBuild {
 			ans.AckSeq = l.bases.Keep(l.has, 0)
 		}
@@ -82,14 +82,14 @@
 	if l.cut > 0 {
 		body, l.cut = body[:l.cut], 0
 	}
-	d, err := reportdiff.Decode(body)
+	d, err := reportdelta.Decode(body)
 	if err != nil {
 		l.log = append(l.log, "malformed")
 		return ans, http.StatusBadRequest
 	}
 	base, err := l.bases.Find(&d)
 	if err == nil {
-		base, err = reportdiff.Apply(base, d)
+		base, err = reportdelta.Apply(base, d)
 	}
 	if l.stale || err != nil {
 		l.stale = false
@@ -102,7 +102,7 @@
 	return ans, http.StatusOK
 }
 
-// reportLink is an agent at rest that carries reports to a stand-in for the leader.
+// reportLink is an agent at rest that carries reports to a stub for the leader.
 type reportLink struct {
 	t      *testing.T
 	a      *Agent
@@ -141,7 +141,7 @@
 		r.Tenants = append(r.Tenants, fleet.TenantAck{Name: fmt.Sprint("tenant-", i), UID: 1, Committed: 2, Digest: "0123456789abcdef"})
 	}
 	r.Tenants[3].Offered = float64(l.seq) / 3
-	l.made = reportdiff.Normalize(r)
+	l.made = reportdelta.Normalize(r)
 	raw, err := json.Marshal(r)
 	if err != nil {
 		l.t.Fatal(err)
@@ -226,7 +226,7 @@
 	l.set(func(leader *differenceLeader) { leader.stale = true })
 	l.arrives("wish 15", "whole 15")
 
-	l.set(func(leader *differenceLeader) { leader.bases = reportdiff.Bases{} }) // another leader, or this one again
+	l.set(func(leader *differenceLeader) { leader.bases = reportdelta.Bases{} }) // another leader, or this one again
 	l.arrives("wish 16", "whole 16")
 	l.arrives("difference 17 after 16")
 
@@ -318,7 +318,7 @@
 	}
 	until(func() string { return "difference" })
 	l.leader.mu.Lock()
-	l.leader.bases, l.leader.log = reportdiff.Bases{}, nil
+	l.leader.bases, l.leader.log = reportdelta.Bases{}, nil
 	l.leader.mu.Unlock()
 	until(func() string {
 		l.leader.mu.Lock()
--- a/internal/fleet/agent/own.go
+++ b/internal/fleet/agent/own.go
@@ -9,8 +9,8 @@
 	"sync"
 	"time"
 
-	"starlingvalve/internal/fleet"
-	"starlingvalve/internal/fleet/drift"
+	"meadowsill/internal/fleet"
+	"meadowsill/internal/fleet/drift"
 )
 
 // ownEvery is how often the agent judges its own node.
--- a/internal/fleet/agent/record.go
+++ b/internal/fleet/agent/record.go
@@ -9,7 +9,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"starlingvalve/internal/fleet"
+	"meadowsill/internal/fleet"
 )
 
 // The durable copy is a log: a line that names the format, a base with every item, then the differences since, each a
--- a/internal/fleet/agent/scope.go
+++ b/internal/fleet/agent/scope.go
@@ -5,7 +5,7 @@
 	"slices"
 	"strings"
 
-	"starlingvalve/internal/fleet"
+	"meadowsill/internal/fleet"
 )
 
 // scopedTenant is the part of a tenant's body that says which nodes hold it.
--- a/internal/fleet/agent/scope_test.go
+++ b/internal/fleet/agent/scope_test.go
@@ -6,7 +6,7 @@
 	"slices"
 	"testing"
 
-	"starlingvalve/internal/fleet"
+	"meadowsill/internal/fleet"
 )
 
 // A tenant is in scope by its committed or its staged service; everything else is in every scope.
--- a/internal/fleet/agent/serve.go
+++ b/internal/fleet/agent/serve.go
@@ -9,8 +9,8 @@
 	"strconv"
 	"time"
 
-	"starlingvalve/internal/fleet"
-	"starlingvalve/internal/registry"
+	"meadowsill/internal/fleet"
+	"meadowsill/internal/registry"
 )
 
 // answerWait is the longest a node's report waits for the leader's answer to it; then it gets what the leader last said.
--- a/internal/fleet/agent/serve_test.go
+++ b/internal/fleet/agent/serve_test.go
@@ -16,7 +16,7 @@
 
 	"github.com/prometheus/client_golang/prometheus"
 
-	"starlingvalve/internal/fleet"
+	"meadowsill/internal/fleet"
 )
 
 // leader stands in for a replica: its intent never changes, and it answers reports as it is set.
--- a/internal/fleet/agent/subscription_test.go
+++ b/internal/fleet/agent/subscription_test.go
@@ -19,7 +19,7 @@
 
 	"github.com/prometheus/client_golang/prometheus"
 
-	"starlingvalve/internal/fleet"
+	"meadowsill/internal/fleet"
 )
 
 // atRest is an agent that has opened its copy in dir and follows nobody.
--- a/internal/fleet/agent/watch.go
+++ b/internal/fleet/agent/watch.go
@@ -10,7 +10,7 @@
 	"strconv"
 	"time"
 
-	"starlingvalve/internal/fleet"
+	"meadowsill/internal/fleet"
 )
 
 // A watch waits so long at a replica, and is given so much more to answer in. It is short, as each answer confirms the age of
--- a/internal/fleet/nodelink/mirror.go
+++ b/internal/fleet/agentclient/mirror.go
@@ -1,7 +1,7 @@
-// Package nodelink is a node's side of its tie to the fleet, as pure values: what it knows of the intent, the events by
+// Package agentclient is a node's side of its tie to the fleet, as pure values: what it knows of the intent, the events by
 // which its decide module learns of it, and the report made of what the module saw and holds. It does no I/O and reads no
 // clock; the caller asks the agent and owns the module.
-package nodelink
+package agentclient
 
 import (
 	"encoding/json"
@@ -12,8 +12,8 @@
 	"strings"
 	"time"
 
-	"starlingvalve/decide"
-	"starlingvalve/internal/fleet"
+	"meadowsill/internal/fleet"
+	"meadowsill/policy"
 )
 
 // oldest is the largest age that the module is given; what is older is past every bound as well.
@@ -98,7 +98,7 @@
 // Events gives the last answer as the module's events, as they are so long after the answer came: every
 // directive and the share, which it confirms, and the tenants that it names. The share comes after the tenants, by
 // whose rates it was divided.
-func (m *Mirror) Events(since time.Duration) (out []decide.Event) {
+func (m *Mirror) Events(since time.Duration) (out []policy.Event) {
 	zones := map[string]bool{}
 	for key := range m.Items {
 		if name, ok := strings.CutPrefix(key, fleet.KeyZone); ok {
@@ -112,12 +112,12 @@
 		if d == nil && !m.directed[zone] {
 			continue
 		}
-		e := decide.ZoneTold{Zone: zone, Revision: m.Revision, Intent: m.Revision, Serving: true, Share: 1, Floor: 1, Age: age}
+		e := policy.ZoneTold{Zone: zone, Revision: m.Revision, Intent: m.Revision, Serving: true, Share: 1, Floor: 1, Age: age}
 		if m.directed[zone] = true; d == nil {
 			delete(m.directed, zone)
 		} else {
 			h := fleet.ZoneBody(rev, *d, m.Node)
-			e = decide.ZoneTold{Zone: zone, Revision: rev, Intent: m.Revision, Share: h.Share, Floor: h.Floor, Rate: h.Rate,
+			e = policy.ZoneTold{Zone: zone, Revision: rev, Intent: m.Revision, Share: h.Share, Floor: h.Floor, Rate: h.Rate,
 				Trial: h.Trial, Age: age, Valid: Millis(h.ValidMS)}
 		}
 		out = append(out, e)
@@ -128,7 +128,7 @@
 		if json.Unmarshal(it.Body, &t) != nil {
 			continue // DecodeIntent has read it
 		}
-		e := decide.TenantTold{Name: key[len(fleet.KeyTenant):], UID: t.UID, Revision: it.Rev, Intent: m.Revision, Gone: it.Gone, Age: age}
+		e := policy.TenantTold{Name: key[len(fleet.KeyTenant):], UID: t.UID, Revision: it.Rev, Intent: m.Revision, Gone: it.Gone, Age: age}
 		if !it.Gone {
 			e.Committed, e.Staged, e.Removing, e.QuotaGone = tenantRules(t.Committed), tenantRules(t.Staged), t.Removing, t.QuotaGone
 		}
@@ -137,7 +137,7 @@
 	if it, ok := m.Items[m.share()]; ok {
 		var s fleet.Shares
 		if json.Unmarshal(it.Body, &s) == nil {
-			e := decide.ShareTold{Epoch: s.Epoch, Slots: s.Slots, Rates: s.Rates, Age: age}
+			e := policy.ShareTold{Epoch: s.Epoch, Slots: s.Slots, Rates: s.Rates, Age: age}
 			switch {
 			case it.Gone:
 				e.Rates = nil
@@ -166,14 +166,14 @@
 	return best, rev
 }
 
-func tenantRules(g *fleet.Generation) *decide.TenantRules {
+func tenantRules(g *fleet.Generation) *policy.TenantRules {
 	if g == nil {
 		return nil
 	}
-	r := &decide.TenantRules{Generation: g.Number, Digest: g.Digest, Classes: g.Spec.Namespace.Classes, Rate: g.Spec.Quota.Rate,
+	r := &policy.TenantRules{Generation: g.Number, Digest: g.Digest, Classes: g.Spec.Namespace.Classes, Rate: g.Spec.Quota.Rate,
 		Burst: g.Spec.Quota.Burst, ClassRates: g.Spec.Quota.Classes, RefuseElse: g.Spec.Fallback == "refuse"}
 	for _, route := range g.Spec.Routes {
-		r.Routes = append(r.Routes, decide.TenantRoute(route))
+		r.Routes = append(r.Routes, policy.TenantRoute(route))
 	}
 	return r
 }
--- a/internal/fleet/nodelink/mirror_test.go
+++ b/internal/fleet/agentclient/mirror_test.go
@@ -1,4 +1,4 @@
-package nodelink
+package agentclient
 
 import (
 	"encoding/json"
@@ -7,8 +7,8 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"starlingvalve/decide"
-	"starlingvalve/internal/fleet"
+	"meadowsill/internal/fleet"
+	"meadowsill/policy"
 )
 
 func item(key string, rev uint64, body any) fleet.Item {
@@ -27,21 +27,21 @@
 	left := func(share float64) fleet.Directive {
 		return fleet.Directive{Phase: fleet.Left, Share: share, Budget: 12, Slots: 4, Trial: []string{"n0"}, ValidMS: 5000}
 	}
-	zone := func(name string, rev, intent uint64, share float64) decide.ZoneTold {
-		return decide.ZoneTold{Zone: name, Revision: rev, Intent: intent, Share: share, Rate: 3, Trial: true, Age: 30 * time.Millisecond, Valid: 5 * time.Second}
+	zone := func(name string, rev, intent uint64, share float64) policy.ZoneTold {
+		return policy.ZoneTold{Zone: name, Revision: rev, Intent: intent, Share: share, Rate: 3, Trial: true, Age: 30 * time.Millisecond, Valid: 5 * time.Second}
 	}
-	served := func(name string, rev uint64) decide.ZoneTold {
-		return decide.ZoneTold{Zone: name, Revision: rev, Intent: rev, Serving: true, Share: 1, Floor: 1, Age: 30 * time.Millisecond}
+	served := func(name string, rev uint64) policy.ZoneTold {
+		return policy.ZoneTold{Zone: name, Revision: rev, Intent: rev, Serving: true, Share: 1, Floor: 1, Age: 30 * time.Millisecond}
 	}
-	share := func(held time.Duration) decide.ShareTold {
-		return decide.ShareTold{Epoch: 2, Slots: 4, Rates: map[string]float64{"a": 5}, Age: 30 * time.Millisecond, Valid: held}
+	share := func(held time.Duration) policy.ShareTold {
+		return policy.ShareTold{Epoch: 2, Slots: 4, Rates: map[string]float64{"a": 5}, Age: 30 * time.Millisecond, Valid: held}
 	}
-	told := decide.TenantTold{Name: "a", UID: 3, Revision: 4, Intent: 5, Age: 30 * time.Millisecond,
-		Committed: &decide.TenantRules{Generation: 1, Digest: "00ff", Rate: 1000, Burst: 100}}
+	told := policy.TenantTold{Name: "a", UID: 3, Revision: 4, Intent: 5, Age: 30 * time.Millisecond,
+		Committed: &policy.TenantRules{Generation: 1, Digest: "00ff", Rate: 1000, Burst: 100}}
 	m := NewMirror(me)
 	for i, step := range []struct {
 		in     fleet.Intent
-		events []decide.Event
+		events []policy.Event
 		bad    bool
 	}{
 		{in: fleet.Intent{Revision: 5}, bad: true}, // changes, where all was asked for
@@ -49,14 +49,14 @@
 			item("zone/y@x", 4, left(0)), item("zone/w", 2, fleet.Directive{Phase: fleet.Serving, Share: 1}), item("tenant/a", 4, tenant(3, 1, "a")),
 			item("share/n0", 5, fleet.Shares{Epoch: 2, Incarnation: 7, Slots: 4, Rates: map[string]float64{"a": 5}}),
 			item("share/n1", 5, fleet.Shares{Epoch: 3, Incarnation: 7}), item("later/q", 1, 1)}},
-			events: []decide.Event{zone("y", 3, 5, 0.25), told, share(80 * time.Millisecond)}},
+			events: []policy.Event{zone("y", 3, 5, 0.25), told, share(80 * time.Millisecond)}},
 		{in: fleet.Intent{Revision: 4, Full: true}, bad: true},
-		{in: fleet.Intent{Revision: 5}, events: []decide.Event{zone("y", 3, 5, 0.25), share(0)}}, // confirmed; counted out
-		{in: fleet.Intent{Revision: 6, Items: []fleet.Item{{Key: "zone/y@z", Rev: 6, Gone: true}}}, events: []decide.Event{zone("y", 5, 6, 0.5), share(0)}},
+		{in: fleet.Intent{Revision: 5}, events: []policy.Event{zone("y", 3, 5, 0.25), share(0)}}, // confirmed; counted out
+		{in: fleet.Intent{Revision: 6, Items: []fleet.Item{{Key: "zone/y@z", Rev: 6, Gone: true}}}, events: []policy.Event{zone("y", 5, 6, 0.5), share(0)}},
 		{in: fleet.Intent{Revision: 7, Full: true, HeldMS: 9000, Items: []fleet.Item{
 			item("share/n0", 7, fleet.Shares{Epoch: 2, Incarnation: 8, Slots: 4, Rates: map[string]float64{"a": 5}})}},
-			events: []decide.Event{served("y", 7), decide.TenantTold{Name: "a", UID: 3, Revision: 7, Intent: 7, Gone: true, Age: 30 * time.Millisecond}, share(0)}},
-		{in: fleet.Intent{Revision: 8}, events: []decide.Event{share(0)}}, // nothing is said twice
+			events: []policy.Event{served("y", 7), policy.TenantTold{Name: "a", UID: 3, Revision: 7, Intent: 7, Gone: true, Age: 30 * time.Millisecond}, share(0)}},
+		{in: fleet.Intent{Revision: 8}, events: []policy.Event{share(0)}}, // nothing is said twice
 	} {
 		step.in.AgeMS = 10
 		err := m.Merge(step.in)
--- a/internal/fleet/nodelink/report.go
+++ b/internal/fleet/agentclient/report.go
@@ -1,21 +1,21 @@
-package nodelink
+package agentclient
 
 import (
 	"slices"
 	"strings"
 	"time"
 
-	"starlingvalve/decide"
-	"starlingvalve/internal/fleet"
-	"starlingvalve/internal/fleet/drift"
+	"meadowsill/internal/fleet"
+	"meadowsill/internal/fleet/drift"
+	"meadowsill/policy"
 )
 
 // Observed is what a report is made of, all read at one moment.
 type Observed struct {
-	Window   decide.FleetWindow
-	Facts    []decide.Fact
+	Window   policy.FleetWindow
+	Facts    []policy.Fact
 	Held     []fleet.Held // Facts as Hold gives them, where the caller has them already
-	Now      decide.Time
+	Now      policy.Time
 	Revision uint64 // newest intent that the module has whole
 	List     uint64 // version of the server list that it has
 	Ready    bool
@@ -25,8 +25,8 @@
 
 // Idle tells whether nothing was seen that is evidence of anything.
 func (o *Observed) Idle() bool {
-	return !slices.ContainsFunc(o.Window.Zones, func(z decide.ZoneWindow) bool { return z.Attempts+z.Begun > 0 }) &&
-		!slices.ContainsFunc(o.Window.Tenants, func(t decide.TenantWindow) bool { return t.Arrived > 0 })
+	return !slices.ContainsFunc(o.Window.Zones, func(z policy.ZoneWindow) bool { return z.Attempts+z.Begun > 0 }) &&
+		!slices.ContainsFunc(o.Window.Tenants, func(t policy.TenantWindow) bool { return t.Arrived > 0 })
 }
 
 // Report makes the report of what was observed; want is what the last answer asked for.
@@ -53,7 +53,7 @@
 }
 
 // Hold makes facts what a report holds, with their digests. settled is when the settings in force were taken.
-func Hold(facts []decide.Fact, settled time.Time) []fleet.Held {
+func Hold(facts []policy.Fact, settled time.Time) []fleet.Held {
 	var held []fleet.Held
 	for _, f := range facts {
 		h, ok, err := drift.Hold(f.Key, f.Value)
--- a/internal/fleet/nodelink/server.go
+++ b/internal/fleet/agentclient/server.go
@@ -1,4 +1,4 @@
-package nodelink
+package agentclient
 
 import (
 	"hash/fnv"
@@ -6,18 +6,18 @@
 	"strconv"
 	"strings"
 
-	"starlingvalve/decide"
+	"meadowsill/policy"
 )
 
 // ServerID makes the module's number of a name, the same at every node: the module's order of servers hangs on
 // it. Names that end in eight hex digits hold it; of others it is a hash.
-func ServerID(name string) decide.ServerID {
+func ServerID(name string) policy.ServerID {
 	if _, digits, ok := strings.Cut(name, "-"); ok && len(digits) == 8 {
 		if v, err := strconv.ParseUint(digits, 16, 32); err == nil {
-			return decide.ServerID(v)
+			return policy.ServerID(v)
 		}
 	}
 	h := fnv.New32a()
 	io.WriteString(h, name)
-	return decide.ServerID(h.Sum32())
+	return policy.ServerID(h.Sum32())
 }
--- a/internal/fleet/control/bench_test.go
+++ b/internal/fleet/control/bench_test.go
@@ -4,8 +4,8 @@
 	"fmt"
 	"testing"
 
-	"starlingvalve/internal/fleet"
-	"starlingvalve/internal/fleet/tenants"
+	"meadowsill/internal/fleet"
+	"meadowsill/internal/fleet/tenants"
 )
 
 // benchmarkSizes are numbers of tenants.
--- a/internal/fleet/control/capacity_bench_test.go
+++ b/internal/fleet/control/capacity_bench_test.go
@@ -6,9 +6,9 @@
 	"testing"
 	"time"
 
-	"starlingvalve/internal/fleet"
-	"starlingvalve/internal/fleet/session"
-	"starlingvalve/internal/fleet/tenants"
+	"meadowsill/internal/fleet"
+	"meadowsill/internal/fleet/session"
+	"meadowsill/internal/fleet/tenants"
 )
 
 // The sizes are steps towards the plan of docs/CAPACITY.md, 170,000 tenants.
--- a/internal/fleet/control/capacity_scope_bench_test.go
+++ b/internal/fleet/control/capacity_scope_bench_test.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"testing"
 
-	"starlingvalve/internal/fleet"
+	"meadowsill/internal/fleet"
 )
 
 // capacityTotal is the tenants of the fleet, while those of the node's scope are varied.
--- a/internal/fleet/control/control_test.go
+++ b/internal/fleet/control/control_test.go
@@ -10,8 +10,8 @@
 	"github.com/google/go-cmp/cmp"
 	"pgregory.net/rapid"
 
-	"starlingvalve/internal/fleet"
-	"starlingvalve/internal/fleet/tenants"
+	"meadowsill/internal/fleet"
+	"meadowsill/internal/fleet/tenants"
 )
 
 const fileText = `
--- a/internal/fleet/control/cost_test.go
+++ b/internal/fleet/control/cost_test.go
@@ -6,8 +6,8 @@
 	"sync/atomic"
 	"testing"
 
-	"starlingvalve/internal/fleet"
-	"starlingvalve/internal/fleet/tenants"
+	"meadowsill/internal/fleet"
+	"meadowsill/internal/fleet/tenants"
 )
 
 // costSizes are the numbers of tenants between which the cost of a read may not grow.
--- a/internal/fleet/control/fixture_test.go
+++ b/internal/fleet/control/fixture_test.go
@@ -8,9 +8,9 @@
 	"testing"
 	"time"
 
-	"starlingvalve/internal/fleet"
-	"starlingvalve/internal/fleet/session"
-	"starlingvalve/internal/fleet/tenants"
+	"meadowsill/internal/fleet"
+	"meadowsill/internal/fleet/session"
+	"meadowsill/internal/fleet/tenants"
 )
 
 // testFleet is a fleet in one process: nodes that hold what they last read, one leader, and a clock of its own.
--- a/internal/fleet/control/golden_test.go
+++ b/internal/fleet/control/golden_test.go
@@ -3,8 +3,8 @@
 import (
 	"testing"
 
-	"starlingvalve/internal/fleet/control"
-	"starlingvalve/internal/golden"
+	"meadowsill/internal/fleet/control"
+	"meadowsill/internal/golden"
 )
 
 // Commands of the replicated log, and the state as snapshots hold it.
--- a/internal/fleet/control/guard.go
+++ b/internal/fleet/control/guard.go
@@ -6,8 +6,8 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"starlingvalve/internal/fleet"
-	"starlingvalve/internal/fleet/tenants"
+	"meadowsill/internal/fleet"
+	"meadowsill/internal/fleet/tenants"
 )
 
 // present is who is present, with their scopes.
--- a/internal/fleet/control/guard_bench_test.go
+++ b/internal/fleet/control/guard_bench_test.go
@@ -4,8 +4,8 @@
 	"fmt"
 	"testing"
 
-	"starlingvalve/internal/fleet"
-	"starlingvalve/internal/fleet/tenants"
+	"meadowsill/internal/fleet"
+	"meadowsill/internal/fleet/tenants"
 )
 
 // The planned number of services, and those of the benchmark's node.
--- a/internal/fleet/control/items.go
+++ b/internal/fleet/control/items.go
@@ -4,8 +4,8 @@
 	"slices"
 	"strings"
 
-	"starlingvalve/internal/fleet"
-	"starlingvalve/internal/registry/index"
+	"meadowsill/internal/fleet"
+	"meadowsill/internal/registry/index"
 )
 
 // Prefixes of items' keys.
--- a/internal/fleet/control/items_test.go
+++ b/internal/fleet/control/items_test.go
@@ -13,9 +13,9 @@
 	gocmp "github.com/google/go-cmp/cmp"
 	"pgregory.net/rapid"
 
-	"starlingvalve/internal/fleet"
-	"starlingvalve/internal/fleet/tenants"
-	"starlingvalve/internal/fleet/zones"
+	"meadowsill/internal/fleet"
+	"meadowsill/internal/fleet/tenants"
+	"meadowsill/internal/fleet/zones"
 )
 
 // intentLog applies commands to a state under its own revisions, as raft's log does.
--- a/internal/fleet/control/judge.go
+++ b/internal/fleet/control/judge.go
@@ -5,14 +5,14 @@
 	"strconv"
 	"time"
 
-	"starlingvalve/internal/fleet"
-	"starlingvalve/internal/fleet/drift"
-	"starlingvalve/internal/fleet/session"
-	"starlingvalve/internal/fleet/tenants"
-	"starlingvalve/internal/fleet/zones"
+	"meadowsill/internal/fleet"
+	"meadowsill/internal/fleet/drift"
+	"meadowsill/internal/fleet/session"
+	"meadowsill/internal/fleet/tenants"
+	"meadowsill/internal/fleet/zones"
 )
 
-// Settings are the fleet's, from the file that listd serve --fleet names.
+// Settings are the fleet's, from the file that discovery serve --fleet names.
 type Settings struct {
 	Slots int           // nodes at most
 	TTL   time.Duration // of a session's lease
--- a/internal/fleet/control/lastbuild_test.go
+++ b/internal/fleet/control/lastbuild_test.go
@@ -8,7 +8,7 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"starlingvalve/internal/fleet"
+	"meadowsill/internal/fleet"
 )
 
 // A snapshot of the last build, which knew no services, restores: its reads (testdata/v2-reads.jsonl, as that build gave
--- a/internal/fleet/control/late_test.go
+++ b/internal/fleet/control/late_test.go
@@ -6,8 +6,8 @@
 	"testing"
 	"time"
 
-	"starlingvalve/internal/fleet/drift"
-	"starlingvalve/internal/fleet/tenants"
+	"meadowsill/internal/fleet/drift"
+	"meadowsill/internal/fleet/tenants"
 )
 
 // A node that reports and never follows a commit, as it is deaf or as it goes on by the old generation, is named after 10 s, sent what it lacks
--- a/internal/fleet/control/scope_join_test.go
+++ b/internal/fleet/control/scope_join_test.go
@@ -10,9 +10,9 @@
 	"strings"
 	"testing"
 
-	"starlingvalve/internal/fleet"
-	"starlingvalve/internal/fleet/session"
-	"starlingvalve/internal/fleet/tenants"
+	"meadowsill/internal/fleet"
+	"meadowsill/internal/fleet/session"
+	"meadowsill/internal/fleet/tenants"
 )
 
 // A join is refused where its scope has changed since the run was looked at, and not where anything else has. A run that holds
--- a/internal/fleet/control/scope_test.go
+++ b/internal/fleet/control/scope_test.go
@@ -7,9 +7,9 @@
 	"testing"
 	"time"
 
-	"starlingvalve/internal/fleet"
-	"starlingvalve/internal/fleet/session"
-	"starlingvalve/internal/fleet/tenants"
+	"meadowsill/internal/fleet"
+	"meadowsill/internal/fleet/session"
+	"meadowsill/internal/fleet/tenants"
 )
 
 // A node that joins, leaves or lapses between the judge's count and the state's decision refuses it where it serves the tenant,
--- a/internal/fleet/control/services_test.go
+++ b/internal/fleet/control/services_test.go
@@ -8,9 +8,9 @@
 
 	gocmp "github.com/google/go-cmp/cmp"
 
-	"starlingvalve/internal/fleet"
-	"starlingvalve/internal/fleet/tenants"
-	"starlingvalve/internal/registry/index"
+	"meadowsill/internal/fleet"
+	"meadowsill/internal/fleet/tenants"
+	"meadowsill/internal/registry/index"
 )
 
 // keysOf gives what an answer says of each key: its revision, negative where it is gone.
--- a/internal/fleet/control/settings.go
+++ b/internal/fleet/control/settings.go
@@ -8,9 +8,9 @@
 
 	"github.com/BurntSushi/toml"
 
-	"starlingvalve/internal/fleet"
-	"starlingvalve/internal/fleet/session"
-	"starlingvalve/internal/fleet/zones"
+	"meadowsill/internal/fleet"
+	"meadowsill/internal/fleet/session"
+	"meadowsill/internal/fleet/zones"
 )
 
 // Bounds of the settings.
--- a/internal/fleet/control/state.go
+++ b/internal/fleet/control/state.go
@@ -9,12 +9,12 @@
 	"fmt"
 	"slices"
 
-	"starlingvalve/internal/fleet"
-	"starlingvalve/internal/fleet/drift"
-	"starlingvalve/internal/fleet/session"
-	"starlingvalve/internal/fleet/tenants"
-	"starlingvalve/internal/fleet/zones"
-	"starlingvalve/internal/registry/index"
+	"meadowsill/internal/fleet"
+	"meadowsill/internal/fleet/drift"
+	"meadowsill/internal/fleet/session"
+	"meadowsill/internal/fleet/tenants"
+	"meadowsill/internal/fleet/zones"
+	"meadowsill/internal/registry/index"
 )
 
 // ErrStale refuses a command that was decided from what has changed since. It is decided anew.
--- a/internal/fleet/control/view.go
+++ b/internal/fleet/control/view.go
@@ -5,8 +5,8 @@
 	"slices"
 	"strings"
 
-	"starlingvalve/internal/fleet"
-	"starlingvalve/internal/registry/index"
+	"meadowsill/internal/fleet"
+	"meadowsill/internal/registry/index"
 )
 
 // View is the intent as it was when the view was taken. It never changes, so that readers need no lock, and is safe for
--- a/internal/fleet/drift/behaviour.go
+++ b/internal/fleet/drift/behaviour.go
@@ -4,7 +4,7 @@
 	"strconv"
 	"strings"
 
-	"starlingvalve/internal/fleet"
+	"meadowsill/internal/fleet"
 )
 
 // Slack of what a node's counts may show: rates are smoothed and windows cut requests in two.
--- a/internal/fleet/drift/bench_test.go
+++ b/internal/fleet/drift/bench_test.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"testing"
 
-	"starlingvalve/internal/fleet"
+	"meadowsill/internal/fleet"
 )
 
 // benchFill makes a report's digests of n facts, as a node does for each report: each fact's canonical form, and the trees.
--- a/internal/fleet/drift/canonical.go
+++ b/internal/fleet/drift/canonical.go
@@ -14,7 +14,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"starlingvalve/internal/fleet"
+	"meadowsill/internal/fleet"
 )
 
 // Canonical writes v's JSON in the one form that digests are made of: names in byte order, no white space, numbers in
--- a/internal/fleet/drift/differ.go
+++ b/internal/fleet/drift/differ.go
@@ -7,7 +7,7 @@
 	"slices"
 	"strconv"
 
-	"starlingvalve/internal/fleet"
+	"meadowsill/internal/fleet"
 )
 
 // textMost is how many bytes of a value a difference shows.
--- a/internal/fleet/drift/exchange.go
+++ b/internal/fleet/drift/exchange.go
@@ -4,7 +4,7 @@
 	"slices"
 	"strings"
 
-	"starlingvalve/internal/fleet"
+	"meadowsill/internal/fleet"
 )
 
 // The first letter of a place in a tree, as Want and Held name it: the tree of zones, tenants and share; that of
--- a/internal/fleet/drift/expect.go
+++ b/internal/fleet/drift/expect.go
@@ -8,7 +8,7 @@
 	"slices"
 	"strings"
 
-	"starlingvalve/internal/fleet"
+	"meadowsill/internal/fleet"
 )
 
 // Intended is all that the control plane intends at a revision. Items are every item there is, and the gone ones
--- a/internal/fleet/drift/export_test.go
+++ b/internal/fleet/drift/export_test.go
@@ -3,54 +3,54 @@
 import (
 	"time"
 
-	"starlingvalve/decide"
-	"starlingvalve/internal/fleet"
+	"meadowsill/internal/fleet"
+	"meadowsill/policy"
 )
 
 // Feed gives a module what is intended, as the node does: by fleet.ZoneBody and fleet.TenantBody.
-func Feed(m *decide.Module, at decide.Time, in Intended, self fleet.Member) {
+func Feed(m *policy.Module, at policy.Time, in Intended, self fleet.Member) {
 	b := book{}
 	b.ingest(0, in)
-	var list []decide.Server
+	var list []policy.Server
 	for i, s := range in.Servers {
 		if s.Gone {
 			continue
 		}
-		state := decide.Ready
+		state := policy.Ready
 		if s.Body.State == "draining" {
-			state = decide.Draining
+			state = policy.Draining
 		}
-		list = append(list, decide.Server{ID: decide.ServerID(i + 1), Name: s.ID, Zone: s.Body.Zone, Kind: s.Body.Kind, Cell: s.Body.Cell, Size: s.Body.Size, State: state})
+		list = append(list, policy.Server{ID: policy.ServerID(i + 1), Name: s.ID, Zone: s.Body.Zone, Kind: s.Body.Kind, Cell: s.Body.Cell, Size: s.Body.Size, State: state})
 	}
-	m.Handle(at, decide.ListUpdate{Kind: decide.ListFull, Version: in.Revision, Entries: list})
+	m.Handle(at, policy.ListUpdate{Kind: policy.ListFull, Version: in.Revision, Entries: list})
 	zones := map[string]bool{}
 	for _, e := range b.zones {
 		zones[e.zone] = true
 	}
 	for zone := range zones {
-		update := decide.ZoneTold{Zone: zone, Revision: in.Revision, Intent: in.Revision, Serving: true}
+		update := policy.ZoneTold{Zone: zone, Revision: in.Revision, Intent: in.Revision, Serving: true}
 		if d, rev := b.directive(zone, in.Revision, self); d != nil {
 			h := fleet.ZoneBody(rev, *d, self.Node)
-			update = decide.ZoneTold{Zone: zone, Revision: rev, Intent: in.Revision, Share: h.Share, Floor: h.Floor, Rate: h.Rate, Trial: h.Trial, Valid: time.Duration(h.ValidMS) * time.Millisecond}
+			update = policy.ZoneTold{Zone: zone, Revision: rev, Intent: in.Revision, Share: h.Share, Floor: h.Floor, Rate: h.Rate, Trial: h.Trial, Valid: time.Duration(h.ValidMS) * time.Millisecond}
 		}
 		m.Handle(at, update)
 	}
 	for _, e := range b.tenants {
 		v := e.last()
-		update := decide.TenantTold{Name: e.key[len(fleet.KeyTenant):], Revision: v.rev, Gone: v.gone}
+		update := policy.TenantTold{Name: e.key[len(fleet.KeyTenant):], Revision: v.rev, Gone: v.gone}
 		if !v.gone {
 			update.UID, update.Removing, update.QuotaGone = v.tenant.UID, v.tenant.Removing, v.tenant.QuotaGone
 			if r := fleet.TenantBody(v.rev, *v.tenant).Committed; r != nil {
-				update.Committed = &decide.TenantRules{Generation: r.Generation, Digest: r.Digest, Classes: r.Classes, Rate: r.Rate, Burst: r.Burst, ClassRates: r.ClassRates, RefuseElse: r.RefuseElse}
+				update.Committed = &policy.TenantRules{Generation: r.Generation, Digest: r.Digest, Classes: r.Classes, Rate: r.Rate, Burst: r.Burst, ClassRates: r.ClassRates, RefuseElse: r.RefuseElse}
 				for _, x := range r.Routes {
-					update.Committed.Routes = append(update.Committed.Routes, decide.TenantRoute{Zone: x.Zone, Kind: x.Kind, ID: x.ID, Weight: x.Weight})
+					update.Committed.Routes = append(update.Committed.Routes, policy.TenantRoute{Zone: x.Zone, Kind: x.Kind, ID: x.ID, Weight: x.Weight})
 				}
 			}
 		}
 		m.Handle(at, update)
 	}
 	if s := b.shares[self.Node].last().shares; s != nil {
-		m.Handle(at, decide.ShareTold{Epoch: s.Epoch, Slots: s.Slots, Rates: s.Rates, Valid: time.Hour})
+		m.Handle(at, policy.ShareTold{Epoch: s.Epoch, Slots: s.Slots, Rates: s.Rates, Valid: time.Hour})
 	}
 }
 
--- a/internal/fleet/drift/golden_test.go
+++ b/internal/fleet/drift/golden_test.go
@@ -3,8 +3,8 @@
 import (
 	"testing"
 
-	"starlingvalve/internal/fleet/drift"
-	"starlingvalve/internal/golden"
+	"meadowsill/internal/fleet/drift"
+	"meadowsill/internal/golden"
 )
 
 // Commands of the replicated log, and the state as snapshots hold it.
--- a/internal/fleet/drift/intent_test.go
+++ b/internal/fleet/drift/intent_test.go
@@ -12,18 +12,18 @@
 	"github.com/google/go-cmp/cmp"
 	"pgregory.net/rapid"
 
-	"starlingvalve/internal/fleet"
-	. "starlingvalve/internal/fleet/drift"
-	"starlingvalve/internal/fleet/drift/play"
+	"meadowsill/internal/fleet"
+	. "meadowsill/internal/fleet/drift"
+	"meadowsill/internal/fleet/drift/simulation"
 )
 
 func TestExpectAndDifferences(t *testing.T) {
-	c := play.Seed(2)
-	c.Put("zone/z2@z1", play.Left(0)) // tie: that for every node holds
+	c := simulation.Seed(2)
+	c.Put("zone/z2@z1", simulation.Left(0)) // tie: that for every node holds
 	c.Put("zone/z2@z3", fleet.Directive{Phase: fleet.Left, Share: 0, ValidMS: 1})
 	c.Put("zone/z3", fleet.Directive{Phase: fleet.Returning, Share: 0.6, Floor: 0.2, Budget: 30, Slots: 10, Trial: []string{"n000"}, ValidMS: 5000})
 	c.Put("zone/a", fleet.Directive{Phase: fleet.Serving, Share: 1})
-	c.Put("zone/a-b", play.Left(0.25))
+	c.Put("zone/a-b", simulation.Left(0.25))
 	c.Put("later/x", []int{1})
 	c.Serve("s3", "gone")
 	c.Drop("tenant/t4")
@@ -39,7 +39,7 @@
 	must(t, got["share"] == `{"epoch":1,"rates":{"t0":1,"t1":2},"slots":2}`, "%s", got["share"])
 	must(t, len(got) == 3+4+1+11, "%d facts: %v", len(got), slices.Sorted(maps.Keys(got)))
 	other, _ := Expect(c.In, fleet.Member{Node: "n000", Zone: "z9"})
-	must(t, string(BodyOf(other, "zone/z3")) == fmt.Sprintf(`{"floor":0.2,"rate":3,"rev":%d,"share":0.6,"trial":true,"valid_ms":5000}`, play.ItemRev(c, "zone/z3")), "%s", BodyOf(other, "zone/z3"))
+	must(t, string(BodyOf(other, "zone/z3")) == fmt.Sprintf(`{"floor":0.2,"rate":3,"rev":%d,"share":0.6,"trial":true,"valid_ms":5000}`, simulation.ItemRev(c, "zone/z3")), "%s", BodyOf(other, "zone/z3"))
 
 	d := Differences("k", json.RawMessage(`{"a":{"b":[1,{"c":2}]},"d":"x"}`), json.RawMessage(`{"a":{"b":[1,{"c":3},4]},"e":true}`))
 	want := []Difference{{"k", "a.b[1].c", "2", "3"}, {"k", "a.b[2]", "null", "4"}, {"k", "d", `"x"`, "null"}, {"k", "e", "null", "true"}}
@@ -53,18 +53,18 @@
 // What was changed twice between two looks, or went without notice, is not known for the revisions between; before
 // and after, it is.
 func TestBookBetweenLooks(t *testing.T) {
-	for key, change := range map[string]func(*play.Intent){
-		"zone/z2": func(c *play.Intent) {
-			c.Put("zone/z2", play.Left(0.5))
+	for key, change := range map[string]func(*simulation.Intent){
+		"zone/z2": func(c *simulation.Intent) {
+			c.Put("zone/z2", simulation.Left(0.5))
 			c.Drop("zone/z2")
-			c.Put("zone/z9", play.Left(0.5))
+			c.Put("zone/z9", simulation.Left(0.5))
 		},
-		"tenant/t1": func(c *play.Intent) {
+		"tenant/t1": func(c *simulation.Intent) {
 			c.In.Items = slices.DeleteFunc(c.In.Items, func(it fleet.Item) bool { return it.Key == "tenant/t1" })
-			c.Put("zone/z9", play.Left(0.5))
+			c.Put("zone/z9", simulation.Left(0.5))
 			c.In.Revision += 2
 		}} {
-		c, b, self := play.Seed(1), Book{}, fleet.Member{Node: "n000", Zone: "z2"}
+		c, b, self := simulation.Seed(1), Book{}, fleet.Member{Node: "n000", Zone: "z2"}
 		b.Ingest(c.In)
 		first := c.In.Revision
 		change(c)
@@ -80,12 +80,12 @@
 
 // A node may hear of the list from a replica before the judge has looked again: it is compared once the judge knows that version.
 func TestListNewerThanTheJudge(t *testing.T) {
-	c, b := play.Seed(1), Book{}
+	c, b := simulation.Seed(1), Book{}
 	b.Ingest(c.In)
 	before := c.In.Revision
 	c.Serve("s99", "ready")
 	c.In.Revision = before // as the control plane has it: no item has changed
-	m := play.Module{Member: fleet.Member{Node: "n000", Zone: "z2"}}
+	m := simulation.Module{Member: fleet.Member{Node: "n000", Zone: "z2"}}
 	m.Hear(c.In)
 	m.List++
 	n := Compared(m.Report())
@@ -99,7 +99,7 @@
 // An agent that is cut off from the control plane still finds that its node holds something else, and has it sent
 // again; a copy older than what the node holds makes no alarm until a replica has answered.
 func TestLocal(t *testing.T) {
-	c, m := play.Seed(1), &play.Module{Member: fleet.Member{Node: "n000", Zone: "z1", Incarnation: 5}}
+	c, m := simulation.Seed(1), &simulation.Module{Member: fleet.Member{Node: "n000", Zone: "z1", Incarnation: 5}}
 	l, now := NewLocal(Defaults()), fleet.Time(0)
 	m.Hear(c.In)
 	old := c.In
@@ -120,11 +120,11 @@
 		return v
 	}
 	run(c.In, false, InStep)
-	m.Plant = play.Plant("tenant/t2", nil)
-	must(t, play.Has(run(c.In, false, Diverged).Items, "tenant/t2", ""), "not named")
+	m.Plant = simulation.Plant("tenant/t2", nil)
+	must(t, simulation.Has(run(c.In, false, Diverged).Items, "tenant/t2", ""), "not named")
 	m.Plant = nil
 	run(c.In, false, InStep)
-	c.Put("zone/z2", play.Left(0.9))
+	c.Put("zone/z2", simulation.Left(0.9))
 	m.Hear(c.In)
 	run(old, false, InStep)
 	run(old, true, Ahead)
--- a/internal/fleet/drift/judge.go
+++ b/internal/fleet/drift/judge.go
@@ -9,7 +9,7 @@
 	"slices"
 	"time"
 
-	"starlingvalve/internal/fleet"
+	"meadowsill/internal/fleet"
 )
 
 // changesMost is how many changes one command carries; others wait for the next step.
--- a/internal/fleet/drift/node.go
+++ b/internal/fleet/drift/node.go
@@ -5,7 +5,7 @@
 	"slices"
 	"strconv"
 
-	"starlingvalve/internal/fleet"
+	"meadowsill/internal/fleet"
 )
 
 // node is what the judge knows of one node's process.
--- a/internal/fleet/drift/repair.go
+++ b/internal/fleet/drift/repair.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"starlingvalve/internal/fleet"
+	"meadowsill/internal/fleet"
 )
 
 // repairing is a node's repair with what a leader keeps of it in memory.
--- a/internal/fleet/drift/repair_test.go
+++ b/internal/fleet/drift/repair_test.go
@@ -5,8 +5,8 @@
 	"testing"
 	"time"
 
-	"starlingvalve/internal/fleet"
-	"starlingvalve/internal/fleet/page"
+	"meadowsill/internal/fleet"
+	"meadowsill/internal/fleet/statetable"
 )
 
 const drift = "../../../docs/drift.md"
@@ -54,7 +54,7 @@
 // Every row of the repair's table is run; and of all combinations of what a step depends on, none gives a
 // transition that is in no row.
 func TestRepairTable(t *testing.T) {
-	rows, err := page.Table(drift, "Repair")
+	rows, err := statetable.Table(drift, "Repair")
 	must(t, err == nil, "%v", err)
 	conditions := map[string]func(*repairCase){
 		"":                                func(c *repairCase) {},
--- a/internal/fleet/drift/scope.go
+++ b/internal/fleet/drift/scope.go
@@ -1,6 +1,6 @@
 package drift
 
-import "starlingvalve/internal/fleet"
+import "meadowsill/internal/fleet"
 
 // serves says whether a node of these services holds a version of a tenant.
 func (v *version) serves(services []string) bool {
--- a/internal/fleet/drift/scope_test.go
+++ b/internal/fleet/drift/scope_test.go
@@ -4,9 +4,9 @@
 	"testing"
 	"time"
 
-	"starlingvalve/internal/fleet"
-	. "starlingvalve/internal/fleet/drift"
-	"starlingvalve/internal/fleet/drift/play"
+	"meadowsill/internal/fleet"
+	. "meadowsill/internal/fleet/drift"
+	"meadowsill/internal/fleet/drift/simulation"
 )
 
 // scopedNode is a node of one service that reports what it holds of an intent, and an agent's judge of it.
@@ -50,14 +50,14 @@
 }
 
 func scoped(uid, generation uint64, service string) fleet.Tenant {
-	tenant := play.Brand(uid, generation, 100)
+	tenant := simulation.Brand(uid, generation, 100)
 	tenant.Committed.Spec.Service = service
 	return tenant
 }
 
 // scopedIntent has tenants without a service, of billing and of search.
-func scopedIntent() *play.Intent {
-	c := play.Seed(1)
+func scopedIntent() *simulation.Intent {
+	c := simulation.Seed(1)
 	c.Put("tenant/bill", scoped(90, 1, "billing"))
 	c.Put("tenant/find", scoped(91, 1, "search"))
 	return c
@@ -91,20 +91,20 @@
 
 	c.Put("tenant/bill", scoped(90, 2, "billing"))
 	v = n.run(t, c.In)
-	must(t, v.State == Stuck && play.Has(v.Items, "tenant/bill", "rev"), "after a change inside of its scope: %+v", v)
+	must(t, v.State == Stuck && simulation.Has(v.Items, "tenant/bill", "rev"), "after a change inside of its scope: %+v", v)
 	n.take(t, c.In)
 	v = n.run(t, c.In)
 	must(t, v.State == InStep, "%+v", v)
 
-	n.held = play.Plant("tenant/bill", nil)(n.held)
+	n.held = simulation.Plant("tenant/bill", nil)(n.held)
 	v = n.run(t, c.In)
-	must(t, v.State == Diverged && play.Has(v.Items, "tenant/bill", ""), "without a tenant of its scope: %+v", v)
+	must(t, v.State == Diverged && simulation.Has(v.Items, "tenant/bill", ""), "without a tenant of its scope: %+v", v)
 
 	c.Put("tenant/find", scoped(c.In.Revision+1, 1, "search"))
 	n.take(t, c.In)
-	n.held = play.Plant("tenant/find", fleet.HeldTenant{UID: c.In.Revision, Rev: c.In.Revision})(n.held)
+	n.held = simulation.Plant("tenant/find", fleet.HeldTenant{UID: c.In.Revision, Rev: c.In.Revision})(n.held)
 	v = n.run(t, c.In)
-	must(t, v.State == Diverged && play.Has(v.Items, "tenant/find", ""), "with a tenant outside of its scope: %+v", v)
+	must(t, v.State == Diverged && simulation.Has(v.Items, "tenant/find", ""), "with a tenant outside of its scope: %+v", v)
 }
 
 // A name that is removed and named again in another service is outstanding at a node of the first, until it has dropped it.
@@ -115,7 +115,7 @@
 	c.Drop("tenant/bill")
 	c.Put("tenant/bill", scoped(c.In.Revision+1, 1, "search"))
 	v := n.run(t, c.In)
-	must(t, v.State == Stuck && play.Has(v.Items, "tenant/bill", "rev"), "%+v", v)
+	must(t, v.State == Stuck && simulation.Has(v.Items, "tenant/bill", "rev"), "%+v", v)
 	n.take(t, c.In)
 	must(t, BodyOf(n.held, "tenant/bill") == nil, "it holds the tenant that has its name now")
 	v = n.run(t, c.In)
--- a/internal/fleet/drift/play/harness_test.go
+++ b/internal/fleet/drift/simulation/harness_test.go
@@ -1,12 +1,12 @@
-package play
+package simulation
 
 import (
 	"time"
 
 	"pgregory.net/rapid"
 
-	"starlingvalve/internal/fleet"
-	. "starlingvalve/internal/fleet/drift"
+	"meadowsill/internal/fleet"
+	. "meadowsill/internal/fleet/drift"
 )
 
 // harness is a leader and a few nodes without a network: the first node is the one that is tested.
--- a/internal/fleet/drift/play/intent.go
+++ b/internal/fleet/drift/simulation/intent.go
@@ -1,4 +1,4 @@
-package play
+package simulation
 
 import (
 	"encoding/json"
@@ -6,8 +6,8 @@
 	"slices"
 	"time"
 
-	"starlingvalve/internal/fleet"
-	"starlingvalve/internal/fleet/drift"
+	"meadowsill/internal/fleet"
+	"meadowsill/internal/fleet/drift"
 )
 
 const ms = time.Millisecond
--- a/internal/fleet/drift/play/plants.go
+++ b/internal/fleet/drift/simulation/plants.go
@@ -1,11 +1,11 @@
-package play
+package simulation
 
 import (
 	"slices"
 	"time"
 
-	"starlingvalve/internal/fleet"
-	"starlingvalve/internal/fleet/drift"
+	"meadowsill/internal/fleet"
+	"meadowsill/internal/fleet/drift"
 )
 
 // Plants are the ways in which one node can drift for real, with the key and field that must be named.
--- a/internal/fleet/drift/play/play.go
+++ b/internal/fleet/drift/simulation/play.go
@@ -1,14 +1,14 @@
-// Package play is a fleet in simulated time around the core of the drift detector: nodes that hold what they were sent
+// Package simulation is a fleet in simulated time around the core of the drift detector: nodes that hold what they were sent
 // or something else that is planted, a network that loses, doubles and delays, and leaders that change. All of a play
 // comes of its seed, so it can be played again. It does no I/O and reads no clock. The detector's tests and the lab's
 // simulate command are played on it (docs/drift.md).
-package play
+package simulation
 
 import (
 	"fmt"
 	"time"
 
-	"starlingvalve/internal/fleet/drift"
+	"meadowsill/internal/fleet/drift"
 )
 
 // Outcome is what a play came to.
--- a/internal/fleet/drift/play/prop_test.go
+++ b/internal/fleet/drift/simulation/prop_test.go
@@ -1,4 +1,4 @@
-package play
+package simulation
 
 import (
 	"encoding/json"
@@ -12,8 +12,8 @@
 	"github.com/google/go-cmp/cmp"
 	"pgregory.net/rapid"
 
-	"starlingvalve/internal/fleet"
-	. "starlingvalve/internal/fleet/drift"
+	"meadowsill/internal/fleet"
+	. "meadowsill/internal/fleet/drift"
 )
 
 func TestNoFalseAlarm(t *testing.T) {
--- a/internal/fleet/drift/play/storm.go
+++ b/internal/fleet/drift/simulation/storm.go
@@ -1,12 +1,12 @@
-package play
+package simulation
 
 import (
 	"fmt"
 	"slices"
 	"time"
 
-	"starlingvalve/internal/fleet"
-	"starlingvalve/internal/fleet/drift"
+	"meadowsill/internal/fleet"
+	"meadowsill/internal/fleet/drift"
 )
 
 // Storm plays a rolling restart with loss, pauses of 10 s, failovers, leaders that stop for 10 s, clocks apart by 2 s
--- a/internal/fleet/drift/play/table_test.go
+++ b/internal/fleet/drift/simulation/table_test.go
@@ -1,4 +1,4 @@
-package play
+package simulation
 
 import (
 	"errors"
@@ -9,9 +9,9 @@
 	"testing"
 	"time"
 
-	"starlingvalve/internal/fleet"
-	. "starlingvalve/internal/fleet/drift"
-	"starlingvalve/internal/fleet/page"
+	"meadowsill/internal/fleet"
+	. "meadowsill/internal/fleet/drift"
+	"meadowsill/internal/fleet/statetable"
 )
 
 const driftPage = "../../../../docs/drift.md"
@@ -180,7 +180,7 @@
 
 // paged are the page's rows by next state and condition: what the judge may say, on which evidence.
 var paged = sync.OnceValue(func() map[string]bool {
-	rows, _ := page.Table(driftPage, "Verdicts")
+	rows, _ := statetable.Table(driftPage, "Verdicts")
 	said := map[string]bool{}
 	for _, row := range rows {
 		said[row.Next+"|"+row.Condition] = true
@@ -190,7 +190,7 @@
 
 // Every row of the page is run against the judge, from every state that it names, on a fleet of twelve.
 func TestVerdictTable(t *testing.T) {
-	rows, err := page.Table(driftPage, "Verdicts")
+	rows, err := statetable.Table(driftPage, "Verdicts")
 	must(t, err == nil, "%v", err)
 	for _, row := range rows {
 		event := events[row.Event+"|"+row.Condition]
--- a/internal/fleet/drift/play/world.go
+++ b/internal/fleet/drift/simulation/world.go
@@ -1,4 +1,4 @@
-package play
+package simulation
 
 import (
 	"cmp"
@@ -8,8 +8,8 @@
 	"slices"
 	"time"
 
-	"starlingvalve/internal/fleet"
-	"starlingvalve/internal/fleet/drift"
+	"meadowsill/internal/fleet"
+	"meadowsill/internal/fleet/drift"
 )
 
 // Rules are what a play holds the judge to.
--- a/internal/fleet/drift/state.go
+++ b/internal/fleet/drift/state.go
@@ -6,7 +6,7 @@
 	"maps"
 	"slices"
 
-	"starlingvalve/internal/fleet"
+	"meadowsill/internal/fleet"
 )
 
 // States of a verdict (docs/drift.md, "Verdicts").
--- a/internal/fleet/drift/tally.go
+++ b/internal/fleet/drift/tally.go
@@ -4,7 +4,7 @@
 	"slices"
 	"strings"
 
-	"starlingvalve/internal/fleet"
+	"meadowsill/internal/fleet"
 )
 
 // Tally is what one node's change of verdict means for the counts that are kept of drift.
--- a/internal/fleet/drift/tree.go
+++ b/internal/fleet/drift/tree.go
@@ -7,7 +7,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"starlingvalve/internal/fleet"
+	"meadowsill/internal/fleet"
 )
 
 const (
--- a/internal/fleet/drift/unit_test.go
+++ b/internal/fleet/drift/unit_test.go
@@ -9,7 +9,7 @@
 
 	"pgregory.net/rapid"
 
-	"starlingvalve/internal/fleet"
+	"meadowsill/internal/fleet"
 )
 
 func TestCanonical(t *testing.T) {
--- a/internal/fleet/drift/view.go
+++ b/internal/fleet/drift/view.go
@@ -4,7 +4,7 @@
 	"maps"
 	"slices"
 
-	"starlingvalve/internal/fleet"
+	"meadowsill/internal/fleet"
 )
 
 // Verdicts gives what is thought of every node now, by name: st's verdicts with what the judge has seen since. wallMS is
--- a/internal/fleet/golden_test.go
+++ b/internal/fleet/golden_test.go
@@ -3,8 +3,8 @@
 import (
 	"testing"
 
-	"starlingvalve/internal/fleet"
-	"starlingvalve/internal/golden"
+	"meadowsill/internal/fleet"
+	"meadowsill/internal/golden"
 )
 
 // The bodies that nodes, agents and the control plane send each other.
--- a/internal/fleet/held.go
+++ b/internal/fleet/held.go
@@ -102,7 +102,7 @@
 	AimMS      float64 `json:"aim_ms"`
 	DeadlineMS float64 `json:"deadline_ms"`
 	LateWorth  float64 `json:"late_worth"`
-	Effect     int     `json:"effect"` // decide.Effect: 0 unsafe, 1 keyed, 2 safe
+	Effect     int     `json:"effect"` // policy.Effect: 0 unsafe, 1 keyed, 2 safe
 }
 
 // ZoneBody is the directive in the node's own words. The node tells its module by it, and drift compares with it.
--- a/internal/fleet/reportdiff/capacity_bench_test.go
+++ b/internal/fleet/reportdelta/capacity_bench_test.go
@@ -1,10 +1,10 @@
-package reportdiff
+package reportdelta
 
 import (
 	"fmt"
 	"testing"
 
-	"starlingvalve/internal/fleet"
+	"meadowsill/internal/fleet"
 )
 
 // The sizes are tenants of a node's scope around that of docs/CAPACITY.md, 1,236, and the rows whose load differs.
--- a/internal/fleet/reportdiff/decode.go
+++ b/internal/fleet/reportdelta/decode.go
@@ -1,4 +1,4 @@
-package reportdiff
+package reportdelta
 
 import (
 	"bytes"
@@ -6,7 +6,7 @@
 	"fmt"
 	"unicode/utf8"
 
-	"starlingvalve/internal/fleet"
+	"meadowsill/internal/fleet"
 )
 
 // Limits on what one difference may hold, and on the whole report that it gives.
--- a/internal/fleet/reportdiff/digest.go
+++ b/internal/fleet/reportdelta/digest.go
@@ -1,4 +1,4 @@
-package reportdiff
+package reportdelta
 
 import (
 	"bytes"
@@ -9,7 +9,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"starlingvalve/internal/fleet"
+	"meadowsill/internal/fleet"
 )
 
 // Digest is the xxhash64, in hex, over all members of a normalized report.
--- a/internal/fleet/reportdiff/link.go
+++ b/internal/fleet/reportdelta/link.go
@@ -1,10 +1,10 @@
-package reportdiff
+package reportdelta
 
 import (
 	"errors"
 	"fmt"
 
-	"starlingvalve/internal/fleet"
+	"meadowsill/internal/fleet"
 )
 
 // Sender is the agent's end: the newest report that the leader has acknowledged. It is not safe for concurrent use.
--- a/internal/fleet/reportdiff/lossy_test.go
+++ b/internal/fleet/reportdelta/lossy_test.go
@@ -1,4 +1,4 @@
-package reportdiff
+package reportdelta
 
 import (
 	"encoding/json"
@@ -10,7 +10,7 @@
 
 	"pgregory.net/rapid"
 
-	"starlingvalve/internal/fleet"
+	"meadowsill/internal/fleet"
 )
 
 // message is a report on the wire: whole, or as a difference.
--- a/internal/fleet/reportdiff/reportdiff.go
+++ b/internal/fleet/reportdelta/reportdelta.go
@@ -1,8 +1,8 @@
-// Package reportdiff sends a node's reports as differences (docs/fleet.md, "Reports by difference"): an agent sends what
+// Package reportdelta sends a node's reports as differences (docs/fleet.md, "Reports by difference"): an agent sends what
 // changed since a report that the leader has acknowledged, and the leader makes the whole report again. A difference that
 // was lost, repeated, reordered, cut short or made against something else is an error and changes nothing; the
 // whole report follows. The package does no I/O and reads no clock.
-package reportdiff
+package reportdelta
 
 import (
 	"bytes"
@@ -11,7 +11,7 @@
 	"fmt"
 	"slices"
 
-	"starlingvalve/internal/fleet"
+	"meadowsill/internal/fleet"
 )
 
 // Errors of a difference that can't be applied. Each changes nothing; the answer to it is a wish for the whole report.
--- a/internal/fleet/reportdiff/reportdiff_test.go
+++ b/internal/fleet/reportdelta/reportdelta_test.go
@@ -1,4 +1,4 @@
-package reportdiff
+package reportdelta
 
 import (
 	"encoding/json"
@@ -12,8 +12,8 @@
 	"github.com/google/go-cmp/cmp"
 	"github.com/google/go-cmp/cmp/cmpopts"
 
-	"starlingvalve/internal/fleet"
-	"starlingvalve/internal/fleet/drift"
+	"meadowsill/internal/fleet"
+	"meadowsill/internal/fleet/drift"
 )
 
 // node makes the reports of a node with so many tenants, of which the first active ones have load.
--- a/internal/fleet/session/golden_test.go
+++ b/internal/fleet/session/golden_test.go
@@ -3,8 +3,8 @@
 import (
 	"testing"
 
-	"starlingvalve/internal/fleet/session"
-	"starlingvalve/internal/golden"
+	"meadowsill/internal/fleet/session"
+	"meadowsill/internal/golden"
 )
 
 // Commands of the replicated log, and the state as snapshots hold it.
--- a/internal/fleet/session/lease.go
+++ b/internal/fleet/session/lease.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"starlingvalve/internal/fleet"
+	"meadowsill/internal/fleet"
 )
 
 // HoldPart is the part of the ttl, by the agent's own clock, after which the agent counts its node out. The clocks' rates
--- a/internal/fleet/session/scope.go
+++ b/internal/fleet/session/scope.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"slices"
 
-	"starlingvalve/internal/fleet"
+	"meadowsill/internal/fleet"
 )
 
 // servicesMost bounds the services whose epochs are remembered one by one.
--- a/internal/fleet/session/scope_test.go
+++ b/internal/fleet/session/scope_test.go
@@ -10,7 +10,7 @@
 
 	"pgregory.net/rapid"
 
-	"starlingvalve/internal/fleet"
+	"meadowsill/internal/fleet"
 )
 
 func member(node string, incarnation uint64) fleet.Member {
--- a/internal/fleet/session/session.go
+++ b/internal/fleet/session/session.go
@@ -10,7 +10,7 @@
 	"fmt"
 	"sort"
 
-	"starlingvalve/internal/fleet"
+	"meadowsill/internal/fleet"
 )
 
 // Errors of a join, besides fleet.ErrFenced. They change nothing.
--- a/internal/fleet/session/session_test.go
+++ b/internal/fleet/session/session_test.go
@@ -8,7 +8,7 @@
 
 	"pgregory.net/rapid"
 
-	"starlingvalve/internal/fleet"
+	"meadowsill/internal/fleet"
 )
 
 const ttl = 6 * time.Second
--- a/internal/fleet/session/table_test.go
+++ b/internal/fleet/session/table_test.go
@@ -5,8 +5,8 @@
 	"strings"
 	"testing"
 
-	"starlingvalve/internal/fleet"
-	"starlingvalve/internal/fleet/page"
+	"meadowsill/internal/fleet"
+	"meadowsill/internal/fleet/statetable"
 )
 
 // event is what can come to one name: a report of a run, or its lapse.
@@ -92,7 +92,7 @@
 
 // Every event in every state is a row of the page with that next state and effect, and every row is met.
 func TestSessionsTable(t *testing.T) {
-	rows, err := page.Table("../../../docs/fleet.md", "Sessions")
+	rows, err := statetable.Table("../../../docs/fleet.md", "Sessions")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/fleet/sim/leader.go
+++ b/internal/fleet/sim/leader.go
@@ -4,10 +4,10 @@
 	"maps"
 	"time"
 
-	"starlingvalve/internal/fleet"
-	"starlingvalve/internal/fleet/session"
-	"starlingvalve/internal/fleet/tenants"
-	"starlingvalve/internal/fleet/zones"
+	"meadowsill/internal/fleet"
+	"meadowsill/internal/fleet/session"
+	"meadowsill/internal/fleet/tenants"
+	"meadowsill/internal/fleet/zones"
 )
 
 // intent is one revision of what is intended; it is never changed.
--- a/internal/fleet/sim/module.go
+++ b/internal/fleet/sim/module.go
@@ -6,17 +6,17 @@
 	"slices"
 	"time"
 
-	"starlingvalve/decide"
-	"starlingvalve/internal/fleet"
+	"meadowsill/internal/fleet"
+	"meadowsill/policy"
 )
 
 // module is a node whose requests are decided by the module itself.
 type module struct {
 	n        *node
 	run      int
-	m        *decide.Module
-	open     map[decide.RequestID]int // attempts so far
-	over     map[decide.RequestID]bool
+	m        *policy.Module
+	open     map[policy.RequestID]int // attempts so far
+	over     map[policy.RequestID]bool
 	directed map[string]bool // zones that had a directive at the last update
 	synced   bool
 	requests int
@@ -29,20 +29,20 @@
 
 // decides starts a module for a node's run.
 func (n *node) decides() {
-	set := decide.Settings{Nodes: n.s.plan.Nodes, Self: n.i, Zone: n.s.zones[n.zone], Zones: n.s.zones, MaxAttempts: 3, MayCancel: true,
+	set := policy.Settings{Nodes: n.s.plan.Nodes, Self: n.i, Zone: n.s.zones[n.zone], Zones: n.s.zones, MaxAttempts: 3, MayCancel: true,
 		MinTick: time.Millisecond, AskWithin: time.Hour, ConnectTimeout: lostTime, ColdFrom: n.s.set.ColdFrom, ColdTime: n.s.set.ColdTime,
 		OverloadFactor: 1, OverloadTime: coldSpan, HoldOffs: true, MaxHoldOff: time.Second, Fleet: true,
-		Classes: []decide.Class{{Name: "browse", Worth: 1, Aim: time.Second, Deadline: patience, Effect: decide.Safe}}}
-	d := &module{n: n, run: n.run, m: decide.New(set, int64(n.s.plan.Seed)*1000+int64(n.i)), open: map[decide.RequestID]int{},
-		over: map[decide.RequestID]bool{}, directed: map[string]bool{}}
+		Classes: []policy.Class{{Name: "browse", Worth: 1, Aim: time.Second, Deadline: patience, Effect: policy.Safe}}}
+	d := &module{n: n, run: n.run, m: policy.New(set, int64(n.s.plan.Seed)*1000+int64(n.i)), open: map[policy.RequestID]int{},
+		over: map[policy.RequestID]bool{}, directed: map[string]bool{}}
 	n.module = d
-	var list []decide.Server
+	var list []policy.Server
 	for z, y := range n.s.zones {
 		for id := range n.s.plan.Servers {
-			list = append(list, decide.Server{ID: decide.ServerID(1 + z*n.s.plan.Servers + id), Name: fmt.Sprintf("%s-%d", y, id), Zone: y})
+			list = append(list, policy.Server{ID: policy.ServerID(1 + z*n.s.plan.Servers + id), Name: fmt.Sprintf("%s-%d", y, id), Zone: y})
 		}
 	}
-	d.feed(decide.ListUpdate{Kind: decide.ListFull, Version: 1, Entries: list})
+	d.feed(policy.ListUpdate{Kind: policy.ListFull, Version: 1, Entries: list})
 	d.updateZones()
 	d.arrivals()
 }
@@ -65,50 +65,50 @@
 func (d *module) arrivals() {
 	d.soon(time.Duration(d.n.s.rng.ExpFloat64()/demand*float64(time.Second)), func() {
 		d.requests++
-		id := decide.RequestID(fmt.Sprint(d.requests))
-		d.feed(decide.RequestArrived{ID: id, Class: "browse", Patience: patience})
+		id := policy.RequestID(fmt.Sprint(d.requests))
+		d.feed(policy.RequestArrived{ID: id, Class: "browse", Patience: patience})
 		d.soon(patience, func() { delete(d.open, id); delete(d.over, id) })
 		d.arrivals()
 	})
 }
 
-func (d *module) feed(e decide.Event) {
+func (d *module) feed(e policy.Event) {
 	s := d.n.s
 	for _, a := range d.m.Handle(d.n.clock.read(s.now), e) {
 		switch a := a.(type) {
-		case decide.Send:
+		case policy.Send:
 			leg := d.open[a.ID]
 			d.open[a.ID]++
 			if leg > 0 {
 				s.res.Further++
 			}
 			at := int(a.Server) - 1
-			ended := decide.AttemptEnded{ID: a.ID, Attempt: leg, Server: a.Server, Elapsed: answerTime, Code: decide.OK}
+			ended := policy.AttemptEnded{ID: a.ID, Attempt: leg, Server: a.Server, Elapsed: answerTime, Code: policy.OK}
 			if s.ask(d.n, at/s.plan.Servers, at%s.plan.Servers) {
 				s.res.Answered++
 			} else {
 				s.res.Lost++
-				if ended.Code, ended.Elapsed = decide.TimedOut, lostTime; a.Timeout > 0 {
+				if ended.Code, ended.Elapsed = policy.TimedOut, lostTime; a.Timeout > 0 {
 					ended.Elapsed = min(ended.Elapsed, a.Timeout)
 				}
 			}
 			d.soon(ended.Elapsed, func() {
-				d.over[a.ID] = d.over[a.ID] || ended.Code == decide.OK
+				d.over[a.ID] = d.over[a.ID] || ended.Code == policy.OK
 				ended.Over = d.over[a.ID]
 				d.feed(ended)
 			})
-		case decide.CancelAttempt:
+		case policy.CancelAttempt:
 			d.soon(time.Millisecond, func() {
-				d.feed(decide.AttemptEnded{ID: a.ID, Attempt: a.Attempt, Code: decide.Cancelled, Over: d.over[a.ID]})
+				d.feed(policy.AttemptEnded{ID: a.ID, Attempt: a.Attempt, Code: policy.Cancelled, Over: d.over[a.ID]})
 			})
-		case decide.Refuse:
+		case policy.Refuse:
 			s.res.Refused++
 			d.over[a.ID] = true
-		case decide.Fail:
+		case policy.Fail:
 			s.res.Refused++
 			d.over[a.ID] = true
-		case decide.SetTimer:
-			d.soon(a.After, func() { d.feed(decide.TimerFired{Token: a.Token}) })
+		case policy.SetTimer:
+			d.soon(a.After, func() { d.feed(policy.TimerFired{Token: a.Token}) })
 		}
 	}
 }
@@ -118,7 +118,7 @@
 	n := d.n
 	age := n.clock.read(n.s.now) - n.confirmed
 	for z, y := range n.s.zones {
-		update := decide.ZoneTold{Zone: y, Revision: n.held.rev, Intent: n.held.rev, Serving: true, Share: 1, Floor: 1, Age: age}
+		update := policy.ZoneTold{Zone: y, Revision: n.held.rev, Intent: n.held.rev, Serving: true, Share: 1, Floor: 1, Age: age}
 		e, every := n.held.directives[n.keys[z][0]]
 		own, has := n.held.directives[n.keys[z][1]]
 		if has && (!every || fleet.Narrower(e.Directive, own.Directive)) {
@@ -126,7 +126,7 @@
 		}
 		if every || has {
 			h := fleet.ZoneBody(e.Rev, e.Directive, n.name)
-			update = decide.ZoneTold{Zone: y, Revision: e.Rev, Intent: n.held.rev, Share: h.Share, Floor: h.Floor, Rate: h.Rate, Trial: h.Trial,
+			update = policy.ZoneTold{Zone: y, Revision: e.Rev, Intent: n.held.rev, Share: h.Share, Floor: h.Floor, Rate: h.Rate, Trial: h.Trial,
 				Age: age, Valid: time.Duration(h.ValidMS) * time.Millisecond}
 		} else if !d.directed[y] {
 			continue
@@ -136,13 +136,13 @@
 	}
 	if !d.synced {
 		d.synced = true
-		d.feed(decide.FleetSynced{Revision: n.held.rev})
+		d.feed(policy.FleetSynced{Revision: n.held.rev})
 	}
 }
 
 // window puts what the module saw into a report.
 func (d *module) window(r *fleet.Report) {
-	by := map[string]decide.ZoneWindow{}
+	by := map[string]policy.ZoneWindow{}
 	for _, z := range d.m.Window(d.n.clock.read(d.n.s.now)).Zones {
 		by[z.Zone] = z
 	}
--- a/internal/fleet/sim/node.go
+++ b/internal/fleet/sim/node.go
@@ -6,8 +6,8 @@
 	"slices"
 	"time"
 
-	"starlingvalve/internal/fleet"
-	"starlingvalve/internal/fleet/zones"
+	"meadowsill/internal/fleet"
+	"meadowsill/internal/fleet/zones"
 )
 
 const (
--- a/internal/fleet/sim/rules.go
+++ b/internal/fleet/sim/rules.go
@@ -5,8 +5,8 @@
 	"slices"
 	"time"
 
-	"starlingvalve/internal/fleet"
-	"starlingvalve/internal/fleet/zones"
+	"meadowsill/internal/fleet"
+	"meadowsill/internal/fleet/zones"
 )
 
 // bounds are what the page says, whatever the core in the play goes by.
--- a/internal/fleet/sim/sim.go
+++ b/internal/fleet/sim/sim.go
@@ -7,8 +7,8 @@
 	"slices"
 	"time"
 
-	"starlingvalve/internal/fleet"
-	"starlingvalve/internal/fleet/zones"
+	"meadowsill/internal/fleet"
+	"meadowsill/internal/fleet/zones"
 )
 
 // Sim is a play that goes on.
--- a/internal/fleet/sim/sim_test.go
+++ b/internal/fleet/sim/sim_test.go
@@ -6,8 +6,8 @@
 	"testing"
 	"time"
 
-	"starlingvalve/internal/fleet"
-	"starlingvalve/internal/fleet/zones"
+	"meadowsill/internal/fleet"
+	"meadowsill/internal/fleet/zones"
 )
 
 // TestSeeds: no play of fixed seeds breaks a rule, with the simulator's own way of sending and with the module's.
--- a/internal/fleet/sim/tenants.go
+++ b/internal/fleet/sim/tenants.go
@@ -8,8 +8,8 @@
 	"slices"
 	"time"
 
-	"starlingvalve/internal/fleet"
-	"starlingvalve/internal/fleet/tenants"
+	"meadowsill/internal/fleet"
+	"meadowsill/internal/fleet/tenants"
 )
 
 // rollout is one change of a tenant on its way.
--- a/internal/fleet/page/page.go
+++ b/internal/fleet/statetable/statetable.go
@@ -1,6 +1,6 @@
-// Package page reads the state tables of the design pages, so that tests can run every row against the core that
+// Package statetable reads the state tables of the design pages, so that tests can run every row against the core that
 // it describes: page and code cannot part.
-package page
+package statetable
 
 import (
 	"fmt"
--- a/internal/fleet/page/page_test.go
+++ b/internal/fleet/statetable/statetable_test.go
@@ -1,4 +1,4 @@
-package page
+package statetable
 
 import (
 	"strings"
--- a/internal/fleet/tenants/bench_test.go
+++ b/internal/fleet/tenants/bench_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"starlingvalve/internal/fleet"
+	"meadowsill/internal/fleet"
 )
 
 // benchNodes is how many nodes divide the quotas of a growing number of tenants.
--- a/internal/fleet/tenants/division.go
+++ b/internal/fleet/tenants/division.go
@@ -7,7 +7,7 @@
 	"slices"
 	"strings"
 
-	"starlingvalve/internal/fleet"
+	"meadowsill/internal/fleet"
 )
 
 // slack is what sums of parts may be over by rounding alone, as a part of the quota.
--- a/internal/fleet/tenants/golden_test.go
+++ b/internal/fleet/tenants/golden_test.go
@@ -3,8 +3,8 @@
 import (
 	"testing"
 
-	"starlingvalve/internal/fleet/tenants"
-	"starlingvalve/internal/golden"
+	"meadowsill/internal/fleet/tenants"
+	"meadowsill/internal/golden"
 )
 
 // Commands of the replicated log, and the state as snapshots hold it.
--- a/internal/fleet/tenants/items.go
+++ b/internal/fleet/tenants/items.go
@@ -6,7 +6,7 @@
 	"slices"
 	"strings"
 
-	"starlingvalve/internal/fleet"
+	"meadowsill/internal/fleet"
 )
 
 // Phases of a tenant (docs/fleet.md, "Tenants").
--- a/internal/fleet/tenants/judge.go
+++ b/internal/fleet/tenants/judge.go
@@ -5,7 +5,7 @@
 	"math"
 	"slices"
 
-	"starlingvalve/internal/fleet"
+	"meadowsill/internal/fleet"
 )
 
 // Judge is the leader's soft part: it sees what nodes report and says which commands the state is ready for. It
--- a/internal/fleet/tenants/lend.go
+++ b/internal/fleet/tenants/lend.go
@@ -6,7 +6,7 @@
 	"slices"
 	"strings"
 
-	"starlingvalve/internal/fleet"
+	"meadowsill/internal/fleet"
 )
 
 // lender is the judge's part that divides quotas: what it aims at, and which leases are over.
--- a/internal/fleet/tenants/lend_test.go
+++ b/internal/fleet/tenants/lend_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"starlingvalve/internal/fleet"
+	"meadowsill/internal/fleet"
 )
 
 // city is a fleet without faults: every node hears and reports within a step.
--- a/internal/fleet/tenants/page_test.go
+++ b/internal/fleet/tenants/page_test.go
@@ -8,9 +8,9 @@
 	"testing"
 	"time"
 
-	"starlingvalve/internal/fleet"
-	"starlingvalve/internal/fleet/page"
-	"starlingvalve/internal/fleet/session"
+	"meadowsill/internal/fleet"
+	"meadowsill/internal/fleet/session"
+	"meadowsill/internal/fleet/statetable"
 )
 
 // fixture is a state with two present nodes that answer as set, and a tenant of service, which may be empty. Where it is
@@ -239,7 +239,7 @@
 }
 
 func TestPageTable(t *testing.T) {
-	rows, err := page.Table("../../../docs/fleet.md", "Tenants")
+	rows, err := statetable.Table("../../../docs/fleet.md", "Tenants")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -258,7 +258,7 @@
 }
 
 // playRow brings a tenant of a service into the row's state, and plays its event.
-func playRow(t *testing.T, r page.Row, service string) {
+func playRow(t *testing.T, r statetable.Row, service string) {
 	t.Helper()
 	f := newFixture(service)
 	cond, fresh := strings.CutSuffix(r.Condition, ", never committed")
@@ -322,7 +322,7 @@
 }
 
 // everyTransition gives every command to every phase: what changes the phase must be a row.
-func everyTransition(t *testing.T, rows []page.Row, service string) {
+func everyTransition(t *testing.T, rows []statetable.Row, service string) {
 	events := map[string][]string{Put: {"put"}, Delete: {"delete"}, Commit: {"staged"}, Rollback: {"refused", "timeout"},
 		Applied: {"applied"}, Drained: {"drained"}, Unquoted: {"applied"}, Divide: nil}
 	for _, phase := range []string{PhaseNone, PhaseSettled, PhaseStaging, PhaseApplying, PhaseRemoving, PhaseUnquoted} {
@@ -341,7 +341,7 @@
 				f.apply(c)
 				next := f.s.Phase("lulu")
 				for _, event := range events[op] {
-					if next != phase && !slices.ContainsFunc(rows, func(r page.Row) bool {
+					if next != phase && !slices.ContainsFunc(rows, func(r statetable.Row) bool {
 						return r.State == phase && r.Event == event && r.Next == next
 					}) {
 						t.Errorf("%s | %s -> %s is in no row", phase, event, next)
--- a/internal/fleet/tenants/parse.go
+++ b/internal/fleet/tenants/parse.go
@@ -11,7 +11,7 @@
 
 	"github.com/BurntSushi/toml"
 
-	"starlingvalve/internal/fleet"
+	"meadowsill/internal/fleet"
 )
 
 // depthLimit is how deep a JSON body may be nested; the schema needs 3.
--- a/internal/fleet/tenants/schema.go
+++ b/internal/fleet/tenants/schema.go
@@ -11,7 +11,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"starlingvalve/internal/fleet"
+	"meadowsill/internal/fleet"
 )
 
 // Limits of the schema.
--- a/internal/fleet/tenants/schema_test.go
+++ b/internal/fleet/tenants/schema_test.go
@@ -9,7 +9,7 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"starlingvalve/internal/fleet"
+	"meadowsill/internal/fleet"
 )
 
 const goodTOML = `name = "amouage"
--- a/internal/fleet/tenants/scope.go
+++ b/internal/fleet/tenants/scope.go
@@ -6,7 +6,7 @@
 	"slices"
 	"strings"
 
-	"starlingvalve/internal/fleet"
+	"meadowsill/internal/fleet"
 )
 
 // EpochOf gives the session epoch of a service's scope (session.State.ScopeEpoch); of no service, the fleet's.
--- a/internal/fleet/tenants/scope_test.go
+++ b/internal/fleet/tenants/scope_test.go
@@ -7,7 +7,7 @@
 	"slices"
 	"testing"
 
-	"starlingvalve/internal/fleet"
+	"meadowsill/internal/fleet"
 )
 
 // A command that does not say "scoped", as those of older logs, is refused by the fleet's epoch, whatever the tenant's service.
--- a/internal/fleet/tenants/play/act.go
+++ b/internal/fleet/tenants/simulation/act.go
@@ -1,4 +1,4 @@
-package play
+package simulation
 
 import (
 	"encoding/json"
@@ -6,8 +6,8 @@
 	"math/rand"
 	"slices"
 
-	"starlingvalve/internal/fleet"
-	"starlingvalve/internal/fleet/tenants"
+	"meadowsill/internal/fleet"
+	"meadowsill/internal/fleet/tenants"
 )
 
 var modelRates = []float64{5, 40, 100, 200}
--- a/internal/fleet/tenants/play/model.go
+++ b/internal/fleet/tenants/simulation/model.go
@@ -1,7 +1,7 @@
-// Package play is a small fleet in simulated time around the core of tenants: replicas, a leader that changes, and runs of
+// Package simulation is a small fleet in simulated time around the core of tenants: replicas, a leader that changes, and runs of
 // nodes that hear late, are cut off, crash and are outlived, with the rules T1, T2, T3, T5 and T6 held at every step
 // (docs/fleet.md). It does no I/O and reads no clock.
-package play
+package simulation
 
 import (
 	"encoding/json"
@@ -10,9 +10,9 @@
 	"strings"
 	"time"
 
-	"starlingvalve/internal/fleet"
-	"starlingvalve/internal/fleet/session"
-	"starlingvalve/internal/fleet/tenants"
+	"meadowsill/internal/fleet"
+	"meadowsill/internal/fleet/session"
+	"meadowsill/internal/fleet/tenants"
 )
 
 // model is a small fleet in one process: a replicated state, a leader that changes, and runs of nodes that hear late,
--- a/internal/fleet/tenants/play/play_test.go
+++ b/internal/fleet/tenants/simulation/play_test.go
@@ -1,4 +1,4 @@
-package play
+package simulation
 
 import (
 	"math/rand"
--- a/internal/fleet/tenants/play/scope.go
+++ b/internal/fleet/tenants/simulation/scope.go
@@ -1,10 +1,10 @@
-package play
+package simulation
 
 import (
 	"maps"
 
-	"starlingvalve/internal/fleet"
-	"starlingvalve/internal/fleet/tenants"
+	"meadowsill/internal/fleet"
+	"meadowsill/internal/fleet/tenants"
 )
 
 // The services that tenants may be of, and the scopes that runs may have.
--- a/internal/fleet/tenants/state.go
+++ b/internal/fleet/tenants/state.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"slices"
 
-	"starlingvalve/internal/fleet"
+	"meadowsill/internal/fleet"
 )
 
 // State is the replicated part: every replica's is the same, as commands carry no time and sums are taken in a
--- a/internal/fleet/tenants/status.go
+++ b/internal/fleet/tenants/status.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"starlingvalve/internal/fleet"
+	"meadowsill/internal/fleet"
 )
 
 // Phases of a node with a tenant, in NodeStatus.
--- a/internal/fleet/tenants/tenants.go
+++ b/internal/fleet/tenants/tenants.go
@@ -7,7 +7,7 @@
 	"errors"
 	"time"
 
-	"starlingvalve/internal/fleet"
+	"meadowsill/internal/fleet"
 )
 
 // Bounds of a rollout and of a division, by the leader's clock.
--- a/internal/fleet/zones/back.go
+++ b/internal/fleet/zones/back.go
@@ -4,7 +4,7 @@
 	"math"
 	"slices"
 
-	"starlingvalve/internal/fleet"
+	"meadowsill/internal/fleet"
 )
 
 // comeback is what the judge knows of the return of a zone: of the directive of revision rev, since it saw it.
--- a/internal/fleet/zones/evidence.go
+++ b/internal/fleet/zones/evidence.go
@@ -6,7 +6,7 @@
 	"slices"
 	"strings"
 
-	"starlingvalve/internal/fleet"
+	"meadowsill/internal/fleet"
 )
 
 // Limits on what one report is believed to count.
--- a/internal/fleet/zones/findings.go
+++ b/internal/fleet/zones/findings.go
@@ -3,7 +3,7 @@
 import (
 	"math"
 
-	"starlingvalve/internal/fleet"
+	"meadowsill/internal/fleet"
 )
 
 // allLost is the share of the fleet's attempts lost from which a zone is lost, though its nodes have but one server of it
--- a/internal/fleet/zones/golden_test.go
+++ b/internal/fleet/zones/golden_test.go
@@ -3,8 +3,8 @@
 import (
 	"testing"
 
-	"starlingvalve/internal/fleet/zones"
-	"starlingvalve/internal/golden"
+	"meadowsill/internal/fleet/zones"
+	"meadowsill/internal/golden"
 )
 
 // Commands of the replicated log, and the state as snapshots hold it.
--- a/internal/fleet/zones/judge.go
+++ b/internal/fleet/zones/judge.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"starlingvalve/internal/fleet"
+	"meadowsill/internal/fleet"
 )
 
 const (
--- a/internal/fleet/zones/part.go
+++ b/internal/fleet/zones/part.go
@@ -3,7 +3,7 @@
 import (
 	"math"
 
-	"starlingvalve/internal/fleet"
+	"meadowsill/internal/fleet"
 )
 
 // Portion is a directive as it holds for one node.
--- a/internal/fleet/zones/room.go
+++ b/internal/fleet/zones/room.go
@@ -4,7 +4,7 @@
 	"math"
 	"slices"
 
-	"starlingvalve/internal/fleet"
+	"meadowsill/internal/fleet"
 )
 
 const (
--- a/internal/fleet/zones/settings.go
+++ b/internal/fleet/zones/settings.go
@@ -8,7 +8,7 @@
 	"math"
 	"time"
 
-	"starlingvalve/internal/fleet"
+	"meadowsill/internal/fleet"
 )
 
 // Settings are the bounds of the judgement. Default fills in what docs/fleet.md states; a zero field of the first
--- a/internal/fleet/zones/play/judge_test.go
+++ b/internal/fleet/zones/simulation/judge_test.go
@@ -1,12 +1,12 @@
-package play
+package simulation
 
 import (
 	"strings"
 	"testing"
 	"time"
 
-	"starlingvalve/internal/fleet"
-	. "starlingvalve/internal/fleet/zones"
+	"meadowsill/internal/fleet"
+	. "meadowsill/internal/fleet/zones"
 )
 
 // TestHardCases plays the cases that docs/fleet.md names; each is judged by what is left and for whom.
--- a/internal/fleet/zones/play/page_test.go
+++ b/internal/fleet/zones/simulation/page_test.go
@@ -1,4 +1,4 @@
-package play
+package simulation
 
 import (
 	"errors"
@@ -7,16 +7,16 @@
 	"testing"
 	"time"
 
-	"starlingvalve/internal/fleet"
-	"starlingvalve/internal/fleet/page"
-	. "starlingvalve/internal/fleet/zones"
+	"meadowsill/internal/fleet"
+	"meadowsill/internal/fleet/statetable"
+	. "meadowsill/internal/fleet/zones"
 )
 
 const sec = time.Second
 
 // TestPage runs every row of the page's state table against the core, and finds the core's table in the page's rows.
 func TestPage(t *testing.T) {
-	rows, err := page.Table("../../../../docs/fleet.md", "Zones")
+	rows, err := statetable.Table("../../../../docs/fleet.md", "Zones")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/fleet/zones/play/property_test.go
+++ b/internal/fleet/zones/simulation/property_test.go
@@ -1,4 +1,4 @@
-package play
+package simulation
 
 import (
 	"flag"
@@ -8,8 +8,8 @@
 
 	"pgregory.net/rapid"
 
-	"starlingvalve/internal/fleet"
-	. "starlingvalve/internal/fleet/zones"
+	"meadowsill/internal/fleet"
+	. "meadowsill/internal/fleet/zones"
 )
 
 var schedules = rapid.Custom(func(t *rapid.T) Schedule {
--- a/internal/fleet/zones/play/rules.go
+++ b/internal/fleet/zones/simulation/rules.go
@@ -1,11 +1,11 @@
-package play
+package simulation
 
 import (
 	"math"
 	"time"
 
-	"starlingvalve/internal/fleet"
-	"starlingvalve/internal/fleet/zones"
+	"meadowsill/internal/fleet"
+	"meadowsill/internal/fleet/zones"
 )
 
 // rules are Z1 to Z5 as an observer sees them, who knows the world's truth and none of the core's reckoning.
--- a/internal/fleet/zones/play/schedule.go
+++ b/internal/fleet/zones/simulation/schedule.go
@@ -1,4 +1,4 @@
-package play
+package simulation
 
 import (
 	"encoding/json"
@@ -9,8 +9,8 @@
 	"slices"
 	"time"
 
-	"starlingvalve/internal/fleet"
-	"starlingvalve/internal/fleet/zones"
+	"meadowsill/internal/fleet"
+	"meadowsill/internal/fleet/zones"
 )
 
 // Schedule is a random course of faults over a random fleet.
--- a/internal/fleet/zones/play/world.go
+++ b/internal/fleet/zones/simulation/world.go
@@ -1,7 +1,7 @@
-// Package play is a fleet in simulated time around the core that leaves zones and comes back to them: nodes that keep
+// Package simulation is a fleet in simulated time around the core that leaves zones and comes back to them: nodes that keep
 // to what they heard and report what they saw, a seeded schedule of faults and liars, and the rules Z1 to Z5 as an
 // observer sees them who knows the world's truth (docs/fleet.md). It does no I/O and reads no clock.
-package play
+package simulation
 
 import (
 	"errors"
@@ -11,8 +11,8 @@
 	"slices"
 	"time"
 
-	"starlingvalve/internal/fleet"
-	"starlingvalve/internal/fleet/zones"
+	"meadowsill/internal/fleet"
+	"meadowsill/internal/fleet/zones"
 )
 
 const (
--- a/internal/fleet/zones/state.go
+++ b/internal/fleet/zones/state.go
@@ -8,7 +8,7 @@
 	"slices"
 	"strings"
 
-	"starlingvalve/internal/fleet"
+	"meadowsill/internal/fleet"
 )
 
 // Errors of Apply. Each leaves the state as it was.
--- a/internal/fleet/zones/table.go
+++ b/internal/fleet/zones/table.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"starlingvalve/internal/fleet"
+	"meadowsill/internal/fleet"
 )
 
 // Events of a zone.
--- a/internal/fleet/zones/thin_test.go
+++ b/internal/fleet/zones/thin_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"starlingvalve/internal/fleet"
+	"meadowsill/internal/fleet"
 )
 
 // Nodes that have one server of a zone in use have no vote on it: together they see it lost, but not by one zone's
--- a/internal/invariants/fleet.go
+++ b/internal/invariants/fleet.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Told is one change of the control plane's intent (docs/fleet.md) as the lab saw it come out of listd: a zone's directive,
+// Told is one change of the control plane's intent (docs/fleet.md) as the lab saw it come out of discovery: a zone's directive,
 // or a tenant. At is some ms after its commit.
 type Told struct {
 	Key  string // "zone/Y", "zone/Y@X" or "tenant/NAME"
--- a/internal/lab/agent.go
+++ b/internal/lab/agent.go
@@ -10,7 +10,7 @@
 )
 
 // View starts the node's agent, each of its ways to a replica a relay of its own, and gives its address.
-func (l *listdList) View(n *node, addrOf func(string) string) (string, error) {
+func (l *replicatedList) View(n *node, addrOf func(string) string) (string, error) {
 	rewrite := map[string]string{}
 	l.mu.Lock()
 	for id := range l.entries {
@@ -27,7 +27,7 @@
 		return "", err
 	}
 	listen := l.f.place.agent(n.i)
-	a := &process{name: agentName(n.i), bin: l.f.s.Fleet.ListdBin, env: os.Environ(),
+	a := &process{name: agentName(n.i), bin: l.f.s.Fleet.DiscoveryBinary, env: os.Environ(),
 		args: []string{"agent", "--listen", listen, "--addr-map", path}}
 	for r, target := range l.cluster.HTTP {
 		link, err := l.f.link(a.name, replicaName(r), target, "", l.f.s.Seed+uint64(n.i*100+r))
@@ -47,7 +47,7 @@
 		return "", err
 	}
 	l.f.agents = append(l.f.agents, a)
-	if err := a.begin(l.f.opt.Dir, &l.f.cpuListd, &l.f.wg); err != nil {
+	if err := a.begin(l.f.opt.Dir, &l.f.agentCPU, &l.f.wg); err != nil {
 		return "", err
 	}
 	for end := time.Now().Add(20 * time.Second); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
--- a/internal/lab/control.go
+++ b/internal/lab/control.go
@@ -14,9 +14,9 @@
 
 	"github.com/BurntSushi/toml"
 
-	messages "starlingvalve/internal/fleet"
-	"starlingvalve/internal/invariants"
-	"starlingvalve/internal/lab/standin"
+	messages "meadowsill/internal/fleet"
+	"meadowsill/internal/invariants"
+	"meadowsill/internal/lab/stub"
 )
 
 // fleetFile writes the control plane's settings (docs/fleet.md) of this run and gives the file's path.
@@ -71,7 +71,7 @@
 		var in messages.Intent
 		if err := f.ask(ctx, r, fmt.Sprintf("/fleet/v1/intent?since=%d&timeout_ms=1000", since), &in); err != nil || in.Revision < since {
 			r = (r + 1) % len(f.cluster.HTTP)
-			standin.Sleep(ctx, 50*time.Millisecond)
+			stub.Sleep(ctx, 50*time.Millisecond)
 			continue
 		}
 		now := f.rec.Since()
@@ -130,7 +130,7 @@
 // watchDrift keeps every change of a verdict, asked of the leader each 200 ms.
 func (f *fleet) watchDrift(ctx context.Context) {
 	last := map[string]string{}
-	for r := 0; ctx.Err() == nil; standin.Sleep(ctx, 200*time.Millisecond) {
+	for r := 0; ctx.Err() == nil; stub.Sleep(ctx, 200*time.Millisecond) {
 		var d struct {
 			Verdicts []struct {
 				Node  string          `json:"node"`
@@ -169,7 +169,7 @@
 		if answer, err = f.putTenant(ctx, lead, e); err == nil {
 			return answer, nil
 		}
-		standin.Sleep(ctx, 100*time.Millisecond)
+		stub.Sleep(ctx, 100*time.Millisecond)
 	}
 	return "", err
 }
@@ -249,7 +249,7 @@
 	o := Onboarding{Tenant: name, Generation: generation, At: f.rec.Since(), Applied: map[string]time.Duration{}}
 	ctx, cancel := context.WithTimeout(context.Background(), 60*time.Second)
 	defer cancel()
-	for r := 0; ctx.Err() == nil && !f.over.Load(); standin.Sleep(ctx, 20*time.Millisecond) {
+	for r := 0; ctx.Err() == nil && !f.over.Load(); stub.Sleep(ctx, 20*time.Millisecond) {
 		var st struct {
 			Nodes []struct {
 				Node       string `json:"node"`
--- a/internal/lab/control_test.go
+++ b/internal/lab/control_test.go
@@ -12,12 +12,12 @@
 	"testing"
 	"time"
 
-	"starlingvalve/internal/invariants"
-	"starlingvalve/internal/lab/listdlab"
-	"starlingvalve/internal/lab/standin"
+	"meadowsill/internal/invariants"
+	"meadowsill/internal/lab/discoverylab"
+	"meadowsill/internal/lab/stub"
 )
 
-// The watch of intent against a stand-in replica: each change once, with what the checker reads of it; what a whole
+// The watch of intent against a stub replica: each change once, with what the checker reads of it; what a whole
 // answer leaves out has gone; a replica behind, or broken, changes nothing.
 func TestIntentIsRecorded(t *testing.T) {
 	answers := []string{
@@ -41,8 +41,8 @@
 	}))
 	defer srv.Close()
 	f := labelled(t)
-	f.cluster = &listdlab.Cluster{HTTP: []string{strings.TrimPrefix(srv.URL, "http://")}}
-	f.rec, f.opt.Log = standin.NewRecorder(), slog.New(slog.NewTextHandler(io.Discard, nil))
+	f.cluster = &discoverylab.Cluster{HTTP: []string{strings.TrimPrefix(srv.URL, "http://")}}
+	f.rec, f.opt.Log = stub.NewRecorder(), slog.New(slog.NewTextHandler(io.Discard, nil))
 	f.recs.Fleet = &invariants.Fleet{}
 	done := make(chan struct{})
 	go func() { f.watchIntent(ctx); close(done) }()
--- a/internal/lab/datapath/datapath.go
+++ b/internal/lab/datapath/datapath.go
@@ -1,4 +1,4 @@
-// Package datapath measures what a real node adds to a request: one node process before one stand-in app server, a list of
+// Package datapath measures what a real node adds to a request: one node process before one stub app server, a list of
 // any size whose every entry is that server, and requests in turn through the node and to the server directly.
 package datapath
 
@@ -23,7 +23,7 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"starlingvalve/internal/lab/standin"
+	"meadowsill/internal/lab/stub"
 )
 
 //go:embed settings.json
@@ -104,9 +104,9 @@
 // bench is one measurement under way.
 type bench struct {
 	plan     Plan
-	rec      *standin.Recorder
-	server   *standin.AppServer
-	list     *standin.Discovery
+	rec      *stub.Recorder
+	server   *stub.AppServer
+	list     *stub.Discovery
 	listen   string
 	node     *exec.Cmd
 	client   *http.Client
@@ -118,7 +118,7 @@
 	if err := plan.Check(); err != nil {
 		return Result{}, err
 	}
-	b := &bench{plan: plan, rec: standin.NewRecorder()}
+	b := &bench{plan: plan, rec: stub.NewRecorder()}
 	defer func() { result.CPU = b.close() }()
 	if err := b.start(ctx); err != nil {
 		return Result{}, err
@@ -138,16 +138,16 @@
 
 // start brings up the app server, the list and the node, and waits until the node is ready.
 func (b *bench) start(ctx context.Context) error {
-	spec := standin.ServerSpec{ID: "s-0", Zone: zone, Capacity: 256, Latency: b.plan.Latency, IdleClose: time.Minute}
+	spec := stub.ServerSpec{ID: "s-0", Zone: zone, Capacity: 256, Latency: b.plan.Latency, IdleClose: time.Minute}
 	var err error
-	if b.server, err = standin.NewAppServer(spec, "127.0.0.1:0", func(string) int { return 0 }, b.rec, b.plan.Seed); err != nil {
+	if b.server, err = stub.NewAppServer(spec, "127.0.0.1:0", func(string) int { return 0 }, b.rec, b.plan.Seed); err != nil {
 		return err
 	}
-	entries := make([]standin.Entry, b.plan.Servers)
+	entries := make([]stub.Entry, b.plan.Servers)
 	for i := range entries {
-		entries[i] = standin.Entry{ID: entryID(i), Zone: zone, Kind: "std", State: "ready", Weight: 1, StartedMS: 1}
+		entries[i] = stub.Entry{ID: entryID(i), Zone: zone, Kind: "std", State: "ready", Weight: 1, StartedMS: 1}
 	}
-	b.list = standin.NewDiscovery(entries)
+	b.list = stub.NewDiscovery(entries)
 	discovery, err := b.list.View(func(string) string { return b.server.Addr })
 	if err != nil {
 		return err
@@ -245,7 +245,7 @@
 	return errors.New("the node was not ready within " + readyWithin.String())
 }
 
-// close ends the node, by its own pid, and the stand-ins. It gives the node's processor time.
+// close ends the node, by its own pid, and the stubs. It gives the node's processor time.
 func (b *bench) close() (cpu float64) {
 	if b.node != nil {
 		b.node.Process.Signal(syscall.SIGTERM)
@@ -272,7 +272,7 @@
 	rnd := rand.New(rand.NewPCG(b.plan.Seed, 1))
 	every := time.Duration(float64(time.Second) / b.plan.ChangesPerS)
 	drained := ""
-	for standin.Sleep(ctx, every) {
+	for stub.Sleep(ctx, every) {
 		if drained == "" {
 			drained = entryID(rnd.IntN(b.plan.Servers))
 			b.list.Set(drained, "draining", 0)
@@ -293,7 +293,7 @@
 	half := time.Duration(float64(time.Second) / b.plan.RequestsPerS / 2)
 	begin := time.Now()
 	for i := 0; time.Duration(i)*half < d; i++ {
-		if !standin.Sleep(ctx, time.Until(begin.Add(time.Duration(i)*half))) && ctx.Err() != nil {
+		if !stub.Sleep(ctx, time.Until(begin.Add(time.Duration(i)*half))) && ctx.Err() != nil {
 			return
 		}
 		address, to := b.listen, node
--- a/internal/lab/listd.go
+++ b/internal/lab/discovery.go
@@ -11,11 +11,11 @@
 	"sync"
 	"time"
 
-	"starlingvalve/internal/lab/listdlab"
-	"starlingvalve/internal/lab/standin"
+	"meadowsill/internal/lab/discoverylab"
+	"meadowsill/internal/lab/stub"
 )
 
-// lister is the discovery a run's nodes read: the stand-in, or listd's replicas with an agent per node.
+// lister is the discovery a run's nodes read: the stub, or discovery's replicas with an agent per node.
 type lister interface {
 	// View opens node's way to the list, in which each server's address is addrOf(id); it gives its address.
 	View(n *node, addrOf func(id string) string) (string, error)
@@ -24,34 +24,34 @@
 	Close()
 }
 
-type standinList struct{ *standin.Discovery }
+type stubList struct{ *stub.Discovery }
 
-func (s standinList) View(_ *node, addrOf func(string) string) (string, error) {
+func (s stubList) View(_ *node, addrOf func(string) string) (string, error) {
 	return s.Discovery.View(addrOf)
 }
 
-func (s standinList) Set(id, state string, startedMS int64) error {
+func (s stubList) Set(id, state string, startedMS int64) error {
 	s.Discovery.Set(id, state, startedMS)
 	return nil
 }
 
-// listdList is listd's replicas as processes; the lab registers the servers under leases and renews them, as
+// replicatedList is discovery's replicas as processes; the lab registers the servers under leases and renews them, as
 // their registrant would, and runs one agent process per node with the node's addresses of the servers.
-type listdList struct {
+type replicatedList struct {
 	f       *fleet
-	cluster *listdlab.Cluster
+	cluster *discoverylab.Cluster
 	writing sync.Mutex // one write at a time, so that no renewal in flight undoes a change
 	mu      sync.Mutex
-	entries map[string]standin.Entry
+	entries map[string]stub.Entry
 	done    chan struct{}
 	wg      sync.WaitGroup
 }
 
 const leaseMS = 6000
 
-// startListd starts the replicas, each raft link a relay of the run's network, and registers the servers.
-func (f *fleet) startListd(entries []standin.Entry, extra ...string) (*listdList, error) {
-	c, err := listdlab.Start(f.s.Fleet.ListdBin, filepath.Join(f.opt.Dir, "listd"), f.s.Fleet.Replicas, extra...)
+// startReplicatedList starts the replicas, each raft link a relay of the run's network, and registers the servers.
+func (f *fleet) startReplicatedList(entries []stub.Entry, extra ...string) (*replicatedList, error) {
+	c, err := discoverylab.Start(f.s.Fleet.DiscoveryBinary, filepath.Join(f.opt.Dir, "discovery"), f.s.Fleet.Replicas, extra...)
 	if err != nil {
 		return nil, err
 	}
@@ -59,7 +59,7 @@
 		f.net.Add(l)
 		f.recs.Links++
 	}
-	l := &listdList{f: f, cluster: c, entries: map[string]standin.Entry{}, done: make(chan struct{})}
+	l := &replicatedList{f: f, cluster: c, entries: map[string]stub.Entry{}, done: make(chan struct{})}
 	for i := range c.HTTP {
 		writePid(f.opt.Dir, c.Pid(i))
 	}
@@ -77,7 +77,7 @@
 }
 
 // write sends one call to whoever leads, trying for up to 10 s, or until the list is closed.
-func (l *listdList) write(op string, e standin.Entry) error {
+func (l *replicatedList) write(op string, e stub.Entry) error {
 	body := map[string]any{"id": e.ID, "ttl_ms": leaseMS}
 	if op == "register" {
 		body = map[string]any{"id": e.ID, "addr": e.Addr, "zone": e.Zone, "kind": e.Kind, "cell": e.Cell, "state": e.State,
@@ -87,7 +87,7 @@
 	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
 		select {
 		case <-l.done:
-			return fmt.Errorf("listd: %s %s not committed before the end", op, e.ID)
+			return fmt.Errorf("discovery: %s %s not committed before the end", op, e.ID)
 		default:
 		}
 		lead, err := l.cluster.Leader(5*time.Second, -1)
@@ -103,11 +103,11 @@
 			return nil
 		}
 	}
-	return fmt.Errorf("listd: %s %s not committed in 10 s", op, e.ID)
+	return fmt.Errorf("discovery: %s %s not committed in 10 s", op, e.ID)
 }
 
 // renew keeps every lease that is not gone, a third of its length apart.
-func (l *listdList) renew() {
+func (l *replicatedList) renew() {
 	t := time.NewTicker(leaseMS / 3 * time.Millisecond)
 	defer t.Stop()
 	for {
@@ -134,7 +134,7 @@
 	}
 }
 
-func (l *listdList) Set(id, state string, startedMS int64) error {
+func (l *replicatedList) Set(id, state string, startedMS int64) error {
 	l.writing.Lock()
 	defer l.writing.Unlock()
 	l.mu.Lock()
@@ -153,7 +153,7 @@
 	return err
 }
 
-func (l *listdList) Close() {
+func (l *replicatedList) Close() {
 	select {
 	case <-l.done:
 	default:
--- a/internal/lab/listdlab/listdlab.go
+++ b/internal/lab/discoverylab/discoverylab.go
@@ -1,7 +1,7 @@
-// Package listdlab runs listd replicas as processes on loopback, each raft link through the lab's relays, and
+// Package discoverylab runs discovery replicas as processes on loopback, each raft link through the lab's relays, and
 // measures them: committed writes a second, fan-out of a change to many watchers, memory per watcher, failover
 // after the leader's kill, and the catch-up of a replica that was down.
-package listdlab
+package discoverylab
 
 import (
 	"bytes"
@@ -19,10 +19,10 @@
 	"syscall"
 	"time"
 
-	"starlingvalve/internal/lab/faults"
+	"meadowsill/internal/lab/faults"
 )
 
-// Cluster is a set of listd replicas.
+// Cluster is a set of discovery replicas.
 type Cluster struct {
 	Bin   string
 	Dirs  []string
@@ -33,7 +33,7 @@
 	Network *Network // reserved for the cluster; replica i is at 127.3.N.(i+1)
 
 	peers []string
-	extra []string // more arguments of listd serve
+	extra []string // more arguments of discovery serve
 	mu    sync.Mutex
 	procs []*life
 	cpu   time.Duration // of lives that have ended
--- a/internal/lab/listdlab/network_test.go
+++ b/internal/lab/discoverylab/network_test.go
@@ -1,4 +1,4 @@
-package listdlab
+package discoverylab
 
 import "testing"
 
--- a/internal/lab/events.go
+++ b/internal/lab/events.go
@@ -6,8 +6,8 @@
 	"syscall"
 	"time"
 
-	"starlingvalve/internal/invariants"
-	"starlingvalve/internal/lab/standin"
+	"meadowsill/internal/invariants"
+	"meadowsill/internal/lab/stub"
 )
 
 var signals = map[string]syscall.Signal{"kill": syscall.SIGKILL, "term": syscall.SIGTERM, "stop": syscall.SIGSTOP,
@@ -29,7 +29,7 @@
 	case "heal":
 		return fmt.Sprintf("%d links", f.heal()), nil
 	case "degrade":
-		m, err := standin.ParseMode(e.Mode)
+		m, err := stub.ParseMode(e.Mode)
 		if err != nil {
 			return "", err
 		}
@@ -160,7 +160,7 @@
 	}
 	for _, i := range f.s.pick(e.Agents, len(f.nodes)) {
 		for _, a := range f.agentProcesses(i) {
-			if err := a.begin(f.opt.Dir, &f.cpuListd, &f.wg); err != nil {
+			if err := a.begin(f.opt.Dir, &f.agentCPU, &f.wg); err != nil {
 				f.opt.Log.Warn("agent not started", "agent", a.name, "err", err)
 				continue
 			}
--- a/internal/lab/excuses.go
+++ b/internal/lab/excuses.go
@@ -4,7 +4,7 @@
 	"strings"
 	"time"
 
-	"starlingvalve/internal/invariants"
+	"meadowsill/internal/invariants"
 )
 
 // excuse opens a window, unless it is open, in which node (-1: every one) may break rule ("": any of those that
--- a/internal/lab/gossip.go
+++ b/internal/lab/gossip.go
@@ -10,13 +10,13 @@
 	"path/filepath"
 	"time"
 
-	"starlingvalve/internal/invariants"
-	"starlingvalve/internal/lab/faults"
-	"starlingvalve/internal/lab/standin"
-	"starlingvalve/internal/membership"
+	"meadowsill/internal/invariants"
+	"meadowsill/internal/lab/faults"
+	"meadowsill/internal/lab/stub"
+	"meadowsill/internal/membership"
 )
 
-// startGossip runs a member for each node (cmd/members), reached by the others through a relay that carries TCP and
+// startGossip runs a member for each node (cmd/membership), reached by the others through a relay that carries TCP and
 // UDP, so that each way between two of them is a link: agent:n3 to agent:n4.
 func (f *fleet) startGossip() error {
 	var seeds []string
@@ -38,7 +38,7 @@
 		f.net.AddRelay(relay)
 		f.recs.Links += len(callers)
 		host, _, _ := net.SplitHostPort(f.place.member(i))
-		m := &process{name: "member:" + n.info.Name, bin: f.s.Fleet.MembersBin, env: os.Environ(),
+		m := &process{name: "member:" + n.info.Name, bin: f.s.Fleet.MembershipBinary, env: os.Environ(),
 			args: []string{"run", "--name", n.info.Name, "--zone", n.info.Zone, "--bind", f.place.member(i), "--advertise", f.place.relay(i),
 				"--http", host + ":9000"}}
 		for _, s := range seeds {
@@ -50,7 +50,7 @@
 			return err
 		}
 		f.members = append(f.members, m)
-		if err := m.begin(f.opt.Dir, &f.cpuListd, &f.wg); err != nil {
+		if err := m.begin(f.opt.Dir, &f.agentCPU, &f.wg); err != nil {
 			return err
 		}
 	}
@@ -64,7 +64,7 @@
 			host, _, _ := net.SplitHostPort(f.place.member(i))
 			client := http.Client{Timeout: time.Second}
 			last := map[string]membership.State{}
-			for ; ctx.Err() == nil; standin.Sleep(ctx, 250*time.Millisecond) {
+			for ; ctx.Err() == nil; stub.Sleep(ctx, 250*time.Millisecond) {
 				resp, err := client.Get("http://" + host + ":9000/view")
 				if err != nil {
 					continue
@@ -90,7 +90,7 @@
 	}
 }
 
-// agentProcesses are the processes that stand for a node's agent: listd's agent, its member, or both.
+// agentProcesses are the processes that stand for a node's agent: discovery's agent, its member, or both.
 func (f *fleet) agentProcesses(i int) []*process {
 	var out []*process
 	if i < len(f.agents) {
--- a/internal/lab/links.go
+++ b/internal/lab/links.go
@@ -6,8 +6,8 @@
 	"strings"
 	"time"
 
-	"starlingvalve/internal/lab/faults"
-	"starlingvalve/internal/lab/standin"
+	"meadowsill/internal/lab/faults"
+	"meadowsill/internal/lab/stub"
 )
 
 // index is which of the fleet's nodes a group's name ("n3", "agent:n3") belongs to, or -1.
@@ -16,7 +16,7 @@
 	return slices.IndexFunc(f.nodes, func(n *node) bool { return n.info.Name == name })
 }
 
-// zoneOf is the zone of the group at a link's end; "" where it has none (clients, the stand-in discovery).
+// zoneOf is the zone of the group at a link's end; "" where it has none (clients, the stub discovery).
 func (f *fleet) zoneOf(name string) string {
 	if i := f.index(name); i >= 0 {
 		return f.nodes[i].info.Zone
@@ -102,7 +102,7 @@
 		if hit && cuts {
 			f.excuseLink(l, fault)
 			if id, ok := strings.CutPrefix(l.To, "server:"); ok {
-				servers = append(servers, slices.IndexFunc(f.servers, func(s *standin.AppServer) bool { return s.Spec.ID == id }))
+				servers = append(servers, slices.IndexFunc(f.servers, func(s *stub.AppServer) bool { return s.Spec.ID == id }))
 			}
 		}
 		return hit
--- a/internal/lab/links_test.go
+++ b/internal/lab/links_test.go
@@ -4,14 +4,14 @@
 	"strings"
 	"testing"
 
-	"starlingvalve/internal/lab/faults"
-	"starlingvalve/internal/lab/standin"
+	"meadowsill/internal/lab/faults"
+	"meadowsill/internal/lab/stub"
 )
 
 // four nodes, three servers and three replicas over two zones, with a link of each kind.
 func labelled(t *testing.T) *fleet {
 	t.Helper()
-	s, err := ParseScenario("x", []byte("[fleet]\nnodes = 4\nservers = 3\nzones = [\"a\", \"b\"]\ndiscovery = \"listd\"\nregions = {north = [\"b\"]}\n"))
+	s, err := ParseScenario("x", []byte("[fleet]\nnodes = 4\nservers = 3\nzones = [\"a\", \"b\"]\ndiscovery = \"replicated\"\nregions = {north = [\"b\"]}\n"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -20,7 +20,7 @@
 		f.nodes = append(f.nodes, &node{i: i, info: &NodeInfo{Name: name, Zone: s.zone(i)}})
 	}
 	for j := range 3 {
-		f.servers = append(f.servers, &standin.AppServer{Spec: standin.ServerSpec{ID: serverID(j), Zone: s.zone(j)}})
+		f.servers = append(f.servers, &stub.AppServer{Spec: stub.ServerSpec{ID: serverID(j), Zone: s.zone(j)}})
 	}
 	for _, l := range []*faults.Link{{From: "clients", To: "n1"}, {From: "n1", To: "server:" + serverID(0)}, {From: "n2", To: agentName(2)},
 		{From: agentName(2), To: "r1"}, {From: "r0", To: "r1"}, {From: "r1", To: "r2"}, {From: agentName(0), To: agentName(1)}} {
--- a/internal/lab/load/client.go
+++ b/internal/lab/load/client.go
@@ -14,14 +14,14 @@
 	"syscall"
 	"time"
 
-	"starlingvalve/internal/invariants"
-	"starlingvalve/internal/lab/standin"
+	"meadowsill/internal/invariants"
+	"meadowsill/internal/lab/stub"
 )
 
 // client is all clients of the run: they keep their connections, and use them as long as they stay open.
 type client struct {
 	front Front
-	rec   *standin.Recorder
+	rec   *stub.Recorder
 	cross time.Duration
 	kept  *http.Transport
 	fresh *http.Transport // for what is sent once more, always on a new connection
@@ -29,7 +29,7 @@
 
 var errNotDealt = errors.New("no new connections are dealt to this node")
 
-func newClient(cross time.Duration, front Front, rec *standin.Recorder) *client {
+func newClient(cross time.Duration, front Front, rec *stub.Recorder) *client {
 	c := &client{front: front, rec: rec, cross: cross}
 	dial := func(ctx context.Context, network, addr string) (net.Conn, error) {
 		if !front.Deals(addr) {
@@ -52,7 +52,7 @@
 	at                        time.Duration // its last byte written
 }
 
-func (t *try) trace(rec *standin.Recorder) *httptrace.ClientTrace {
+func (t *try) trace(rec *stub.Recorder) *httptrace.ClientTrace {
 	set := func(f func()) { t.mu.Lock(); f(); t.mu.Unlock() }
 	return &httptrace.ClientTrace{
 		GotConn: func(i httptrace.GotConnInfo) {
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -10,8 +10,8 @@
 	"sync"
 	"time"
 
-	"starlingvalve/internal/invariants"
-	"starlingvalve/internal/lab/standin"
+	"meadowsill/internal/invariants"
+	"meadowsill/internal/lab/stub"
 )
 
 // Class is one kind of request in the load.
@@ -53,7 +53,7 @@
 
 // Run sends the load until its time or count is over, then waits for every answer (at most the longest
 // TimeLeft and 5 s more).
-func Run(ctx context.Context, s Spec, front Front, rec *standin.Recorder) Result {
+func Run(ctx context.Context, s Spec, front Front, rec *stub.Recorder) Result {
 	rnd := rand.New(rand.NewPCG(s.Seed, 0x10ad))
 	c := newClient(s.Cross, front, rec)
 	defer c.close()
--- a/internal/lab/needs.go
+++ b/internal/lab/needs.go
@@ -3,7 +3,7 @@
 import (
 	"fmt"
 
-	"starlingvalve/internal/lab/bounds"
+	"meadowsill/internal/lab/bounds"
 )
 
 // What the parts of a lab run take, with some room: it is refused by them before it starts.
@@ -23,7 +23,7 @@
 	links := s.Fleet.Nodes * (s.Fleet.Servers + 2)
 	processes := 1 + s.Fleet.Nodes
 	memory := labBytes + nodeBytes*s.Fleet.Nodes
-	if s.Fleet.Discovery == "listd" {
+	if s.Fleet.Discovery == "replicated" {
 		links += s.Fleet.Replicas * (s.Fleet.Replicas - 1 + s.Fleet.Nodes)
 		processes += s.Fleet.Nodes + s.Fleet.Replicas
 		memory += agentBytes*s.Fleet.Nodes + replicaBytes*s.Fleet.Replicas
--- a/internal/lab/needs_test.go
+++ b/internal/lab/needs_test.go
@@ -5,8 +5,8 @@
 	"strings"
 	"testing"
 
-	"starlingvalve/internal/lab/bounds"
-	"starlingvalve/lab/scenarios"
+	"meadowsill/internal/lab/bounds"
+	"meadowsill/lab/scenarios"
 )
 
 // labLimits are those of a machine of 16 GB with 20,000 descriptors.
@@ -33,7 +33,7 @@
 		{"nodes = 200\nservers = 6", ""},
 		{"nodes = 1001\nservers = 6", "MiB of memory"},
 		{"nodes = 250\nservers = 100", "descriptors in one process"},
-		{"nodes = 160\nservers = 6\ndiscovery = \"listd\"", "needs 324 processes, at most 300"},
+		{"nodes = 160\nservers = 6\ndiscovery = \"replicated\"", "needs 324 processes, at most 300"},
 	}
 	for _, row := range rows {
 		s, err := ParseScenario("x", fmt.Appendf(nil, "[fleet]\n%s\n", row.fleet))
--- a/internal/lab/node.go
+++ b/internal/lab/node.go
@@ -10,7 +10,7 @@
 	"sync/atomic"
 	"time"
 
-	"starlingvalve/internal/lab/faults"
+	"meadowsill/internal/lab/faults"
 )
 
 // node is one node process.
--- a/internal/lab/report/evidence.go
+++ b/internal/lab/report/evidence.go
@@ -6,7 +6,7 @@
 	"path/filepath"
 	"strings"
 
-	"starlingvalve/internal/invariants"
+	"meadowsill/internal/invariants"
 )
 
 // Limits on what evidence is gathered for breaches.
--- a/internal/lab/report/evidence_test.go
+++ b/internal/lab/report/evidence_test.go
@@ -5,7 +5,7 @@
 	"path/filepath"
 	"testing"
 
-	"starlingvalve/internal/invariants"
+	"meadowsill/internal/invariants"
 )
 
 func TestEvidenceJoinsLogLinesToBreaches(t *testing.T) {
--- a/internal/lab/report/fleet.go
+++ b/internal/lab/report/fleet.go
@@ -6,8 +6,8 @@
 	"strings"
 	"time"
 
-	"starlingvalve/internal/invariants"
-	"starlingvalve/internal/lab"
+	"meadowsill/internal/invariants"
+	"meadowsill/internal/lab"
 )
 
 // ZoneLoss is what a fault on a zone's servers, or the ways to them, did to the fleet. Times are ms from the fault's
--- a/internal/lab/report/fleet_test.go
+++ b/internal/lab/report/fleet_test.go
@@ -4,8 +4,8 @@
 	"testing"
 	"time"
 
-	"starlingvalve/internal/invariants"
-	"starlingvalve/internal/lab"
+	"meadowsill/internal/invariants"
+	"meadowsill/internal/lab"
 )
 
 // A zone lost at 10 s, tried until 10.4 s by node 0 and 12 s by node 1, left at 10.5 s, on trial at 15 s, served at 20 s.
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -15,8 +15,8 @@
 	"gonum.org/v1/plot/plotter"
 	"gonum.org/v1/plot/vg"
 
-	"starlingvalve/internal/invariants"
-	"starlingvalve/internal/lab"
+	"meadowsill/internal/invariants"
+	"meadowsill/internal/lab"
 )
 
 // Phase is the stretch of a run between two events of its timeline.
--- a/internal/lab/run.go
+++ b/internal/lab/run.go
@@ -11,12 +11,12 @@
 	"syscall"
 	"time"
 
-	"starlingvalve/internal/invariants"
-	"starlingvalve/internal/lab/bounds"
-	"starlingvalve/internal/lab/faults"
-	"starlingvalve/internal/lab/listdlab"
-	"starlingvalve/internal/lab/load"
-	"starlingvalve/internal/lab/standin"
+	"meadowsill/internal/invariants"
+	"meadowsill/internal/lab/bounds"
+	"meadowsill/internal/lab/discoverylab"
+	"meadowsill/internal/lab/faults"
+	"meadowsill/internal/lab/load"
+	"meadowsill/internal/lab/stub"
 )
 
 // Records is all that a run keeps: what went in, what happened, and what the checker found.
@@ -59,7 +59,7 @@
 	NeverUp int             `json:"never_up"` // lives that never answered /health/ready in time
 }
 
-// ServerInfo is one stand-in app server.
+// ServerInfo is one stub app server.
 type ServerInfo struct {
 	ID     string `json:"id"`
 	Zone   string `json:"zone"`
@@ -92,12 +92,12 @@
 type fleet struct {
 	s        *Scenario
 	opt      Options
-	rec      *standin.Recorder
+	rec      *stub.Recorder
 	place    *place
 	net      faults.Net
 	disc     lister
-	cluster  *listdlab.Cluster // where the run is on listd
-	servers  []*standin.AppServer
+	cluster  *discoverylab.Cluster // where the run is on discovery
+	servers  []*stub.AppServer
 	nodes    []*node
 	agents   []*process
 	members  []*process
@@ -105,7 +105,7 @@
 	recs     Records
 	open     map[string]time.Duration // excuses not yet closed, by what opened them
 	cpu      atomic.Int64             // node CPU in ns, of processes waited for
-	cpuListd atomic.Int64             // the same of agents
+	agentCPU atomic.Int64             // the same of agents
 	wg       sync.WaitGroup
 	over     atomic.Bool // the run is: nothing more is watched
 }
@@ -119,7 +119,7 @@
 	if _, err := os.Stat(s.Fleet.NodeBinary); err != nil {
 		return nil, fmt.Errorf("node binary: %w (build it with the README's line)", err)
 	}
-	f := &fleet{s: s, opt: opt, rec: standin.NewRecorder(), open: map[string]time.Duration{}}
+	f := &fleet{s: s, opt: opt, rec: stub.NewRecorder(), open: map[string]time.Duration{}}
 	f.recs.Scenario = s
 	f.recs.Fleet = &invariants.Fleet{ServerZone: map[string]string{}, Faulted: map[string]time.Duration{}, Settings: map[string]bool{}}
 	f.recs.NoFile = raiseNoFile()
@@ -148,13 +148,13 @@
 	loadDone := make(chan struct{})
 	go func() {
 		defer close(loadDone)
-		if !standin.Sleep(ctx, seconds(s.Load.FromS)) {
+		if !stub.Sleep(ctx, seconds(s.Load.FromS)) {
 			return
 		}
 		result = load.Run(ctx, f.loadSpec(), f, f.rec)
 	}()
 	for _, e := range s.Events {
-		if !standin.Sleep(ctx, seconds(e.AtS)-f.rec.Since()) {
+		if !stub.Sleep(ctx, seconds(e.AtS)-f.rec.Since()) {
 			break
 		}
 		detail, err := f.do(e)
@@ -170,7 +170,7 @@
 	if ctx.Err() != nil {
 		return nil, ctx.Err()
 	}
-	standin.Sleep(ctx, seconds(s.DurationS)-f.rec.Since())
+	stub.Sleep(ctx, seconds(s.DurationS)-f.rec.Since())
 	end := f.rec.Since()
 	stop()
 	f.over.Store(true)
@@ -188,7 +188,7 @@
 	}
 	var self syscall.Rusage
 	syscall.Getrusage(syscall.RUSAGE_SELF, &self)
-	r.CPU = CPU{LabS: cpuSeconds(self), NodesS: float64(f.cpu.Load()) / 1e9, AgentsS: float64(f.cpuListd.Load()) / 1e9}
+	r.CPU = CPU{LabS: cpuSeconds(self), NodesS: float64(f.cpu.Load()) / 1e9, AgentsS: float64(f.agentCPU.Load()) / 1e9}
 	if f.cluster != nil {
 		r.CPU.ReplicasS = f.cluster.CPU().Seconds()
 	}
--- a/internal/lab/scenario.go
+++ b/internal/lab/scenario.go
@@ -1,4 +1,4 @@
-// Package lab runs a fleet of real node processes on loopback against the lab's stand-ins, with faults between
+// Package lab runs a fleet of real node processes on loopback against the lab's stubs, with faults between
 // them, under a scenario's timeline, and keeps what happened for the invariant checker and the report.
 package lab
 
@@ -25,24 +25,24 @@
 
 // Fleet is the processes of the run.
 type Fleet struct {
-	Nodes      int                 `toml:"nodes"`
-	Servers    int                 `toml:"servers"`
-	Zones      []string            `toml:"zones"`
-	Regions    map[string][]string `toml:"regions"`        // zones by region; a zone is in one at most
-	ReadyS     float64             `toml:"ready_s"`        // how long a node may take to answer /health/ready
-	NoticeS    float64             `toml:"front_notice_s"` // how long the front goes on dealing to a node that died
-	NodeBinary string              `toml:"node_binary"`
-	Discovery  string              `toml:"discovery"` // "standin" (the lab's own) or "listd" (replicas and an agent per node)
-	Replicas   int                 `toml:"replicas"`  // of listd
-	ListdBin   string              `toml:"listd_binary"`
-	Control    bool                `toml:"control"` // the control plane of docs/fleet.md, on listd
-	TTLMS      int                 `toml:"ttl_ms"`  // of its sessions
-	Follow     bool                `toml:"follow"`  // with control: nodes have the fleet block; false to see what they do without
-	Gossip     bool                `toml:"gossip"`  // a member for each node (cmd/members)
-	MembersBin string              `toml:"members_binary"`
+	Nodes            int                 `toml:"nodes"`
+	Servers          int                 `toml:"servers"`
+	Zones            []string            `toml:"zones"`
+	Regions          map[string][]string `toml:"regions"`        // zones by region; a zone is in one at most
+	ReadyS           float64             `toml:"ready_s"`        // how long a node may take to answer /health/ready
+	NoticeS          float64             `toml:"front_notice_s"` // how long the front goes on dealing to a node that died
+	NodeBinary       string              `toml:"node_binary"`
+	Discovery        string              `toml:"discovery"` // "stub" (the lab's own) or "replicated" (replicas and an agent per node)
+	Replicas         int                 `toml:"replicas"`  // of discovery
+	DiscoveryBinary  string              `toml:"discovery_binary"`
+	Control          bool                `toml:"control"` // the control plane of docs/fleet.md, on discovery
+	TTLMS            int                 `toml:"ttl_ms"`  // of its sessions
+	Follow           bool                `toml:"follow"`  // with control: nodes have the fleet block; false to see what they do without
+	Gossip           bool                `toml:"gossip"`  // a member for each node (cmd/membership)
+	MembershipBinary string              `toml:"membership_binary"`
 }
 
-// Servers is the make of every stand-in app server.
+// Servers is the make of every stub app server.
 type Servers struct {
 	Capacity  int     `toml:"capacity"`
 	LatencyMS float64 `toml:"latency_ms"`
@@ -79,8 +79,8 @@
 	Do        string    `toml:"do"`
 	Nodes     string    `toml:"nodes"`    // "0.7" a share from the first, "3" one, "0-4" a range, "all", "zone:NAME"
 	Servers   string    `toml:"servers"`  // the same, over servers
-	Agents    string    `toml:"agents"`   // the same, over the nodes' agents (discovery "listd")
-	Replicas  string    `toml:"replicas"` // the same, over listd's replicas; or "leader"
+	Agents    string    `toml:"agents"`   // the same, over the nodes' agents (discovery "replicated")
+	Replicas  string    `toml:"replicas"` // the same, over discovery's replicas; or "leader"
 	Zone      string    `toml:"zone"`
 	Between   [2]string `toml:"between"` // docs/lab.md, "between"
 	Mode      string    `toml:"mode"`
@@ -111,7 +111,7 @@
 // use, is one plain error that names it.
 func ParseScenario(name string, text []byte) (*Scenario, error) {
 	s := Scenario{Seed: 1, DurationS: 20, Fleet: Fleet{Nodes: 4, Servers: 6, Zones: []string{"a", "b"}, ReadyS: 20, NoticeS: 2,
-		NodeBinary: "bin/starlingvalve", Discovery: "standin", Replicas: 3, ListdBin: "bin/listd", TTLMS: 6000, Follow: true, MembersBin: "bin/members"},
+		NodeBinary: "bin/balancer", Discovery: "stub", Replicas: 3, DiscoveryBinary: "bin/discovery", TTLMS: 6000, Follow: true, MembershipBinary: "bin/membership"},
 		Servers: Servers{Capacity: 8, LatencyMS: 20, Spread: 0.3, MaxConns: 256, IdleS: 15, ColdS: 5},
 		Load:    Load{Rate: 100, MaxRequests: 100000, FromS: 1}}
 	md, err := toml.NewDecoder(bytes.NewReader(text)).Decode(&s)
@@ -119,7 +119,10 @@
 		return nil, fmt.Errorf("scenario %s: %w", name, err)
 	}
 	if un := md.Undecoded(); len(un) > 0 {
-		return nil, fmt.Errorf("scenario %s: unknown key %q", name, un[0].String())
+		return nil, fmt.Errorf("scenario %s: %w", name, unknownKey(un[0].String()))
+	}
+	if err := s.Fleet.checkRenamed(); err != nil {
+		return nil, fmt.Errorf("scenario %s: %w", name, err)
 	}
 	if s.Name == "" {
 		s.Name = name
@@ -132,12 +135,12 @@
 		return nil, fmt.Errorf("scenario %s: fleet.nodes %d is not above 0", name, s.Fleet.Nodes)
 	case s.Fleet.Servers < 1 || s.Fleet.Servers > 2000:
 		return nil, fmt.Errorf("scenario %s: fleet.servers %d is not within 1 to 2000", name, s.Fleet.Servers)
-	case s.Fleet.Discovery != "standin" && s.Fleet.Discovery != "listd":
-		return nil, fmt.Errorf("scenario %s: fleet.discovery %q is neither standin nor listd", name, s.Fleet.Discovery)
+	case s.Fleet.Discovery != "stub" && s.Fleet.Discovery != "replicated":
+		return nil, fmt.Errorf("scenario %s: fleet.discovery %q is neither stub nor replicated", name, s.Fleet.Discovery)
 	case s.Fleet.Replicas < 1 || s.Fleet.Replicas > 7:
 		return nil, fmt.Errorf("scenario %s: fleet.replicas %d is not within 1 to 7", name, s.Fleet.Replicas)
-	case s.Fleet.Control && s.Fleet.Discovery != "listd":
-		return nil, fmt.Errorf("scenario %s: fleet.control needs fleet.discovery \"listd\"", name)
+	case s.Fleet.Control && s.Fleet.Discovery != "replicated":
+		return nil, fmt.Errorf("scenario %s: fleet.control needs fleet.discovery \"replicated\"", name)
 	case len(s.Fleet.Zones) == 0:
 		return nil, fmt.Errorf("scenario %s: fleet.zones is empty", name)
 	case s.checkRegions() != nil:
--- a/internal/lab/scenario_test.go
+++ b/internal/lab/scenario_test.go
@@ -4,7 +4,7 @@
 	"strings"
 	"testing"
 
-	"starlingvalve/lab/scenarios"
+	"meadowsill/lab/scenarios"
 )
 
 func TestBundledScenariosParse(t *testing.T) {
@@ -28,6 +28,11 @@
 		"[[events]]\nat_s = 1\ndo = \"explode\"\n":           `do "explode" is not an action`,
 		"[[events]]\nat_s = 1\ndo = \"kill\"\nnodes = \"9\"": `selector "9" is not one of 0-3`,
 		"[fleet]\nnodes = 0\n":                               "fleet.nodes 0",
+		"[fleet]\nlistd_binary = \"x\"\n":                    `key "fleet.listd_binary" was renamed: it is "fleet.discovery_binary" now`,
+		"[fleet]\nmembers_binary = \"x\"\n":                  `key "fleet.members_binary" was renamed: it is "fleet.membership_binary" now`,
+		"[fleet]\nnode_binary = \"bin/starlingvalve\"\n":     `program "bin/starlingvalve" was renamed: it is "bin/balancer" now`,
+		"[fleet]\ndiscovery = \"listd\"\n":                   `fleet.discovery "listd" was renamed: it is "replicated" now`,
+		"[fleet]\ndiscovery = \"standin\"\n":                 `fleet.discovery "standin" was renamed: it is "stub" now`,
 		"[fleet]\nregions = {g = [\"z\"]}":                   `fleet.regions.g: zone "z"`,
 		"[fleet]\nregions = {g = [\"a\"], h = [\"a\"]}":      `fleet.regions.h: zone "a" is in g already`,
 		"[servers]\ncold_s = 9\n":                            "servers.cold_s 9 is over",
--- a/internal/lab/selectors.go
+++ b/internal/lab/selectors.go
@@ -46,12 +46,12 @@
 
 // checkEvent says what is wrong with an event's selectors, shares or states.
 func (s *Scenario) checkEvent(e Event) error {
-	listd := s.Fleet.Discovery == "listd"
+	replicated := s.Fleet.Discovery == "replicated"
 	agents, replicas := 0, 0
-	if listd {
+	if replicated {
 		replicas = s.Fleet.Replicas
 	}
-	if listd || s.Fleet.Gossip {
+	if replicated || s.Fleet.Gossip {
 		agents = s.Fleet.Nodes
 	}
 	for _, sel := range []struct {
@@ -62,7 +62,7 @@
 			return err
 		}
 	}
-	if e.Replicas != "" && (e.Replicas != "leader" || !listd) {
+	if e.Replicas != "" && (e.Replicas != "leader" || !replicated) {
 		if _, err := s.selected(e.Replicas, replicas); err != nil {
 			return err
 		}
@@ -98,7 +98,7 @@
 				_, err = s.selected(sel, replicas)
 			}
 		case "zone", "not-zone", "region":
-			if sel != "leader" || kind == "region" || !listd {
+			if sel != "leader" || kind == "region" || !replicated {
 				_, err = s.selected(end, s.Fleet.Nodes)
 			}
 		default:
--- a/internal/lab/setup.go
+++ b/internal/lab/setup.go
@@ -6,9 +6,9 @@
 	"syscall"
 	"time"
 
-	"starlingvalve/internal/invariants"
-	"starlingvalve/internal/lab/faults"
-	"starlingvalve/internal/lab/standin"
+	"meadowsill/internal/invariants"
+	"meadowsill/internal/lab/faults"
+	"meadowsill/internal/lab/stub"
 )
 
 func serverID(j int) string { return fmt.Sprintf("s-%08x", 0x5e000000+j) }
@@ -23,7 +23,7 @@
 	return [2]uint64{l.Cur, l.Max}
 }
 
-// The names of the groups at links' ends: "clients", "discovery" (the stand-in), "n3", "server:ID", "agent:n3", "r0".
+// The names of the groups at links' ends: "clients", "discovery" (the stub), "n3", "server:ID", "agent:n3", "r0".
 func agentName(i int) string   { return fmt.Sprintf("agent:n%d", i) }
 func replicaName(i int) string { return fmt.Sprintf("r%d", i) }
 
@@ -39,20 +39,20 @@
 
 func (f *fleet) start() error {
 	s := f.s
-	var entries []standin.Entry
+	var entries []stub.Entry
 	for j := range s.Fleet.Servers {
 		zone := s.Fleet.Zones[j%len(s.Fleet.Zones)]
-		spec := standin.ServerSpec{ID: serverID(j), Zone: zone, Capacity: s.Servers.Capacity,
+		spec := stub.ServerSpec{ID: serverID(j), Zone: zone, Capacity: s.Servers.Capacity,
 			Latency: seconds(s.Servers.LatencyMS / 1000), Spread: s.Servers.Spread, MaxConns: s.Servers.MaxConns,
 			IdleClose: seconds(s.Servers.IdleS), Cold: f.coldRule()}
-		srv, err := standin.NewAppServer(spec, "127.0.0.1:0", nodeOf, f.rec, s.Seed*1000+uint64(j))
+		srv, err := stub.NewAppServer(spec, "127.0.0.1:0", nodeOf, f.rec, s.Seed*1000+uint64(j))
 		if err != nil {
 			return fmt.Errorf("app server %d: %w", j, err)
 		}
 		f.servers = append(f.servers, srv)
-		entries = append(entries, standin.Entry{ID: spec.ID, Addr: srv.Addr, Zone: zone, Kind: "std-2c", State: "ready", Weight: 1})
+		entries = append(entries, stub.Entry{ID: spec.ID, Addr: srv.Addr, Zone: zone, Kind: "std-2c", State: "ready", Weight: 1})
 	}
-	if s.Fleet.Discovery == "listd" {
+	if s.Fleet.Discovery == "replicated" {
 		var extra []string
 		if s.Fleet.Control {
 			path, err := f.fleetFile()
@@ -61,13 +61,13 @@
 			}
 			extra = []string{"--fleet", path}
 		}
-		l, err := f.startListd(entries, extra...)
+		l, err := f.startReplicatedList(entries, extra...)
 		if err != nil {
 			return err
 		}
 		f.disc, f.cluster = l, l.cluster
 	} else {
-		f.disc = standinList{standin.NewDiscovery(entries)}
+		f.disc = stubList{stub.NewDiscovery(entries)}
 	}
 	for i := range s.Fleet.Nodes {
 		n := &node{i: i, info: &NodeInfo{Name: fmt.Sprintf("n%d", i), Zone: s.Fleet.Zones[i%len(s.Fleet.Zones)]}}
@@ -120,7 +120,7 @@
 	return nil
 }
 
-// end terms every node and agent, kills what has not ended in 10 s, and closes links, stand-ins and replicas. It may
+// end terms every node and agent, kills what has not ended in 10 s, and closes links, stubs and replicas. It may
 // run twice.
 func (f *fleet) end() {
 	var nodes []*process
--- a/internal/lab/simulated/experiment.go
+++ b/internal/lab/simulated/experiment.go
@@ -12,9 +12,9 @@
 	"sync/atomic"
 	"time"
 
-	"starlingvalve/internal/fleet"
-	"starlingvalve/internal/fleet/drift"
-	"starlingvalve/internal/lab/listdlab"
+	"meadowsill/internal/fleet"
+	"meadowsill/internal/fleet/drift"
+	"meadowsill/internal/lab/discoverylab"
 )
 
 // Plan says how often each thing is measured, with how many nodes.
@@ -43,7 +43,7 @@
 
 // run is one experiment under way.
 type run struct {
-	c     *listdlab.Cluster
+	c     *discoverylab.Cluster
 	nodes []*Node
 	lost  atomic.Bool // zone zb
 	log   *slog.Logger
@@ -57,7 +57,7 @@
 	if err := os.WriteFile(file, fmt.Appendf(nil, "slots = %d\n[cold]\ntime_ms = 1000\n", p.Nodes), 0o644); err != nil {
 		return nil, err
 	}
-	c, err := listdlab.Start(bin, dir, 3, "--fleet", file)
+	c, err := discoverylab.Start(bin, dir, 3, "--fleet", file)
 	if err != nil {
 		return nil, err
 	}
@@ -137,7 +137,7 @@
 			return err
 		}
 	}
-	r.f.RolloutP50, r.f.RolloutP99 = listdlab.Quantile(r.f.Rollouts, 0.5), listdlab.Quantile(r.f.Rollouts, 0.99)
+	r.f.RolloutP50, r.f.RolloutP99 = discoverylab.Quantile(r.f.Rollouts, 0.5), discoverylab.Quantile(r.f.Rollouts, 0.99)
 	r.log.Info("rollouts", "n", p.Rollouts, "p50", r.f.RolloutP50, "p99", r.f.RolloutP99)
 	return nil
 }
@@ -156,14 +156,14 @@
 					leads += l.Bytes.Load()
 				}
 			}
-			cpu += listdlab.CPUTime(n.Pid())
+			cpu += discoverylab.CPUTime(n.Pid())
 		}
 		for pair, l := range r.c.Links {
 			if pair[0] == lead || pair[1] == lead {
 				leads += l.Bytes.Load()
 			}
 		}
-		return agents, leads, cpu, listdlab.CPUTime(r.c.Pid(lead))
+		return agents, leads, cpu, discoverylab.CPUTime(r.c.Pid(lead))
 	}
 	start := time.Now()
 	a0, l0, c0, lc0 := look()
@@ -210,7 +210,7 @@
 			return err
 		}
 	}
-	r.f.DriftP50, r.f.DriftP99 = listdlab.Quantile(r.f.Drifts, 0.5), listdlab.Quantile(r.f.Drifts, 0.99)
+	r.f.DriftP50, r.f.DriftP99 = discoverylab.Quantile(r.f.Drifts, 0.5), discoverylab.Quantile(r.f.Drifts, 0.99)
 	r.log.Info("drifts", "n", p.Drifts, "p50", r.f.DriftP50, "p99", r.f.DriftP99)
 	return nil
 }
@@ -247,7 +247,7 @@
 			return err
 		}
 		mu.Lock()
-		r.f.ZoneP95 = append(r.f.ZoneP95, listdlab.Quantile(took, 0.95))
+		r.f.ZoneP95 = append(r.f.ZoneP95, discoverylab.Quantile(took, 0.95))
 		r.f.ZoneSpread = append(r.f.ZoneSpread, took[len(took)-1]-took[0]) // Quantile has sorted it
 		mu.Unlock()
 		r.log.Info("zone lost", "loss", k, "p95", r.f.ZoneP95[k], "spread", r.f.ZoneSpread[k])
--- a/internal/lab/simulated/node.go
+++ b/internal/lab/simulated/node.go
@@ -1,6 +1,6 @@
-// Package simulated runs simulated nodes against real listd agents: the replicas and agents are processes, and in place of
+// Package simulated runs simulated nodes against real discovery agents: the replicas and agents are processes, and in place of
 // each agent's node a goroutine watches intent, stages, applies and reports as a node does. It can be made to refuse, to hold
-// other rules than those it received, to lag or to fall silent. The tests of listd and the lab's measurements use it.
+// other rules than those it received, to lag or to fall silent. The tests of discovery and the lab's measurements use it.
 package simulated
 
 import (
@@ -17,9 +17,9 @@
 	"syscall"
 	"time"
 
-	"starlingvalve/internal/fleet"
-	"starlingvalve/internal/lab/faults"
-	"starlingvalve/internal/lab/listdlab"
+	"meadowsill/internal/fleet"
+	"meadowsill/internal/lab/discoverylab"
+	"meadowsill/internal/lab/faults"
 )
 
 var client = http.Client{Timeout: 10 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 64}}
@@ -68,7 +68,7 @@
 
 // Start starts node i (named n00 on, over zones za, zb and zc in turn) at the replicas of c, its agent at 127.5.N.(i+1) of its network, with
 // dir for its data, which must exist.
-func Start(c *listdlab.Cluster, dir string, i int) (*Node, error) {
+func Start(c *discoverylab.Cluster, dir string, i int) (*Node, error) {
 	n := &Node{Name: fmt.Sprintf("n%02d", i), Zone: "z" + string(rune('a'+i%3)), Dir: dir, bin: c.Bin, replicas: c.HTTP,
 		Agent: fmt.Sprintf("127.5.%d.%d:9100", c.Network.Number, i+1), stop: make(chan struct{})}
 	n.Boot()
--- a/internal/lab/simulated/report.go
+++ b/internal/lab/simulated/report.go
@@ -11,8 +11,8 @@
 	"sync/atomic"
 	"time"
 
-	"starlingvalve/internal/fleet"
-	"starlingvalve/internal/fleet/drift"
+	"meadowsill/internal/fleet"
+	"meadowsill/internal/fleet/drift"
 )
 
 // apply serves by what is committed, and by nothing else.
--- a/internal/lab/standin/appserver.go
+++ b/internal/lab/stub/appserver.go
@@ -1,7 +1,7 @@
-// Package standin holds the lab's stand-ins of what a node talks to, written from PROTOCOL: app servers
+// Package stub holds the lab's stubs of what a node talks to, written from PROTOCOL: app servers
 // ("Nodes to app servers") and a discovery agent ("Discovery"). They run in the lab's process, on loopback, and
 // record what they receive for the invariant checker.
-package standin
+package stub
 
 import (
 	"context"
@@ -16,7 +16,7 @@
 	"sync/atomic"
 	"time"
 
-	"starlingvalve/internal/invariants"
+	"meadowsill/internal/invariants"
 )
 
 // Mode is how an app server misbehaves.
@@ -51,7 +51,7 @@
 	Cold      ColdRule      // after a restart; its Rate is filled in from Capacity, Latency and Spread
 }
 
-// Recorder keeps what the stand-ins and the load saw, as offsets from Start. Safe for concurrent use.
+// Recorder keeps what the stubs and the load saw, as offsets from Start. Safe for concurrent use.
 type Recorder struct {
 	Start    time.Time
 	mu       sync.Mutex
@@ -91,7 +91,7 @@
 	return append([]invariants.Fall(nil), r.falls...)
 }
 
-// AppServer is a stand-in app server on a loopback address that stays its own across restarts.
+// AppServer is a stub app server on a loopback address that stays its own across restarts.
 type AppServer struct {
 	Spec    ServerSpec
 	Addr    string
--- a/internal/lab/standin/cold.go
+++ b/internal/lab/stub/cold.go
@@ -1,10 +1,10 @@
-package standin
+package stub
 
 import (
 	"math"
 	"time"
 
-	"starlingvalve/internal/invariants"
+	"meadowsill/internal/invariants"
 )
 
 // ColdRule is what a cold app server bears (the standing test's cold rule): it comes up at From of its capacity
--- a/internal/lab/standin/cold_test.go
+++ b/internal/lab/stub/cold_test.go
@@ -1,4 +1,4 @@
-package standin
+package stub
 
 import (
 	"fmt"
@@ -54,7 +54,7 @@
 	}
 }
 
-// The stand-in itself: restarted and pushed over, it resets what it has and what comes, is recorded once, and is up
+// The stub itself: restarted and pushed over, it resets what it has and what comes, is recorded once, and is up
 // again after its cold time.
 func TestAppServerFallsWhenCold(t *testing.T) {
 	rec := NewRecorder()
--- a/internal/lab/standin/discovery.go
+++ b/internal/lab/stub/discovery.go
@@ -1,4 +1,4 @@
-package standin
+package stub
 
 import (
 	"encoding/json"
@@ -7,7 +7,7 @@
 	"sync"
 	"time"
 
-	"starlingvalve/internal/registry"
+	"meadowsill/internal/registry"
 )
 
 // Entry is one app server in the list, as PROTOCOL's "Discovery" gives it. Addr is filled in for each node.
@@ -15,7 +15,7 @@
 
 type answer = registry.Answer
 
-// Discovery is a stand-in discovery agent with one version for the whole list and watches. Each node has a view
+// Discovery is a stub discovery agent with one version for the whole list and watches. Each node has a view
 // of its own, on an address of its own, in which every server's address is the one that node is to use.
 type Discovery struct {
 	mu      sync.Mutex
--- a/internal/lab/workload.go
+++ b/internal/lab/workload.go
@@ -6,8 +6,8 @@
 	"math/rand/v2"
 	"time"
 
-	"starlingvalve/internal/lab/load"
-	"starlingvalve/internal/lab/standin"
+	"meadowsill/internal/lab/load"
+	"meadowsill/internal/lab/stub"
 )
 
 //go:embed settings.json
@@ -37,9 +37,9 @@
 }
 
 // coldRule is the cold rule of the nodes' settings, with the scenario's time until a server is warm.
-func (f *fleet) coldRule() standin.ColdRule {
+func (f *fleet) coldRule() stub.ColdRule {
 	set := func(name string) float64 { return f.setting("invariants", name) }
-	return standin.ColdRule{From: set("cold_from"), For: seconds(f.s.Servers.ColdS), Factor: set("overload_factor"),
+	return stub.ColdRule{From: set("cold_from"), For: seconds(f.s.Servers.ColdS), Factor: set("overload_factor"),
 		Span: time.Duration(set("tip_after_ns"))}
 }
 
--- a/internal/node/actions_test.go
+++ b/internal/node/actions_test.go
@@ -13,7 +13,7 @@
 	"testing"
 	"time"
 
-	"starlingvalve/decide"
+	"meadowsill/policy"
 )
 
 // Every action works, also those that the module does not use today.
@@ -71,7 +71,7 @@
 	defer running.Wait()
 	defer cancel()
 
-	act := func(a decide.Action) { l.post(func() { l.do(a) }) }
+	act := func(a policy.Action) { l.post(func() { l.do(a) }) }
 	expect := func(want string) {
 		t.Helper()
 		end := time.After(patient)
@@ -86,26 +86,26 @@
 			}
 		}
 	}
-	act(decide.Probe{Server: 1})
+	act(policy.Probe{Server: 1})
 	expect("/stats")
 	for idle := false; !idle; time.Sleep(time.Millisecond) {
 		b.mu.Lock()
 		idle = len(b.hosts[1].idle) > 0
 		b.mu.Unlock()
 	}
-	act(decide.CloseIdle{Server: 1})
+	act(policy.CloseIdle{Server: 1})
 	expect("closed")
-	act(decide.FetchList{})
+	act(policy.FetchList{})
 	expect("list since ")
-	act(decide.Subscribe{On: true})
+	act(policy.Subscribe{On: true})
 	expect("list since 1")
 	expect("list since 1")
-	act(decide.Subscribe{On: false})
-	act(decide.SendMessage{To: 1, Data: []byte("one")})
-	act(decide.SendMessage{ToAll: true, Data: []byte("all")})
-	act(decide.SendMessage{To: 1, Data: make([]byte, datagramLimit+1)})
-	act(decide.SendMessage{To: 9})
-	act(decide.Log{Line: "line"})
+	act(policy.Subscribe{On: false})
+	act(policy.SendMessage{To: 1, Data: []byte("one")})
+	act(policy.SendMessage{ToAll: true, Data: []byte("all")})
+	act(policy.SendMessage{To: 1, Data: make([]byte, datagramLimit+1)})
+	act(policy.SendMessage{To: 9})
+	act(policy.Log{Line: "line"})
 	buf := make([]byte, 999)
 	other.SetReadDeadline(time.Now().Add(patient))
 	for _, want := range []string{"one", "all"} {
@@ -118,22 +118,22 @@
 	if got := <-heard; got != "1hi" {
 		t.Errorf("heard %q", got)
 	}
-	r := &request{arrived: decide.RequestArrived{ID: "q", Class: "order"}, deadline: time.Now().Add(patient), method: "POST",
-		class: decide.Class{Name: "order"}, rules: l.rules.Load(), url: &url.URL{Path: "/order", Host: "h"}, answer: make(chan answer, 1)}
+	r := &request{arrived: policy.RequestArrived{ID: "q", Class: "order"}, deadline: time.Now().Add(patient), method: "POST",
+		class: policy.Class{Name: "order"}, rules: l.rules.Load(), url: &url.URL{Path: "/order", Host: "h"}, answer: make(chan answer, 1)}
 	r.life, r.end = context.WithCancel(t.Context())
 	l.post(func() { l.arrive(r) })
 	expect("/order")
-	act(decide.CancelAttempt{ID: "q", Attempt: 0})
-	act(decide.CancelAttempt{ID: "q", Attempt: 7})
+	act(policy.CancelAttempt{ID: "q", Attempt: 0})
+	act(policy.CancelAttempt{ID: "q", Attempt: 7})
 	<-stopped
 	if a := <-r.answer; a.status != http.StatusBadGateway {
 		t.Errorf("status %d: a cancelled attempt may have run", a.status)
 	}
-	act(decide.Send{ID: "q", Server: 1}) // over: answered with Moot, and nothing is sent
-	act(decide.Refuse{ID: "q"})
-	act(decide.Fail{ID: "nobody"})
+	act(policy.Send{ID: "q", Server: 1}) // over: answered with Moot, and nothing is sent
+	act(policy.Refuse{ID: "q"})
+	act(policy.Fail{ID: "nobody"})
 	fired := make(chan struct{})
-	l.post(func() { l.do(decide.SetTimer{After: time.Millisecond, Token: 9}); close(fired) })
+	l.post(func() { l.do(policy.SetTimer{After: time.Millisecond, Token: 9}); close(fired) })
 	<-fired
 	for empty := false; !empty; time.Sleep(time.Millisecond) {
 		done := make(chan bool)
--- a/internal/node/attempts.go
+++ b/internal/node/attempts.go
@@ -9,13 +9,13 @@
 	"sync"
 	"time"
 
-	"starlingvalve/decide"
+	"meadowsill/policy"
 )
 
 // request is a client's request as the front end has read it.
 type request struct {
-	arrived  decide.RequestArrived // but for Patience
-	class    decide.Class          // as the rules had it when the request came
+	arrived  policy.RequestArrived // but for Patience
+	class    policy.Class          // as the rules had it when the request came
 	rules    *rules
 	deadline time.Time // the client has its answer by then
 	method   string
@@ -77,7 +77,7 @@
 func (l *loop) abandon(r *request) {
 	if l.requests[r.arrived.ID] == r && !r.over {
 		l.close(r)
-		l.handle(decide.RequestAbandoned{ID: r.arrived.ID})
+		l.handle(policy.RequestAbandoned{ID: r.arrived.ID})
 	}
 	select {
 	case a := <-r.answer: // which nobody takes any more
@@ -88,7 +88,7 @@
 	}
 }
 
-func (l *loop) finish(id decide.RequestID, a answer) {
+func (l *loop) finish(id policy.RequestID, a answer) {
 	if r := l.requests[id]; r != nil && !r.over {
 		l.close(r)
 		r.answer <- a
@@ -112,10 +112,10 @@
 	}
 }
 
-func (l *loop) send(a decide.Send) {
+func (l *loop) send(a policy.Send) {
 	r := l.requests[a.ID]
 	if r == nil {
-		l.handle(decide.AttemptEnded{ID: a.ID, Server: a.Server, Over: true, Code: decide.Moot})
+		l.handle(policy.AttemptEnded{ID: a.ID, Server: a.Server, Over: true, Code: policy.Moot})
 		return
 	}
 	now := time.Now()
@@ -125,11 +125,11 @@
 	r.attempts = append(r.attempts, t)
 	r.out++
 	if r.over || n >= max(1, r.rules.MaxAttempts) || !now.Before(r.deadline) {
-		l.ended(a, n, result{code: decide.Moot})
+		l.ended(a, n, result{code: policy.Moot})
 		return
 	}
 	x := &exchange{life: r.life, writing: &r.writing, method: r.method, url: r.url, header: r.header, body: r.body, deadline: r.deadline, upload: r.upload}
-	x.sealed = func() { l.post(func() { l.handle(decide.BodyStarted{ID: a.ID, Attempt: n}) }) }
+	x.sealed = func() { l.post(func() { l.handle(policy.BodyStarted{ID: a.ID, Attempt: n}) }) }
 	x.begin = func(resp *http.Response, held []byte, rest *io.PipeReader) {
 		l.post(func() {
 			l.begin(a, n, answer{status: resp.StatusCode, header: resp.Header, body: held, rest: rest, length: resp.ContentLength})
@@ -139,7 +139,7 @@
 		x.deadline = now.Add(a.Timeout)
 	}
 	for _, earlier := range r.attempts[:n] {
-		if r.class.Effect == decide.Keyed && !earlier.neverRan {
+		if r.class.Effect == policy.Keyed && !earlier.neverRan {
 			x.writeBy = writeBy(earlier.sent, r.class.DedupWindow)
 			break
 		}
@@ -159,7 +159,7 @@
 }
 
 // begin passes a long answer on to the client: it is the final one.
-func (l *loop) begin(a decide.Send, n int, long answer) {
+func (l *loop) begin(a policy.Send, n int, long answer) {
 	r := l.requests[a.ID]
 	if r == nil || r.over {
 		long.rest.CloseWithError(errClient)
@@ -167,17 +167,17 @@
 	}
 	r.settle()
 	r.answer <- long
-	l.handle(decide.StreamStarted{ID: a.ID, Attempt: n, Server: a.Server, Elapsed: time.Since(r.attempts[n].sent)})
+	l.handle(policy.StreamStarted{ID: a.ID, Attempt: n, Server: a.Server, Elapsed: time.Since(r.attempts[n].sent)})
 }
 
 // ended notifies the module of an attempt's end; the first answer goes to the client.
-func (l *loop) ended(a decide.Send, n int, res result) {
+func (l *loop) ended(a policy.Send, n int, res result) {
 	r := l.requests[a.ID]
 	t := r.attempts[n]
 	t.cancel()
-	t.neverRan = res.code == decide.Full || res.code == decide.ConnectFailed || res.code == decide.Moot
+	t.neverRan = res.code == policy.Full || res.code == policy.ConnectFailed || res.code == policy.Moot
 	r.out--
-	if res.code == decide.OK && !r.over {
+	if res.code == policy.OK && !r.over {
 		r.settle()
 		r.answer <- answer{status: http.StatusOK, header: res.header, body: res.body}
 	}
@@ -185,7 +185,7 @@
 		status, _ := bodyStatus(client.error)
 		r.settle()
 		r.answer <- answer{status: status}
-		l.handle(decide.RequestAbandoned{ID: a.ID})
+		l.handle(policy.RequestAbandoned{ID: a.ID})
 	}
 	if errors.Is(res.err, errOver) {
 		r.over = true // its client went, and the event for that is on its way: no further attempt
@@ -196,21 +196,21 @@
 	if r.over && r.out == 0 {
 		delete(l.requests, a.ID)
 	}
-	l.handle(decide.AttemptEnded{ID: a.ID, Attempt: n, Server: a.Server, Over: r.over, Elapsed: time.Since(t.sent),
+	l.handle(policy.AttemptEnded{ID: a.ID, Attempt: n, Server: a.Server, Over: r.over, Elapsed: time.Since(t.sent),
 		Code: res.code, Report: res.report})
 }
 
-func (l *loop) probe(id decide.ServerID) {
+func (l *loop) probe(id policy.ServerID) {
 	h := l.backends.find(id)
 	path := "/stats"
-	if l.rules.Load().ReportVia == decide.ReportNone {
+	if l.rules.Load().ReportVia == policy.ReportNone {
 		path = "/health/live"
 	}
 	began := time.Now()
 	l.work.Go(func() {
 		res := l.backends.probe(l.ctx, h, path)
 		l.post(func() {
-			l.handle(decide.ProbeEnded{Server: id, Code: res.code, Elapsed: time.Since(began), Report: res.report})
+			l.handle(policy.ProbeEnded{Server: id, Code: res.code, Elapsed: time.Since(began), Report: res.report})
 		})
 	})
 }
--- a/internal/node/backend.go
+++ b/internal/node/backend.go
@@ -12,7 +12,7 @@
 	"syscall"
 	"time"
 
-	"starlingvalve/decide"
+	"meadowsill/policy"
 )
 
 const (
@@ -28,8 +28,8 @@
 // goes first, of those that have rested. It does not use http.Transport, which sends some requests again by itself.
 type backends struct {
 	mu             sync.Mutex
-	hosts          map[decide.ServerID]*host
-	out            map[decide.ServerID]bool // taken out by the operators, listed or not
+	hosts          map[policy.ServerID]*host
+	out            map[policy.ServerID]bool // taken out by the operators, listed or not
 	open, limit    int                      // connections, also those being made
 	restart        *hotRestart              // the other process of an upgrade
 	connectTimeout time.Duration
@@ -41,7 +41,7 @@
 // host is one backend. The fields are under the lock of backends.
 type host struct {
 	addr    string
-	started decide.Time
+	started policy.Time
 	closed  bool    // it drains, is gone or taken out: nothing new is written to it
 	idle    []*conn // the least recently used first
 	heard   time.Time
@@ -75,12 +75,12 @@
 }
 
 func newBackends(c *Config, limit int, log *slog.Logger) *backends {
-	b := &backends{hosts: map[decide.ServerID]*host{}, out: map[decide.ServerID]bool{}, limit: limit, dial: dialTCP, log: log}
+	b := &backends{hosts: map[policy.ServerID]*host{}, out: map[policy.ServerID]bool{}, limit: limit, dial: dialTCP, log: log}
 	b.configure(c.Settings)
 	return b
 }
 
-func (b *backends) configure(s decide.Settings) {
+func (b *backends) configure(s policy.Settings) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.connectTimeout, b.idleLimit = s.ConnectTimeout, time.Duration(float64(s.ConnIdle)*idlePart)
@@ -95,7 +95,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if l.full {
-		named := map[decide.ServerID]bool{}
+		named := map[policy.ServerID]bool{}
 		for _, e := range l.entries {
 			named[e.ID] = true
 		}
@@ -108,19 +108,19 @@
 	}
 	for _, e := range l.entries {
 		h := b.hosts[e.ID]
-		if h != nil && (e.State != decide.Ready || h.addr != e.addr || e.StartedAt > h.started) {
+		if h != nil && (e.State != policy.Ready || h.addr != e.addr || e.StartedAt > h.started) {
 			b.retire(h)
 			delete(b.hosts, e.ID) // attempts that connect to it still hold h, and find it closed
 			h = nil
 		}
-		if h == nil && e.State == decide.Ready {
+		if h == nil && e.State == policy.Ready {
 			b.hosts[e.ID] = &host{addr: e.addr, started: e.StartedAt, closed: b.out[e.ID]}
 		}
 	}
 }
 
 // exclude takes a server out or back, whatever the list says of it.
-func (b *backends) exclude(id decide.ServerID, out bool) {
+func (b *backends) exclude(id policy.ServerID, out bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	h, was := b.hosts[id], b.out[id]
@@ -162,13 +162,13 @@
 	b.restart.count(0, n)
 }
 
-func (b *backends) find(id decide.ServerID) *host {
+func (b *backends) find(id policy.ServerID) *host {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.hosts[id]
 }
 
-func (b *backends) closeIdle(id decide.ServerID) {
+func (b *backends) closeIdle(id policy.ServerID) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if h := b.hosts[id]; h != nil {
--- a/internal/node/backend_test.go
+++ b/internal/node/backend_test.go
@@ -13,7 +13,7 @@
 	"testing"
 	"time"
 
-	"starlingvalve/decide"
+	"meadowsill/policy"
 )
 
 // What comes back from a backend, and what the module may make of it: an unsafe request is refused only if it
@@ -23,24 +23,24 @@
 	for name, c := range map[string]struct {
 		reply  string
 		status int
-		code   decide.OutcomeCode
+		code   policy.OutcomeCode
 	}{
-		"served":           {ok("x"), 200, decide.OK},
-		"chunked":          {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nx\r\n0\r\n\r\n", 200, decide.OK},
-		"interim":          {"HTTP/1.1 103 Early Hints\r\n\r\n" + ok("x"), 200, decide.OK},
-		"error":            {"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n", 502, decide.ServerError},
-		"503 without mark": {"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", 502, decide.ServerError},
-		"turned away":      {"HTTP/1.1 503 No\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", 503, decide.Full},
-		"too late":         {"HTTP/1.1 504 No\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", 503, decide.Full},
-		"500 with mark":    {"HTTP/1.1 500 No\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", 502, decide.ServerError},
-		"silent close":     {"", 502, decide.Reset},
-		"garbage":          {"\x00\x01 what\r\n\r\n", 502, decide.Reset},
-		"truncated":        {"HTTP/1.1 200 OK\r\nContent-Length: 9\r\nConnection: close\r\n\r\nx", 502, decide.Reset},
-		"truncated chunk":  {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\nx", 502, decide.Reset},
-		"ended by a close": {"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nx", 200, decide.OK},
-		"huge header":      {"HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 1<<20) + "\r\nContent-Length: 1\r\n\r\nx", 502, decide.Reset},
-		"long":             {ok(strings.Repeat("x", bodyLimit+1)), 200, decide.OK},
-		"too large":        {fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", longLimit+1), 502, decide.Reset},
+		"served":           {ok("x"), 200, policy.OK},
+		"chunked":          {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nx\r\n0\r\n\r\n", 200, policy.OK},
+		"interim":          {"HTTP/1.1 103 Early Hints\r\n\r\n" + ok("x"), 200, policy.OK},
+		"error":            {"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n", 502, policy.ServerError},
+		"503 without mark": {"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", 502, policy.ServerError},
+		"turned away":      {"HTTP/1.1 503 No\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", 503, policy.Full},
+		"too late":         {"HTTP/1.1 504 No\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", 503, policy.Full},
+		"500 with mark":    {"HTTP/1.1 500 No\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", 502, policy.ServerError},
+		"silent close":     {"", 502, policy.Reset},
+		"garbage":          {"\x00\x01 what\r\n\r\n", 502, policy.Reset},
+		"truncated":        {"HTTP/1.1 200 OK\r\nContent-Length: 9\r\nConnection: close\r\n\r\nx", 502, policy.Reset},
+		"truncated chunk":  {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\nx", 502, policy.Reset},
+		"ended by a close": {"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nx", 200, policy.OK},
+		"huge header":      {"HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 1<<20) + "\r\nContent-Length: 1\r\n\r\nx", 502, policy.Reset},
+		"long":             {ok(strings.Repeat("x", bodyLimit+1)), 200, policy.OK},
+		"too large":        {fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", longLimit+1), 502, policy.Reset},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -218,22 +218,22 @@
 	}
 	for name, c := range map[string]struct {
 		change func(*backends, *exchange, context.CancelFunc)
-		want   decide.OutcomeCode
+		want   policy.OutcomeCode
 	}{
 		"draining": {func(b *backends, _ *exchange, _ context.CancelFunc) {
 			l := known(addr)
-			l.full, l.entries[0].State = false, decide.Draining
+			l.full, l.entries[0].State = false, policy.Draining
 			b.update(l)
-		}, decide.ConnectFailed},
-		"gone from the list": {func(b *backends, _ *exchange, _ context.CancelFunc) { b.update(list{full: true}) }, decide.ConnectFailed},
+		}, policy.ConnectFailed},
+		"gone from the list": {func(b *backends, _ *exchange, _ context.CancelFunc) { b.update(list{full: true}) }, policy.ConnectFailed},
 		"restarted": {func(b *backends, _ *exchange, _ context.CancelFunc) {
 			l := known(addr)
 			l.entries[0].StartedAt = 1
 			b.update(l)
-		}, decide.ConnectFailed},
-		"window over": {func(_ *backends, x *exchange, _ context.CancelFunc) { x.writeBy = time.Now() }, decide.Moot},
-		"too late":    {func(_ *backends, x *exchange, _ context.CancelFunc) { x.deadline = time.Now() }, decide.ConnectFailed},
-		"called off":  {func(_ *backends, _ *exchange, cancel context.CancelFunc) { cancel() }, decide.Cancelled},
+		}, policy.ConnectFailed},
+		"window over": {func(_ *backends, x *exchange, _ context.CancelFunc) { x.writeBy = time.Now() }, policy.Moot},
+		"too late":    {func(_ *backends, x *exchange, _ context.CancelFunc) { x.deadline = time.Now() }, policy.ConnectFailed},
+		"called off":  {func(_ *backends, _ *exchange, cancel context.CancelFunc) { cancel() }, policy.Cancelled},
 	} {
 		b, h := fresh()
 		// An idle connection, so that connecting succeeds whatever the time.
@@ -271,7 +271,7 @@
 	defer refused.Close()
 	b := newBackends(&Config{Settings: settings()}, 1, quiet)
 	b.update(known(addr, other, refused.LocalAddr().String()))
-	for i, want := range map[decide.ServerID]decide.OutcomeCode{1: decide.OK, 2: decide.OK, 3: decide.ConnectFailed, 4: decide.ConnectFailed} {
+	for i, want := range map[policy.ServerID]policy.OutcomeCode{1: policy.OK, 2: policy.OK, 3: policy.ConnectFailed, 4: policy.ConnectFailed} {
 		if r := b.do(t.Context(), b.find(i), get(patient)); r.code != want {
 			t.Errorf("backend %d: %v (%v)", i, r.code, r.err)
 		}
@@ -280,7 +280,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r := b.do(t.Context(), b.find(2), get(patient)); r.code != decide.ConnectFailed {
+	if r := b.do(t.Context(), b.find(2), get(patient)); r.code != policy.ConnectFailed {
 		t.Errorf("beyond the bound: %v", r.code)
 	}
 	b.release(b.find(1), held, true)
@@ -312,7 +312,7 @@
 		if heard {
 			h.heard = time.Now().Add(patient)
 		}
-		if r := b.do(t.Context(), h, get(time.Second)); r.code != decide.TimedOut {
+		if r := b.do(t.Context(), h, get(time.Second)); r.code != policy.TimedOut {
 			t.Errorf("outcome %v (%v)", r.code, r.err)
 		}
 		if len(h.idle) != want {
--- a/internal/node/bans.go
+++ b/internal/node/bans.go
@@ -16,7 +16,7 @@
 	"syscall"
 	"time"
 
-	"starlingvalve/decide"
+	"meadowsill/policy"
 )
 
 const (
@@ -46,7 +46,7 @@
 
 	mu     sync.Mutex
 	state  bansFile
-	listed map[decide.ServerID]string
+	listed map[policy.ServerID]string
 }
 
 // bansFile is what is on file, by the ids that discovery gives.
@@ -201,7 +201,7 @@
 }
 
 // list says which app servers there are.
-func (s *bans) list(names map[decide.ServerID]string) {
+func (s *bans) list(names map[policy.ServerID]string) {
 	if s != nil {
 		s.mu.Lock()
 		defer s.mu.Unlock()
--- a/internal/node/bans_test.go
+++ b/internal/node/bans_test.go
@@ -15,7 +15,7 @@
 	"testing/synctest"
 	"time"
 
-	"starlingvalve/decide"
+	"meadowsill/policy"
 )
 
 // twoServers is a list of two servers at addr that show by their port who they are.
@@ -96,7 +96,7 @@
 		b := newBackends(c, 10, quiet)
 		b.update(twoServers("127.0.0.1:1", "127.0.0.1:2"))
 		of[i] = openBans(c, b, quiet)
-		of[i].list(map[decide.ServerID]string{1: "s-00000001", 2: "s-00000002"})
+		of[i].list(map[policy.ServerID]string{1: "s-00000001", 2: "s-00000002"})
 	}
 	closed := func(i int) string {
 		return fmt.Sprint(of[i].backends.find(1).closed, of[i].backends.find(2).closed)
@@ -137,7 +137,7 @@
 				b := newBackends(c, 10, quiet)
 				b.update(twoServers("127.0.0.1:1", "127.0.0.1:2"))
 				of[i] = openBans(c, b, quiet)
-				of[i].list(map[decide.ServerID]string{1: "s-00000001", 2: "s-00000002"})
+				of[i].list(map[policy.ServerID]string{1: "s-00000001", 2: "s-00000002"})
 			}
 			ctx, stop := context.WithCancel(t.Context())
 			defer stop()
@@ -169,7 +169,7 @@
 			t.Fatal(err)
 		}
 		s := openBans(c, b, quiet)
-		s.list(map[decide.ServerID]string{1: "s-00000001"})
+		s.list(map[policy.ServerID]string{1: "s-00000001"})
 		if err := s.exclude("s-00000001"); err != nil {
 			t.Errorf("%q: %v", text, err)
 		}
@@ -178,7 +178,7 @@
 		}
 	}
 	s := openBans(c, b, quiet)
-	s.list(map[decide.ServerID]string{2: "s-00000002"})
+	s.list(map[policy.ServerID]string{2: "s-00000002"})
 	if err := os.RemoveAll(c.TempDir); err != nil {
 		t.Fatal(err)
 	}
@@ -216,7 +216,7 @@
 	t.Parallel()
 	c := &Config{Name: "n", Settings: settings(), TempDir: t.TempDir()}
 	s := openBans(c, newBackends(c, 10, quiet), quiet)
-	names := map[decide.ServerID]string{1: "s-00000001"}
+	names := map[policy.ServerID]string{1: "s-00000001"}
 	s.list(names)
 	other, err := s.lock()
 	if err != nil {
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -11,8 +11,8 @@
 	"os"
 	"strconv"
 
-	"starlingvalve/decide"
-	"starlingvalve/internal/wire"
+	"meadowsill/internal/wire"
+	"meadowsill/policy"
 )
 
 // Limits are what the platform lets the node's process use.
@@ -35,7 +35,7 @@
 	PeersAll netip.AddrPort // invalid where nodes don't talk
 	Peers    []netip.AddrPort
 	Known    list // the backends as this node last had them
-	Settings decide.Settings
+	Settings policy.Settings
 	Fleet    *FleetConfig // nil: the node is in no fleet
 }
 
--- a/internal/node/discovery.go
+++ b/internal/node/discovery.go
@@ -15,8 +15,8 @@
 	"sync"
 	"time"
 
-	"starlingvalve/decide"
-	"starlingvalve/internal/fleet/nodelink"
+	"meadowsill/internal/fleet/agentclient"
+	"meadowsill/policy"
 )
 
 const (
@@ -50,12 +50,12 @@
 }
 
 type entry struct {
-	decide.Server
+	policy.Server
 	name string // the id as discovery has it
 	addr string
 }
 
-var states = map[string]decide.ServerState{"ready": decide.Ready, "draining": decide.Draining, "gone": decide.Gone}
+var states = map[string]policy.ServerState{"ready": policy.Ready, "draining": policy.Draining, "gone": policy.Gone}
 
 // decodeList takes a list only if all of it makes sense.
 func decodeList(raw []byte) (list, error) {
@@ -85,17 +85,17 @@
 		if !ok || s.ID == "" {
 			return list{}, fmt.Errorf("list, entry %d: id %q, unknown state %q", i, s.ID, s.State)
 		}
-		if _, err := netip.ParseAddrPort(s.Addr); err != nil && state != decide.Gone {
+		if _, err := netip.ParseAddrPort(s.Addr); err != nil && state != policy.Gone {
 			return list{}, fmt.Errorf("list, entry %d: %w", i, err)
 		}
-		l.entries = append(l.entries, entry{name: s.ID, addr: s.Addr, Server: decide.Server{ID: serverID(s.ID), Zone: s.Zone, Kind: s.Kind,
+		l.entries = append(l.entries, entry{name: s.ID, addr: s.Addr, Server: policy.Server{ID: serverID(s.ID), Zone: s.Zone, Kind: s.Kind,
 			Cell: s.Cell, State: state, Size: s.Weight, StartedAt: time.Duration(min(max(0, s.Started), latestStart)) * time.Millisecond}})
 	}
 	return l, nil
 }
 
 // serverID is the module's number of a name.
-func serverID(name string) decide.ServerID { return nodelink.ServerID(name) }
+func serverID(name string) policy.ServerID { return agentclient.ServerID(name) }
 
 // discovery asks for the list of backends. Its calls go out on connections of its own.
 type discovery struct {
