--- a/internal/node/ends_test.go
+++ b/internal/node/ends_test.go
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"starlingvalve/decide"
+	"meadowsill/policy"
 )
 
 // Every way in which an attempt can end after its request was written: which of them prove that it never ran, and
@@ -28,34 +28,34 @@
 	for name, c := range map[string]struct {
 		reply string
 		end   int
-		code  decide.OutcomeCode
+		code  policy.OutcomeCode
 	}{
-		"reset":                                {"", reset, decide.Reset},
-		"closed":                               {"", fin, decide.Reset},
-		"silent":                               {"", nothing, decide.TimedOut},
-		"half a status line, reset":            {"HTTP/1.1 20", reset, decide.Reset},
-		"half a status line, closed":           {"HTTP/1.1 20", fin, decide.Reset},
-		"half a status line":                   {"HTTP/1.1 20", nothing, decide.Reset},
-		"malformed":                            {"HTTP/1.1 abc\r\n\r\n", nothing, decide.Reset},
-		"interim, then nothing":                {"HTTP/1.1 103 Early Hints\r\n\r\n", nothing, decide.TimedOut},
-		"interim, then closed":                 {"HTTP/1.1 100 Continue\r\n\r\n", fin, decide.Reset},
-		"interim, then reset":                  {"HTTP/1.1 100 Continue\r\n\r\n", reset, decide.Reset},
-		"head, then nothing":                   {"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n", nothing, decide.TimedOut},
-		"body breaks off":                      {"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nx", fin, decide.Reset},
-		"wrong chunk":                          {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\nx", nothing, decide.Reset},
-		"no last chunk":                        {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nx\r\n", fin, decide.Reset},
-		"no length, reset":                     {"HTTP/1.1 200 OK\r\n\r\nx", reset, decide.Reset},
-		"no length, closed":                    {"HTTP/1.1 200 OK\r\n\r\nx", fin, decide.OK},
-		"turned away, too long with its head":  {long, fin, decide.Reset},
-		"turned away":                          {"HTTP/1.1 503 No\r\nX-Unprocessed: 1\r\nContent-Length: 1\r\n\r\nx", fin, decide.Full},
-		"turned away, closed":                  {"HTTP/1.1 503 No\r\nX-Unprocessed: 1\r\n\r\nx", fin, decide.Full},
-		"turned away, no length, reset":        {"HTTP/1.1 503 No\r\nX-Unprocessed: 1\r\n\r\nx", reset, decide.Reset},
-		"turned away, body breaks off":         {"HTTP/1.1 503 No\r\nX-Unprocessed: 1\r\nContent-Length: 2\r\n\r\nx", fin, decide.Reset},
-		"turned away, body does not end":       {"HTTP/1.1 503 No\r\nX-Unprocessed: 1\r\nContent-Length: 2\r\n\r\nx", nothing, decide.TimedOut},
-		"turned away, wrong chunk":             {"HTTP/1.1 504 No\r\nX-Unprocessed: 1\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n", nothing, decide.Reset},
-		"turned away, head breaks off":         {"HTTP/1.1 503 No\r\nX-Unprocessed: 1\r\n", fin, decide.Reset},
-		"turned away, another mark":            {"HTTP/1.1 503 No\r\nX-Unprocessed: 0\r\nContent-Length: 0\r\n\r\n", fin, decide.ServerError},
-		"turned away, but with another status": {"HTTP/1.1 502 No\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", fin, decide.ServerError},
+		"reset":                                {"", reset, policy.Reset},
+		"closed":                               {"", fin, policy.Reset},
+		"silent":                               {"", nothing, policy.TimedOut},
+		"half a status line, reset":            {"HTTP/1.1 20", reset, policy.Reset},
+		"half a status line, closed":           {"HTTP/1.1 20", fin, policy.Reset},
+		"half a status line":                   {"HTTP/1.1 20", nothing, policy.Reset},
+		"malformed":                            {"HTTP/1.1 abc\r\n\r\n", nothing, policy.Reset},
+		"interim, then nothing":                {"HTTP/1.1 103 Early Hints\r\n\r\n", nothing, policy.TimedOut},
+		"interim, then closed":                 {"HTTP/1.1 100 Continue\r\n\r\n", fin, policy.Reset},
+		"interim, then reset":                  {"HTTP/1.1 100 Continue\r\n\r\n", reset, policy.Reset},
+		"head, then nothing":                   {"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n", nothing, policy.TimedOut},
+		"body breaks off":                      {"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nx", fin, policy.Reset},
+		"wrong chunk":                          {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\nx", nothing, policy.Reset},
+		"no last chunk":                        {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nx\r\n", fin, policy.Reset},
+		"no length, reset":                     {"HTTP/1.1 200 OK\r\n\r\nx", reset, policy.Reset},
+		"no length, closed":                    {"HTTP/1.1 200 OK\r\n\r\nx", fin, policy.OK},
+		"turned away, too long with its head":  {long, fin, policy.Reset},
+		"turned away":                          {"HTTP/1.1 503 No\r\nX-Unprocessed: 1\r\nContent-Length: 1\r\n\r\nx", fin, policy.Full},
+		"turned away, closed":                  {"HTTP/1.1 503 No\r\nX-Unprocessed: 1\r\n\r\nx", fin, policy.Full},
+		"turned away, no length, reset":        {"HTTP/1.1 503 No\r\nX-Unprocessed: 1\r\n\r\nx", reset, policy.Reset},
+		"turned away, body breaks off":         {"HTTP/1.1 503 No\r\nX-Unprocessed: 1\r\nContent-Length: 2\r\n\r\nx", fin, policy.Reset},
+		"turned away, body does not end":       {"HTTP/1.1 503 No\r\nX-Unprocessed: 1\r\nContent-Length: 2\r\n\r\nx", nothing, policy.TimedOut},
+		"turned away, wrong chunk":             {"HTTP/1.1 504 No\r\nX-Unprocessed: 1\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n", nothing, policy.Reset},
+		"turned away, head breaks off":         {"HTTP/1.1 503 No\r\nX-Unprocessed: 1\r\n", fin, policy.Reset},
+		"turned away, another mark":            {"HTTP/1.1 503 No\r\nX-Unprocessed: 0\r\nContent-Length: 0\r\n\r\n", fin, policy.ServerError},
+		"turned away, but with another status": {"HTTP/1.1 502 No\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", fin, policy.ServerError},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -84,7 +84,7 @@
 				}
 			}
 			wait := patient
-			if c.code == decide.TimedOut || name == "half a status line" {
+			if c.code == policy.TimedOut || name == "half a status line" {
 				wait = 150 * time.Millisecond
 			}
 			b := newBackends(&Config{Settings: settings()}, 10, quiet)
@@ -92,7 +92,7 @@
 			if r := b.do(t.Context(), b.find(1), get(wait)); r.code != c.code {
 				t.Errorf("outcome %v (%v), want %v", r.code, r.err, c.code)
 			}
-			never := c.code == decide.Full
+			never := c.code == policy.Full
 			var counts [3]atomic.Int64
 			serve := stand(&counts)
 			n := start(t, &Config{Settings: settings(), Known: known(backend(t, serve), backend(t, serve))})
@@ -102,7 +102,7 @@
 				switch status := resp.StatusCode; {
 				case came == 0: // refused by what the others met with
 					right = status == 503 && class != "order"
-				case c.code == decide.OK:
+				case c.code == policy.OK:
 					right = status == 200 && came == 1
 				case status == 200:
 					right = body == "again" && came == 2 && (class != "order" || never)
@@ -149,7 +149,7 @@
 		}()
 	}
 	r := b.do(t.Context(), b.find(1), x)
-	if err := <-ended; err == nil || r.code != decide.Reset {
+	if err := <-ended; err == nil || r.code != policy.Reset {
 		t.Errorf("what was begun ends with %v, outcome %v (%v)", err, r.code, r.err)
 	}
 }
@@ -167,7 +167,7 @@
 		b := newBackends(&Config{Settings: settings()}, 10, quiet)
 		b.update(known(addr))
 		h := b.find(1)
-		if r := b.do(t.Context(), h, get(patient)); r.code != decide.OK {
+		if r := b.do(t.Context(), h, get(patient)); r.code != policy.OK {
 			t.Fatalf("outcome %v (%v)", r.code, r.err)
 		}
 		first := <-conns
@@ -183,10 +183,10 @@
 		for end := time.Now().Add(patient); quietSocket(c.TCPConn) && time.Now().Before(end); {
 			time.Sleep(time.Millisecond)
 		}
-		if r := b.on(t.Context(), h, c, get(patient)); r.code != decide.ConnectFailed || !errors.Is(r.err, errStale) {
+		if r := b.on(t.Context(), h, c, get(patient)); r.code != policy.ConnectFailed || !errors.Is(r.err, errStale) {
 			t.Errorf("%q: outcome %v (%v), %q", late, r.code, r.err, r.body)
 		}
-		if r := b.do(t.Context(), h, get(patient)); r.code != decide.OK || string(r.body) != "its own" {
+		if r := b.do(t.Context(), h, get(patient)); r.code != policy.OK || string(r.body) != "its own" {
 			t.Errorf("%q: outcome %v (%v), %q", late, r.code, r.err, r.body)
 		}
 	}
@@ -221,7 +221,7 @@
 		})
 		b := newBackends(&Config{Settings: settings()}, 10, quiet)
 		b.update(known(addr))
-		if r := b.do(t.Context(), b.find(1), get(patient)); r.code != decide.ServerError || len(b.find(1).idle) > 0 {
+		if r := b.do(t.Context(), b.find(1), get(patient)); r.code != policy.ServerError || len(b.find(1).idle) > 0 {
 			t.Errorf("%s: outcome %v (%v), %d connections kept", status, r.code, r.err, len(b.find(1).idle))
 		}
 		b.update(list{full: true})
--- a/internal/node/exchange.go
+++ b/internal/node/exchange.go
@@ -14,8 +14,8 @@
 	"sync"
 	"time"
 
-	"starlingvalve/decide"
-	"starlingvalve/internal/wire"
+	"meadowsill/internal/wire"
+	"meadowsill/policy"
 )
 
 // exchange is one request to a backend.
@@ -36,8 +36,8 @@
 
 // result is how an exchange ended.
 type result struct {
-	code   decide.OutcomeCode
-	report *decide.Report
+	code   policy.OutcomeCode
+	report *policy.Report
 	header http.Header
 	body   []byte
 	err    error
@@ -46,7 +46,7 @@
 // do makes an exchange and blocks until it is over. An end of ctx calls it off.
 func (b *backends) do(ctx context.Context, h *host, x *exchange) result {
 	if h == nil {
-		return result{code: decide.ConnectFailed, err: errClosed}
+		return result{code: policy.ConnectFailed, err: errClosed}
 	}
 	dialing := ctx
 	if x.life != nil { // a dial takes time, and its request may end: nothing is written then, and no leave is needed
@@ -61,17 +61,17 @@
 		switch {
 		case err == nil:
 		case x.life != nil && x.life.Err() != nil:
-			return result{code: decide.Moot, err: errOver}
+			return result{code: policy.Moot, err: errOver}
 		case ctx.Err() != nil:
-			return result{code: decide.Cancelled, err: ctx.Err()}
+			return result{code: policy.Cancelled, err: ctx.Err()}
 		default:
-			return result{code: decide.ConnectFailed, err: err}
+			return result{code: policy.ConnectFailed, err: err}
 		}
 		r := b.on(ctx, h, c, x)
 		if errors.Is(r.err, errStale) { // the connection is closed by now, and the next one is another
 			continue
 		}
-		if r.code == decide.TimedOut {
+		if r.code == policy.TimedOut {
 			b.silent(h, began)
 		}
 		return r
@@ -94,11 +94,11 @@
 		b.mu.Unlock()
 	case w.untouched(r.err):
 		keep = true
-	case r.code == decide.ConnectFailed || r.code == decide.Moot:
+	case r.code == policy.ConnectFailed || r.code == policy.Moot:
 	case ctx.Err() != nil:
-		r.code = decide.Cancelled
+		r.code = policy.Cancelled
 	case errors.Is(r.err, os.ErrDeadlineExceeded):
-		r.code = decide.TimedOut
+		r.code = policy.TimedOut
 	}
 	b.release(h, c, keep && stopped)
 	return r
@@ -126,7 +126,7 @@
 	var text bytes.Buffer
 	text.Grow(1<<10 + len(x.body))
 	if err := req.Write(&text); err != nil {
-		return result{code: decide.ConnectFailed, err: err}, false
+		return result{code: policy.ConnectFailed, err: err}, false
 	}
 	if _, err := w.Write(text.Bytes()); err != nil {
 		return w.unsent(err), false
@@ -143,36 +143,36 @@
 		resp, err = http.ReadResponse(c.r, req)
 	}
 	if err != nil {
-		return result{code: decide.Reset, err: err}, false
+		return result{code: policy.Reset, err: err}, false
 	}
 	defer resp.Body.Close()
 	body, whole, err := readAnswer(ctx, c, x, resp)
 	if err != nil {
-		code := decide.Reset
+		code := policy.Reset
 		if errors.Is(err, errClient) {
-			code = decide.Cancelled
+			code = policy.Cancelled
 		}
 		return result{code: code, err: err}, false
 	}
 	if !whole { // it has gone to the client
-		return result{code: decide.OK, report: parseReport(resp.Header.Get("X-Backend-Load"))}, !resp.Close
+		return result{code: policy.OK, report: parseReport(resp.Header.Get("X-Backend-Load"))}, !resp.Close
 	}
 	// An answer that may have no body ends with its head, whatever length it states: what it may mean as a body is on its
 	// way, and would be read as the beginning of the next answer.
 	headOnly := resp.StatusCode < 200 || resp.StatusCode == http.StatusNoContent || resp.StatusCode == http.StatusNotModified
-	r = result{code: decide.ServerError, report: parseReport(resp.Header.Get("X-Backend-Load")), header: resp.Header, body: body}
+	r = result{code: policy.ServerError, report: parseReport(resp.Header.Get("X-Backend-Load")), header: resp.Header, body: body}
 	switch status := resp.StatusCode; {
 	case status == http.StatusOK:
-		r.code = decide.OK
+		r.code = policy.OK
 	case (status == http.StatusServiceUnavailable || status == http.StatusGatewayTimeout) && resp.Header.Get("X-Unprocessed") == "1":
-		r.code = decide.Full
+		r.code = policy.Full
 	}
 	return r, !resp.Close && !headOnly
 }
 
 // parseReport reads a load report. One with no field that is known and a number is none.
-func parseReport(text string) *decide.Report {
-	var r decide.Report
+func parseReport(text string) *policy.Report {
+	var r policy.Report
 	known := false
 	for field := range strings.SplitSeq(text, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(field), "=")
@@ -189,7 +189,7 @@
 // probe asks a backend how it is.
 func (b *backends) probe(ctx context.Context, h *host, path string) result {
 	r := b.do(ctx, h, &exchange{method: http.MethodGet, url: &url.URL{Path: path, Host: "api.internal"}, deadline: time.Now().Add(probeWait)})
-	if r.report == nil && r.code == decide.OK {
+	if r.report == nil && r.code == policy.OK {
 		r.report = parseReport(string(r.body))
 	}
 	return r
--- a/internal/node/fleet.go
+++ b/internal/node/fleet.go
@@ -17,9 +17,9 @@
 
 	"github.com/cenkalti/backoff/v5"
 
-	"starlingvalve/decide"
-	"starlingvalve/internal/fleet"
-	"starlingvalve/internal/fleet/nodelink"
+	"meadowsill/internal/fleet"
+	"meadowsill/internal/fleet/agentclient"
+	"meadowsill/policy"
 )
 
 const (
@@ -117,7 +117,7 @@
 
 // watch asks for what is intended, again and again, and has it told.
 func (f *fleetLink) watch(ctx context.Context) {
-	m, retry := nodelink.NewMirror(f.member), backoff.NewExponentialBackOff()
+	m, retry := agentclient.NewMirror(f.member), backoff.NewExponentialBackOff()
 	retry.InitialInterval, retry.MaxInterval = intentPause, intentWait
 	for ctx.Err() == nil {
 		asked := time.Now()
@@ -141,7 +141,7 @@
 }
 
 // intent makes one call of the watch, and tells when its answer came.
-func (f *fleetLink) intent(ctx context.Context, m *nodelink.Mirror) (fleet.Intent, time.Time, error) {
+func (f *fleetLink) intent(ctx context.Context, m *agentclient.Mirror) (fleet.Intent, time.Time, error) {
 	wait := intentWait
 	if !m.Known {
 		wait = 0
@@ -157,7 +157,7 @@
 }
 
 // tell has the loop tell the module of the last answer, and waits for it.
-func (f *fleetLink) tell(m *nodelink.Mirror, came time.Time, whole bool) {
+func (f *fleetLink) tell(m *agentclient.Mirror, came time.Time, whole bool) {
 	done := make(chan struct{})
 	told := f.loop.post(func() {
 		defer close(done)
@@ -185,7 +185,7 @@
 func (f *fleetLink) sync() {
 	if !f.synced {
 		f.synced = true
-		f.loop.handle(decide.FleetSynced{Revision: f.revision})
+		f.loop.handle(policy.FleetSynced{Revision: f.revision})
 		f.log.Info("fleet synced", "revision", f.revision, "after", time.Since(f.began))
 	}
 }
@@ -195,7 +195,7 @@
 func (f *fleetLink) reports(ctx context.Context) {
 	var want []string
 	var last time.Time
-	since := decide.Time(0) // of the windows with nothing in them
+	since := policy.Time(0) // of the windows with nothing in them
 	for ctx.Err() == nil {
 		wait := f.Report
 		if len(want) > 0 {
@@ -243,7 +243,7 @@
 	}
 	ttl := outLast
 	if a.TTLMS > 0 {
-		ttl = min(nodelink.Millis(a.TTLMS), outMost)
+		ttl = min(agentclient.Millis(a.TTLMS), outMost)
 	}
 	if f.out.Swap(time.Now().Add(ttl).UnixNano()) == 0 {
 		f.log.Warn("fleet: out of the front", "ttl", ttl)
@@ -252,8 +252,8 @@
 
 // observe reads what a report is made of, in one turn of the loop; nil once that has ended. over: the time to
 // catch up is.
-func (f *fleetLink) observe(over bool) *nodelink.Observed {
-	done := make(chan *nodelink.Observed, 1)
+func (f *fleetLink) observe(over bool) *agentclient.Observed {
+	done := make(chan *agentclient.Observed, 1)
 	posted := f.loop.post(func() {
 		if over {
 			f.sync()
@@ -261,7 +261,7 @@
 		now := f.loop.now()
 		window := f.loop.module.Window(now)
 		window.Since = max(window.Since, f.loop.base) // the first has no beginning
-		done <- &nodelink.Observed{Window: window, Facts: f.loop.module.Holds(), Now: now, Revision: f.revision, List: f.loop.version,
+		done <- &agentclient.Observed{Window: window, Facts: f.loop.module.Holds(), Now: now, Revision: f.revision, List: f.loop.version,
 			Ready: f.unwell() == "", Synced: f.synced, Settled: f.loop.settled}
 	})
 	if !posted {
@@ -276,7 +276,7 @@
 }
 
 // send posts a report. One that leaves is the last.
-func (f *fleetLink) send(ctx context.Context, o *nodelink.Observed, want []string, leaving bool) (a fleet.ReportAnswer, err error) {
+func (f *fleetLink) send(ctx context.Context, o *agentclient.Observed, want []string, leaving bool) (a fleet.ReportAnswer, err error) {
 	f.sending.Lock()
 	defer f.sending.Unlock()
 	if f.left {
--- a/internal/node/fleet_config.go
+++ b/internal/node/fleet_config.go
@@ -8,8 +8,8 @@
 	"slices"
 	"time"
 
-	"starlingvalve/decide"
-	"starlingvalve/internal/fleet"
+	"meadowsill/internal/fleet"
+	"meadowsill/policy"
 )
 
 // FleetConfig is the "fleet" block of a node's configuration: {"agent": "127.0.0.1:PORT", "report_ms": 250,
@@ -32,7 +32,7 @@
 )
 
 // decodeFleet reads the block; nil where there is none. A bad one is one error that names its member.
-func decodeFleet(raw json.RawMessage, node string, s decide.Settings) (*FleetConfig, error) {
+func decodeFleet(raw json.RawMessage, node string, s policy.Settings) (*FleetConfig, error) {
 	if len(raw) == 0 || string(raw) == "null" {
 		return nil, nil
 	}
--- a/internal/node/fleet_scope_test.go
+++ b/internal/node/fleet_scope_test.go
@@ -17,8 +17,8 @@
 
 	"github.com/prometheus/client_golang/prometheus"
 
-	"starlingvalve/internal/fleet"
-	fleetagent "starlingvalve/internal/fleet/agent"
+	"meadowsill/internal/fleet"
+	fleetagent "meadowsill/internal/fleet/agent"
 )
 
 // scopeReplica stands in for a replica of the build that ignores subscriptions: two tenants, of a service each, at one revision.
--- a/internal/node/fleet_test.go
+++ b/internal/node/fleet_test.go
@@ -18,10 +18,10 @@
 	"testing"
 	"time"
 
-	"starlingvalve/internal/fleet"
+	"meadowsill/internal/fleet"
 )
 
-// agent is a stand-in for the agent of a node's machine.
+// agent is a stub for the agent of a node's machine.
 type agent struct {
 	*httptest.Server
 	mu      sync.Mutex
--- a/internal/node/golden_test.go
+++ b/internal/node/golden_test.go
@@ -12,8 +12,8 @@
 	"testing"
 	"unsafe"
 
-	"starlingvalve/decide"
-	"starlingvalve/internal/golden"
+	"meadowsill/internal/golden"
+	"meadowsill/policy"
 )
 
 // fullText is a configuration with every key that a node reads.
@@ -96,7 +96,7 @@
 	dir := t.TempDir()
 	c := &Config{Name: "a/b", TempDir: dir, Settings: settings()}
 	s := openBans(c, newBackends(c, 10, quiet), quiet)
-	s.list(map[decide.ServerID]string{1: "s-00000001"})
+	s.list(map[policy.ServerID]string{1: "s-00000001"})
 	if err := s.exclude("s-00000001"); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/node/gone_test.go
+++ b/internal/node/gone_test.go
@@ -15,7 +15,7 @@
 	"testing"
 	"time"
 
-	"starlingvalve/decide"
+	"meadowsill/policy"
 )
 
 // A request's life ends with its client, though the loop is held and hears of nothing, and though bytes lie before the
@@ -242,7 +242,7 @@
 	c := &Config{Settings: settings(), Known: known(backend(t, func(net.Conn) {}))}
 	l := newLoop(t.Context(), c, newBackends(c, 10, quiet), nil, nil, quiet)
 	rules := l.rules.Load()
-	r := &request{arrived: decide.RequestArrived{ID: "a", Class: "read"}, class: rules.classes["read"], rules: rules,
+	r := &request{arrived: policy.RequestArrived{ID: "a", Class: "read"}, class: rules.classes["read"], rules: rules,
 		deadline: time.Now().Add(patient), answer: make(chan answer, 1)}
 	r.life, r.end = context.WithCancel(t.Context())
 	r.end()
--- a/internal/node/harness_test.go
+++ b/internal/node/harness_test.go
@@ -15,7 +15,7 @@
 	"testing"
 	"time"
 
-	"starlingvalve/decide"
+	"meadowsill/policy"
 )
 
 // patient is how long a test waits for what must come, on a machine of any speed.
@@ -23,17 +23,17 @@
 
 var quiet = slog.New(slog.DiscardHandler)
 
-func settings() decide.Settings {
-	class := func(name string, e decide.Effect) decide.Class {
-		return decide.Class{Name: name, Worth: 1, Aim: 5 * time.Second, Deadline: 10 * time.Second, Effect: e,
-			KeyScope: decide.ScopeCell, DedupWindow: 8 * time.Second}
+func settings() policy.Settings {
+	class := func(name string, e policy.Effect) policy.Class {
+		return policy.Class{Name: name, Worth: 1, Aim: 5 * time.Second, Deadline: 10 * time.Second, Effect: e,
+			KeyScope: policy.ScopeCell, DedupWindow: 8 * time.Second}
 	}
-	return decide.Settings{Nodes: 1, Zone: "z", Zones: []string{"z"}, MaxAttempts: 4, MayOverlap: true, MayCancel: true,
+	return policy.Settings{Nodes: 1, Zone: "z", Zones: []string{"z"}, MaxAttempts: 4, MayOverlap: true, MayCancel: true,
 		MayProbe: true, HoldOffs: true, MaxHoldOff: 2 * time.Second, ConnectTimeout: 2 * time.Second,
 		ConnIdle: time.Minute, MaxOpen: 100, DrainGrace: 500 * time.Millisecond, ColdFrom: 0.3, ColdTime: time.Second,
-		OverloadFactor: 2.5, OverloadTime: time.Second, ReportVia: decide.ReportProbe, MinTick: 5 * time.Millisecond,
+		OverloadFactor: 2.5, OverloadTime: time.Second, ReportVia: policy.ReportProbe, MinTick: 5 * time.Millisecond,
 		AskWithin: 10 * time.Second,
-		Classes:   []decide.Class{class("read", decide.Safe), class("tag", decide.Keyed), class("order", decide.Unsafe)}}
+		Classes:   []policy.Class{class("read", policy.Safe), class("tag", policy.Keyed), class("order", policy.Unsafe)}}
 }
 
 // backend is a listener on a port that the kernel chose. Each connection is handed to serve.
@@ -95,7 +95,7 @@
 }
 
 // refusing is an address at which connections are refused to the test's end. It is bound, and nobody listens: a port that
-// is freed may become another stand-in's.
+// is freed may become another stub's.
 func refusing(t *testing.T) string {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
@@ -128,7 +128,7 @@
 func known(addrs ...string) list {
 	l := list{version: 1, full: true}
 	for i, a := range addrs {
-		l.entries = append(l.entries, entry{addr: a, Server: decide.Server{ID: decide.ServerID(i + 1), Zone: "z", State: decide.Ready, Size: 1}})
+		l.entries = append(l.entries, entry{addr: a, Server: policy.Server{ID: policy.ServerID(i + 1), Zone: "z", State: policy.Ready, Size: 1}})
 	}
 	return l
 }
--- a/internal/node/incoming.go
+++ b/internal/node/incoming.go
@@ -10,7 +10,7 @@
 	"strings"
 	"time"
 
-	"starlingvalve/decide"
+	"meadowsill/policy"
 )
 
 // read takes in a request, or says what is wrong with it.
@@ -21,7 +21,7 @@
 		return nil, http.StatusNotFound, errors.New("no such path")
 	}
 	method := http.MethodPost
-	if settings.Effect == decide.Safe {
+	if settings.Effect == policy.Safe {
 		method = http.MethodGet
 	}
 	if r.Method != method {
@@ -38,7 +38,7 @@
 	if id == "" {
 		return nil, http.StatusBadRequest, errors.New("X-Correlation-Id is missing")
 	}
-	if known && settings.Effect == decide.Keyed && r.Header.Get("Idempotency-Key") == "" {
+	if known && settings.Effect == policy.Keyed && r.Header.Get("Idempotency-Key") == "" {
 		return nil, http.StatusBadRequest, errors.New("Idempotency-Key is missing")
 	}
 	left, err := strconv.ParseFloat(r.Header.Get("X-Time-Left"), 64)
@@ -69,7 +69,7 @@
 	if rest != nil {
 		rest.patience = patience
 	}
-	e := decide.RequestArrived{ID: decide.RequestID(id), Class: class, Tenant: r.Header.Get("X-Account"),
+	e := policy.RequestArrived{ID: policy.RequestID(id), Class: class, Tenant: r.Header.Get("X-Account"),
 		Key: r.URL.Query().Get("obj"), Repeat: r.Header.Get("X-Repeat") == "1", Write: fact(r.Header.Get("X-Facts"), "write")}
 	if us, err := strconv.ParseFloat(r.Header.Get("X-Weight-Hint"), 64); err == nil && us >= 0 && us < patienceLimit.Seconds()*1e6 {
 		e.WorkHint, e.HasHint = time.Duration(us*float64(time.Microsecond)), true
--- a/internal/node/listing.go
+++ b/internal/node/listing.go
@@ -4,7 +4,7 @@
 	"context"
 	"time"
 
-	"starlingvalve/decide"
+	"meadowsill/policy"
 )
 
 // subscribe begins a watch, or begins it anew so that there is an answer, unless the answer is still to come.
@@ -43,7 +43,7 @@
 func (l *loop) fetched(n list, err error) {
 	if err != nil {
 		l.log.Info("discovery", "err", err)
-		l.handle(decide.ListUpdate{Kind: decide.ListFailed, Version: l.version})
+		l.handle(policy.ListUpdate{Kind: policy.ListFailed, Version: l.version})
 		return
 	}
 	l.updated(n)
@@ -51,15 +51,15 @@
 
 // updated takes what discovery has answered: a whole list or changes.
 func (l *loop) updated(n list) {
-	kind := decide.ListChanges
+	kind := policy.ListChanges
 	if n.full {
-		kind = decide.ListFull
+		kind = policy.ListFull
 	}
 	l.follow(n, kind)
 }
 
 // follow takes a list: connections first, so that nothing goes where the list says no.
-func (l *loop) follow(n list, kind decide.ListKind) {
+func (l *loop) follow(n list, kind policy.ListKind) {
 	l.version = n.version
 	l.backends.update(n)
 	named := l.rules.Load().Fleet
@@ -67,14 +67,14 @@
 		clear(l.ready)
 		clear(l.names)
 	}
-	e := decide.ListUpdate{Kind: kind, Version: n.version}
+	e := policy.ListUpdate{Kind: kind, Version: n.version}
 	for _, s := range n.entries {
 		delete(l.ready, s.ID)
 		delete(l.names, s.ID)
-		if s.State == decide.Ready {
+		if s.State == policy.Ready {
 			l.ready[s.ID] = true
 		}
-		if s.State != decide.Gone {
+		if s.State != policy.Gone {
 			l.names[s.ID] = s.name
 		}
 		if named {
@@ -95,7 +95,7 @@
 	out, back := l.bans.now()
 	for name := range out {
 		if !l.out[name] {
-			l.handle(decide.ServerExcluded{Server: serverID(name)})
+			l.handle(policy.ServerExcluded{Server: serverID(name)})
 		}
 	}
 	for name := range l.out {
@@ -105,7 +105,7 @@
 	}
 	for name, at := range back {
 		if !out[name] && !at.Equal(l.back[name]) {
-			l.handle(decide.ServerIncluded{Server: serverID(name), At: time.Duration(at.UnixNano())})
+			l.handle(policy.ServerIncluded{Server: serverID(name), At: time.Duration(at.UnixNano())})
 		}
 	}
 	l.out, l.back = out, back
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -9,7 +9,7 @@
 	"sync/atomic"
 	"time"
 
-	"starlingvalve/decide"
+	"meadowsill/policy"
 )
 
 const (
@@ -24,7 +24,7 @@
 // loop owns the module: all that happens becomes an event for it here, one at a time, and the actions that it asks for
 // are started. Nothing in it waits for the network.
 type loop struct {
-	module   *decide.Module
+	module   *policy.Module
 	rules    atomic.Pointer[rules] // those for requests that come now; the loop's goroutine changes them
 	backends *backends
 	disco    *discovery
@@ -39,14 +39,14 @@
 	canServe   chan struct{} // closed when that is so for the first time
 	firstReady sync.Once
 	began      time.Time
-	base       decide.Time // the clock's reading at began
+	base       policy.Time // the clock's reading at began
 
-	requests  map[decide.RequestID]*request
+	requests  map[policy.RequestID]*request
 	timers    timerHeap
-	queue     []decide.Event
+	queue     []policy.Event
 	handling  bool
-	ready     map[decide.ServerID]bool
-	names     map[decide.ServerID]string // of the servers that are listed
+	ready     map[policy.ServerID]bool
+	names     map[policy.ServerID]string // of the servers that are listed
 	out       map[string]bool            // bans that the module was notified of
 	back      map[string]time.Time       // returns that it was notified of
 	version   uint64
@@ -57,9 +57,9 @@
 
 func newLoop(ctx context.Context, c *Config, b *backends, d *discovery, p *peers, log *slog.Logger) *loop {
 	now := time.Now()
-	l := &loop{module: decide.New(c.Settings, c.Seed), backends: b, disco: d, peers: p, log: log,
+	l := &loop{module: policy.New(c.Settings, c.Seed), backends: b, disco: d, peers: p, log: log,
 		ctx: ctx, happened: make(chan func(), eventQueue), canServe: make(chan struct{}), began: now, base: time.Duration(now.UnixNano()),
-		requests: map[decide.RequestID]*request{}, ready: map[decide.ServerID]bool{}, names: map[decide.ServerID]string{},
+		requests: map[policy.RequestID]*request{}, ready: map[policy.ServerID]bool{}, names: map[policy.ServerID]string{},
 		out: map[string]bool{}, back: map[string]time.Time{}, settled: now}
 	l.rules.Store(newRules(c.Settings))
 	return l
@@ -67,7 +67,7 @@
 
 // now is the module's clock: it goes on evenly from the time of day at the start, so that the times at which
 // backends started can be expressed on it.
-func (l *loop) now() decide.Time { return l.base + time.Since(l.began) }
+func (l *loop) now() policy.Time { return l.base + time.Since(l.began) }
 
 // post has f run in the loop. It reports whether it will.
 func (l *loop) post(f func()) bool {
@@ -83,7 +83,7 @@
 func (l *loop) run(known list) {
 	defer l.work.Wait()
 	known.full = true
-	l.follow(known, decide.ListCached)
+	l.follow(known, policy.ListCached)
 	changed := l.bans.changes()
 	if !l.rules.Load().AskForList {
 		since := known.version
@@ -104,14 +104,14 @@
 			l.notifyBans()
 		case <-timer.C:
 			for now := time.Now(); len(l.timers) > 0 && !l.timers[0].at.After(now); {
-				l.handle(decide.TimerFired{Token: heap.Pop(&l.timers).(runningTimer).token})
+				l.handle(policy.TimerFired{Token: heap.Pop(&l.timers).(runningTimer).token})
 			}
 		}
 	}
 }
 
 // handle gives the module an event and does what it asks for. What that brings about at once comes after it.
-func (l *loop) handle(e decide.Event) {
+func (l *loop) handle(e policy.Event) {
 	l.queue = append(l.queue, e)
 	if l.handling {
 		return
@@ -127,51 +127,51 @@
 	l.handling, l.queue = false, nil
 }
 
-func (l *loop) do(a decide.Action) {
+func (l *loop) do(a policy.Action) {
 	switch a := a.(type) {
-	case decide.Send:
+	case policy.Send:
 		l.send(a)
-	case decide.Refuse:
+	case policy.Refuse:
 		l.finish(a.ID, answer{status: http.StatusServiceUnavailable, holdOff: a.HoldOff})
-	case decide.Fail:
+	case policy.Fail:
 		l.finish(a.ID, answer{status: http.StatusBadGateway})
-	case decide.CancelAttempt:
+	case policy.CancelAttempt:
 		if r := l.requests[a.ID]; r != nil && a.Attempt >= 0 && a.Attempt < len(r.attempts) && r.rules.MayCancel {
 			r.attempts[a.Attempt].cancel()
 		}
-	case decide.SetTimer:
+	case policy.SetTimer:
 		heap.Push(&l.timers, runningTimer{time.Now().Add(a.After), a.Token})
-	case decide.Probe:
+	case policy.Probe:
 		l.probe(a.Server)
-	case decide.SendMessage:
+	case policy.SendMessage:
 		l.peers.send(a.To, a.ToAll, a.Data)
-	case decide.Subscribe:
+	case policy.Subscribe:
 		l.subscribe(a.On)
-	case decide.FetchList:
+	case policy.FetchList:
 		l.work.Go(func() {
 			n, err := l.disco.fetch(l.ctx)
 			l.post(func() { l.fetched(n, err) })
 		})
-	case decide.CloseIdle:
+	case policy.CloseIdle:
 		l.backends.closeIdle(a.Server)
-	case decide.Log:
+	case policy.Log:
 		l.log.Info(a.Line)
 	}
 }
 
 // change takes other settings: those that are open keep theirs.
-func (l *loop) change(s decide.Settings) {
+func (l *loop) change(s policy.Settings) {
 	was := l.rules.Load()
 	s.AskForList, s.Fleet = was.AskForList, was.Fleet // who follows the list, and the fleet, is settled at the start
 	l.settled = time.Now()
 	l.backends.configure(s)
-	l.handle(decide.SettingsChanged{Settings: s})
+	l.handle(policy.SettingsChanged{Settings: s})
 	l.rules.Store(newRules(s))
 }
 
 // heard takes a datagram from another node.
 func (l *loop) heard(from int, data []byte) {
-	l.post(func() { l.handle(decide.MessageReceived{From: from, Data: data}) })
+	l.post(func() { l.handle(policy.MessageReceived{From: from, Data: data}) })
 }
 
 // runningTimer is a SetTimer that is running.
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -9,7 +9,7 @@
 	"sync"
 	"time"
 
-	"starlingvalve/decide"
+	"meadowsill/policy"
 )
 
 const (
@@ -226,7 +226,7 @@
 }
 
 // drainTimes gives how long after SIGTERM a request may be unanswered, and how long an answer may take that has begun.
-func drainTimes(classes []decide.Class) (unanswered, last time.Duration) {
+func drainTimes(classes []policy.Class) (unanswered, last time.Duration) {
 	var longest time.Duration
 	for _, c := range classes {
 		longest = max(longest, c.Deadline)
--- a/internal/node/settings.go
+++ b/internal/node/settings.go
@@ -7,17 +7,17 @@
 	"slices"
 	"strings"
 
-	"starlingvalve/decide"
+	"meadowsill/policy"
 )
 
 // rules are the settings as requests come under them. A request keeps those it came under.
 type rules struct {
-	decide.Settings
-	classes map[string]decide.Class
+	policy.Settings
+	classes map[string]policy.Class
 }
 
-func newRules(s decide.Settings) *rules {
-	r := &rules{s, map[string]decide.Class{}}
+func newRules(s policy.Settings) *rules {
+	r := &rules{s, map[string]policy.Class{}}
 	for _, c := range s.Classes {
 		r.classes[c.Name] = c
 	}
@@ -76,7 +76,7 @@
 }
 
 // sensible reports what a node could not run with.
-func sensible(s decide.Settings) error {
+func sensible(s policy.Settings) error {
 	if len(s.Classes) == 0 {
 		return errors.New("classes are missing")
 	}
@@ -87,7 +87,7 @@
 		return errors.New("caps.max_attempts is not positive")
 	}
 	for i, c := range s.Classes {
-		if c.Name == "" || slices.ContainsFunc(s.Classes[:i], func(o decide.Class) bool { return o.Name == c.Name }) {
+		if c.Name == "" || slices.ContainsFunc(s.Classes[:i], func(o policy.Class) bool { return o.Name == c.Name }) {
 			return fmt.Errorf("classes, entry %d: the name %q is empty or another's", i, c.Name)
 		}
 		if c.Deadline <= 0 {
--- a/internal/node/settings_test.go
+++ b/internal/node/settings_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"starlingvalve/decide"
+	"meadowsill/policy"
 )
 
 // wholeText is a configuration with every key that is not optional.
@@ -100,8 +100,8 @@
 	<-came
 	next := settings()
 	next.MaxAttempts = 1
-	next.Classes = []decide.Class{next.Classes[0], {Name: "buy", Worth: 1, Aim: 5 * time.Second, Deadline: 10 * time.Second, Effect: decide.Safe}}
-	next.Classes[0].Effect = decide.Unsafe
+	next.Classes = []policy.Class{next.Classes[0], {Name: "buy", Worth: 1, Aim: 5 * time.Second, Deadline: 10 * time.Second, Effect: policy.Safe}}
+	next.Classes[0].Effect = policy.Unsafe
 	n.reloads <- &Config{Settings: next, Discovery: n.disco}
 	for end := time.Now().Add(patient); ; {
 		hold("GET", "buy")
@@ -165,9 +165,9 @@
 	l := newLoop(t.Context(), c, newBackends(c, 10, quiet), nil, nil, quiet)
 	old := l.rules.Load()
 	changed := settings()
-	changed.Classes[0].Effect = decide.Unsafe
+	changed.Classes[0].Effect = policy.Unsafe
 	l.change(changed)
-	r := &request{arrived: decide.RequestArrived{ID: "a", Class: "read"}, class: old.classes["read"], rules: old,
+	r := &request{arrived: policy.RequestArrived{ID: "a", Class: "read"}, class: old.classes["read"], rules: old,
 		deadline: time.Now().Add(patient), answer: make(chan answer, 1), life: t.Context()}
 	l.arrive(r)
 	if a := <-r.answer; a.status != http.StatusServiceUnavailable || len(l.requests) > 0 {
--- a/internal/node/shut_test.go
+++ b/internal/node/shut_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"starlingvalve/decide"
+	"meadowsill/policy"
 )
 
 // What the kernel has accepted and the node has not, for want of a place, is not reset as the listener closes. It is
@@ -115,7 +115,7 @@
 // A request is answered by the time at which SIGKILL may come, and one with a deadline of 3 s at most by its own.
 func TestDrainTimes(t *testing.T) {
 	for _, longest := range []time.Duration{100 * time.Millisecond, 3 * time.Second, 10 * time.Second} {
-		unanswered, last := drainTimes([]decide.Class{{Deadline: time.Millisecond}, {Deadline: longest}})
+		unanswered, last := drainTimes([]policy.Class{{Deadline: time.Millisecond}, {Deadline: longest}})
 		kill := min(longest, 3*time.Second) + 700*time.Millisecond
 		if unanswered >= kill || unanswered > last || last < longest {
 			t.Errorf("deadline %v: unanswered until %v, SIGKILL at %v, the end at %v", longest, unanswered, kill, last)
--- a/internal/node/writing.go
+++ b/internal/node/writing.go
@@ -9,7 +9,7 @@
 	"syscall"
 	"time"
 
-	"starlingvalve/decide"
+	"meadowsill/policy"
 )
 
 // How a request is written to a backend. Until the kernel has its last byte an attempt has not run, and may be let go
@@ -155,9 +155,9 @@
 func (w *requestWriter) unsent(err error) result {
 	switch {
 	case errors.Is(err, errOver), errors.Is(err, errWindow):
-		return result{code: decide.Moot, err: err}
+		return result{code: policy.Moot, err: err}
 	case w.ctx.Err() != nil && errors.Is(err, w.ctx.Err()):
-		return result{code: decide.Cancelled, err: err}
+		return result{code: policy.Cancelled, err: err}
 	}
-	return result{code: decide.ConnectFailed, err: err}
+	return result{code: policy.ConnectFailed, err: err}
 }
--- a/internal/node/writing_test.go
+++ b/internal/node/writing_test.go
@@ -13,7 +13,7 @@
 	"testing"
 	"time"
 
-	"starlingvalve/decide"
+	"meadowsill/policy"
 )
 
 // stalling dials a backend with so little room on the way that a body of bodyLimit does not fit into it, and reports when
@@ -88,12 +88,12 @@
 	for name, c := range map[string]struct {
 		change func(*exchange)
 		end    func(life, ctx context.CancelFunc)
-		want   decide.OutcomeCode
+		want   policy.OutcomeCode
 	}{
-		"the client goes": {nil, func(life, _ context.CancelFunc) { life() }, decide.Moot},
-		"called off":      {nil, func(_, ctx context.CancelFunc) { ctx() }, decide.Cancelled},
-		"the window ends": {func(x *exchange) { x.writeBy = time.Now().Add(100 * time.Millisecond) }, nil, decide.Moot},
-		"the time is up":  {func(x *exchange) { x.deadline = time.Now().Add(100 * time.Millisecond) }, nil, decide.ConnectFailed},
+		"the client goes": {nil, func(life, _ context.CancelFunc) { life() }, policy.Moot},
+		"called off":      {nil, func(_, ctx context.CancelFunc) { ctx() }, policy.Cancelled},
+		"the window ends": {func(x *exchange) { x.writeBy = time.Now().Add(100 * time.Millisecond) }, nil, policy.Moot},
+		"the time is up":  {func(x *exchange) { x.deadline = time.Now().Add(100 * time.Millisecond) }, nil, policy.ConnectFailed},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -117,7 +117,7 @@
 				c.end(gone, off)
 			}
 			r := <-got
-			if c.want != decide.ConnectFailed && time.Now().After(x.deadline) {
+			if c.want != policy.ConnectFailed && time.Now().After(x.deadline) {
 				t.Error("it waited until its time was up")
 			}
 			close(may)
@@ -175,7 +175,7 @@
 
 func asked(l *loop, class string) (r *request, gone context.CancelFunc) {
 	rules := l.rules.Load()
-	r = &request{arrived: decide.RequestArrived{ID: "q", Class: class}, deadline: time.Now().Add(patient / 2), method: "POST",
+	r = &request{arrived: policy.RequestArrived{ID: "q", Class: class}, deadline: time.Now().Add(patient / 2), method: "POST",
 		class: rules.classes[class], rules: rules, url: &url.URL{Path: "/" + class, Host: "h"}, answer: make(chan answer, 1)}
 	client, gone := context.WithCancel(context.Background())
 	r.life, r.end = context.WithCancel(client)
@@ -212,11 +212,11 @@
 		"the client goes":   func(_ *loop, _ *request, gone context.CancelFunc) { gone() },
 		"the loop hears it": func(l *loop, r *request, gone context.CancelFunc) { gone(); in(l, func() { l.abandon(r) }) },
 		"refused": func(l *loop, r *request, _ context.CancelFunc) {
-			in(l, func() { l.do(decide.Refuse{ID: "q"}) })
+			in(l, func() { l.do(policy.Refuse{ID: "q"}) })
 			<-r.answer
 		},
 		"failed": func(l *loop, r *request, _ context.CancelFunc) {
-			in(l, func() { l.do(decide.Fail{ID: "q"}) })
+			in(l, func() { l.do(policy.Fail{ID: "q"}) })
 			<-r.answer
 		},
 		"given up on":           func(l *loop, r *request, _ context.CancelFunc) { in(l, func() { l.abandon(r) }) },
@@ -259,7 +259,7 @@
 	go func() { got <- b.do(t.Context(), b.find(1), x) }()
 	<-dialed
 	gone()
-	if r := <-got; r.code != decide.Moot || b.open != 0 {
+	if r := <-got; r.code != policy.Moot || b.open != 0 {
 		t.Errorf("outcome %v (%v), %d connections", r.code, r.err, b.open)
 	}
 }
@@ -312,7 +312,7 @@
 	b.mu.Unlock()
 	<-over
 	<-got // it was written before
-	if r := <-res; r.code != decide.OK {
+	if r := <-res; r.code != policy.OK {
 		t.Errorf("outcome %v (%v)", r.code, r.err)
 	}
 }
@@ -333,11 +333,11 @@
 	t.Parallel()
 	for name, c := range map[string]struct {
 		end  func(x *exchange, gone context.CancelFunc)
-		want decide.OutcomeCode
+		want policy.OutcomeCode
 	}{
-		"the client goes":  {func(_ *exchange, gone context.CancelFunc) { gone() }, decide.Moot},
-		"the window ends":  {func(x *exchange, _ context.CancelFunc) { x.writeBy = time.Now() }, decide.Moot},
-		"its time is over": {func(x *exchange, _ context.CancelFunc) { x.upload.patience = 0 }, decide.ConnectFailed},
+		"the client goes":  {func(_ *exchange, gone context.CancelFunc) { gone() }, policy.Moot},
+		"the window ends":  {func(x *exchange, _ context.CancelFunc) { x.writeBy = time.Now() }, policy.Moot},
+		"its time is over": {func(x *exchange, _ context.CancelFunc) { x.upload.patience = 0 }, policy.ConnectFailed},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
--- a/internal/registry/agent/agent.go
+++ b/internal/registry/agent/agent.go
@@ -1,4 +1,4 @@
-// Package agent is the node-side agent of PROTOCOL's "Discovery": it watches listd's replicas, fails over
+// Package agent is the node-side agent of PROTOCOL's "Discovery": it watches discovery's replicas, fails over
 // between them with backoff and jitter, resumes from its last revision, and serves the node on loopback with
 // what it has. A failed, stale or bad answer never empties or rolls back its list: the answer is dropped, the
 // list kept, and X-List-Age-Ms tells how long since a replica last answered well.
@@ -17,7 +17,7 @@
 	"sync"
 	"time"
 
-	"starlingvalve/internal/registry"
+	"meadowsill/internal/registry"
 )
 
 // A watch waits so long at a replica, and is given so much more to answer in: a replica that falls silent is left after
--- a/internal/registry/golden_test.go
+++ b/internal/registry/golden_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"starlingvalve/internal/golden"
+	"meadowsill/internal/golden"
 )
 
 // Commands of the replicated log, the state as snapshots hold it, and the answer to a read.
--- a/internal/registry/linear/linear.go
+++ b/internal/registry/linearizability/linearizability.go
@@ -1,8 +1,8 @@
-// Package linear checks recorded histories of listd's clients for linearizability with porcupine: registrations
+// Package linearizability checks recorded histories of discovery's clients for linearizability with porcupine: registrations
 // and consistent reads (GET /registry/instances?consistent=1) must look as if each took effect at one instant
 // between its call and its return. The list is checked id by id: a registration sets an id, a read says whether
 // it held it.
-package linear
+package linearizability
 
 import (
 	"math"
--- a/internal/registry/linear/linear_test.go
+++ b/internal/registry/linearizability/linearizability_test.go
@@ -1,4 +1,4 @@
-package linear
+package linearizability
 
 import (
 	"testing"
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -1,4 +1,4 @@
-// Package registry is the core of listd, the project's discovery service: the list of app servers under one
+// Package registry is the core of discovery, the project's discovery service: the list of app servers under one
 // revision, leases that lapse, and the answers to PROTOCOL's reads and watches. It does no I/O and reads no
 // clock: every command carries the time it is applied at, chosen once by the leader, so that every replica that
 // applies the same log holds the same list. It is the state machine that package raft replicates.
@@ -13,7 +13,7 @@
 	"slices"
 	"time"
 
-	"starlingvalve/internal/registry/index"
+	"meadowsill/internal/registry/index"
 )
 
 // Entry is one app server as PROTOCOL's "Discovery" gives it.
--- a/internal/registry/replica/fleetapi.go
+++ b/internal/registry/replica/fleetapi.go
@@ -10,10 +10,10 @@
 
 	"github.com/hashicorp/raft"
 
-	"starlingvalve/internal/fleet"
-	"starlingvalve/internal/fleet/control"
-	"starlingvalve/internal/fleet/tenants"
-	"starlingvalve/internal/fleet/zones"
+	"meadowsill/internal/fleet"
+	"meadowsill/internal/fleet/control"
+	"meadowsill/internal/fleet/tenants"
+	"meadowsill/internal/fleet/zones"
 )
 
 // stale answers 503 where this replica can't vouch for what it has.
--- a/internal/registry/replica/fleetdifference.go
+++ b/internal/registry/replica/fleetdifference.go
@@ -5,8 +5,8 @@
 
 	"github.com/hashicorp/raft"
 
-	"starlingvalve/internal/fleet"
-	"starlingvalve/internal/fleet/reportdiff"
+	"meadowsill/internal/fleet"
+	"meadowsill/internal/fleet/reportdelta"
 )
 
 // difference takes a node's report as what changed since one that this leader acknowledged. Where the whole report can't be made
@@ -20,15 +20,15 @@
 	if !ok {
 		return
 	}
-	d, err := reportdiff.Decode(raw)
+	d, err := reportdelta.Decode(raw)
 	if err != nil {
-		l.m.differencesRefused.WithLabelValues(reportdiff.Reason(err)).Inc()
+		l.m.differencesRefused.WithLabelValues(reportdelta.Reason(err)).Inc()
 		l.refuse(w, "difference", err)
 		return
 	}
 	rep, err := l.wholeReport(d)
 	if err != nil {
-		l.m.differencesRefused.WithLabelValues(reportdiff.Reason(err)).Inc()
+		l.m.differencesRefused.WithLabelValues(reportdelta.Reason(err)).Inc()
 		l.rep.cfg.Log.Debug("difference not taken", "node", d.Head.Node, "incarnation", d.Head.Incarnation, "err", err)
 		show(w, fleet.ReportAnswer{Whole: true})
 		return
@@ -38,12 +38,12 @@
 }
 
 // wholeReport makes the whole report again. Bases are never changed in place, so the work is done without the lock.
-func (l *leadership) wholeReport(d reportdiff.Difference) (fleet.Report, error) {
+func (l *leadership) wholeReport(d reportdelta.Difference) (fleet.Report, error) {
 	l.mu.Lock()
 	base, err := l.bases.Find(&d)
 	l.mu.Unlock()
 	if err != nil {
 		return fleet.Report{}, err
 	}
-	return reportdiff.Apply(base, d)
+	return reportdelta.Apply(base, d)
 }
--- a/internal/registry/replica/fleetdrift.go
+++ b/internal/registry/replica/fleetdrift.go
@@ -6,9 +6,9 @@
 
 	"github.com/hashicorp/raft"
 
-	"starlingvalve/internal/fleet/control"
-	"starlingvalve/internal/fleet/drift"
-	"starlingvalve/internal/registry"
+	"meadowsill/internal/fleet/control"
+	"meadowsill/internal/fleet/drift"
+	"meadowsill/internal/registry"
 )
 
 // logShown is how many of the newest entries of the log of repairs an answer has.
--- a/internal/registry/replica/fleetmetrics.go
+++ b/internal/registry/replica/fleetmetrics.go
@@ -9,7 +9,7 @@
 	"github.com/prometheus/client_golang/prometheus"
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 
-	"starlingvalve/internal/fleet/drift"
+	"meadowsill/internal/fleet/drift"
 )
 
 // fleetMetrics are what GET /metrics of a replica with a fleet shows.
--- a/internal/registry/replica/fleetreport.go
+++ b/internal/registry/replica/fleetreport.go
@@ -9,12 +9,12 @@
 
 	"github.com/hashicorp/raft"
 
-	"starlingvalve/internal/fleet"
-	"starlingvalve/internal/fleet/control"
-	"starlingvalve/internal/fleet/reportdiff"
-	"starlingvalve/internal/fleet/session"
-	"starlingvalve/internal/fleet/tenants"
-	"starlingvalve/internal/fleet/zones"
+	"meadowsill/internal/fleet"
+	"meadowsill/internal/fleet/control"
+	"meadowsill/internal/fleet/reportdelta"
+	"meadowsill/internal/fleet/session"
+	"meadowsill/internal/fleet/tenants"
+	"meadowsill/internal/fleet/zones"
 )
 
 // body reads a request's body up to limit. A longer one is refused whole, counted, and said at a bounded rate.
@@ -69,7 +69,7 @@
 		return
 	}
 	l.m.kinds.WithLabelValues("whole").Inc()
-	l.serveReport(w, reportdiff.Normalize(rep), 0)
+	l.serveReport(w, reportdelta.Normalize(rep), 0)
 }
 
 // serveReport answers a report, which followed the report baseSeq (0: it came whole): it joins the run where it is not present
--- a/internal/registry/replica/fsm.go
+++ b/internal/registry/replica/fsm.go
@@ -9,10 +9,10 @@
 
 	"github.com/hashicorp/raft"
 
-	"starlingvalve/internal/fleet"
-	"starlingvalve/internal/fleet/control"
-	"starlingvalve/internal/fleet/drift"
-	"starlingvalve/internal/registry"
+	"meadowsill/internal/fleet"
+	"meadowsill/internal/fleet/control"
+	"meadowsill/internal/fleet/drift"
+	"meadowsill/internal/registry"
 )
 
 // fsm is the state machine that raft feeds: the list and the fleet, under the list's revision. Every replica applies the
--- a/internal/registry/replica/golden_test.go
+++ b/internal/registry/replica/golden_test.go
@@ -10,7 +10,7 @@
 
 	"github.com/prometheus/client_golang/prometheus"
 
-	"starlingvalve/internal/golden"
+	"meadowsill/internal/golden"
 )
 
 // Bodies of the HTTP API.
--- a/internal/registry/replica/intent.go
+++ b/internal/registry/replica/intent.go
@@ -8,9 +8,9 @@
 	"strconv"
 	"time"
 
-	"starlingvalve/internal/fleet"
-	"starlingvalve/internal/fleet/control"
-	"starlingvalve/internal/registry"
+	"meadowsill/internal/fleet"
+	"meadowsill/internal/fleet/control"
+	"meadowsill/internal/registry"
 )
 
 // intentWatch is the query of GET /fleet/v1/intent: a watch, and the scope that it hears.
--- a/internal/registry/replica/leadership.go
+++ b/internal/registry/replica/leadership.go
@@ -9,17 +9,17 @@
 
 	"github.com/hashicorp/raft"
 
-	"starlingvalve/internal/fleet"
-	"starlingvalve/internal/fleet/control"
-	"starlingvalve/internal/fleet/drift"
-	"starlingvalve/internal/fleet/reportdiff"
-	"starlingvalve/internal/registry"
+	"meadowsill/internal/fleet"
+	"meadowsill/internal/fleet/control"
+	"meadowsill/internal/fleet/drift"
+	"meadowsill/internal/fleet/reportdelta"
+	"meadowsill/internal/registry"
 )
 
 // stepEvery is how often the leader judges.
 const stepEvery = 100 * time.Millisecond
 
-// leadership is a replica's fleet half (listd serve --fleet): while it leads, a judge that decides, and the fleet's paths.
+// leadership is a replica's fleet half (discovery serve --fleet): while it leads, a judge that decides, and the fleet's paths.
 type leadership struct {
 	rep   *Replica
 	set   control.Settings
@@ -27,10 +27,10 @@
 	zero  time.Time // of the leader's clock
 	quiet quiet     // of complaints on bad bodies
 
-	mu    sync.Mutex       // taken before the fsm's
-	judge *control.Judge   // nil: this replica does not lead
-	term  uint64           // that the judge is of
-	bases reportdiff.Bases // of differences; forgotten with the judge
+	mu    sync.Mutex        // taken before the fsm's
+	judge *control.Judge    // nil: this replica does not lead
+	term  uint64            // that the judge is of
+	bases reportdelta.Bases // of differences; forgotten with the judge
 	// of drift's log of repairs: the last entry that was logged; and when nodes were last counted
 	logged  uint64
 	counted fleet.Time
@@ -102,7 +102,7 @@
 	l.rep.fsm.mu.Lock()
 	l.judge, l.term, l.logged = control.NewJudge(l.set, l.now(), l.rep.fsm.fleet), term, 0
 	l.rep.fsm.mu.Unlock()
-	l.bases = reportdiff.Bases{}
+	l.bases = reportdelta.Bases{}
 	l.m.leading.Set(1)
 	l.rep.cfg.Log.Info("leadership begins", "term", term)
 	return true
@@ -113,7 +113,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.judge != nil {
-		l.judge, l.bases = nil, reportdiff.Bases{}
+		l.judge, l.bases = nil, reportdelta.Bases{}
 		l.m.leading.Set(0)
 		l.rep.cfg.Log.Info("leadership ends", "term", l.term, "reason", why)
 	}
--- a/internal/registry/replica/list.go
+++ b/internal/registry/replica/list.go
@@ -11,7 +11,7 @@
 
 	"github.com/hashicorp/raft"
 
-	"starlingvalve/internal/registry"
+	"meadowsill/internal/registry"
 )
 
 // fresh says how long since this replica heard from a leader, and whether that is within the bound and the
--- a/internal/registry/replica/replica.go
+++ b/internal/registry/replica/replica.go
@@ -1,4 +1,4 @@
-// Package replica is listd's I/O shell round package registry: a replica of the list, replicated by
+// Package replica is discovery's I/O shell round package registry: a replica of the list, replicated by
 // hashicorp/raft with its log and stable store in BoltDB and snapshots on disk, serving PROTOCOL's reads and
 // watches and the registration API of docs/discovery.md over HTTP.
 //
@@ -22,8 +22,8 @@
 	"github.com/hashicorp/raft"
 	raftboltdb "github.com/hashicorp/raft-boltdb"
 
-	"starlingvalve/internal/fleet/control"
-	"starlingvalve/internal/registry"
+	"meadowsill/internal/fleet/control"
+	"meadowsill/internal/registry"
 )
 
 // Config places a replica.
@@ -40,7 +40,7 @@
 	Fleet     *control.Settings // nil: no fleet, and its paths answer 404
 }
 
-// Replica is one running listd replica.
+// Replica is one running discovery replica.
 type Replica struct {
 	cfg   Config
 	fsm   *fsm
--- a/internal/registry/replica/replica_test.go
+++ b/internal/registry/replica/replica_test.go
@@ -13,11 +13,11 @@
 	"github.com/google/go-cmp/cmp"
 	"github.com/hashicorp/raft"
 
-	"starlingvalve/internal/fleet"
-	"starlingvalve/internal/fleet/control"
-	"starlingvalve/internal/fleet/session"
-	"starlingvalve/internal/fleet/tenants"
-	"starlingvalve/internal/registry"
+	"meadowsill/internal/fleet"
+	"meadowsill/internal/fleet/control"
+	"meadowsill/internal/fleet/session"
+	"meadowsill/internal/fleet/tenants"
+	"meadowsill/internal/registry"
 )
 
 func log(c control.Command) *raft.Log { return &raft.Log{Data: fleetCommand(c)} }
--- a/internal/registry/replica/watchers.go
+++ b/internal/registry/replica/watchers.go
@@ -3,7 +3,7 @@
 import (
 	"sync"
 
-	"starlingvalve/internal/registry/index"
+	"meadowsill/internal/registry/index"
 )
 
 // watchers are the calls that wait for a change of the intent, by the scopes that they hear. A change costs those that it
--- a/internal/registry/replica/watchers_test.go
+++ b/internal/registry/replica/watchers_test.go
@@ -17,10 +17,10 @@
 	"github.com/google/go-cmp/cmp"
 	"github.com/hashicorp/raft"
 
-	"starlingvalve/internal/fleet"
-	"starlingvalve/internal/fleet/control"
-	"starlingvalve/internal/fleet/tenants"
-	"starlingvalve/internal/registry"
+	"meadowsill/internal/fleet"
+	"meadowsill/internal/fleet/control"
+	"meadowsill/internal/fleet/tenants"
+	"meadowsill/internal/registry"
 )
 
 // longWait is a watch's wait that no test waits for the end of.
--- a/internal/registry/view.go
+++ b/internal/registry/view.go
@@ -5,7 +5,7 @@
 	"slices"
 	"strings"
 
-	"starlingvalve/internal/registry/index"
+	"meadowsill/internal/registry/index"
 )
 
 // Answer is PROTOCOL's body of a read or a watch.
--- a/internal/scale/bounds.go
+++ b/internal/scale/bounds.go
@@ -3,7 +3,7 @@
 import (
 	"fmt"
 
-	"starlingvalve/internal/lab/bounds"
+	"meadowsill/internal/lab/bounds"
 )
 
 // What the parts of a run take, as measured on this build with some room (docs/scale.md, "Bounds"). They serve to refuse
--- a/internal/scale/bounds_test.go
+++ b/internal/scale/bounds_test.go
@@ -4,7 +4,7 @@
 	"strings"
 	"testing"
 
-	"starlingvalve/internal/lab/bounds"
+	"meadowsill/internal/lab/bounds"
 )
 
 func planOf(t *testing.T, text string) *Plan {
--- a/internal/scale/calibrate/calibrate.go
+++ b/internal/scale/calibrate/calibrate.go
@@ -1,4 +1,4 @@
-// Package calibrate compares hollow nodes (package hollow) with real ones: real node processes with a real listd agent process
+// Package calibrate compares hollow nodes (package hollow) with real ones: real node processes with a real discovery agent process
 // each, and real requests, on the same schedule beside the same kind of replicas (docs/scale.md, "Calibration").
 package calibrate
 
@@ -13,10 +13,10 @@
 	"strings"
 	"time"
 
-	"starlingvalve/internal/fleet"
-	"starlingvalve/internal/lab/listdlab"
-	"starlingvalve/internal/lab/simulated"
-	"starlingvalve/internal/scale/hollow"
+	"meadowsill/internal/fleet"
+	"meadowsill/internal/lab/discoverylab"
+	"meadowsill/internal/lab/simulated"
+	"meadowsill/internal/scale/hollow"
 )
 
 // Plan is what both kinds of nodes go through.
@@ -30,7 +30,7 @@
 }
 
 // Binaries are the programs that are run.
-type Binaries struct{ Fleetlab, Listd, Node string }
+type Binaries struct{ Fleetlab, Discovery, Node string }
 
 // Rates is what was counted in a window.
 type Rates struct {
@@ -105,7 +105,7 @@
 	if err := os.WriteFile(settings, fmt.Appendf(nil, "slots = %d\n", plan.Nodes), 0o644); err != nil {
 		return Figures{}, err
 	}
-	cluster, err := listdlab.Start(bin.Listd, dir, replicas, "--fleet", settings)
+	cluster, err := discoverylab.Start(bin.Discovery, dir, replicas, "--fleet", settings)
 	if err != nil {
 		return Figures{}, err
 	}
@@ -164,7 +164,7 @@
 	ctx     context.Context
 	plan    Plan
 	log     *slog.Logger
-	cluster *listdlab.Cluster
+	cluster *discoverylab.Cluster
 	servers *hollow.Process
 	nodes   nodes
 	next    []uint64 // by tenant: the generation that its next PUT names
@@ -281,7 +281,7 @@
 
 func (r *run) replicasCPU() (total time.Duration) {
 	for i := range replicas {
-		total += listdlab.CPUTime(r.cluster.Pid(i))
+		total += discoverylab.CPUTime(r.cluster.Pid(i))
 	}
 	return total
 }
--- a/internal/scale/calibrate/calibrate_test.go
+++ b/internal/scale/calibrate/calibrate_test.go
@@ -8,19 +8,19 @@
 	"testing"
 	"time"
 
-	"starlingvalve/internal/scale/calibrate"
-	"starlingvalve/internal/scale/hollow"
+	"meadowsill/internal/scale/calibrate"
+	"meadowsill/internal/scale/hollow"
 )
 
 // Both kinds go through the schedule, and each call that nodes make is counted for both.
 func TestMeasure(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
-	build := exec.Command("go", "build", "-o", dir+"/", "starlingvalve/cmd/fleetlab", "starlingvalve/cmd/listd", "starlingvalve/cmd/starlingvalve")
+	build := exec.Command("go", "build", "-o", dir+"/", "meadowsill/cmd/fleetlab", "meadowsill/cmd/discovery", "meadowsill/cmd/balancer")
 	if out, err := build.CombinedOutput(); err != nil {
 		t.Fatalf("build: %v\n%s", err, out)
 	}
-	bin := calibrate.Binaries{Fleetlab: filepath.Join(dir, "fleetlab"), Listd: filepath.Join(dir, "listd"), Node: filepath.Join(dir, "starlingvalve")}
+	bin := calibrate.Binaries{Fleetlab: filepath.Join(dir, "fleetlab"), Discovery: filepath.Join(dir, "discovery"), Node: filepath.Join(dir, "balancer")}
 	plan := calibrate.Plan{Nodes: 2, Servers: 3, Tenants: 1, RequestsPerS: 5, For: 2 * time.Second, Seed: 1}
 	for _, kind := range []string{calibrate.Real, calibrate.Hollow} {
 		figures, err := calibrate.Measure(t.Context(), kind, bin, filepath.Join(dir, kind), plan, slog.New(slog.DiscardHandler))
--- a/internal/scale/calibrate/changes.go
+++ b/internal/scale/calibrate/changes.go
@@ -5,7 +5,7 @@
 	"sync"
 	"time"
 
-	"starlingvalve/internal/lab/listdlab"
+	"meadowsill/internal/lab/discoverylab"
 )
 
 // changes are those of the second window: a tenant's next generation at every turn, and a server replaced at every second one.
@@ -62,6 +62,6 @@
 func (c *changes) finish(rates *Rates) error {
 	c.open.Wait()
 	rates.Changes, rates.Skipped, rates.Replaced = len(c.took), c.skipped, c.replaced
-	rates.InForceP50MS, rates.InForceMaxMS = ms(listdlab.Quantile(c.took, 0.5)), ms(listdlab.Quantile(c.took, 1))
+	rates.InForceP50MS, rates.InForceMaxMS = ms(discoverylab.Quantile(c.took, 0.5)), ms(discoverylab.Quantile(c.took, 1))
 	return c.err
 }
--- a/internal/scale/calibrate/kinds.go
+++ b/internal/scale/calibrate/kinds.go
@@ -20,10 +20,10 @@
 	"syscall"
 	"time"
 
-	"starlingvalve/internal/lab"
-	"starlingvalve/internal/lab/listdlab"
-	"starlingvalve/internal/lab/simulated"
-	"starlingvalve/internal/scale/hollow"
+	"meadowsill/internal/lab"
+	"meadowsill/internal/lab/discoverylab"
+	"meadowsill/internal/lab/simulated"
+	"meadowsill/internal/scale/hollow"
 )
 
 // settled says whether the leader has a tenant's rollout at its end.
@@ -132,7 +132,7 @@
 	p := pair{agentAddr: fmt.Sprintf("127.7.%d.%d:9100", network, i+1), nodeListen: fmt.Sprintf("127.8.%d.%d:8080", network, i+1)}
 	var err error
 	args := append([]string{"agent", "--node", name, "--zone", zone, "--dir", data, "--listen", p.agentAddr}, routes...)
-	if p.agent, err = startLogged(ctx, filepath.Join(data, "agent.log"), nil, bin.Listd, args...); err != nil {
+	if p.agent, err = startLogged(ctx, filepath.Join(data, "agent.log"), nil, bin.Discovery, args...); err != nil {
 		return err
 	}
 	n.pairs = append(n.pairs, p)
@@ -246,8 +246,8 @@
 func (n *realNodes) counted() (counts, error) {
 	c := counts{calls: n.meter.Traffic(), reportBytes: n.meter.ReportBytes()}
 	for _, p := range n.pairs {
-		c.cpu += listdlab.CPUTime(p.agent.Process.Pid)
-		c.rss += uint64(listdlab.RSS(p.agent.Process.Pid)) << 10
+		c.cpu += discoverylab.CPUTime(p.agent.Process.Pid)
+		c.rss += uint64(discoverylab.RSS(p.agent.Process.Pid)) << 10
 	}
 	return c, nil
 }
--- a/internal/scale/change.go
+++ b/internal/scale/change.go
@@ -10,8 +10,8 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"starlingvalve/internal/fleet"
-	"starlingvalve/internal/scale/hollow"
+	"meadowsill/internal/fleet"
+	"meadowsill/internal/scale/hollow"
 )
 
 // A change is waited for on every node for changeWait at most. A process is asked in calls of changeLook, so that others get
--- a/internal/scale/cores_test.go
+++ b/internal/scale/cores_test.go
@@ -7,11 +7,11 @@
 	"testing"
 	"time"
 
-	"starlingvalve/internal/fleet"
-	"starlingvalve/internal/fleet/control"
-	"starlingvalve/internal/fleet/tenants"
-	"starlingvalve/internal/registry"
-	"starlingvalve/internal/scale/hollow"
+	"meadowsill/internal/fleet"
+	"meadowsill/internal/fleet/control"
+	"meadowsill/internal/fleet/tenants"
+	"meadowsill/internal/registry"
+	"meadowsill/internal/scale/hollow"
 )
 
 // coreSizes are those that the pure cores are measured at: of servers, or of tenants.
--- a/internal/scale/doubles_test.go
+++ b/internal/scale/doubles_test.go
@@ -10,9 +10,9 @@
 	"testing"
 	"time"
 
-	"starlingvalve/internal/fleet"
-	"starlingvalve/internal/lab/bounds"
-	"starlingvalve/internal/scale/hollow"
+	"meadowsill/internal/fleet"
+	"meadowsill/internal/lab/bounds"
+	"meadowsill/internal/scale/hollow"
 )
 
 // world is a double of a fleet: replicas and hollow processes that cost what a test says, without any process.
--- a/internal/scale/fleetrun.go
+++ b/internal/scale/fleetrun.go
@@ -11,7 +11,7 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"starlingvalve/internal/scale/hollow"
+	"meadowsill/internal/scale/hollow"
 )
 
 // fleetRun is the processes of one repeat: replicas, hollow nodes and hollow app servers.
--- a/internal/scale/hollow/api.go
+++ b/internal/scale/hollow/api.go
@@ -2,7 +2,7 @@
 // (docs/CAPACITY.md). A hollow node is the real agent (internal/fleet/agent, internal/registry/agent) with the real
 // decide module behind it, making real reports, but taking no client requests: its traffic comes from a seeded model.
 // A hollow app server is a registrant that holds its lease. Both speak the real calls over real loopback TCP to real
-// listd processes.
+// discovery processes.
 //
 // The process is a child of the scale runner. It reads its Config as the first line (JSON) of its standard input, then one
 // Request a line, and writes one Reply a line to its standard output, in order: to the Config too. It ends when its standard
@@ -13,7 +13,7 @@
 
 // Config is what one hollow process runs. It is the child's first line of input, before any Request.
 type Config struct {
-	Replicas      []string `json:"replicas"`       // HTTP addresses of the listd processes
+	Replicas      []string `json:"replicas"`       // HTTP addresses of the discovery processes
 	FirstNode     int      `json:"first_node"`     // nodes are named h00000 on, by number
 	Nodes         int      `json:"nodes"`          // hollow nodes
 	FirstServer   int      `json:"first_server"`   // servers are named s-00000000 on, by number
--- a/internal/scale/hollow/config.go
+++ b/internal/scale/hollow/config.go
@@ -10,8 +10,8 @@
 	"net"
 	"slices"
 
-	"starlingvalve/internal/fleet"
-	"starlingvalve/internal/registry"
+	"meadowsill/internal/fleet"
+	"meadowsill/internal/registry"
 )
 
 // Bounds of a Config.
--- a/internal/scale/hollow/hollow_test.go
+++ b/internal/scale/hollow/hollow_test.go
@@ -18,10 +18,10 @@
 	"testing"
 	"time"
 
-	"starlingvalve/internal/fleet"
-	"starlingvalve/internal/lab/listdlab"
-	"starlingvalve/internal/lab/simulated"
-	"starlingvalve/internal/scale/hollow"
+	"meadowsill/internal/fleet"
+	"meadowsill/internal/lab/discoverylab"
+	"meadowsill/internal/lab/simulated"
+	"meadowsill/internal/scale/hollow"
 )
 
 const (
@@ -46,7 +46,7 @@
 // run is three replicas with a hollow process beside them.
 type run struct {
 	t       *testing.T
-	cluster *listdlab.Cluster
+	cluster *discoverylab.Cluster
 	process *hollow.Process
 }
 
@@ -54,7 +54,7 @@
 func startRun(t *testing.T, config hollow.Config) *run {
 	t.Helper()
 	dir := t.TempDir()
-	build := exec.Command("go", "build", "-o", dir+"/", "starlingvalve/cmd/listd")
+	build := exec.Command("go", "build", "-o", dir+"/", "meadowsill/cmd/discovery")
 	if out, err := build.CombinedOutput(); err != nil {
 		t.Fatalf("build: %v\n%s", err, out)
 	}
@@ -62,7 +62,7 @@
 	if err := os.WriteFile(settings, fmt.Appendf(nil, "slots = %d\n", nodes), 0o644); err != nil {
 		t.Fatal(err)
 	}
-	cluster, err := listdlab.Start(filepath.Join(dir, "listd"), dir, 3, "--fleet", settings)
+	cluster, err := discoverylab.Start(filepath.Join(dir, "discovery"), dir, 3, "--fleet", settings)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/scale/hollow/inforce_test.go
+++ b/internal/scale/hollow/inforce_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"starlingvalve/internal/fleet"
+	"meadowsill/internal/fleet"
 )
 
 // What is in force is looked for on the nodes of the tenant's scope that are up, and on no others.
--- a/internal/scale/hollow/intent.go
+++ b/internal/scale/hollow/intent.go
@@ -10,8 +10,8 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"starlingvalve/decide"
-	"starlingvalve/internal/fleet"
+	"meadowsill/internal/fleet"
+	"meadowsill/policy"
 )
 
 // watchIntent follows the agent's intent and has the module know of it.
@@ -58,7 +58,7 @@
 	defer n.mu.Unlock()
 	for _, event := range n.mirror.Events(time.Since(came)) {
 		n.module.tell(event)
-		if tenant, ok := event.(decide.TenantTold); ok {
+		if tenant, ok := event.(policy.TenantTold); ok {
 			n.takeTenant(tenant)
 		}
 	}
@@ -73,7 +73,7 @@
 }
 
 // takeTenant notes by which generation the node now serves a tenant. The caller holds mu.
-func (n *node) takeTenant(tenant decide.TenantTold) {
+func (n *node) takeTenant(tenant policy.TenantTold) {
 	var generation uint64
 	if tenant.Committed != nil && !tenant.Removing && !tenant.Gone {
 		generation = tenant.Committed.Generation
@@ -91,7 +91,7 @@
 func (n *node) sync() {
 	if !n.synced {
 		n.synced = true
-		n.module.tell(decide.FleetSynced{Revision: n.revision})
+		n.module.tell(policy.FleetSynced{Revision: n.revision})
 	}
 }
 
--- a/internal/scale/hollow/list.go
+++ b/internal/scale/hollow/list.go
@@ -7,9 +7,9 @@
 	"net/http"
 	"time"
 
-	"starlingvalve/decide"
-	"starlingvalve/internal/fleet/nodelink"
-	"starlingvalve/internal/registry"
+	"meadowsill/internal/fleet/agentclient"
+	"meadowsill/internal/registry"
+	"meadowsill/policy"
 )
 
 const listPause = 50 * time.Millisecond // after an answer that came at once and was empty, or a call that failed
@@ -44,16 +44,16 @@
 	return list, err
 }
 
-var serverStates = map[string]decide.ServerState{"ready": decide.Ready, "draining": decide.Draining, "gone": decide.Gone}
+var serverStates = map[string]policy.ServerState{"ready": policy.Ready, "draining": policy.Draining, "gone": policy.Gone}
 
 // takeList has the module know of a list or of its changes.
 func (n *node) takeList(list registry.Answer) {
-	update := decide.ListUpdate{Kind: decide.ListChanges, Version: list.Version}
+	update := policy.ListUpdate{Kind: policy.ListChanges, Version: list.Version}
 	if list.Full {
-		update.Kind = decide.ListFull
+		update.Kind = policy.ListFull
 	}
 	for _, entry := range list.Servers {
-		update.Entries = append(update.Entries, decide.Server{ID: nodelink.ServerID(entry.ID), Name: entry.ID, Zone: entry.Zone, Kind: entry.Kind,
+		update.Entries = append(update.Entries, policy.Server{ID: agentclient.ServerID(entry.ID), Name: entry.ID, Zone: entry.Zone, Kind: entry.Kind,
 			Cell: entry.Cell, State: serverStates[entry.State], Size: entry.Weight, StartedAt: time.Duration(entry.StartedMS) * time.Millisecond})
 	}
 	n.mu.Lock()
@@ -62,7 +62,7 @@
 		clear(n.ready)
 	}
 	for _, server := range update.Entries {
-		if server.State == decide.Ready {
+		if server.State == policy.Ready {
 			n.ready[server.ID] = true
 		} else {
 			delete(n.ready, server.ID)
--- a/internal/scale/hollow/module.go
+++ b/internal/scale/hollow/module.go
@@ -6,7 +6,7 @@
 	"strconv"
 	"time"
 
-	"starlingvalve/decide"
+	"meadowsill/policy"
 )
 
 const (
@@ -20,27 +20,27 @@
 )
 
 // settings are those of a hollow node's module: one class of safe requests.
-func settings(cfg *Config, number int) decide.Settings {
-	return decide.Settings{Nodes: max(1, cfg.Nodes), Self: number - cfg.FirstNode, Zone: cfg.nodeZone(number), Zones: cfg.Zones,
+func settings(cfg *Config, number int) policy.Settings {
+	return policy.Settings{Nodes: max(1, cfg.Nodes), Self: number - cfg.FirstNode, Zone: cfg.nodeZone(number), Zones: cfg.Zones,
 		MaxAttempts: maxAttempts, MayCancel: true, MinTick: time.Millisecond, AskWithin: time.Hour, ConnectTimeout: 200 * time.Millisecond,
 		ColdFrom: 0.2, ColdTime: time.Second, OverloadFactor: 1, OverloadTime: time.Second, HoldOffs: true, MaxHoldOff: time.Second,
 		Fleet:   true,
-		Classes: []decide.Class{{Name: requestClass, Worth: 1, Aim: time.Second, Deadline: patience, Effect: decide.Safe}}}
+		Classes: []policy.Class{{Name: requestClass, Worth: 1, Aim: time.Second, Deadline: patience, Effect: policy.Safe}}}
 }
 
-// module drives a decide.Module: it keeps its clock, its timer, and the modelled requests with the servers' answers to them.
+// module drives a policy.Module: it keeps its clock, its timer, and the modelled requests with the servers' answers to them.
 // Its caller holds the node's lock.
 type module struct {
-	*decide.Module
+	*policy.Module
 	began  time.Time
-	base   decide.Time // the clock's reading at began: Unix time, as a node's
+	base   policy.Time // the clock's reading at began: Unix time, as a node's
 	random *rand.Rand
 	rate   float64  // requests/s
 	active []string // tenants that have load; none: requests name no tenant
 
 	due      dueHeap
 	requests uint64
-	open     map[decide.RequestID]*openRequest
+	open     map[policy.RequestID]*openRequest
 }
 
 // openRequest is a request that has attempts out, or no final answer.
@@ -52,15 +52,15 @@
 
 // due is an event that the module gets at its time; none: the next request arrives.
 type due struct {
-	at    decide.Time
-	event decide.Event
+	at    policy.Time
+	event policy.Event
 }
 
 func newModule(cfg *Config, number int, incarnation uint64) *module {
 	now := time.Now()
-	m := &module{Module: decide.New(settings(cfg, number), int64(cfg.Seed)*1000+int64(number)), began: now, base: time.Duration(now.UnixNano()),
+	m := &module{Module: policy.New(settings(cfg, number), int64(cfg.Seed)*1000+int64(number)), began: now, base: time.Duration(now.UnixNano()),
 		random: rand.New(rand.NewPCG(cfg.Seed^incarnation, uint64(number))), rate: cfg.RequestsPerS,
-		open: map[decide.RequestID]*openRequest{}}
+		open: map[policy.RequestID]*openRequest{}}
 	if m.rate > 0 {
 		m.arriveNext(m.base)
 	}
@@ -68,24 +68,24 @@
 }
 
 // now reads the module's clock.
-func (m *module) now() decide.Time { return m.base + time.Since(m.began) }
+func (m *module) now() policy.Time { return m.base + time.Since(m.began) }
 
-func (m *module) at(t decide.Time, e decide.Event) { heap.Push(&m.due, due{t, e}) }
+func (m *module) at(t policy.Time, e policy.Event) { heap.Push(&m.due, due{t, e}) }
 
 // arriveNext draws when the next request comes.
-func (m *module) arriveNext(after decide.Time) {
+func (m *module) arriveNext(after policy.Time) {
 	m.at(after+time.Duration(m.random.ExpFloat64()/m.rate*float64(time.Second)), nil)
 }
 
 // advance gives the module all that has become due, each event at its own time, and gives the time up to which it did.
-func (m *module) advance() (now decide.Time) {
+func (m *module) advance() (now policy.Time) {
 	for now = m.now(); len(m.due) > 0 && m.due[0].at <= now; {
 		next := heap.Pop(&m.due).(due)
 		switch e := next.event.(type) {
 		case nil:
 			m.arrive(next.at)
 			m.arriveNext(next.at)
-		case decide.AttemptEnded:
+		case policy.AttemptEnded:
 			m.attemptEnded(next.at, e)
 		default:
 			m.handle(next.at, e)
@@ -95,12 +95,12 @@
 }
 
 // tell gives the module an event now.
-func (m *module) tell(e decide.Event) { m.handle(m.advance(), e) }
+func (m *module) tell(e policy.Event) { m.handle(m.advance(), e) }
 
 // arrive makes a request of one of the active tenants.
-func (m *module) arrive(at decide.Time) {
+func (m *module) arrive(at policy.Time) {
 	m.requests++
-	e := decide.RequestArrived{ID: decide.RequestID(strconv.FormatUint(m.requests, 10)), Class: requestClass, Patience: patience}
+	e := policy.RequestArrived{ID: policy.RequestID(strconv.FormatUint(m.requests, 10)), Class: requestClass, Patience: patience}
 	if len(m.active) > 0 {
 		e.Tenant = m.active[m.random.IntN(len(m.active))]
 	}
@@ -109,61 +109,61 @@
 }
 
 // attemptEnded gives the module the end of an attempt.
-func (m *module) attemptEnded(at decide.Time, e decide.AttemptEnded) {
+func (m *module) attemptEnded(at policy.Time, e policy.AttemptEnded) {
 	r := m.open[e.ID]
 	if r == nil || r.ended[e.Attempt] {
 		return // it was cancelled
 	}
 	r.ended[e.Attempt] = true
 	r.out--
-	r.over = r.over || e.Code == decide.OK
+	r.over = r.over || e.Code == policy.OK
 	e.Over = r.over
 	m.handle(at, e)
 	m.forget(e.ID)
 }
 
 // forget ends a request that has its final answer and no attempt out.
-func (m *module) forget(id decide.RequestID) {
+func (m *module) forget(id policy.RequestID) {
 	if r := m.open[id]; r != nil && r.over && r.out == 0 {
 		delete(m.open, id)
 	}
 }
 
 // handle gives the module an event and does what it asks for.
-func (m *module) handle(at decide.Time, e decide.Event) {
+func (m *module) handle(at policy.Time, e policy.Event) {
 	for _, action := range m.Handle(at, e) {
 		switch a := action.(type) {
-		case decide.Send:
+		case policy.Send:
 			m.send(at, a)
-		case decide.CancelAttempt:
-			m.at(at+cancelTime, decide.AttemptEnded{ID: a.ID, Attempt: a.Attempt, Code: decide.Cancelled})
-		case decide.Refuse:
+		case policy.CancelAttempt:
+			m.at(at+cancelTime, policy.AttemptEnded{ID: a.ID, Attempt: a.Attempt, Code: policy.Cancelled})
+		case policy.Refuse:
 			m.finish(a.ID)
-		case decide.Fail:
+		case policy.Fail:
 			m.finish(a.ID)
-		case decide.SetTimer:
-			m.at(at+max(a.After, tickLeast), decide.TimerFired{Token: a.Token})
+		case policy.SetTimer:
+			m.at(at+max(a.After, tickLeast), policy.TimerFired{Token: a.Token})
 		}
 	}
 }
 
 // send has a server answer after a time drawn for it, or not within the attempt's time-out.
-func (m *module) send(at decide.Time, a decide.Send) {
+func (m *module) send(at policy.Time, a policy.Send) {
 	r := m.open[a.ID]
 	if r == nil {
 		return
 	}
 	took := answerLeast + time.Duration(m.random.ExpFloat64()*float64(answerMean))
-	e := decide.AttemptEnded{ID: a.ID, Attempt: len(r.ended), Server: a.Server, Elapsed: took, Code: decide.OK}
+	e := policy.AttemptEnded{ID: a.ID, Attempt: len(r.ended), Server: a.Server, Elapsed: took, Code: policy.OK}
 	if a.Timeout > 0 && took > a.Timeout {
-		e.Elapsed, e.Code = a.Timeout, decide.TimedOut
+		e.Elapsed, e.Code = a.Timeout, policy.TimedOut
 	}
 	r.ended = append(r.ended, false)
 	r.out++
 	m.at(at+e.Elapsed, e)
 }
 
-func (m *module) finish(id decide.RequestID) {
+func (m *module) finish(id policy.RequestID) {
 	if r := m.open[id]; r != nil {
 		r.over = true
 		m.forget(id)
--- a/internal/scale/hollow/node.go
+++ b/internal/scale/hollow/node.go
@@ -13,11 +13,11 @@
 
 	"github.com/prometheus/client_golang/prometheus"
 
-	"starlingvalve/decide"
-	"starlingvalve/internal/fleet"
-	fleetagent "starlingvalve/internal/fleet/agent"
-	"starlingvalve/internal/fleet/nodelink"
-	listagent "starlingvalve/internal/registry/agent"
+	"meadowsill/internal/fleet"
+	fleetagent "meadowsill/internal/fleet/agent"
+	"meadowsill/internal/fleet/agentclient"
+	listagent "meadowsill/internal/registry/agent"
+	"meadowsill/policy"
 )
 
 // Times of a node, as package node has them.
@@ -58,14 +58,14 @@
 
 	mu       sync.Mutex
 	module   *module
-	mirror   *nodelink.Mirror // changed by the intent loop alone
-	revision uint64           // that the module has whole
-	items    int              // of the mirror
+	mirror   *agentclient.Mirror // changed by the intent loop alone
+	revision uint64              // that the module has whole
+	items    int                 // of the mirror
 	synced   bool
 	held     bool // the newest answer said that the session is held
 	out      bool // the newest answer to a report said so
 	version  uint64
-	ready    map[decide.ServerID]bool
+	ready    map[policy.ServerID]bool
 	serving  map[string]served // by tenant
 	facts    []fleet.Held      // that the module holds; nil: to be read anew
 }
@@ -82,10 +82,10 @@
 	now := time.Now()
 	n := &node{cfg: cfg, fleet: state, number: number, services: scope(cfg, number), began: now, stop: stop,
 		member:  fleet.Member{Node: NodeName(number), Zone: cfg.nodeZone(number), Incarnation: uint64(now.UnixNano())},
-		metrics: prometheus.NewRegistry(), connections: state.sockets.connections(), ready: map[decide.ServerID]bool{}, serving: map[string]served{}}
+		metrics: prometheus.NewRegistry(), connections: state.sockets.connections(), ready: map[policy.ServerID]bool{}, serving: map[string]served{}}
 	n.log = log.With("node", n.member.Node, "incarnation", n.member.Incarnation)
 	n.module = newModule(cfg, number, n.member.Incarnation)
-	n.mirror = nodelink.NewMirror(n.member)
+	n.mirror = agentclient.NewMirror(n.member)
 	if err := n.startAgent(ctx, log); err != nil {
 		n.kill()
 		return nil, err
@@ -98,7 +98,7 @@
 	return n, nil
 }
 
-// startAgent starts the two halves of the node's agent, as the command listd agent does.
+// startAgent starts the two halves of the node's agent, as the command discovery agent does.
 func (n *node) startAgent(ctx context.Context, log *slog.Logger) error {
 	half, err := fleetagent.Start(ctx, fleetagent.Config{Node: n.member.Node, Zone: n.member.Zone, Services: n.services, Replicas: n.cfg.Replicas,
 		Dir: filepath.Join(n.cfg.Dir, n.member.Node), Dial: n.connections.dial, Log: log}, n.metrics)
@@ -156,7 +156,7 @@
 	pause(ctx, rand.N(reportEvery))
 	var want []string
 	var last time.Time
-	since := decide.Time(0) // of the windows with nothing in them
+	since := policy.Time(0) // of the windows with nothing in them
 	for ctx.Err() == nil {
 		wait := reportEvery
 		if len(want) > 0 {
@@ -188,7 +188,7 @@
 
 // observe reads what a report is made of. What the module holds changes only by news of the intent and of the list: it is read,
 // and digested, after these alone, where a real node does both for each report.
-func (n *node) observe() *nodelink.Observed {
+func (n *node) observe() *agentclient.Observed {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if time.Since(n.began) >= catchUp {
@@ -198,14 +198,14 @@
 	window := n.module.Window(now)
 	window.Since = max(window.Since, n.module.base)
 	if n.facts == nil {
-		n.facts = nodelink.Hold(n.module.Holds(), n.began)
+		n.facts = agentclient.Hold(n.module.Holds(), n.began)
 	}
-	return &nodelink.Observed{Window: window, Held: n.facts, Now: now, Revision: n.revision, List: n.version,
+	return &agentclient.Observed{Window: window, Held: n.facts, Now: now, Revision: n.revision, List: n.version,
 		Ready: len(n.ready) > 0, Synced: n.synced, Settled: n.began}
 }
 
 // report posts a report. One that leaves is the last.
-func (n *node) report(ctx context.Context, observed *nodelink.Observed, want []string, leaving bool) (answer fleet.ReportAnswer, err error) {
+func (n *node) report(ctx context.Context, observed *agentclient.Observed, want []string, leaving bool) (answer fleet.ReportAnswer, err error) {
 	ctx, cancel := context.WithTimeout(ctx, reportWait)
 	defer cancel()
 	n.sequence++
--- a/internal/scale/hollow/parts_test.go
+++ b/internal/scale/hollow/parts_test.go
@@ -11,8 +11,8 @@
 	"testing"
 	"time"
 
-	"starlingvalve/decide"
-	"starlingvalve/internal/fleet"
+	"meadowsill/internal/fleet"
+	"meadowsill/policy"
 )
 
 // What goes over a connection is counted by the call that it carries, also where one connection carries calls of several kinds;
@@ -110,17 +110,17 @@
 	t.Parallel()
 	const rate, seconds, tenants = 50, 20, 3
 	m := newModule(&Config{Nodes: 1, Zones: []string{"z"}, RequestsPerS: rate, Seed: 1}, 0, 1)
-	var servers []decide.Server
+	var servers []policy.Server
 	for i := range 5 {
-		servers = append(servers, decide.Server{ID: decide.ServerID(i + 1), Name: ServerName(i), Zone: "z", Size: 1})
+		servers = append(servers, policy.Server{ID: policy.ServerID(i + 1), Name: ServerName(i), Zone: "z", Size: 1})
 	}
-	m.tell(decide.ListUpdate{Kind: decide.ListFull, Version: 1, Entries: servers})
+	m.tell(policy.ListUpdate{Kind: policy.ListFull, Version: 1, Entries: servers})
 	for i := range tenants {
 		name := fmt.Sprint("t", i)
-		m.tell(decide.TenantTold{Name: name, UID: 1, Revision: 1, Committed: &decide.TenantRules{Generation: 1, Rate: 1e6, Burst: 1e6}})
+		m.tell(policy.TenantTold{Name: name, UID: 1, Revision: 1, Committed: &policy.TenantRules{Generation: 1, Rate: 1e6, Burst: 1e6}})
 		m.active = append(m.active, name)
 	}
-	m.tell(decide.FleetSynced{Revision: 1})
+	m.tell(policy.FleetSynced{Revision: 1})
 	m.began = m.began.Add(-seconds * time.Second)
 	window := m.Window(m.advance())
 	arrived, attempts := 0, 0
--- a/internal/scale/hollow/registrants.go
+++ b/internal/scale/hollow/registrants.go
@@ -14,7 +14,7 @@
 	"sync/atomic"
 	"time"
 
-	"starlingvalve/internal/registry"
+	"meadowsill/internal/registry"
 )
 
 const (
--- a/internal/scale/hollow/state.go
+++ b/internal/scale/hollow/state.go
@@ -5,7 +5,7 @@
 	"sync"
 	"sync/atomic"
 
-	"starlingvalve/internal/fleet"
+	"meadowsill/internal/fleet"
 )
 
 // fleetState is what the nodes of a process have seen of the fleet together, and the process's counts.
--- a/internal/scale/hollows.go
+++ b/internal/scale/hollows.go
@@ -7,7 +7,7 @@
 	"sync"
 	"time"
 
-	"starlingvalve/internal/scale/hollow"
+	"meadowsill/internal/scale/hollow"
 )
 
 // Hollow is one hollow process (hollow.Process, or a test's double). First and count of a call are the numbers of the nodes or
--- a/internal/scale/operator.go
+++ b/internal/scale/operator.go
@@ -13,7 +13,7 @@
 	"sync"
 	"time"
 
-	"starlingvalve/internal/fleet"
+	"meadowsill/internal/fleet"
 )
 
 // operator calls the operators' API of the replicas' leader.
--- a/internal/scale/operator_test.go
+++ b/internal/scale/operator_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"starlingvalve/internal/fleet"
+	"meadowsill/internal/fleet"
 )
 
 // replicaDouble is an HTTP server that answers by a function, and its address without the scheme.
--- a/internal/scale/plan_test.go
+++ b/internal/scale/plan_test.go
@@ -4,7 +4,7 @@
 	"strings"
 	"testing"
 
-	"starlingvalve/lab/sweeps"
+	"meadowsill/lab/sweeps"
 )
 
 const goodPlan = `
--- a/internal/scale/replicas.go
+++ b/internal/scale/replicas.go
@@ -7,9 +7,9 @@
 	"path/filepath"
 	"time"
 
-	"starlingvalve/internal/fleet"
-	"starlingvalve/internal/lab/bounds"
-	"starlingvalve/internal/lab/listdlab"
+	"meadowsill/internal/fleet"
+	"meadowsill/internal/lab/bounds"
+	"meadowsill/internal/lab/discoverylab"
 )
 
 // ControlPlane is the replicas of a run.
@@ -46,14 +46,14 @@
 // leaderWithin is how long a leader is waited for.
 const leaderWithin = 30 * time.Second
 
-// ListdReplicas gives what starts listd processes of a program.
-func ListdReplicas(binary string) StartReplicas {
+// DiscoveryReplicas gives what starts discovery processes of a program.
+func DiscoveryReplicas(binary string) StartReplicas {
 	return func(ctx context.Context, dir string, replicas, slots int) (ControlPlane, error) {
 		settings := filepath.Join(dir, "fleet.toml")
 		if err := os.WriteFile(settings, fmt.Appendf(nil, "slots = %d\n", slots), 0o644); err != nil {
 			return nil, err
 		}
-		cluster, err := listdlab.Start(binary, dir, replicas, "--fleet", settings)
+		cluster, err := discoverylab.Start(binary, dir, replicas, "--fleet", settings)
 		if err != nil {
 			return nil, err
 		}
@@ -61,21 +61,21 @@
 			cluster.Close()
 			return nil, err
 		}
-		return &listdPlane{cluster: cluster, operator: newOperator(cluster.HTTP)}, nil
+		return &discoveryPlane{cluster: cluster, operator: newOperator(cluster.HTTP)}, nil
 	}
 }
 
-// listdPlane is a control plane of listd processes.
-type listdPlane struct {
-	cluster  *listdlab.Cluster
+// discoveryPlane is a control plane of discovery processes.
+type discoveryPlane struct {
+	cluster  *discoverylab.Cluster
 	operator *operator
 }
 
 // Addresses gives the replicas' HTTP addresses.
-func (p *listdPlane) Addresses() []string { return p.cluster.HTTP }
+func (p *discoveryPlane) Addresses() []string { return p.cluster.HTTP }
 
 // PIDs gives the replicas' process ids.
-func (p *listdPlane) PIDs() []int {
+func (p *discoveryPlane) PIDs() []int {
 	var out []int
 	for i := range p.cluster.HTTP {
 		if pid := p.cluster.Pid(i); pid != 0 {
@@ -86,12 +86,12 @@
 }
 
 // Propose puts a tenant's next generation.
-func (p *listdPlane) Propose(ctx context.Context, generation uint64, spec fleet.Spec) error {
+func (p *discoveryPlane) Propose(ctx context.Context, generation uint64, spec fleet.Spec) error {
 	return p.operator.propose(ctx, generation, spec)
 }
 
 // Restart kills all replicas, starts them again after down, and waits for a leader.
-func (p *listdPlane) Restart(ctx context.Context, down time.Duration) error {
+func (p *discoveryPlane) Restart(ctx context.Context, down time.Duration) error {
 	for i := range p.cluster.HTTP {
 		p.cluster.Kill(i)
 	}
@@ -108,7 +108,7 @@
 }
 
 // Sample reads every replica's accounts.
-func (p *listdPlane) Sample() (Replicas, error) {
+func (p *discoveryPlane) Sample() (Replicas, error) {
 	leader, err := p.cluster.Leader(leaderWithin, -1)
 	if err != nil {
 		return Replicas{}, err
@@ -123,13 +123,13 @@
 }
 
 // sample reads one replica's accounts.
-func (p *listdPlane) sample(i int) (ReplicaSample, error) {
+func (p *discoveryPlane) sample(i int) (ReplicaSample, error) {
 	pid, dir := p.cluster.Pid(i), p.cluster.Dirs[i]
 	metrics, err := p.operator.metrics(p.cluster.HTTP[i])
 	if err != nil {
 		return ReplicaSample{}, fmt.Errorf("replica %d: %w", i, err)
 	}
-	s := ReplicaSample{PID: pid, CPU: listdlab.CPUTime(pid), RSSBytes: bounds.ResidentBytes(pid), WrittenBytes: bounds.WrittenBytes(pid),
+	s := ReplicaSample{PID: pid, CPU: discoverylab.CPUTime(pid), RSSBytes: bounds.ResidentBytes(pid), WrittenBytes: bounds.WrittenBytes(pid),
 		LogBytes: bounds.DirectoryBytes(filepath.Join(dir, "raft.db")), SnapshotBytes: newestSnapshot(dir), Metrics: metrics}
 	for pair, link := range p.cluster.Links {
 		if pair[0] == i || pair[1] == i {
@@ -153,7 +153,7 @@
 }
 
 // Close ends the replicas.
-func (p *listdPlane) Close() {
+func (p *discoveryPlane) Close() {
 	p.operator.close()
 	p.cluster.Close()
 }
--- a/internal/scale/results.go
+++ b/internal/scale/results.go
@@ -10,7 +10,7 @@
 
 	"gonum.org/v1/gonum/stat"
 
-	"starlingvalve/internal/lab/bounds"
+	"meadowsill/internal/lab/bounds"
 )
 
 // Format is the version of the results file.
@@ -24,16 +24,16 @@
 
 // Results are a sweep's figures.
 type Results struct {
-	Format  int            `json:"format"`
-	Commit  string         `json:"commit"`       // of the program that measured
-	Listd   string         `json:"listd_commit"` // of the replicas' program
-	Machine bounds.Machine `json:"machine"`
-	Sweep   Plan           `json:"sweep"`
-	Begun   time.Time      `json:"begun"`
-	TookS   float64        `json:"took_s"`
-	Partial string         `json:"partial,omitempty"` // why the sweep ended before its end; empty: it is whole
-	Points  []Point        `json:"points"`
-	Fits    []Fit          `json:"fits"`
+	Format    int            `json:"format"`
+	Commit    string         `json:"commit"`       // of the program that measured
+	Discovery string         `json:"listd_commit"` // of the replicas' program
+	Machine   bounds.Machine `json:"machine"`
+	Sweep     Plan           `json:"sweep"`
+	Begun     time.Time      `json:"begun"`
+	TookS     float64        `json:"took_s"`
+	Partial   string         `json:"partial,omitempty"` // why the sweep ended before its end; empty: it is whole
+	Points    []Point        `json:"points"`
+	Fits      []Fit          `json:"fits"`
 }
 
 // Point is what was measured at one size.
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -10,19 +10,19 @@
 	"sync"
 	"time"
 
-	"starlingvalve/internal/lab/bounds"
+	"meadowsill/internal/lab/bounds"
 )
 
 // Options are what a sweep is run with.
 type Options struct {
-	Dir           string    // of the run: results, plots, the replicas' and agents' data while they run
-	Progress      io.Writer // a line for each repeat
-	Commit        string    // of this program
-	ListdCommit   string    // of the replicas' program
-	Machine       bounds.Machine
-	Limits        bounds.Limits
-	StartReplicas StartReplicas
-	StartHollow   StartHollow
+	Dir             string    // of the run: results, plots, the replicas' and agents' data while they run
+	Progress        io.Writer // a line for each repeat
+	Commit          string    // of this program
+	DiscoveryCommit string    // of the replicas' program
+	Machine         bounds.Machine
+	Limits          bounds.Limits
+	StartReplicas   StartReplicas
+	StartHollow     StartHollow
 }
 
 // Run carries out a sweep. It refuses one whose needs pass a limit before anything starts. One that is ended early, by a limit,
@@ -34,7 +34,7 @@
 	if err := Check(plan, options.Limits); err != nil {
 		return nil, err
 	}
-	s := &sweep{plan: plan, options: options, results: &Results{Format: Format, Commit: options.Commit, Listd: options.ListdCommit,
+	s := &sweep{plan: plan, options: options, results: &Results{Format: Format, Commit: options.Commit, Discovery: options.DiscoveryCommit,
 		Machine: options.Machine, Sweep: *plan, Begun: time.Now().UTC()}}
 	limit := fmt.Errorf("%w: limit_s, %v, is over", bounds.ErrPartial, plan.LimitS)
 	ctx, stop := context.WithTimeoutCause(ctx, seconds(plan.LimitS), limit)
--- a/internal/scale/run_test.go
+++ b/internal/scale/run_test.go
@@ -9,7 +9,7 @@
 	"testing/synctest"
 	"time"
 
-	"starlingvalve/internal/lab/bounds"
+	"meadowsill/internal/lab/bounds"
 )
 
 const runPlan = `
--- a/internal/scale/table.go
+++ b/internal/scale/table.go
@@ -9,7 +9,7 @@
 
 // Table prints the results: the mean of each metric at each size, then the fits.
 func (r *Results) Table(out io.Writer) {
-	fmt.Fprintf(out, "sweep %s over %s, commit %.12s, listd %.12s, %.0f s", r.Sweep.Name, r.Sweep.Dimension, r.Commit, r.Listd, r.TookS)
+	fmt.Fprintf(out, "sweep %s over %s, commit %.12s, discovery %.12s, %.0f s", r.Sweep.Name, r.Sweep.Dimension, r.Commit, r.Discovery, r.TookS)
 	if r.Partial != "" {
 		fmt.Fprintf(out, ", partial: %s", r.Partial)
 	}
--- a/internal/scale/tenants.go
+++ b/internal/scale/tenants.go
@@ -8,8 +8,8 @@
 	"sync"
 	"time"
 
-	"starlingvalve/internal/fleet"
-	"starlingvalve/internal/scale/hollow"
+	"meadowsill/internal/fleet"
+	"meadowsill/internal/scale/hollow"
 )
 
 // putsAtOnce is how many tenants are put at the same time before the nodes start.
--- a/internal/scale/values.go
+++ b/internal/scale/values.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"starlingvalve/internal/scale/hollow"
+	"meadowsill/internal/scale/hollow"
 )
 
 // sample is what every role has used up to one moment.
--- a/internal/wire/encode.go
+++ b/internal/wire/encode.go
@@ -5,13 +5,13 @@
 	"encoding/json"
 	"strconv"
 
-	"starlingvalve/decide"
+	"meadowsill/policy"
 )
 
 // Reply holds the actions of one instance.
 type Reply struct {
 	Node    int
-	Actions []decide.Action
+	Actions []policy.Action
 }
 
 // AppendReply writes the line that answers a batch, with its line end.
@@ -40,44 +40,44 @@
 	return append(b, "]}\n"...)
 }
 
-func appendAction(b []byte, a decide.Action) []byte {
+func appendAction(b []byte, a policy.Action) []byte {
 	switch a := a.(type) {
-	case decide.Send:
+	case policy.Send:
 		b = appendText(b, `{"assign":{"req":`, string(a.ID))
 		b = appendInt(b, `,"backend":`, int64(a.Server))
 		if a.Timeout != 0 {
 			b = appendInt(b, `,"try_for_ns":`, int64(a.Timeout))
 		}
-	case decide.Refuse:
+	case policy.Refuse:
 		b = appendText(b, `{"deny":{"req":`, string(a.ID))
 		if a.HoldOff > 0 {
 			b = appendInt(b, `,"hold_off_ns":`, int64(a.HoldOff))
 		}
-	case decide.Fail:
+	case policy.Fail:
 		b = appendText(b, `{"fail":{"req":`, string(a.ID))
-	case decide.CancelAttempt:
+	case policy.CancelAttempt:
 		b = appendText(b, `{"stop_attempt":{"req":`, string(a.ID))
 		b = appendInt(b, `,"leg":`, int64(a.Attempt))
-	case decide.SetTimer:
+	case policy.SetTimer:
 		b = appendInt(b, `{"arm":{"from_now_ns":`, int64(a.After))
 		b = appendInt(b, `,"label":`, a.Token)
-	case decide.Probe:
+	case policy.Probe:
 		b = appendInt(b, `{"probe":{"backend":`, int64(a.Server))
-	case decide.SendMessage:
+	case policy.SendMessage:
 		if a.ToAll {
 			b = append(b, `{"tell":{"dest":"*"`...)
 		} else {
 			b = appendInt(b, `{"tell":{"dest":`, int64(a.To))
 		}
 		b = appendText(b, `,"bytes":`, base64.StdEncoding.EncodeToString(a.Data))
-	case decide.Subscribe:
+	case policy.Subscribe:
 		b = append(b, `{"subscribe":{"want":`...)
 		b = strconv.AppendBool(b, a.On)
-	case decide.FetchList:
+	case policy.FetchList:
 		b = append(b, `{"reload":{`...)
-	case decide.CloseIdle:
+	case policy.CloseIdle:
 		b = appendInt(b, `{"disconnect":{"backend":`, int64(a.Server))
-	case decide.Log:
+	case policy.Log:
 		b = appendText(b, `{"trace":{"message":`, a.Line)
 	}
 	return append(b, "}}"...)
--- a/internal/wire/events.go
+++ b/internal/wire/events.go
@@ -5,7 +5,7 @@
 	"errors"
 	"time"
 
-	"starlingvalve/decide"
+	"meadowsill/policy"
 )
 
 // The bits of a submit's flags.
@@ -59,7 +59,7 @@
 		return Happening{}, missing("patience_left_ns")
 	}
 	tenant, _ := e.Group.(string)
-	return Happening{Event: decide.RequestArrived{ID: decide.RequestID(*e.Req), Class: e.Band, Tenant: tenant,
+	return Happening{Event: policy.RequestArrived{ID: policy.RequestID(*e.Req), Class: e.Band, Tenant: tenant,
 		Key: e.Key, Patience: time.Duration(*e.Patience), WorkHint: time.Duration(e.Cost),
 		HasHint: e.Flags&flagHint != 0, Repeat: e.Flags&flagRepeat != 0, Write: e.Flags&flagWrite != 0}}, nil
 }
@@ -75,7 +75,7 @@
 	if e.Label == nil {
 		return Happening{}, missing("label")
 	}
-	return Happening{Event: decide.TimerFired{Token: *e.Label}}, nil
+	return Happening{Event: policy.TimerFired{Token: *e.Label}}, nil
 }
 
 // decodeAbandoned reads that a request's client has gone.
@@ -89,7 +89,7 @@
 	if e.Req == nil {
 		return Happening{}, missing("req")
 	}
-	return Happening{Event: decide.RequestAbandoned{ID: decide.RequestID(*e.Req)}}, nil
+	return Happening{Event: policy.RequestAbandoned{ID: policy.RequestID(*e.Req)}}, nil
 }
 
 // decodeMessage reads a message from another node.
@@ -104,5 +104,5 @@
 	if e.From == nil {
 		return Happening{}, missing("from")
 	}
-	return Happening{Event: decide.MessageReceived{From: *e.From, Data: e.Bytes}}, nil
+	return Happening{Event: policy.MessageReceived{From: *e.From, Data: e.Bytes}}, nil
 }
--- a/internal/wire/outcomes.go
+++ b/internal/wire/outcomes.go
@@ -6,7 +6,7 @@
 	"strconv"
 	"time"
 
-	"starlingvalve/decide"
+	"meadowsill/policy"
 )
 
 // The codes by which the wire names outcomes.
@@ -21,10 +21,10 @@
 	codeConnectFailed = 14
 )
 
-var outcomes = map[int]decide.OutcomeCode{
-	codeOK: decide.OK, codeCancelled: decide.Cancelled, codeTimeout: decide.TimedOut, codeFull: decide.Full,
-	codeMoot: decide.Moot, codeReset: decide.Reset, codeError: decide.ServerError,
-	codeConnectFailed: decide.ConnectFailed,
+var outcomes = map[int]policy.OutcomeCode{
+	codeOK: policy.OK, codeCancelled: policy.Cancelled, codeTimeout: policy.TimedOut, codeFull: policy.Full,
+	codeMoot: policy.Moot, codeReset: policy.Reset, codeError: policy.ServerError,
+	codeConnectFailed: policy.ConnectFailed,
 }
 
 // decodeOutcome reads what came of an attempt or a probe, or the beginning of a streamed answer.
@@ -44,8 +44,8 @@
 	if e.Backend == nil {
 		return Happening{}, missing("backend")
 	}
-	server, took := decide.ServerID(*e.Backend), time.Duration(e.Delay)
-	var id decide.RequestID
+	server, took := policy.ServerID(*e.Backend), time.Duration(e.Delay)
+	var id policy.RequestID
 	if name != "probe_result" {
 		if e.Req == nil {
 			return Happening{}, missing("req")
@@ -53,10 +53,10 @@
 		if e.Leg == nil {
 			return Happening{}, missing("leg")
 		}
-		id = decide.RequestID(*e.Req)
+		id = policy.RequestID(*e.Req)
 	}
 	if name == "streaming" {
-		return Happening{Event: decide.StreamStarted{ID: id, Attempt: *e.Leg, Server: server, Elapsed: took}}, nil
+		return Happening{Event: policy.StreamStarted{ID: id, Attempt: *e.Leg, Server: server, Elapsed: took}}, nil
 	}
 	if e.Disposition == nil {
 		return Happening{}, missing("disposition")
@@ -67,15 +67,15 @@
 	}
 	report := decodeReport(e.Feedback)
 	if name == "probe_result" {
-		return Happening{Event: decide.ProbeEnded{Server: server, Code: code, Elapsed: took, Report: report}}, nil
+		return Happening{Event: policy.ProbeEnded{Server: server, Code: code, Elapsed: took, Report: report}}, nil
 	}
-	return Happening{Event: decide.AttemptEnded{ID: id, Attempt: *e.Leg, Server: server, Over: e.Over,
+	return Happening{Event: policy.AttemptEnded{ID: id, Attempt: *e.Leg, Server: server, Over: e.Over,
 		Elapsed: took, Code: code, Report: report}}, nil
 }
 
 // decodeReport skips the keys it does not know; a report with no known key is none.
-func decodeReport(values map[string]json.RawMessage) *decide.Report {
-	var r decide.Report
+func decodeReport(values map[string]json.RawMessage) *policy.Report {
+	var r policy.Report
 	known := false
 	for name, raw := range values {
 		v, err := strconv.ParseFloat(string(raw), 64)
@@ -92,7 +92,7 @@
 
 // SetReport puts one value of a load report in its place, by its name here or on sockets. It tells whether
 // it knows the name.
-func SetReport(r *decide.Report, name string, v float64) bool {
+func SetReport(r *policy.Report, name string, v float64) bool {
 	switch name {
 	case "active", "inflight":
 		r.InFlight, r.HasInFlight = v, true
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -7,15 +7,15 @@
 	"strconv"
 	"time"
 
-	"starlingvalve/decide"
+	"meadowsill/policy"
 )
 
-var effects = map[string]decide.Effect{"retryable": decide.Safe, "dedup": decide.Keyed, "fragile": decide.Unsafe}
+var effects = map[string]policy.Effect{"retryable": policy.Safe, "dedup": policy.Keyed, "fragile": policy.Unsafe}
 
-var scopes = map[string]decide.Scope{"cell": decide.ScopeCell, "zone": decide.ScopeZone, "all": decide.ScopeAll}
+var scopes = map[string]policy.Scope{"cell": policy.ScopeCell, "zone": policy.ScopeZone, "all": policy.ScopeAll}
 
-var reportVias = map[string]decide.ReportVia{
-	"none": decide.ReportNone, "probe": decide.ReportProbe, "answers": decide.ReportAnswers,
+var reportVias = map[string]policy.ReportVia{
+	"none": policy.ReportNone, "probe": policy.ReportProbe, "answers": policy.ReportAnswers,
 }
 
 // profile is the settings object as it is written.
@@ -137,26 +137,26 @@
 }
 
 // DecodeSettings reads the settings object, which a real node finds in its configuration.
-func DecodeSettings(raw json.RawMessage) (decide.Settings, error) {
+func DecodeSettings(raw json.RawMessage) (policy.Settings, error) {
 	var p *profile
 	if err := json.Unmarshal(raw, &p); err != nil {
-		return decide.Settings{}, err
+		return policy.Settings{}, err
 	}
 	if p == nil {
-		return decide.Settings{}, missing("profile_data")
+		return policy.Settings{}, missing("profile_data")
 	}
 	s := p.settings()
 	var err error
 	if s.Classes, err = p.classes(); err != nil {
-		return decide.Settings{}, err
+		return policy.Settings{}, err
 	}
 	s.Tenants = p.tenants()
 	return s, nil
 }
 
 // settings gives all but the classes and tenants.
-func (p *profile) settings() decide.Settings {
-	return decide.Settings{Nodes: p.Balancers, Self: p.Slot, Zone: p.Zone, Zones: p.Domains, Kinds: p.Kinds,
+func (p *profile) settings() policy.Settings {
+	return policy.Settings{Nodes: p.Balancers, Self: p.Slot, Zone: p.Zone, Zones: p.Domains, Kinds: p.Kinds,
 		MaxAttempts: p.Caps.MaxAttempts, MayOverlap: p.Caps.MayDuplicate, MayCancel: p.Caps.Cancel,
 		MayProbe: p.Caps.Probes, MayMessage: p.Caps.Peers, HoldOffs: p.Caps.RetryAfter,
 		MaxHoldOff: time.Duration(p.Caps.MaxRetryAfter), MarksRepeats: p.Habits.MarksRetry,
@@ -172,27 +172,27 @@
 		StreamsPerConn: p.Caps.Multiplex, ConnIdle: time.Duration(p.Caps.ConnIdle), MaxOpen: p.Caps.MostHeld,
 		CPUPerSecond:  time.Duration(p.Caps.CPUPerSecond * float64(time.Microsecond)),
 		CPUPerRequest: time.Duration(p.Caps.CPUPerRequest * float64(time.Microsecond)),
-		Goal: decide.Goal{Whole: p.Goal.Whole, WorstWindow: p.Goal.WorstWindow, WorstClass: p.Goal.WorstClass,
+		Goal: policy.Goal{Whole: p.Goal.Whole, WorstWindow: p.Goal.WorstWindow, WorstClass: p.Goal.WorstClass,
 			WorstTenant: p.Goal.WorstTenant},
-		Prices: decide.Prices{Connection: p.Charges.Connection, Handshake: p.Charges.Handshake,
+		Prices: policy.Prices{Connection: p.Charges.Connection, Handshake: p.Charges.Handshake,
 			CrossZone: p.Charges.CrossZone, Waste: p.Charges.Waste, LateFail: p.Charges.LateFail,
 			Probe: p.Charges.Probe, Message: p.Charges.Peer, Moves: p.Charges.Moves, Origin: p.Charges.Origin,
 			ListLines: p.Charges.Lines, Fleet: p.Charges.Fleet}}
 }
 
 // classes gives the classes of requests, or why one of them can't be taken.
-func (p *profile) classes() ([]decide.Class, error) {
-	var classes []decide.Class
+func (p *profile) classes() ([]policy.Class, error) {
+	var classes []policy.Class
 	for _, c := range p.Classes {
 		effect, ok := effects[c.Effect]
 		if !ok {
 			return nil, fmt.Errorf("class %s: unknown effect %q", c.Name, c.Effect)
 		}
 		scope, ok := scopes[c.KeyScope]
-		if !ok && effect == decide.Keyed {
+		if !ok && effect == policy.Keyed {
 			return nil, fmt.Errorf("class %s: unknown key_scope %q", c.Name, c.KeyScope)
 		}
-		classes = append(classes, decide.Class{Name: c.Name, Worth: c.Importance, Aim: time.Duration(c.Aim),
+		classes = append(classes, policy.Class{Name: c.Name, Worth: c.Importance, Aim: time.Duration(c.Aim),
 			AimStretch: c.AimStretch, Deadline: time.Duration(c.GiveUp), LateWorth: c.LateWorth, Effect: effect,
 			KeyScope: scope, DedupWindow: time.Duration(c.Dedup), Streamed: c.Streamed})
 	}
@@ -200,10 +200,10 @@
 }
 
 // tenants gives the tenants with their shares.
-func (p *profile) tenants() []decide.Tenant {
-	var tenants []decide.Tenant
+func (p *profile) tenants() []policy.Tenant {
+	var tenants []policy.Tenant
 	for _, t := range p.Accounts {
-		tenants = append(tenants, decide.Tenant{Name: t.Name, Quota: t.Quota, Share: t.Fraction})
+		tenants = append(tenants, policy.Tenant{Name: t.Name, Quota: t.Quota, Share: t.Fraction})
 	}
 	return tenants
 }
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -8,12 +8,12 @@
 	"fmt"
 	"time"
 
-	"starlingvalve/decide"
+	"meadowsill/policy"
 )
 
 // Start is an `up`: an instance begins.
 type Start struct {
-	Settings decide.Settings
+	Settings policy.Settings
 	Seed     int64
 }
 
@@ -21,7 +21,7 @@
 type Happening struct {
 	Start  *Start
 	Retire bool
-	Event  decide.Event
+	Event  policy.Event
 }
 
 // Group holds the events of one instance.
@@ -32,7 +32,7 @@
 
 // Batch is one line from the simulator.
 type Batch struct {
-	Now    decide.Time
+	Now    policy.Time
 	Groups []Group
 }
 
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"starlingvalve/decide"
+	"meadowsill/policy"
 )
 
 const start = `{"up":{"seed":9007199254740993,"profile_data":{"accounts":[{"name":"a","quota_per_s":5,"fraction":0.5}],
@@ -36,26 +36,26 @@
 	h := one(t, strings.ReplaceAll(start, "\n", ""))
 	s := h.Start.Settings
 	if h.Start.Seed != 9007199254740993 || s.Nodes != 3 || s.Self != 2 || !s.AskForList || !s.SizeLive || !s.MayOverlap ||
-		s.ReportVia != decide.ReportAnswers || s.DrainGrace != 500*time.Millisecond || s.OverloadFactor != 2.5 {
+		s.ReportVia != policy.ReportAnswers || s.DrainGrace != 500*time.Millisecond || s.OverloadFactor != 2.5 {
 		t.Errorf("%+v", h.Start)
 	}
 	if s.CPUPerSecond != 15*time.Millisecond || s.CPUPerRequest != 2500*time.Nanosecond || s.MaxOpen != 9 || s.ConnIdle != 5 ||
-		s.StreamsPerConn != 100 || s.Prices != (decide.Prices{CrossZone: 0.02, ListLines: 0.5}) || s.Tier != 1 || len(s.Tiers) != 2 ||
-		s.Goal != (decide.Goal{Whole: 0.6, WorstWindow: 0.4}) || s.Family != "proxy" || !s.WarmKeys || s.PassesDeadline {
+		s.StreamsPerConn != 100 || s.Prices != (policy.Prices{CrossZone: 0.02, ListLines: 0.5}) || s.Tier != 1 || len(s.Tiers) != 2 ||
+		s.Goal != (policy.Goal{Whole: 0.6, WorstWindow: 0.4}) || s.Family != "proxy" || !s.WarmKeys || s.PassesDeadline {
 		t.Errorf("%+v", s)
 	}
 	c := s.Classes[0]
-	if c.Effect != decide.Keyed || c.KeyScope != decide.ScopeCell || c.Worth != 12 || !c.Streamed || c.Deadline != 1200*time.Millisecond {
+	if c.Effect != policy.Keyed || c.KeyScope != policy.ScopeCell || c.Worth != 12 || !c.Streamed || c.Deadline != 1200*time.Millisecond {
 		t.Errorf("%+v", c)
 	}
 }
 
 func TestOutcomeCodes(t *testing.T) {
-	for code, want := range map[string]decide.OutcomeCode{"0": decide.OK, "13": decide.ServerError, "8": decide.Full,
-		"4": decide.TimedOut, "14": decide.ConnectFailed, "10": decide.Reset, "1": decide.Cancelled, "9": decide.Moot} {
+	for code, want := range map[string]policy.OutcomeCode{"0": policy.OK, "13": policy.ServerError, "8": policy.Full,
+		"4": policy.TimedOut, "14": policy.ConnectFailed, "10": policy.Reset, "1": policy.Cancelled, "9": policy.Moot} {
 		h := one(t, `{"attempt_end":{"req":"q","leg":1,"backend":7,"delay_seen_ns":5,"disposition":`+code+`,
 			"feedback":{"active":7,"unheard_of":3,"waiting":2}}}`)
-		e := h.Event.(decide.AttemptEnded)
+		e := h.Event.(policy.AttemptEnded)
 		if e.Code != want || e.Attempt != 1 || e.Server != 7 || e.Over || e.Report.InFlight != 7 || e.Report.Queue != 2 {
 			t.Errorf("code %s: %+v", code, e)
 		}
@@ -64,7 +64,7 @@
 
 func TestReportWithNoKnownFieldIsNone(t *testing.T) {
 	h := one(t, `{"attempt_end":{"req":"q","leg":0,"backend":7,"disposition":0,"feedback":{"unheard_of":"x"}}}`)
-	if e := h.Event.(decide.AttemptEnded); e.Report != nil {
+	if e := h.Event.(policy.AttemptEnded); e.Report != nil {
 		t.Errorf("%+v", e.Report)
 	}
 }
@@ -101,11 +101,11 @@
 }
 
 func TestReplyIsJSON(t *testing.T) {
-	line := AppendReply(nil, []Reply{{Node: 3, Actions: []decide.Action{
-		decide.Send{ID: "q", Server: 4294967295, Timeout: 80 * time.Millisecond}, decide.Refuse{ID: "q", HoldOff: 5},
-		decide.Fail{ID: "q"}, decide.CancelAttempt{ID: "q", Attempt: 1}, decide.SetTimer{After: 5, Token: 77},
-		decide.Probe{Server: 1}, decide.SendMessage{ToAll: true, Data: []byte("hi")}, decide.SendMessage{To: 2},
-		decide.Subscribe{On: true}, decide.FetchList{}, decide.CloseIdle{Server: 1}, decide.Log{Line: "a \"b\""}}}, {Node: 4}})
+	line := AppendReply(nil, []Reply{{Node: 3, Actions: []policy.Action{
+		policy.Send{ID: "q", Server: 4294967295, Timeout: 80 * time.Millisecond}, policy.Refuse{ID: "q", HoldOff: 5},
+		policy.Fail{ID: "q"}, policy.CancelAttempt{ID: "q", Attempt: 1}, policy.SetTimer{After: 5, Token: 77},
+		policy.Probe{Server: 1}, policy.SendMessage{ToAll: true, Data: []byte("hi")}, policy.SendMessage{To: 2},
+		policy.Subscribe{On: true}, policy.FetchList{}, policy.CloseIdle{Server: 1}, policy.Log{Line: "a \"b\""}}}, {Node: 4}})
 	var v struct {
 		Groups []struct {
 			Node    int                         `json:"node_id"`
--- a/decide/api.go
+++ b/policy/api.go
@@ -1,10 +1,10 @@
-// Package decide makes the decisions of a load-balancing proxy node: which
+// Package policy makes the decisions of a load-balancing proxy node: which
 // server gets a request, when another attempt is made, when a request is
 // refused. It does no I/O, reads no clock and starts no goroutine: the caller
 // feeds it events and carries out the actions it returns.
 //
 // This file is the interface, state.go what is kept; the other files decide.
-package decide
+package policy
 
 import "time"
 
--- a/decide/behaviour_test.go
+++ b/policy/behaviour_test.go
@@ -1,4 +1,4 @@
-package decide_test
+package policy_test
 
 // Attempts by effect, settings, operators, cold servers.
 
@@ -6,13 +6,13 @@
 	"testing"
 	"time"
 
-	"starlingvalve/decide"
+	"meadowsill/policy"
 )
 
 // An unsafe request at a silent server is failed at its deadline, never repeated and never refused.
 func TestUnsafeTimeOutFails(t *testing.T) {
 	r := newRig(t, rigSettings(), 3)
-	r.delay = func(decide.ServerID) (time.Duration, decide.OutcomeCode) { return time.Hour, decide.TimedOut }
+	r.delay = func(policy.ServerID) (time.Duration, policy.OutcomeCode) { return time.Hour, policy.TimedOut }
 	r.run(5*time.Millisecond, 200, "once")
 	r.run(3*time.Second, 0, "once")
 	if n := r.sent[1] + r.sent[2] + r.sent[3]; n != 1 || r.failed != 1 || r.refused != 0 {
@@ -24,21 +24,21 @@
 func TestFurtherAttemptsByEffect(t *testing.T) {
 	for _, c := range []struct {
 		class string
-		code  decide.OutcomeCode
+		code  policy.OutcomeCode
 		again bool
-	}{{"cheap", decide.ServerError, true}, {"cheap", decide.ConnectFailed, true}, {"once", decide.ServerError, false},
-		{"once", decide.Reset, false}, {"once", decide.ConnectFailed, true}, {"once", decide.Full, true}} {
+	}{{"cheap", policy.ServerError, true}, {"cheap", policy.ConnectFailed, true}, {"once", policy.ServerError, false},
+		{"once", policy.Reset, false}, {"once", policy.ConnectFailed, true}, {"once", policy.Full, true}} {
 		r := newRig(t, rigSettings(), 3)
 		r.run(3*time.Second, 100, "cheap")
 		r.run(time.Second, 0, "cheap")
 		r.reset()
 		first := true
-		r.delay = func(decide.ServerID) (time.Duration, decide.OutcomeCode) {
+		r.delay = func(policy.ServerID) (time.Duration, policy.OutcomeCode) {
 			if first {
 				first = false
 				return 10 * time.Millisecond, c.code
 			}
-			return 50 * time.Millisecond, decide.OK
+			return 50 * time.Millisecond, policy.OK
 		}
 		r.run(5*time.Millisecond, 200, c.class)
 		r.run(time.Second, 0, c.class)
@@ -49,26 +49,26 @@
 }
 
 func TestNoUsableServerOrOddSettings(t *testing.T) {
-	drained := []decide.Server{{ID: 1, State: decide.Draining}}
-	for _, list := range [][]decide.Server{nil, drained} {
-		for _, s := range []decide.Settings{{}, rigSettings()} {
+	drained := []policy.Server{{ID: 1, State: policy.Draining}}
+	for _, list := range [][]policy.Server{nil, drained} {
+		for _, s := range []policy.Settings{{}, rigSettings()} {
 			r := newRig(t, s, 0)
-			r.feed(decide.ListUpdate{Kind: decide.ListFull, Entries: list})
-			r.feed(decide.RequestArrived{ID: "a", Class: "unheard of", Patience: time.Second})
-			if _, ok := r.last["a"].(decide.Refuse); !ok || len(r.sent) != 0 {
+			r.feed(policy.ListUpdate{Kind: policy.ListFull, Entries: list})
+			r.feed(policy.RequestArrived{ID: "a", Class: "unheard of", Patience: time.Second})
+			if _, ok := r.last["a"].(policy.Refuse); !ok || len(r.sent) != 0 {
 				t.Errorf("%v: answer %v, sends %v", list, r.last["a"], r.sent)
 			}
 		}
 	}
-	r := newRig(t, decide.Settings{}, 2) // no classes at all
-	r.feed(decide.RequestArrived{ID: "a", Class: "x", Patience: 0})
-	if _, ok := r.last["a"].(decide.Refuse); !ok {
+	r := newRig(t, policy.Settings{}, 2) // no classes at all
+	r.feed(policy.RequestArrived{ID: "a", Class: "x", Patience: 0})
+	if _, ok := r.last["a"].(policy.Refuse); !ok {
 		t.Error("zero patience was not refused")
 	}
-	r.feed(decide.RequestArrived{ID: "b", Class: "x", Patience: time.Second})
-	r.feed(decide.AttemptEnded{ID: "nobody", Attempt: 3, Server: 9, Code: decide.OK, Report: &decide.Report{}})
-	r.feed(decide.RequestAbandoned{ID: "nobody"})
-	r.feed(decide.TimerFired{Token: 99})
+	r.feed(policy.RequestArrived{ID: "b", Class: "x", Patience: time.Second})
+	r.feed(policy.AttemptEnded{ID: "nobody", Attempt: 3, Server: 9, Code: policy.OK, Report: &policy.Report{}})
+	r.feed(policy.RequestAbandoned{ID: "nobody"})
+	r.feed(policy.TimerFired{Token: 99})
 	r.run(2*time.Second, 50, "x")
 	if r.sent[1]+r.sent[2] == 0 {
 		t.Error("nothing was sent without classes")
@@ -81,11 +81,11 @@
 	s := rigSettings()
 	r := newRig(t, s, 10)
 	r.run(10*time.Second, 200, "dear")
-	var list []decide.Server
+	var list []policy.Server
 	for i := range 6 {
-		list = append(list, decide.Server{ID: decide.ServerID(i + 1), Zone: "z", StartedAt: r.now})
+		list = append(list, policy.Server{ID: policy.ServerID(i + 1), Zone: "z", StartedAt: r.now})
 	}
-	r.feed(decide.ListUpdate{Kind: decide.ListChanges, Entries: list})
+	r.feed(policy.ListUpdate{Kind: policy.ListChanges, Entries: list})
 	r.reset()
 	r.run(4*time.Second, 200, "dear")
 	cold, warm := 0, 0
@@ -110,21 +110,21 @@
 	for self := range nodes {
 		s.Self = self
 		r := newRig(t, s, 10)
-		r.m = decide.New(s, int64(self))
-		var list []decide.Server
+		r.m = policy.New(s, int64(self))
+		var list []policy.Server
 		for i := range 10 {
-			list = append(list, decide.Server{ID: decide.ServerID(i + 1), Zone: "z"})
+			list = append(list, policy.Server{ID: policy.ServerID(i + 1), Zone: "z"})
 		}
-		r.feed(decide.ListUpdate{Kind: decide.ListCached, Entries: list})
-		r.delay = func(id decide.ServerID) (time.Duration, decide.OutcomeCode) {
+		r.feed(policy.ListUpdate{Kind: policy.ListCached, Entries: list})
+		r.delay = func(id policy.ServerID) (time.Duration, policy.OutcomeCode) {
 			if id == 3 {
-				return 10 * time.Millisecond, decide.OK // the one that everybody likes best
+				return 10 * time.Millisecond, policy.OK // the one that everybody likes best
 			}
-			return 50 * time.Millisecond, decide.OK
+			return 50 * time.Millisecond, policy.OK
 		}
 		r.run(10*time.Second, 4, "cheap") // of all nodes, 24 a second at each server
 		list[2].StartedAt = r.now
-		r.feed(decide.ListUpdate{Kind: decide.ListChanges, Entries: list[2:3]})
+		r.feed(policy.ListUpdate{Kind: policy.ListChanges, Entries: list[2:3]})
 		r.reset()
 		r.run(s.OverloadTime, 4, "cheap")
 		total += r.sent[3]
@@ -141,24 +141,24 @@
 	r.run(10*time.Second, 120, "dear")
 	warm := r.sent[3]
 	for range 2 {
-		r.feed(decide.ServerExcluded{Server: 3})
+		r.feed(policy.ServerExcluded{Server: 3})
 	}
-	r.feed(decide.ServerExcluded{Server: 7}) // not listed yet
-	for _, e := range []decide.Server{{ID: 3, State: decide.Gone}, {ID: 3, Zone: "z", StartedAt: r.now}, {ID: 7, Zone: "z"}} {
-		r.feed(decide.ListUpdate{Kind: decide.ListChanges, Entries: []decide.Server{e}})
+	r.feed(policy.ServerExcluded{Server: 7}) // not listed yet
+	for _, e := range []policy.Server{{ID: 3, State: policy.Gone}, {ID: 3, Zone: "z", StartedAt: r.now}, {ID: 7, Zone: "z"}} {
+		r.feed(policy.ListUpdate{Kind: policy.ListChanges, Entries: []policy.Server{e}})
 	}
 	r.reset()
 	r.run(10*time.Second, 120, "dear")
 	if r.sent[3] > 0 || r.sent[7] > 0 || r.refused+r.failed > 0 {
 		t.Errorf("taken out: sent %v, refused %d, failed %d", r.sent, r.refused, r.failed)
 	}
-	for id := range decide.ServerID(2) {
-		r.feed(decide.ServerIncluded{Server: 3 + 4*id, At: r.now})
-		r.feed(decide.ListUpdate{Kind: decide.ListChanges, Entries: []decide.Server{{ID: 3 + 4*id, Zone: "z", StartedAt: r.now - time.Minute}}})
+	for id := range policy.ServerID(2) {
+		r.feed(policy.ServerIncluded{Server: 3 + 4*id, At: r.now})
+		r.feed(policy.ListUpdate{Kind: policy.ListChanges, Entries: []policy.Server{{ID: 3 + 4*id, Zone: "z", StartedAt: r.now - time.Minute}}})
 	}
 	r.reset()
 	r.run(time.Second, 120, "dear")
-	for _, id := range []decide.ServerID{3, 7} {
+	for _, id := range []policy.ServerID{3, 7} {
 		if part := float64(r.sent[id]) / (float64(warm) / 10); r.sent[id] == 0 || part > 0.6 {
 			t.Errorf("the first second back: server %d is sent %d, %.2f of what it was", id, r.sent[id], part)
 		}
@@ -169,21 +169,21 @@
 // of attempts that it may have.
 func TestSettingsChangeUnderOpenRequests(t *testing.T) {
 	set := rigSettings()
-	m := decide.New(set, 5)
+	m := policy.New(set, 5)
 	now := time.Hour
-	m.Handle(now, decide.ListUpdate{Kind: decide.ListCached, Entries: []decide.Server{{ID: 1}, {ID: 2}, {ID: 3}, {ID: 4}}})
-	sends := func(actions []decide.Action) (n int, last decide.Send) {
+	m.Handle(now, policy.ListUpdate{Kind: policy.ListCached, Entries: []policy.Server{{ID: 1}, {ID: 2}, {ID: 3}, {ID: 4}}})
+	sends := func(actions []policy.Action) (n int, last policy.Send) {
 		for _, a := range actions {
-			if s, ok := a.(decide.Send); ok {
+			if s, ok := a.(policy.Send); ok {
 				n, last = n+1, s
 			}
 		}
 		return n, last
 	}
-	first := map[string]decide.Send{}
+	first := map[string]policy.Send{}
 	arrive := func(id, class string) {
 		t.Helper()
-		n, s := sends(m.Handle(now, decide.RequestArrived{ID: decide.RequestID(id), Class: class, Patience: time.Second}))
+		n, s := sends(m.Handle(now, policy.RequestArrived{ID: policy.RequestID(id), Class: class, Patience: time.Second}))
 		if n != 1 {
 			t.Fatalf("%s of class %s: %d sends", id, class, n)
 		}
@@ -192,16 +192,16 @@
 	// again tells whether a request whose attempt failed is sent again.
 	again := func(id string, attempt int) int {
 		s := first[id]
-		n, next := sends(m.Handle(now, decide.AttemptEnded{ID: s.ID, Attempt: attempt, Server: s.Server, Code: decide.ServerError}))
+		n, next := sends(m.Handle(now, policy.AttemptEnded{ID: s.ID, Attempt: attempt, Server: s.Server, Code: policy.ServerError}))
 		first[id] = next
 		return n
 	}
 	arrive("old read", "dear")
 	arrive("old order", "once")
 	set.MaxAttempts = 1
-	set.Classes = []decide.Class{set.Classes[0], set.Classes[2], {Name: "new", Worth: 5, Aim: time.Second, Deadline: time.Second, Effect: decide.Safe}}
-	set.Classes[0].Effect, set.Classes[1].Effect = decide.Unsafe, decide.Safe
-	m.Handle(now, decide.SettingsChanged{Settings: set})
+	set.Classes = []policy.Class{set.Classes[0], set.Classes[2], {Name: "new", Worth: 5, Aim: time.Second, Deadline: time.Second, Effect: policy.Safe}}
+	set.Classes[0].Effect, set.Classes[1].Effect = policy.Unsafe, policy.Safe
+	m.Handle(now, policy.SettingsChanged{Settings: set})
 	arrive("new read", "dear")
 	arrive("new order", "once")
 	arrive("new", "new")
@@ -216,7 +216,7 @@
 		}
 	}
 	set.MaxAttempts = 3
-	m.Handle(now, decide.SettingsChanged{Settings: set})
+	m.Handle(now, policy.SettingsChanged{Settings: set})
 	arrive("later order", "once")
 	if again("later order", 0) != 1 {
 		t.Error("an order that has become safe is not sent again")
@@ -227,19 +227,19 @@
 func TestJamLeavesColdServersTheirPace(t *testing.T) {
 	r := newRig(t, rigSettings(), 6)
 	r.run(10*time.Second, 240, "dear")
-	for _, id := range []decide.ServerID{1, 2, 3} {
-		r.feed(decide.ListUpdate{Kind: decide.ListChanges, Entries: []decide.Server{{ID: id, Zone: "z", StartedAt: r.now}}})
+	for _, id := range []policy.ServerID{1, 2, 3} {
+		r.feed(policy.ListUpdate{Kind: policy.ListChanges, Entries: []policy.Server{{ID: id, Zone: "z", StartedAt: r.now}}})
 	}
-	r.delay = func(s decide.ServerID) (time.Duration, decide.OutcomeCode) {
+	r.delay = func(s policy.ServerID) (time.Duration, policy.OutcomeCode) {
 		if s > 3 {
-			return time.Second, decide.OK
+			return time.Second, policy.OK
 		}
-		return 50 * time.Millisecond, decide.OK
+		return 50 * time.Millisecond, policy.OK
 	}
 	r.run(2*time.Second, 240, "dear")
 	r.reset()
 	r.run(time.Second, 240, "dear")
-	for _, id := range []decide.ServerID{1, 2, 3} { // warm ones got 40 a second each; these can do half of that by now
+	for _, id := range []policy.ServerID{1, 2, 3} { // warm ones got 40 a second each; these can do half of that by now
 		if n := r.sent[id]; n < 15 || n > 30 {
 			t.Errorf("cold server %d is sent %d in a second", id, n)
 		}
--- a/decide/decide.go
+++ b/policy/decide.go
@@ -1,4 +1,4 @@
-package decide
+package policy
 
 // What a node does about each event: arrivals, outcomes, timers. The interface (settings, events, actions)
 // is in api.go, what is kept in state.go. The rest of the policy: overload.go has the modes and the shedding,
--- a/decide/digest_test.go
+++ b/policy/digest_test.go
@@ -1,6 +1,6 @@
 //go:build amd64
 
-package decide_test
+package policy_test
 
 // A digest of the module's decisions, held by testdata/decisions.txt: random legal events, the fleet's among them, are given to
 // modules of many seeds, and what they answer is hashed. A change that is meant to alter no decision leaves the file as it is.
@@ -21,7 +21,7 @@
 	"testing"
 	"time"
 
-	"starlingvalve/decide"
+	"meadowsill/policy"
 )
 
 var recordDigest = flag.Bool("record", false, "record testdata/decisions.txt anew")
@@ -29,30 +29,30 @@
 const digestSeeds = 200
 
 // writeActions adds actions to a digest and returns how many counted.
-func writeActions(h hash.Hash, actions []decide.Action) int {
+func writeActions(h hash.Hash, actions []policy.Action) int {
 	count := 0
 	for _, a := range actions {
 		count++
 		switch a := a.(type) {
-		case decide.Send:
+		case policy.Send:
 			fmt.Fprintln(h, "send", a.ID, a.Server, int64(a.Timeout))
-		case decide.Refuse:
+		case policy.Refuse:
 			fmt.Fprintln(h, "reject", a.ID, int64(a.HoldOff))
-		case decide.Fail:
+		case policy.Fail:
 			fmt.Fprintln(h, "fail", a.ID)
-		case decide.CancelAttempt:
+		case policy.CancelAttempt:
 			fmt.Fprintln(h, "cancel", a.ID, a.Attempt)
-		case decide.SetTimer:
+		case policy.SetTimer:
 			fmt.Fprintln(h, "timer", int64(a.After), a.Token)
-		case decide.Probe:
+		case policy.Probe:
 			fmt.Fprintln(h, "probe", a.Server)
-		case decide.SendMessage:
+		case policy.SendMessage:
 			fmt.Fprintln(h, "message", a.To, a.ToAll, a.Data)
-		case decide.Subscribe:
+		case policy.Subscribe:
 			fmt.Fprintln(h, "subscribe", a.On)
-		case decide.FetchList:
+		case policy.FetchList:
 			fmt.Fprintln(h, "fetch")
-		case decide.CloseIdle:
+		case policy.CloseIdle:
 			fmt.Fprintln(h, "close idle", a.Server)
 		default: // a log line
 			count--
@@ -62,7 +62,7 @@
 }
 
 // writeWindow adds what the module reports of a window.
-func writeWindow(h hash.Hash, w decide.FleetWindow) {
+func writeWindow(h hash.Hash, w policy.FleetWindow) {
 	fmt.Fprintln(h, "window", int64(w.Since))
 	for _, z := range w.Zones {
 		fmt.Fprintln(h, "zone", z.Zone, z.Attempts, z.Lost, z.Servers, z.LostServers, z.OK, z.Listed, z.Begun, z.Rate)
@@ -73,7 +73,7 @@
 }
 
 // writeHeld adds what the module says it holds.
-func writeHeld(h hash.Hash, m *decide.Module) error {
+func writeHeld(h hash.Hash, m *policy.Module) error {
 	for _, fact := range m.Holds() {
 		value, err := json.Marshal(fact.Value)
 		if err != nil {
@@ -89,31 +89,31 @@
 	revision := uint64(1 + i - w.r.Intn(5)%(i+1))
 	switch w.r.Intn(4) {
 	case 0:
-		w.handle(decide.ZoneTold{Zone: fmt.Sprint("z", w.r.Intn(2)), Revision: revision, Serving: w.r.Intn(4) == 0,
+		w.handle(policy.ZoneTold{Zone: fmt.Sprint("z", w.r.Intn(2)), Revision: revision, Serving: w.r.Intn(4) == 0,
 			Share: []float64{0, 0, 0.5, 1}[w.r.Intn(4)], Floor: float64(w.r.Intn(3)) / 4, Rate: float64(w.r.Intn(3)) / 2,
 			Trial: w.r.Intn(3) == 0, Age: time.Duration(w.r.Intn(500)) * time.Millisecond,
 			Valid: time.Duration(w.r.Intn(2000)) * time.Millisecond})
 	case 1:
-		committed := rules(revision, func(g *decide.TenantRules) {
+		committed := rules(revision, func(g *policy.TenantRules) {
 			g.Rate = float64(w.r.Intn(100))
 			if w.r.Intn(3) == 0 {
 				g.Classes = []string{"c0"}
 			}
 			if w.r.Intn(3) == 0 {
-				g.Routes = []decide.TenantRoute{{Zone: "z0", Weight: 1}, {Zone: "z1", Weight: 2}}
+				g.Routes = []policy.TenantRoute{{Zone: "z0", Weight: 1}, {Zone: "z1", Weight: 2}}
 				g.RefuseElse = w.r.Intn(2) == 0
 			}
 		})
-		w.handle(decide.TenantTold{Name: []string{"a", "b"}[w.r.Intn(2)], UID: uint64(1 + i/40), Revision: revision,
+		w.handle(policy.TenantTold{Name: []string{"a", "b"}[w.r.Intn(2)], UID: uint64(1 + i/40), Revision: revision,
 			Committed: committed, Staged: rules(revision+1, nil), Removing: w.r.Intn(8) == 0, Gone: w.r.Intn(12) == 0})
 	case 2:
-		w.handle(decide.ShareTold{Epoch: revision, Slots: 1 + w.r.Intn(4), Rates: map[string]float64{"a": float64(w.r.Intn(40)),
+		w.handle(policy.ShareTold{Epoch: revision, Slots: 1 + w.r.Intn(4), Rates: map[string]float64{"a": float64(w.r.Intn(40)),
 			"b": float64(w.r.Intn(40))}, Valid: time.Duration(w.r.Intn(3000)) * time.Millisecond})
 	case 3:
 		changed := w.set
 		changed.Nodes = 1 + w.r.Intn(6)
 		changed.HoldOffs = w.r.Intn(2) == 0
-		w.handle(decide.SettingsChanged{Settings: changed})
+		w.handle(policy.SettingsChanged{Settings: changed})
 	}
 }
 
@@ -123,7 +123,7 @@
 	h, count := sha256.New(), 0
 	w := newWorld(seed)
 	w.set.Fleet = seed%2 == 0
-	w.mutate = func(_ *world, actions []decide.Action) []decide.Action {
+	w.mutate = func(_ *world, actions []policy.Action) []policy.Action {
 		count += writeActions(h, actions)
 		return actions
 	}
--- a/decide/fleet_events.go
+++ b/policy/fleet_events.go
@@ -1,4 +1,4 @@
-package decide
+package policy
 
 import "time"
 
--- a/decide/fleet_held.go
+++ b/policy/fleet_held.go
@@ -1,4 +1,4 @@
-package decide
+package policy
 
 // What the module says it holds, read from what it decides by. The JSON names are those of the fleet's words.
 
--- a/decide/fleet_scope_test.go
+++ b/policy/fleet_scope_test.go
@@ -1,35 +1,35 @@
-package decide_test
+package policy_test
 
 import (
 	"testing"
 	"time"
 
-	"starlingvalve/decide"
+	"meadowsill/policy"
 )
 
 // A tenant leaves the node's scope and comes back to it under the item that it had, as the intent goes on or stays. What an older
 // intent said of it changes nothing.
 func TestTenantLeavesScopeAndReturns(t *testing.T) {
-	at := func(revision, intent uint64) decide.TenantTold {
-		return decide.TenantTold{Name: "x", UID: 1, Revision: revision, Intent: intent, Committed: rules(revision, nil)}
+	at := func(revision, intent uint64) policy.TenantTold {
+		return policy.TenantTold{Name: "x", UID: 1, Revision: revision, Intent: intent, Committed: rules(revision, nil)}
 	}
-	gone := func(revision, intent uint64) decide.TenantTold {
-		return decide.TenantTold{Name: "x", UID: 1, Revision: revision, Intent: intent, Gone: true}
+	gone := func(revision, intent uint64) policy.TenantTold {
+		return policy.TenantTold{Name: "x", UID: 1, Revision: revision, Intent: intent, Gone: true}
 	}
 	for name, c := range map[string]struct {
-		facts      []decide.Event
+		facts      []policy.Event
 		generation uint64 // held at the end; 0: none
 	}{
-		"leaves":                               {[]decide.Event{at(5, 9), gone(9, 9)}, 0},
-		"leaves at its own revision":           {[]decide.Event{at(9, 9), gone(9, 9)}, 0},
-		"returns at the same intent":           {[]decide.Event{at(5, 9), gone(9, 9), at(5, 9)}, 5},
-		"returns at a newer intent":            {[]decide.Event{at(5, 9), gone(9, 9), at(5, 12)}, 5},
-		"leaves twice":                         {[]decide.Event{at(5, 9), gone(9, 9), at(5, 9), gone(9, 9)}, 0},
-		"an older intent after it left":        {[]decide.Event{at(5, 9), gone(12, 12), at(5, 9)}, 0},
-		"an older intent after it returned":    {[]decide.Event{at(5, 9), gone(9, 9), at(5, 12), gone(9, 9)}, 5},
-		"an older item of a newer intent":      {[]decide.Event{at(7, 9), at(5, 12)}, 7},
-		"returns, then its next generation":    {[]decide.Event{at(5, 9), gone(9, 9), at(5, 9), at(12, 12)}, 12},
-		"removed for good, its name not again": {[]decide.Event{at(5, 9), gone(12, 12), gone(12, 13)}, 0},
+		"leaves":                               {[]policy.Event{at(5, 9), gone(9, 9)}, 0},
+		"leaves at its own revision":           {[]policy.Event{at(9, 9), gone(9, 9)}, 0},
+		"returns at the same intent":           {[]policy.Event{at(5, 9), gone(9, 9), at(5, 9)}, 5},
+		"returns at a newer intent":            {[]policy.Event{at(5, 9), gone(9, 9), at(5, 12)}, 5},
+		"leaves twice":                         {[]policy.Event{at(5, 9), gone(9, 9), at(5, 9), gone(9, 9)}, 0},
+		"an older intent after it left":        {[]policy.Event{at(5, 9), gone(12, 12), at(5, 9)}, 0},
+		"an older intent after it returned":    {[]policy.Event{at(5, 9), gone(9, 9), at(5, 12), gone(9, 9)}, 5},
+		"an older item of a newer intent":      {[]policy.Event{at(7, 9), at(5, 12)}, 7},
+		"returns, then its next generation":    {[]policy.Event{at(5, 9), gone(9, 9), at(5, 9), at(12, 12)}, 12},
+		"removed for good, its name not again": {[]policy.Event{at(5, 9), gone(12, 12), gone(12, 13)}, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := rigSettings()
@@ -57,18 +57,18 @@
 // meanwhile; new requests are refused, then served by the next.
 func TestOpenRequestsOutliveTheScope(t *testing.T) {
 	r := zonesRig(t, 30)
-	at := func(revision uint64, server string) decide.TenantTold {
-		return decide.TenantTold{Name: "x", UID: 1, Revision: revision, Intent: revision, Committed: rules(revision, func(g *decide.TenantRules) {
-			g.Rate, g.RefuseElse, g.Routes = 1e4, true, []decide.TenantRoute{{ID: server, Weight: 1}}
+	at := func(revision uint64, server string) policy.TenantTold {
+		return policy.TenantTold{Name: "x", UID: 1, Revision: revision, Intent: revision, Committed: rules(revision, func(g *policy.TenantRules) {
+			g.Rate, g.RefuseElse, g.Routes = 1e4, true, []policy.TenantRoute{{ID: server, Weight: 1}}
 		})}
 	}
 	r.feed(at(5, "s3"))
 	r.run(time.Second, 0, "")
-	r.delay = func(decide.ServerID) (time.Duration, decide.OutcomeCode) { return time.Second, decide.OK }
+	r.delay = func(policy.ServerID) (time.Duration, policy.OutcomeCode) { return time.Second, policy.OK }
 	if sent := r.ask("x", "dear"); sent != 3 {
 		t.Fatalf("sent to %d", sent)
 	}
-	r.feed(decide.TenantTold{Name: "x", UID: 1, Revision: 9, Intent: 9, Gone: true})
+	r.feed(policy.TenantTold{Name: "x", UID: 1, Revision: 9, Intent: 9, Gone: true})
 	if sent := r.ask("x", "dear"); sent != 0 {
 		t.Errorf("out of scope: sent to %d", sent)
 	}
--- a/decide/fleet_state.go
+++ b/policy/fleet_state.go
@@ -1,4 +1,4 @@
-package decide
+package policy
 
 // What the module keeps of the fleet's facts, the counts that it gives for reports, and what of
 // a fact makes no sense. Nothing is decided here.
--- a/decide/fleet_tenants.go
+++ b/policy/fleet_tenants.go
@@ -1,4 +1,4 @@
-package decide
+package policy
 
 // Tenants under the fleet: which generation serves a request, whether its quota has room, where it may go.
 
--- a/decide/fleet_tenants_test.go
+++ b/policy/fleet_tenants_test.go
@@ -1,4 +1,4 @@
-package decide_test
+package policy_test
 
 // Tenants under the fleet, at one module: T1, T3, T6 and T7 of docs/fleet.md, quotas, routes, validation; and what
 // the module tells of itself.
@@ -12,11 +12,11 @@
 	"testing"
 	"time"
 
-	"starlingvalve/decide"
+	"meadowsill/policy"
 )
 
-func rules(generation uint64, change func(*decide.TenantRules)) *decide.TenantRules {
-	g := &decide.TenantRules{Generation: generation, Digest: fmt.Sprint("d", generation), Rate: 1000, Burst: 3000}
+func rules(generation uint64, change func(*policy.TenantRules)) *policy.TenantRules {
+	g := &policy.TenantRules{Generation: generation, Digest: fmt.Sprint("d", generation), Rate: 1000, Burst: 3000}
 	if change != nil {
 		change(g)
 	}
@@ -24,64 +24,64 @@
 }
 
 // ask has one request come and tells where it was sent; 0: it was refused at once, without an attempt.
-func (r *rig) ask(tenant, class string) decide.ServerID {
+func (r *rig) ask(tenant, class string) policy.ServerID {
 	r.next++
-	id := decide.RequestID(fmt.Sprint(class, r.next))
+	id := policy.RequestID(fmt.Sprint(class, r.next))
 	r.came[id] = r.now
 	sent := len(r.legs)
-	r.feed(decide.RequestArrived{ID: id, Class: class, Tenant: tenant, Patience: 2 * time.Second})
+	r.feed(policy.RequestArrived{ID: id, Class: class, Tenant: tenant, Patience: 2 * time.Second})
 	if len(r.legs) == sent {
-		if _, ok := r.last[id].(decide.Refuse); !ok {
+		if _, ok := r.last[id].(policy.Refuse); !ok {
 			r.t.Errorf("%s: neither sent nor refused: %v", id, r.last[id])
 		}
 		return 0
 	}
-	return r.due[len(r.due)-1].e.(decide.AttemptEnded).Server
+	return r.due[len(r.due)-1].e.(policy.AttemptEnded).Server
 }
 
 // TestTenantFollowsIntent: T1, T6 and the settings' tenants, as rows of facts and who is served after them.
 func TestTenantFollowsIntent(t *testing.T) {
-	told := func(uid, rev uint64, committed, staged *decide.TenantRules) decide.TenantTold {
-		return decide.TenantTold{Name: "x", UID: uid, Revision: rev, Committed: committed, Staged: staged}
+	told := func(uid, rev uint64, committed, staged *policy.TenantRules) policy.TenantTold {
+		return policy.TenantTold{Name: "x", UID: uid, Revision: rev, Committed: committed, Staged: staged}
 	}
-	dearOnly := func(g *decide.TenantRules) { g.Classes = []string{"dear"} }
-	none := func(g *decide.TenantRules) { g.Rate, g.Burst = 0, 0 }
+	dearOnly := func(g *policy.TenantRules) { g.Classes = []string{"dear"} }
+	none := func(g *policy.TenantRules) { g.Rate, g.Burst = 0, 0 }
 	removing, gone, unquoted := told(1, 7, rules(1, nil), nil), told(1, 8, nil, nil), told(1, 8, rules(1, nil), nil)
 	removing.Removing, gone.Gone, unquoted.Removing, unquoted.QuotaGone = true, true, true, true
-	ofSettings := func(e decide.TenantTold) decide.TenantTold { e.Name = "set"; return e }
+	ofSettings := func(e policy.TenantTold) policy.TenantTold { e.Name = "set"; return e }
 	for name, c := range map[string]struct {
-		facts  []decide.Event
+		facts  []policy.Event
 		tenant string
 		class  string
 		served bool
 	}{
 		"not known":                        {tenant: "x", class: "dear"},
-		"not known, all told":              {facts: []decide.Event{decide.FleetSynced{Revision: 4}}, tenant: "x", class: "dear"},
+		"not known, all told":              {facts: []policy.Event{policy.FleetSynced{Revision: 4}}, tenant: "x", class: "dear"},
 		"no tenant named":                  {tenant: "", class: "dear", served: true},
 		"of the settings":                  {tenant: "set", class: "dear", served: true},
-		"T1 staged only":                   {facts: []decide.Event{told(1, 5, nil, rules(1, nil))}, tenant: "x", class: "dear"},
-		"committed":                        {facts: []decide.Event{told(1, 5, rules(1, nil), nil)}, tenant: "x", class: "dear", served: true},
-		"T1 the committed namespace":       {facts: []decide.Event{told(1, 5, rules(1, dearOnly), rules(2, nil))}, tenant: "x", class: "cheap"},
-		"T1 not the staged namespace":      {facts: []decide.Event{told(1, 5, rules(1, nil), rules(2, dearOnly))}, tenant: "x", class: "cheap", served: true},
-		"T1 the whole of the next":         {facts: []decide.Event{told(1, 5, rules(1, dearOnly), nil), told(1, 6, rules(2, none), nil)}, tenant: "x", class: "dear"},
-		"older news":                       {facts: []decide.Event{told(1, 6, rules(2, nil), nil), told(1, 5, rules(1, dearOnly), nil)}, tenant: "x", class: "cheap", served: true},
-		"the same again":                   {facts: []decide.Event{told(1, 6, rules(1, nil), nil), told(1, 6, nil, nil)}, tenant: "x", class: "cheap", served: true},
-		"T6 removing":                      {facts: []decide.Event{told(1, 6, rules(1, nil), nil), removing}, tenant: "x", class: "dear"},
-		"T6 quota gone":                    {facts: []decide.Event{told(1, 6, rules(1, nil), nil), removing, unquoted}, tenant: "x", class: "dear"},
-		"T6 gone":                          {facts: []decide.Event{told(1, 6, rules(1, nil), nil), removing, gone}, tenant: "x", class: "dear"},
-		"T6 late news of one gone":         {facts: []decide.Event{told(1, 6, rules(1, nil), nil), gone, told(1, 6, rules(1, nil), nil)}, tenant: "x", class: "dear"},
-		"T6 its name again":                {facts: []decide.Event{gone, told(9, 9, rules(1, dearOnly), nil)}, tenant: "x", class: "dear", served: true},
-		"T6 its name again, not as before": {facts: []decide.Event{told(1, 6, rules(1, nil), nil), gone, told(9, 9, rules(1, dearOnly), nil)}, tenant: "x", class: "cheap"},
-		"of the settings, staged":          {facts: []decide.Event{ofSettings(told(1, 5, nil, rules(1, dearOnly)))}, tenant: "set", class: "cheap", served: true},
-		"of the settings, rolled back":     {facts: []decide.Event{ofSettings(told(1, 5, nil, rules(1, nil))), ofSettings(gone)}, tenant: "set", class: "cheap", served: true},
-		"of the settings, committed":       {facts: []decide.Event{ofSettings(told(1, 5, rules(1, dearOnly), nil))}, tenant: "set", class: "cheap"},
-		"of the settings, removed":         {facts: []decide.Event{ofSettings(told(1, 5, rules(1, nil), nil)), ofSettings(gone)}, tenant: "set", class: "cheap"},
-		"malformed":                        {facts: []decide.Event{told(1, 5, rules(1, nil), nil), told(1, 6, rules(2, func(g *decide.TenantRules) { g.Rate = -1 }), nil)}, tenant: "x", class: "dear", served: true},
-		"an hour alone":                    {facts: []decide.Event{told(1, 5, rules(1, nil), nil), nil}, tenant: "x", class: "dear", served: true},
+		"T1 staged only":                   {facts: []policy.Event{told(1, 5, nil, rules(1, nil))}, tenant: "x", class: "dear"},
+		"committed":                        {facts: []policy.Event{told(1, 5, rules(1, nil), nil)}, tenant: "x", class: "dear", served: true},
+		"T1 the committed namespace":       {facts: []policy.Event{told(1, 5, rules(1, dearOnly), rules(2, nil))}, tenant: "x", class: "cheap"},
+		"T1 not the staged namespace":      {facts: []policy.Event{told(1, 5, rules(1, nil), rules(2, dearOnly))}, tenant: "x", class: "cheap", served: true},
+		"T1 the whole of the next":         {facts: []policy.Event{told(1, 5, rules(1, dearOnly), nil), told(1, 6, rules(2, none), nil)}, tenant: "x", class: "dear"},
+		"older news":                       {facts: []policy.Event{told(1, 6, rules(2, nil), nil), told(1, 5, rules(1, dearOnly), nil)}, tenant: "x", class: "cheap", served: true},
+		"the same again":                   {facts: []policy.Event{told(1, 6, rules(1, nil), nil), told(1, 6, nil, nil)}, tenant: "x", class: "cheap", served: true},
+		"T6 removing":                      {facts: []policy.Event{told(1, 6, rules(1, nil), nil), removing}, tenant: "x", class: "dear"},
+		"T6 quota gone":                    {facts: []policy.Event{told(1, 6, rules(1, nil), nil), removing, unquoted}, tenant: "x", class: "dear"},
+		"T6 gone":                          {facts: []policy.Event{told(1, 6, rules(1, nil), nil), removing, gone}, tenant: "x", class: "dear"},
+		"T6 late news of one gone":         {facts: []policy.Event{told(1, 6, rules(1, nil), nil), gone, told(1, 6, rules(1, nil), nil)}, tenant: "x", class: "dear"},
+		"T6 its name again":                {facts: []policy.Event{gone, told(9, 9, rules(1, dearOnly), nil)}, tenant: "x", class: "dear", served: true},
+		"T6 its name again, not as before": {facts: []policy.Event{told(1, 6, rules(1, nil), nil), gone, told(9, 9, rules(1, dearOnly), nil)}, tenant: "x", class: "cheap"},
+		"of the settings, staged":          {facts: []policy.Event{ofSettings(told(1, 5, nil, rules(1, dearOnly)))}, tenant: "set", class: "cheap", served: true},
+		"of the settings, rolled back":     {facts: []policy.Event{ofSettings(told(1, 5, nil, rules(1, nil))), ofSettings(gone)}, tenant: "set", class: "cheap", served: true},
+		"of the settings, committed":       {facts: []policy.Event{ofSettings(told(1, 5, rules(1, dearOnly), nil))}, tenant: "set", class: "cheap"},
+		"of the settings, removed":         {facts: []policy.Event{ofSettings(told(1, 5, rules(1, nil), nil)), ofSettings(gone)}, tenant: "set", class: "cheap"},
+		"malformed":                        {facts: []policy.Event{told(1, 5, rules(1, nil), nil), told(1, 6, rules(2, func(g *policy.TenantRules) { g.Rate = -1 }), nil)}, tenant: "x", class: "dear", served: true},
+		"an hour alone":                    {facts: []policy.Event{told(1, 5, rules(1, nil), nil), nil}, tenant: "x", class: "dear", served: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := rigSettings()
-			s.Fleet, s.Tenants = true, []decide.Tenant{{Name: "set", Quota: 100}}
+			s.Fleet, s.Tenants = true, []policy.Tenant{{Name: "set", Quota: 100}}
 			r := newRig(t, s, 4)
 			for _, e := range c.facts {
 				if e == nil {
@@ -107,28 +107,28 @@
 		s := rigSettings()
 		s.Fleet, s.Nodes, s.Self = true, slots, self
 		r := newRig(t, s, 12)
-		r.feed(decide.TenantTold{Name: "x", UID: 1, Revision: 1, Committed: rules(1, func(g *decide.TenantRules) {
+		r.feed(policy.TenantTold{Name: "x", UID: 1, Revision: 1, Committed: rules(1, func(g *policy.TenantRules) {
 			g.Rate, g.Burst, g.ClassRates = rate, burst, map[string]float64{"cheap": rate / 5}
 		})})
 		return r
 	}
-	share := func(epoch uint64, rate float64, valid time.Duration) decide.ShareTold {
-		return decide.ShareTold{Epoch: epoch, Slots: slots, Rates: map[string]float64{"x": rate}, Valid: valid}
+	share := func(epoch uint64, rate float64, valid time.Duration) policy.ShareTold {
+		return policy.ShareTold{Epoch: epoch, Slots: slots, Rates: map[string]float64{"x": rate}, Valid: valid}
 	}
-	other := decide.TenantTold{Name: "x", UID: 2, Revision: 2, Committed: rules(1, func(g *decide.TenantRules) { g.Rate = rate })}
+	other := policy.TenantTold{Name: "x", UID: 2, Revision: 2, Committed: rules(1, func(g *policy.TenantRules) { g.Rate = rate })}
 	for name, c := range map[string]struct {
-		facts []decide.Event
+		facts []policy.Event
 		want  float64 // requests/s admitted over 20 s
 	}{
 		"none":                           {want: 1},
-		"held":                           {facts: []decide.Event{share(1, 4, time.Minute)}, want: 5},
-		"lapses in the half":             {facts: []decide.Event{share(1, 4, 10*time.Second)}, want: 3},
-		"ended by its agent":             {facts: []decide.Event{share(1, 4, time.Minute), share(1, 4, 0)}, want: 1},
-		"older division":                 {facts: []decide.Event{share(2, 1, time.Minute), share(1, 4, time.Minute)}, want: 2},
-		"over the quota":                 {facts: []decide.Event{share(1, 1e9, time.Minute)}, want: 41},
-		"no number":                      {facts: []decide.Event{share(1, math.NaN(), time.Minute)}, want: 1},
-		"T6 of the name's tenant before": {facts: []decide.Event{share(1, 4, time.Minute), other}, want: 1},
-		"T6 divided since":               {facts: []decide.Event{other, share(1, 4, time.Minute)}, want: 5},
+		"held":                           {facts: []policy.Event{share(1, 4, time.Minute)}, want: 5},
+		"lapses in the half":             {facts: []policy.Event{share(1, 4, 10*time.Second)}, want: 3},
+		"ended by its agent":             {facts: []policy.Event{share(1, 4, time.Minute), share(1, 4, 0)}, want: 1},
+		"older division":                 {facts: []policy.Event{share(2, 1, time.Minute), share(1, 4, time.Minute)}, want: 2},
+		"over the quota":                 {facts: []policy.Event{share(1, 1e9, time.Minute)}, want: 41},
+		"no number":                      {facts: []policy.Event{share(1, math.NaN(), time.Minute)}, want: 1},
+		"T6 of the name's tenant before": {facts: []policy.Event{share(1, 4, time.Minute), other}, want: 1},
+		"T6 divided since":               {facts: []policy.Event{other, share(1, 4, time.Minute)}, want: 5},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := start(t, 0)
@@ -178,9 +178,9 @@
 // generation, and so its route, to its end.
 func TestRoutes(t *testing.T) {
 	r := zonesRig(t, 30)
-	route := func(generation uint64, refuse bool, routes ...decide.TenantRoute) {
-		r.feed(decide.TenantTold{Name: "x", UID: 1, Revision: generation, Committed: rules(generation,
-			func(g *decide.TenantRules) { g.Rate, g.Routes, g.RefuseElse = 1e4, routes, refuse })})
+	route := func(generation uint64, refuse bool, routes ...policy.TenantRoute) {
+		r.feed(policy.TenantTold{Name: "x", UID: 1, Revision: generation, Committed: rules(generation,
+			func(g *policy.TenantRules) { g.Rate, g.Routes, g.RefuseElse = 1e4, routes, refuse })})
 	}
 	asked := func() map[string]int {
 		got := map[string]int{}
@@ -191,14 +191,14 @@
 		}
 		return got
 	}
-	route(1, true, decide.TenantRoute{ID: "s3", Weight: 3}, decide.TenantRoute{Zone: "b", ID: "s1?", Weight: 1},
-		decide.TenantRoute{Zone: "nowhere", Weight: 50})
+	route(1, true, policy.TenantRoute{ID: "s3", Weight: 3}, policy.TenantRoute{Zone: "b", ID: "s1?", Weight: 1},
+		policy.TenantRoute{Zone: "nowhere", Weight: 50})
 	if got := asked(); got["s3"] < 270 || got["s3"] > 330 || got["s10"]+got["s12"]+got["s14"]+got["s16"]+got["s18"] < 65 {
 		t.Errorf("routes 3 to 1: %v", got)
 	}
 	hit := 0
-	for id := range decide.ServerID(60) {
-		route(uint64(2+id), true, decide.TenantRoute{ID: fmt.Sprint("s", id+1), Weight: 1})
+	for id := range policy.ServerID(60) {
+		route(uint64(2+id), true, policy.TenantRoute{ID: fmt.Sprint("s", id+1), Weight: 1})
 		if r.run(20*time.Millisecond, 0, ""); r.ask("x", "dear") == id+1 {
 			hit++
 		}
@@ -206,24 +206,24 @@
 	if hit < 55 {
 		t.Errorf("%d of 60 requests went to the one server of their route", hit)
 	}
-	route(72, true, decide.TenantRoute{Zone: "nowhere", Weight: 1})
+	route(72, true, policy.TenantRoute{Zone: "nowhere", Weight: 1})
 	if got := asked(); got["refused"] != 400 {
 		t.Errorf("nothing matches, to be refused: %v", got)
 	}
-	route(73, false, decide.TenantRoute{Zone: "nowhere", Weight: 1})
+	route(73, false, policy.TenantRoute{Zone: "nowhere", Weight: 1})
 	if got := asked(); got["refused"] > 4 || len(got) < 8 {
 		t.Errorf("nothing matches, to go anywhere: %v", got)
 	}
-	route(74, true, decide.TenantRoute{ID: "s3", Weight: 1}, decide.TenantRoute{ID: "s5", Weight: 1})
+	route(74, true, policy.TenantRoute{ID: "s3", Weight: 1}, policy.TenantRoute{ID: "s5", Weight: 1})
 	r.run(3*time.Second, 0, "")
-	r.delay = func(decide.ServerID) (time.Duration, decide.OutcomeCode) {
-		return 50 * time.Millisecond, decide.ConnectFailed
+	r.delay = func(policy.ServerID) (time.Duration, policy.OutcomeCode) {
+		return 50 * time.Millisecond, policy.ConnectFailed
 	}
 	r.reset()
 	if first := r.ask("x", "dear"); first != 3 && first != 5 {
 		t.Fatalf("sent to %d", first)
 	}
-	route(75, false, decide.TenantRoute{Zone: "b", Weight: 1})
+	route(75, false, policy.TenantRoute{Zone: "b", Weight: 1})
 	r.run(time.Second, 0, "")
 	if a, b := r.sentTo(); a != 1 || b != 0 || r.refused != 1 {
 		t.Errorf("T7: %d attempts by its own generation, %d by the next, %d refused", a, b, r.refused)
@@ -233,23 +233,23 @@
 // A staged generation is held against what the node has; what is held is told in the fleet's words.
 func TestWindowAndHolds(t *testing.T) {
 	r := zonesRig(t, 30)
-	r.feed(decide.ZoneTold{Zone: "b", Revision: 4, Share: 0.5, Floor: 0.1, Rate: 2, Valid: 5 * time.Second})
-	r.feed(decide.ServerExcluded{Server: 3})
+	r.feed(policy.ZoneTold{Zone: "b", Revision: 4, Share: 0.5, Floor: 0.1, Rate: 2, Valid: 5 * time.Second})
+	r.feed(policy.ServerExcluded{Server: 3})
 	for i, c := range []struct {
-		change  func(*decide.TenantRules)
+		change  func(*policy.TenantRules)
 		refused string
 	}{
-		{func(g *decide.TenantRules) { g.Classes = []string{"dear", "odd"} }, `namespace.classes: class "odd" is not known here`},
-		{func(g *decide.TenantRules) { g.ClassRates = map[string]float64{"odd": 1} }, `quota.classes: class "odd"`},
-		{func(g *decide.TenantRules) { g.Rate = math.Inf(1) }, "quota: rate"},
-		{func(g *decide.TenantRules) {
-			g.Routes = []decide.TenantRoute{{Zone: "a", Weight: 1}, {Kind: "k", Weight: 1}}
+		{func(g *policy.TenantRules) { g.Classes = []string{"dear", "odd"} }, `namespace.classes: class "odd" is not known here`},
+		{func(g *policy.TenantRules) { g.ClassRates = map[string]float64{"odd": 1} }, `quota.classes: class "odd"`},
+		{func(g *policy.TenantRules) { g.Rate = math.Inf(1) }, "quota: rate"},
+		{func(g *policy.TenantRules) {
+			g.Routes = []policy.TenantRoute{{Zone: "a", Weight: 1}, {Kind: "k", Weight: 1}}
 		},
 			"routes[1]: no listed server matches"},
-		{func(g *decide.TenantRules) { g.Routes = []decide.TenantRoute{{ID: "s[", Weight: 1}} }, "routes[0]"},
-		{func(g *decide.TenantRules) { g.Routes = []decide.TenantRoute{{ID: "s1*", Weight: 1}} }, ""},
+		{func(g *policy.TenantRules) { g.Routes = []policy.TenantRoute{{ID: "s[", Weight: 1}} }, "routes[0]"},
+		{func(g *policy.TenantRules) { g.Routes = []policy.TenantRoute{{ID: "s1*", Weight: 1}} }, ""},
 	} {
-		r.feed(decide.TenantTold{Name: "x", UID: 1, Revision: uint64(i + 1), Committed: rules(7, nil), Staged: rules(8, c.change)})
+		r.feed(policy.TenantTold{Name: "x", UID: 1, Revision: uint64(i + 1), Committed: rules(7, nil), Staged: rules(8, c.change)})
 		w := r.m.Window(r.now).Tenants[0]
 		if w.Committed != 7 || !strings.HasPrefix(w.Refused, c.refused) || (w.Refused == "") != (c.refused == "") ||
 			(w.Staged == 8 && w.Digest == "d8") != (c.refused == "") {
@@ -258,11 +258,11 @@
 	}
 	r.run(100*time.Millisecond, 0, "")
 	r.m.Window(r.now)
-	r.delay = func(id decide.ServerID) (time.Duration, decide.OutcomeCode) {
+	r.delay = func(id policy.ServerID) (time.Duration, policy.OutcomeCode) {
 		if id%2 == 1 {
-			return time.Hour, decide.TimedOut // silent; the client's two seconds are not over yet
+			return time.Hour, policy.TimedOut // silent; the client's two seconds are not over yet
 		}
-		return 50 * time.Millisecond, []decide.OutcomeCode{decide.OK, decide.Full, decide.ServerError}[id%3]
+		return 50 * time.Millisecond, []policy.OutcomeCode{policy.OK, policy.Full, policy.ServerError}[id%3]
 	}
 	r.reset()
 	r.run(600*time.Millisecond, 100, "dear")
@@ -279,7 +279,7 @@
 	if got := w.Tenants[0]; got.Open != open || got.Admitted != 1 {
 		t.Errorf("%d of the tenant's requests are open: %+v", open, got)
 	}
-	if i := slices.IndexFunc(w.Zones, func(z decide.ZoneWindow) bool { return z.Zone == "a" }); i != 0 || len(w.Zones) != 2 {
+	if i := slices.IndexFunc(w.Zones, func(z policy.ZoneWindow) bool { return z.Zone == "a" }); i != 0 || len(w.Zones) != 2 {
 		t.Fatalf("zones: %+v", w.Zones)
 	}
 	if z := w.Zones[0]; z.Begun != a || z.Attempts != z.Lost || z.Lost < 5 || z.Servers != z.LostServers || z.Listed != 29 {
@@ -322,16 +322,16 @@
 	r := zonesRig(t, 30)
 	r.run(time.Second, 0, "")
 	r.m.Window(r.now)
-	r.delay = func(id decide.ServerID) (time.Duration, decide.OutcomeCode) {
+	r.delay = func(id policy.ServerID) (time.Duration, policy.OutcomeCode) {
 		if id%2 == 1 {
-			return time.Millisecond, decide.Reset
+			return time.Millisecond, policy.Reset
 		}
-		return 20 * time.Millisecond, decide.OK
+		return 20 * time.Millisecond, policy.OK
 	}
 	most, lost := 0, 0
 	for range 12 {
 		r.next++
-		r.feed(decide.RequestArrived{ID: decide.RequestID(fmt.Sprint("once", r.next)), Class: "once", Patience: time.Second})
+		r.feed(policy.RequestArrived{ID: policy.RequestID(fmt.Sprint("once", r.next)), Class: "once", Patience: time.Second})
 		r.run(250*time.Millisecond, 0, "")
 		for _, z := range r.m.Window(r.now).Zones {
 			if lost += z.Lost; z.Zone == "a" {
--- a/decide/fleet_zones.go
+++ b/policy/fleet_zones.go
@@ -1,4 +1,4 @@
-package decide
+package policy
 
 // The fleet's directives on zones: what is left, what is tried, at which rate. docs/fleet.md has the design;
 // what is kept is in fleet_state.go. Without a directive nothing here changes a decision or draws a number.
--- a/decide/fleet_zones_test.go
+++ b/policy/fleet_zones_test.go
@@ -1,4 +1,4 @@
-package decide_test
+package policy_test
 
 // The fleet's directives on zones, at one module and at many.
 
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"starlingvalve/decide"
+	"meadowsill/policy"
 )
 
 // Without facts a fleet block changes no action: recorded events are played to a module with it and one without.
@@ -18,9 +18,9 @@
 		w := newWorld(seed)
 		w.capacity = testRate / 3
 		w.run(6*time.Second, testRate, false)
-		plain, set := decide.New(w.set, seed), w.set
+		plain, set := policy.New(w.set, seed), w.set
 		set.Fleet = true
-		fleet := decide.New(set, seed)
+		fleet := policy.New(set, seed)
 		for i, e := range w.events {
 			if i%50 == 0 {
 				fleet.Window(w.times[i])
@@ -40,9 +40,9 @@
 	s := rigSettings()
 	s.Fleet, s.Zone, s.Zones, s.Nodes = true, "a", []string{"a", "b"}, nodes
 	r := newRig(t, s, 0)
-	l := decide.ListUpdate{Kind: decide.ListFull}
+	l := policy.ListUpdate{Kind: policy.ListFull}
 	for i := range 60 {
-		l.Entries = append(l.Entries, decide.Server{ID: decide.ServerID(i + 1), Zone: []string{"b", "a"}[(i+1)%2],
+		l.Entries = append(l.Entries, policy.Server{ID: policy.ServerID(i + 1), Zone: []string{"b", "a"}[(i+1)%2],
 			Name: fmt.Sprint("s", i+1)})
 	}
 	r.feed(l)
@@ -66,29 +66,29 @@
 // TestZoneDirectiveLapses has directives come whole, late, twice, out of order, malformed and age beyond their validity.
 func TestZoneDirectiveLapses(t *testing.T) {
 	const valid = time.Minute
-	told := func(rev uint64, share, floor float64, age time.Duration) decide.ZoneTold {
-		return decide.ZoneTold{Zone: "a", Revision: rev, Share: share, Floor: floor, Age: age, Valid: valid}
+	told := func(rev uint64, share, floor float64, age time.Duration) policy.ZoneTold {
+		return policy.ZoneTold{Zone: "a", Revision: rev, Share: share, Floor: floor, Age: age, Valid: valid}
 	}
-	ended := decide.ZoneTold{Zone: "a", Revision: 9, Serving: true}
-	open := decide.ZoneTold{Zone: "a", Revision: 5, Intent: 12, Share: 1, Valid: valid}
+	ended := policy.ZoneTold{Zone: "a", Revision: 9, Serving: true}
+	open := policy.ZoneTold{Zone: "a", Revision: 5, Intent: 12, Share: 1, Valid: valid}
 	for name, c := range map[string]struct {
-		facts []decide.Event
+		facts []policy.Event
 		wait  time.Duration
 		want  float64 // of the zone's ordinary part
 	}{
-		"left":                           {facts: []decide.Event{told(5, 0, 0, 0)}, want: 0},
-		"half":                           {facts: []decide.Event{told(5, 0.5, 0, 0)}, want: 0.5},
-		"lapsed to its floor":            {facts: []decide.Event{told(5, 1, 0.25, 0)}, wait: time.Minute, want: 0.25},
-		"lapsed to no floor":             {facts: []decide.Event{told(5, 1, 0, 0)}, wait: time.Minute, want: 0},
-		"lapsed when told":               {facts: []decide.Event{told(5, 1, 0, 61*time.Second)}, want: 0},
-		"its age counts":                 {facts: []decide.Event{told(5, 1, 0, 31*time.Second)}, wait: 30 * time.Second, want: 0},
-		"twice, the second older":        {facts: []decide.Event{told(5, 1, 0, 0), told(5, 1, 0, 61*time.Second)}, want: 1},
-		"after its successor":            {facts: []decide.Event{told(6, 0, 0, 0), told(5, 1, 1, 0)}, want: 0},
-		"after its end":                  {facts: []decide.Event{told(5, 0, 0, 0), ended, told(5, 0, 0, 0)}, want: 1},
-		"of an older item, newer intent": {facts: []decide.Event{told(9, 0, 0, 0), open}, want: 1},
-		"a floor over its share":         {facts: []decide.Event{told(5, 0, 1, 0)}, wait: time.Minute, want: 0},
-		"malformed":                      {facts: []decide.Event{told(5, math.NaN(), 0, 0), told(6, -1, 0, 0), told(7, 2, 0, 0)}, want: 1},
-		"of another zone":                {facts: []decide.Event{decide.ZoneTold{Zone: "c", Revision: 5, Valid: valid}}, want: 1},
+		"left":                           {facts: []policy.Event{told(5, 0, 0, 0)}, want: 0},
+		"half":                           {facts: []policy.Event{told(5, 0.5, 0, 0)}, want: 0.5},
+		"lapsed to its floor":            {facts: []policy.Event{told(5, 1, 0.25, 0)}, wait: time.Minute, want: 0.25},
+		"lapsed to no floor":             {facts: []policy.Event{told(5, 1, 0, 0)}, wait: time.Minute, want: 0},
+		"lapsed when told":               {facts: []policy.Event{told(5, 1, 0, 61*time.Second)}, want: 0},
+		"its age counts":                 {facts: []policy.Event{told(5, 1, 0, 31*time.Second)}, wait: 30 * time.Second, want: 0},
+		"twice, the second older":        {facts: []policy.Event{told(5, 1, 0, 0), told(5, 1, 0, 61*time.Second)}, want: 1},
+		"after its successor":            {facts: []policy.Event{told(6, 0, 0, 0), told(5, 1, 1, 0)}, want: 0},
+		"after its end":                  {facts: []policy.Event{told(5, 0, 0, 0), ended, told(5, 0, 0, 0)}, want: 1},
+		"of an older item, newer intent": {facts: []policy.Event{told(9, 0, 0, 0), open}, want: 1},
+		"a floor over its share":         {facts: []policy.Event{told(5, 0, 1, 0)}, wait: time.Minute, want: 0},
+		"malformed":                      {facts: []policy.Event{told(5, math.NaN(), 0, 0), told(6, -1, 0, 0), told(7, 2, 0, 0)}, want: 1},
+		"of another zone":                {facts: []policy.Event{policy.ZoneTold{Zone: "c", Revision: 5, Valid: valid}}, want: 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := zonesRig(t, 3)
@@ -117,11 +117,11 @@
 func TestLeftZoneIsLeft(t *testing.T) {
 	r := zonesRig(t, 30)
 	answer := r.delay
-	r.delay = func(id decide.ServerID) (time.Duration, decide.OutcomeCode) {
+	r.delay = func(id policy.ServerID) (time.Duration, policy.OutcomeCode) {
 		if id%2 == 1 {
-			return time.Hour, decide.TimedOut
+			return time.Hour, policy.TimedOut
 		}
-		return 50 * time.Millisecond, decide.OK
+		return 50 * time.Millisecond, policy.OK
 	}
 	for range 10 {
 		r.run(20*time.Millisecond, 300, "dear")
@@ -129,7 +129,7 @@
 	}
 	r.reset()
 	for revision := uint64(1); revision < 9; revision += 4 {
-		r.feed(decide.ZoneTold{Zone: "a", Revision: revision, Valid: time.Hour})
+		r.feed(policy.ZoneTold{Zone: "a", Revision: revision, Valid: time.Hour})
 		r.run(60*time.Millisecond, 0, "")
 		if a, b := r.sentTo(); revision == 1 && (a > 0 || b < 3 || b > 10 || r.refused+r.failed > 0) {
 			t.Errorf("%d attempts there, %d elsewhere as it was left, want 3 to 10; %d refused, %d failed", a, b, r.refused, r.failed)
@@ -140,14 +140,14 @@
 		}
 		r.delay = answer
 		r.reset()
-		r.feed(decide.ZoneTold{Zone: "a", Revision: revision + 1, Rate: 0.2, Trial: true, Valid: time.Hour})
+		r.feed(policy.ZoneTold{Zone: "a", Revision: revision + 1, Rate: 0.2, Trial: true, Valid: time.Hour})
 		r.run(5*time.Second, 30, "dear")
 		tried, _ := r.sentTo()
 		r.run(5*time.Second, 30, "once")
 		if a, _ := r.sentTo(); a > tried || a < 13 || a > 16*2 {
 			t.Errorf("%d safe requests tried the zone in 5 s at a rate of 0.2/s to each of 16, then %d unsafe ones", tried, a-tried)
 		}
-		r.feed(decide.ZoneTold{Zone: "a", Revision: revision + 2, Serving: true})
+		r.feed(policy.ZoneTold{Zone: "a", Revision: revision + 2, Serving: true})
 		r.run(15*time.Second, 30, "dear")
 		r.reset()
 		r.run(5*time.Second, 30, "dear")
@@ -163,30 +163,30 @@
 func TestRulesUnderRandomFacts(t *testing.T) {
 	for seed := int64(1); seed <= 30; seed++ {
 		w := newWorld(seed)
-		w.set.Fleet, w.set.Tenants = true, []decide.Tenant{{Name: "a", Quota: 10}, {Name: "b", Quota: 100}}
+		w.set.Fleet, w.set.Tenants = true, []policy.Tenant{{Name: "a", Quota: 10}, {Name: "b", Quota: 100}}
 		w.start()
-		held, born, served := map[string]decide.ZoneTold{}, map[string]time.Duration{}, true
+		held, born, served := map[string]policy.ZoneTold{}, map[string]time.Duration{}, true
 		w.capacity = testRate / 3
-		w.mutate = func(w *world, out []decide.Action) []decide.Action {
+		w.mutate = func(w *world, out []policy.Action) []policy.Action {
 			for _, a := range out {
-				s, ok := a.(decide.Send)
+				s, ok := a.(policy.Send)
 				if !ok {
 					continue
 				}
 				d, q := held[w.servers[s.Server].Zone], w.requests[s.ID]
 				fresh := w.now-born[d.Zone] <= d.Valid
-				if trial := fresh && d.Trial && q.class.Effect == decide.Safe && len(q.attempts) == 0; d.Zone != "" &&
+				if trial := fresh && d.Trial && q.class.Effect == policy.Safe && len(q.attempts) == 0; d.Zone != "" &&
 					!d.Serving && !trial && (fresh && d.Share == 0 || !fresh && d.Floor == 0) {
 					w.fault("sent to zone %s: %+v", d.Zone, d)
 				}
-				if e, ok := w.events[len(w.events)-1].(decide.RequestArrived); ok && e.Tenant == "b" && !served {
+				if e, ok := w.events[len(w.events)-1].(policy.RequestArrived); ok && e.Tenant == "b" && !served {
 					w.fault("sent for a tenant that is not committed")
 				}
 			}
 			return out
 		}
 		for i := range 160 {
-			d := decide.ZoneTold{Zone: fmt.Sprint("z", w.r.Intn(2)), Revision: uint64(1 + i - w.r.Intn(5)%(i+1)), Serving: w.r.Intn(4) == 0,
+			d := policy.ZoneTold{Zone: fmt.Sprint("z", w.r.Intn(2)), Revision: uint64(1 + i - w.r.Intn(5)%(i+1)), Serving: w.r.Intn(4) == 0,
 				Share: []float64{0, 0, 0.5, 1}[w.r.Intn(4)], Rate: float64(w.r.Intn(3)) / 2, Trial: w.r.Intn(3) == 0,
 				Age: time.Duration(w.r.Intn(500)) * time.Millisecond, Valid: time.Duration(w.r.Intn(2000)) * time.Millisecond}
 			if last, ok := held[d.Zone]; !ok || d.Revision > last.Revision {
@@ -197,7 +197,7 @@
 				w.handle(d) // late: no effect
 			}
 			if i%9 == 8 {
-				e := decide.TenantTold{Name: "b", UID: uint64(i), Revision: uint64(i), Removing: i%2 == 0, Committed: rules(uint64(i), nil)}
+				e := policy.TenantTold{Name: "b", UID: uint64(i), Revision: uint64(i), Removing: i%2 == 0, Committed: rules(uint64(i), nil)}
 				served = !e.Removing
 				w.handle(e)
 			}
@@ -217,32 +217,32 @@
 	for _, c := range []struct{ nodes, servers int }{{30, 12}, {300, 168}} {
 		s := rigSettings()
 		s.Fleet, s.Nodes, s.Zones = true, c.nodes, []string{"z0", "z1", "z2"}
-		list := decide.ListUpdate{Kind: decide.ListCached}
+		list := policy.ListUpdate{Kind: policy.ListCached}
 		for i := range c.servers {
-			list.Entries = append(list.Entries, decide.Server{ID: decide.ServerID(i + 1), Zone: s.Zones[i%zones]})
+			list.Entries = append(list.Entries, policy.Server{ID: policy.ServerID(i + 1), Zone: s.Zones[i%zones]})
 		}
 		budget := 20.0 // requests/s of one server
-		var all []*decide.Module
+		var all []*policy.Module
 		for i := range c.nodes {
 			s.Self, s.Zone = i, s.Zones[i%zones]
-			all = append(all, decide.New(s, int64(i)))
+			all = append(all, policy.New(s, int64(i)))
 			all[i].Handle(time.Hour, list)
-			all[i].Handle(time.Hour, decide.ZoneTold{Zone: "z0", Revision: 1, Valid: time.Hour})
+			all[i].Handle(time.Hour, policy.ZoneTold{Zone: "z0", Revision: 1, Valid: time.Hour})
 		}
-		sent, id, total := map[decide.ServerID][]time.Duration{}, 0, 0
-		due := map[int][]decide.Event{}
+		sent, id, total := map[policy.ServerID][]time.Duration{}, 0, 0
+		due := map[int][]policy.Event{}
 		for step := range 12 * 40 {
 			now := time.Hour + time.Duration(step)*25*time.Millisecond
 			for i, m := range all {
 				hears := step - i%40 // up to a second late
 				for k, share := range []float64{0.1, 0.5, 1} {
 					if hears == 40+k*120 && i%7 != 3*(k%2) {
-						m.Handle(now, decide.ZoneTold{Zone: "z0", Revision: uint64(2 + k), Share: share, Floor: share / 2,
+						m.Handle(now, policy.ZoneTold{Zone: "z0", Revision: uint64(2 + k), Share: share, Floor: share / 2,
 							Rate: budget / float64(c.nodes), Valid: 2 * time.Second})
 					}
 				}
 				if step%4 == 0 {
-					m.Handle(now, decide.TimerFired{})
+					m.Handle(now, policy.TimerFired{})
 				}
 				for _, e := range due[step*c.nodes+i] {
 					m.Handle(now, e)
@@ -253,15 +253,15 @@
 						break
 					}
 					id++
-					for _, a := range m.Handle(now, decide.RequestArrived{ID: decide.RequestID(fmt.Sprint(id)), Class: "dear",
+					for _, a := range m.Handle(now, policy.RequestArrived{ID: policy.RequestID(fmt.Sprint(id)), Class: "dear",
 						Patience: time.Second}) {
-						if a, ok := a.(decide.Send); ok {
+						if a, ok := a.(policy.Send); ok {
 							if int(a.Server-1)%zones == 0 {
 								sent[a.Server] = append(sent[a.Server], now)
 								total++
 							}
 							at := (step+1)*c.nodes + i
-							due[at] = append(due[at], decide.AttemptEnded{ID: a.ID, Server: a.Server, Over: true,
+							due[at] = append(due[at], policy.AttemptEnded{ID: a.ID, Server: a.Server, Over: true,
 								Elapsed: 20 * time.Millisecond})
 						}
 					}
--- a/decide/learn.go
+++ b/policy/learn.go
@@ -1,4 +1,4 @@
-package decide
+package policy
 
 // What outcomes tell of servers and classes: latency, errors, silence.
 
--- a/decide/limits_test.go
+++ b/policy/limits_test.go
@@ -1,4 +1,4 @@
-package decide
+package policy
 
 import (
 	"os"
@@ -23,7 +23,7 @@
 		if strings.HasSuffix(file, "_test.go") || slices.Contains(undecided, file) {
 			continue
 		}
-		if !slices.Contains(deploy.Policy, "decide/"+file) {
+		if !slices.Contains(deploy.Policy, "policy/"+file) {
 			t.Errorf("%s is not named under policy in the deploy file", file)
 		}
 		text, err := os.ReadFile(file)
--- a/decide/load_test.go
+++ b/policy/load_test.go
@@ -1,4 +1,4 @@
-package decide_test
+package policy_test
 
 // Quiet traffic and overload: what is sent and what is shed.
 
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"starlingvalve/decide"
+	"meadowsill/policy"
 )
 
 // Quiet traffic is not refused, also with many servers and few requests.
@@ -27,17 +27,17 @@
 // Overload sheds the cheap class first, and a server list that is empty or drains wholly refuses at once.
 func TestOverloadShedsByWorth(t *testing.T) {
 	r := newRig(t, rigSettings(), 3)
-	busy := map[decide.ServerID]time.Duration{}
-	r.delay = func(id decide.ServerID) (time.Duration, decide.OutcomeCode) { // one request at a time, 20 ms each
+	busy := map[policy.ServerID]time.Duration{}
+	r.delay = func(id policy.ServerID) (time.Duration, policy.OutcomeCode) { // one request at a time, 20 ms each
 		busy[id] = max(busy[id], r.now) + 20*time.Millisecond
-		return busy[id] - r.now, decide.OK
+		return busy[id] - r.now, policy.OK
 	}
 	refused := map[string]int{}
 	for range 400 {
 		for _, c := range []string{"dear", "cheap", "cheap", "cheap"} {
 			before := r.refused
 			r.next++
-			r.feed(decide.RequestArrived{ID: decide.RequestID(fmt.Sprint(r.next)), Class: c, Patience: time.Second})
+			r.feed(policy.RequestArrived{ID: policy.RequestID(fmt.Sprint(r.next)), Class: c, Patience: time.Second})
 			refused[c] += r.refused - before
 		}
 		r.run(15*time.Millisecond, 0, "")
@@ -50,7 +50,7 @@
 // A full answer blocks its server for the validity only.
 func TestFullAnswerLapses(t *testing.T) {
 	r := newRig(t, rigSettings(), 1)
-	r.delay = func(decide.ServerID) (time.Duration, decide.OutcomeCode) { return time.Millisecond, decide.Full }
+	r.delay = func(policy.ServerID) (time.Duration, policy.OutcomeCode) { return time.Millisecond, policy.Full }
 	r.run(5*time.Millisecond, 200, "cheap")
 	r.run(100*time.Millisecond, 0, "cheap")
 	r.reset()
@@ -68,12 +68,12 @@
 // Full answers in a row back off: many nodes that each come back after one validity would keep a jam alive.
 func TestFullAnswersBackOff(t *testing.T) {
 	r := newRig(t, rigSettings(), 1)
-	r.delay = func(decide.ServerID) (time.Duration, decide.OutcomeCode) { return time.Millisecond, decide.Full }
+	r.delay = func(policy.ServerID) (time.Duration, policy.OutcomeCode) { return time.Millisecond, policy.Full }
 	r.run(20*time.Second, 20, "cheap")
 	if r.sent[1] == 0 || r.sent[1] > 12 {
 		t.Errorf("%d sends in 20 s to a server that stays full", r.sent[1])
 	}
-	r.delay = func(decide.ServerID) (time.Duration, decide.OutcomeCode) { return time.Millisecond, decide.OK }
+	r.delay = func(policy.ServerID) (time.Duration, policy.OutcomeCode) { return time.Millisecond, policy.OK }
 	r.run(8*time.Second, 20, "cheap")
 	r.reset()
 	r.run(time.Second, 20, "cheap")
@@ -94,7 +94,7 @@
 		}
 	}
 	mixed(10 * time.Second)
-	r.work = func(id decide.RequestID) time.Duration {
+	r.work = func(id policy.RequestID) time.Duration {
 		if strings.HasPrefix(string(id), "once") {
 			return 500 * time.Millisecond
 		}
@@ -123,12 +123,12 @@
 func TestOverloadWithClientRetries(t *testing.T) {
 	r := newRig(t, rigSettings(), 4)
 	r.retries, r.patience = 2, 1200*time.Millisecond
-	free := map[decide.ServerID]time.Duration{}
+	free := map[policy.ServerID]time.Duration{}
 	longest := time.Duration(0)
-	r.delay = func(id decide.ServerID) (time.Duration, decide.OutcomeCode) { // one request at a time, 20 ms each
+	r.delay = func(id policy.ServerID) (time.Duration, policy.OutcomeCode) { // one request at a time, 20 ms each
 		free[id] = max(free[id], r.now) + 20*time.Millisecond
 		longest = max(longest, free[id]-r.now)
-		return free[id] - r.now, decide.OK
+		return free[id] - r.now, policy.OK
 	}
 	mixed := func(length time.Duration, rate float64) int {
 		start := r.next
@@ -165,12 +165,12 @@
 	s := rigSettings()
 	s.Classes[1].Aim = 10 * time.Second // an aim far off: only the uncrowded latency bounds the queue
 	r := newRig(t, s, 4)
-	free := map[decide.ServerID]time.Duration{}
+	free := map[policy.ServerID]time.Duration{}
 	var waits, answers time.Duration
-	r.delay = func(id decide.ServerID) (time.Duration, decide.OutcomeCode) { // one request at a time, 20 ms each
+	r.delay = func(id policy.ServerID) (time.Duration, policy.OutcomeCode) { // one request at a time, 20 ms each
 		free[id] = max(free[id], r.now) + 20*time.Millisecond
 		waits, answers = waits+free[id]-r.now, answers+1
-		return free[id] - r.now, decide.OK
+		return free[id] - r.now, policy.OK
 	}
 	r.run(10*time.Second, 100, "cheap")
 	r.run(10*time.Second, 400, "cheap")
@@ -188,23 +188,23 @@
 }
 
 func BenchmarkRequest(b *testing.B) {
-	m := decide.New(rigSettings(), 1)
-	var list []decide.Server
+	m := policy.New(rigSettings(), 1)
+	var list []policy.Server
 	for i := range 20 {
-		list = append(list, decide.Server{ID: decide.ServerID(i + 1)})
+		list = append(list, policy.Server{ID: policy.ServerID(i + 1)})
 	}
-	m.Handle(0, decide.ListUpdate{Kind: decide.ListCached, Entries: list})
+	m.Handle(0, policy.ListUpdate{Kind: policy.ListCached, Entries: list})
 	b.ReportAllocs()
 	for i := range b.N {
 		now := time.Duration(i) * time.Millisecond
-		id := decide.RequestID(fmt.Sprint(i))
-		for _, a := range m.Handle(now, decide.RequestArrived{ID: id, Class: "cheap", Patience: time.Second}) {
-			if s, ok := a.(decide.Send); ok {
-				m.Handle(now, decide.AttemptEnded{ID: id, Server: s.Server, Over: true, Elapsed: time.Millisecond})
+		id := policy.RequestID(fmt.Sprint(i))
+		for _, a := range m.Handle(now, policy.RequestArrived{ID: id, Class: "cheap", Patience: time.Second}) {
+			if s, ok := a.(policy.Send); ok {
+				m.Handle(now, policy.AttemptEnded{ID: id, Server: s.Server, Over: true, Elapsed: time.Millisecond})
 			}
 		}
 		if i%25 == 0 {
-			m.Handle(now, decide.TimerFired{Token: 0})
+			m.Handle(now, policy.TimerFired{Token: 0})
 		}
 	}
 }
--- a/decide/overload.go
+++ b/policy/overload.go
@@ -1,4 +1,4 @@
-package decide
+package policy
 
 // Overload: thresholds, the paper's three modes, and how much is shed.
 
--- a/decide/rig_test.go
+++ b/policy/rig_test.go
@@ -1,4 +1,4 @@
-package decide_test
+package policy_test
 
 import (
 	"fmt"
@@ -6,94 +6,94 @@
 	"testing"
 	"time"
 
-	"starlingvalve/decide"
+	"meadowsill/policy"
 )
 
 // rig feeds one module with a fleet of servers whose delays the test sets.
 type rig struct {
 	t        *testing.T
-	m        *decide.Module
+	m        *policy.Module
 	now      time.Duration
-	delay    func(s decide.ServerID) (time.Duration, decide.OutcomeCode)
+	delay    func(s policy.ServerID) (time.Duration, policy.OutcomeCode)
 	due      []rigEvent
-	sent     map[decide.ServerID]int
-	last     map[decide.RequestID]decide.Action
-	legs     map[decide.RequestID]int
-	over     map[decide.RequestID]bool
+	sent     map[policy.ServerID]int
+	last     map[policy.RequestID]policy.Action
+	legs     map[policy.RequestID]int
+	over     map[policy.RequestID]bool
 	retries  int           // of a refused client, after its hold-off
 	patience time.Duration // of a first try
-	work     func(decide.RequestID) time.Duration
+	work     func(policy.RequestID) time.Duration
 	waits    []time.Duration // that refused clients were told
 	inTime   map[string]int
-	came     map[decide.RequestID]time.Duration
+	came     map[policy.RequestID]time.Duration
 	refused, failed,
 	asks, next, accused int
 }
 
 type rigEvent struct {
 	at time.Duration
-	e  decide.Event
+	e  policy.Event
 }
 
-func rigSettings() decide.Settings {
-	return decide.Settings{Nodes: 1, MaxAttempts: 3, MayCancel: true, MinTick: 5 * time.Millisecond, AskWithin: 10 * time.Second,
+func rigSettings() policy.Settings {
+	return policy.Settings{Nodes: 1, MaxAttempts: 3, MayCancel: true, MinTick: 5 * time.Millisecond, AskWithin: 10 * time.Second,
 		ConnectTimeout: 100 * time.Millisecond, ColdFrom: 0.3, ColdTime: 8 * time.Second, OverloadFactor: 2.5,
 		OverloadTime: time.Second, HoldOffs: true, MaxHoldOff: time.Second,
-		Classes: []decide.Class{
-			{Name: "dear", Worth: 12, Aim: 600 * time.Millisecond, Deadline: 1200 * time.Millisecond, Effect: decide.Safe},
-			{Name: "cheap", Worth: 1, Aim: 1500 * time.Millisecond, Deadline: 4 * time.Second, Effect: decide.Safe},
-			{Name: "once", Worth: 1, Aim: 1500 * time.Millisecond, Deadline: 2 * time.Second, Effect: decide.Unsafe}}}
+		Classes: []policy.Class{
+			{Name: "dear", Worth: 12, Aim: 600 * time.Millisecond, Deadline: 1200 * time.Millisecond, Effect: policy.Safe},
+			{Name: "cheap", Worth: 1, Aim: 1500 * time.Millisecond, Deadline: 4 * time.Second, Effect: policy.Safe},
+			{Name: "once", Worth: 1, Aim: 1500 * time.Millisecond, Deadline: 2 * time.Second, Effect: policy.Unsafe}}}
 }
 
-func newRig(t *testing.T, s decide.Settings, servers int) *rig {
-	r := &rig{t: t, m: decide.New(s, 5), now: time.Hour, sent: map[decide.ServerID]int{}, over: map[decide.RequestID]bool{},
-		last: map[decide.RequestID]decide.Action{}, legs: map[decide.RequestID]int{}, patience: 2 * time.Second,
-		inTime: map[string]int{}, came: map[decide.RequestID]time.Duration{}}
-	r.work = func(decide.RequestID) time.Duration { return 0 }
-	r.delay = func(decide.ServerID) (time.Duration, decide.OutcomeCode) { return 50 * time.Millisecond, decide.OK }
-	var list []decide.Server
+func newRig(t *testing.T, s policy.Settings, servers int) *rig {
+	r := &rig{t: t, m: policy.New(s, 5), now: time.Hour, sent: map[policy.ServerID]int{}, over: map[policy.RequestID]bool{},
+		last: map[policy.RequestID]policy.Action{}, legs: map[policy.RequestID]int{}, patience: 2 * time.Second,
+		inTime: map[string]int{}, came: map[policy.RequestID]time.Duration{}}
+	r.work = func(policy.RequestID) time.Duration { return 0 }
+	r.delay = func(policy.ServerID) (time.Duration, policy.OutcomeCode) { return 50 * time.Millisecond, policy.OK }
+	var list []policy.Server
 	for i := range servers {
-		list = append(list, decide.Server{ID: decide.ServerID(i + 1), Zone: "z"})
+		list = append(list, policy.Server{ID: policy.ServerID(i + 1), Zone: "z"})
 	}
-	r.feed(decide.ListUpdate{Kind: decide.ListCached, Entries: list})
+	r.feed(policy.ListUpdate{Kind: policy.ListCached, Entries: list})
 	return r
 }
 
-func (r *rig) feed(e decide.Event) {
+func (r *rig) feed(e policy.Event) {
 	for _, a := range r.m.Handle(r.now, e) {
 		switch a := a.(type) {
-		case decide.Send:
+		case policy.Send:
 			r.sent[a.Server]++
 			leg := r.legs[a.ID]
 			r.legs[a.ID]++
 			d, code := r.delay(a.Server)
 			d += r.work(a.ID)
 			if d > a.Timeout {
-				d, code = a.Timeout, decide.TimedOut
+				d, code = a.Timeout, policy.TimedOut
 			}
-			r.due = append(r.due, rigEvent{r.now + d, decide.AttemptEnded{ID: a.ID, Attempt: leg, Server: a.Server, Code: code, Elapsed: d}})
-		case decide.CancelAttempt:
-			r.due = append(r.due, rigEvent{r.now + time.Millisecond, decide.AttemptEnded{ID: a.ID, Attempt: a.Attempt, Code: decide.Cancelled}})
-		case decide.Refuse:
+			r.due = append(r.due, rigEvent{r.now + d, policy.AttemptEnded{ID: a.ID, Attempt: leg, Server: a.Server, Code: code, Elapsed: d}})
+		case policy.CancelAttempt:
+			r.due = append(r.due, rigEvent{r.now + time.Millisecond, policy.AttemptEnded{ID: a.ID, Attempt: a.Attempt, Code: policy.Cancelled}})
+		case policy.Refuse:
 			r.refused++
 			r.over[a.ID], r.last[a.ID] = true, a
 			r.waits = append(r.waits, a.HoldOff)
 			class, try, _ := strings.Cut(string(a.ID), "/")
-			if left := r.patience - (r.now + a.HoldOff - r.came[decide.RequestID(class)]); len(try) < r.retries && left > 0 {
-				id := decide.RequestID(class + "/" + try + "x")
-				r.due = append(r.due, rigEvent{r.now + a.HoldOff, decide.RequestArrived{ID: id, Class: strings.TrimRight(class,
+			if left := r.patience - (r.now + a.HoldOff - r.came[policy.RequestID(class)]); len(try) < r.retries && left > 0 {
+				id := policy.RequestID(class + "/" + try + "x")
+				r.due = append(r.due, rigEvent{r.now + a.HoldOff, policy.RequestArrived{ID: id, Class: strings.TrimRight(class,
 					"0123456789"), Patience: left}})
 			}
-		case decide.Fail:
+		case policy.Fail:
 			r.failed++
 			r.over[a.ID], r.last[a.ID] = true, a
-		case decide.SetTimer:
-			r.due = append(r.due, rigEvent{r.now + a.After, decide.TimerFired{Token: a.Token}})
-		case decide.Log:
+		case policy.SetTimer:
+			r.due = append(r.due, rigEvent{r.now + a.After, policy.TimerFired{Token: a.Token}})
+		case policy.Log:
 			r.accused++
-		case decide.Subscribe:
+		case policy.Subscribe:
 			r.asks++
-			r.due = append(r.due, rigEvent{r.now + time.Second, decide.ListUpdate{Kind: decide.ListFailed}})
+			r.due = append(r.due, rigEvent{r.now + time.Second, policy.ListUpdate{Kind: policy.ListFailed}})
 		}
 	}
 }
@@ -112,10 +112,10 @@
 		}
 		r.due = rest
 		for _, d := range now {
-			if e, ok := d.e.(decide.AttemptEnded); ok {
-				e.Over = r.over[e.ID] || e.Code == decide.OK
+			if e, ok := d.e.(policy.AttemptEnded); ok {
+				e.Over = r.over[e.ID] || e.Code == policy.OK
 				first, _, _ := strings.Cut(string(e.ID), "/")
-				if e.Code == decide.OK && !r.over[e.ID] && r.now-r.came[decide.RequestID(first)] < 600*time.Millisecond {
+				if e.Code == policy.OK && !r.over[e.ID] && r.now-r.came[policy.RequestID(first)] < 600*time.Millisecond {
 					r.inTime[strings.TrimRight(first, "0123456789")]++
 				}
 				r.over[e.ID] = e.Over
@@ -125,11 +125,11 @@
 		}
 		for arrived += rate * 0.005; arrived >= 1; arrived-- {
 			r.next++
-			id := decide.RequestID(fmt.Sprint(class, r.next))
+			id := policy.RequestID(fmt.Sprint(class, r.next))
 			r.came[id] = r.now
-			r.feed(decide.RequestArrived{ID: id, Class: class, Patience: r.patience})
+			r.feed(policy.RequestArrived{ID: id, Class: class, Patience: r.patience})
 		}
 	}
 }
 
-func (r *rig) reset() { r.sent, r.refused, r.failed = map[decide.ServerID]int{}, 0, 0 }
+func (r *rig) reset() { r.sent, r.refused, r.failed = map[policy.ServerID]int{}, 0, 0 }
--- /dev/null
+++ b/policy/rules_test.go
@@ -0,0 +1,193 @@
+package policy_test
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+	"time"
+
+	"meadowsill/policy"
+)
+
+const testRate = 60 // arrivals a second
+
+func play(seed int64, length time.Duration, mutate func(*world, []policy.Action) []policy.Action) *world {
+	w := newWorld(seed)
+	w.capacity, w.mutate = testRate/3, mutate
+	w.run(length, testRate, true)
+	w.run(12*time.Second, 0, false) // let all deadlines pass
+	return w
+}
+
+// TestRulesUnderRandomEvents drives the module through arbitrary legal orders of events and settings.
+func TestRulesUnderRandomEvents(t *testing.T) {
+	for seed := int64(1); seed <= 60; seed++ {
+		w := play(seed, 15*time.Second, nil)
+		if len(w.broken) > 0 {
+			t.Fatalf("seed %d: %d faults, the first:\n%s", seed, len(w.broken), strings.Join(w.broken[:min(5, len(w.broken))], "\n"))
+		}
+	}
+}
+
+func FuzzRules(f *testing.F) {
+	for seed := int64(1000); seed < 1005; seed++ {
+		f.Add(seed)
+	}
+	f.Fuzz(func(t *testing.T, seed int64) {
+		if w := play(seed, 5*time.Second, nil); len(w.broken) > 0 {
+			t.Fatal(w.broken[0])
+		}
+	})
+}
+
+// TestSameEventsSameActions plays recorded events to a second module.
+func TestSameEventsSameActions(t *testing.T) {
+	w := newWorld(7)
+	w.run(10*time.Second, testRate, false)
+	again := newWorld(7)
+	again.run(10*time.Second, testRate, false)
+	if len(w.actions) < 500 || len(w.actions) != len(again.actions) {
+		t.Fatalf("%d and %d steps", len(w.actions), len(again.actions))
+	}
+	for i := range w.actions {
+		if w.actions[i] != again.actions[i] {
+			t.Fatalf("step %d: %s, then %s", i, w.actions[i], again.actions[i])
+		}
+	}
+}
+
+// TestCheckerCatches breaks the module's answers in each way that the rules forbid.
+func TestCheckerCatches(t *testing.T) {
+	each := func(change func(*world, policy.Action) []policy.Action) func(*world, []policy.Action) []policy.Action {
+		return func(w *world, in []policy.Action) (out []policy.Action) {
+			for _, a := range in {
+				out = append(out, change(w, a)...)
+			}
+			return out
+		}
+	}
+	other := func(w *world, s policy.Send) policy.Send {
+		for _, id := range w.ids {
+			if l := w.servers[id]; id != s.Server && l.drainTold == 0 {
+				s.Server = id
+				return s
+			}
+		}
+		return s
+	}
+	for _, c := range []struct {
+		want   string
+		change func(w *world, a policy.Action) []policy.Action
+	}{
+		{"no answer in time", func(w *world, a policy.Action) []policy.Action {
+			switch a.(type) {
+			case policy.Fail, policy.Refuse:
+				return nil
+			}
+			return []policy.Action{a}
+		}},
+		{"second final answer", func(w *world, a policy.Action) []policy.Action {
+			if f, ok := a.(policy.Fail); ok {
+				return []policy.Action{a, f}
+			}
+			return []policy.Action{a}
+		}},
+		{"never listed", func(w *world, a policy.Action) []policy.Action {
+			if s, ok := a.(policy.Send); ok {
+				s.Server = 12345
+				return []policy.Action{s}
+			}
+			return []policy.Action{a}
+		}},
+		{"drains or is gone", func(w *world, a policy.Action) []policy.Action {
+			if s, ok := a.(policy.Send); ok {
+				for _, id := range w.ids {
+					if w.servers[id].drainTold > 0 {
+						s.Server = id
+					}
+				}
+				return []policy.Action{s}
+			}
+			return []policy.Action{a}
+		}},
+		{"taken out", func(w *world, a policy.Action) []policy.Action {
+			if s, ok := a.(policy.Send); ok {
+				for _, id := range w.ids {
+					if w.servers[id].out {
+						s.Server = id
+					}
+				}
+				return []policy.Action{s}
+			}
+			return []policy.Action{a}
+		}},
+		{"unsafe request sent again", func(w *world, a policy.Action) []policy.Action {
+			if s, ok := a.(policy.Send); ok {
+				return []policy.Action{a, other(w, s)}
+			}
+			return []policy.Action{a}
+		}},
+		{"two attempts out", func(w *world, a policy.Action) []policy.Action {
+			if s, ok := a.(policy.Send); ok {
+				return []policy.Action{a, other(w, s)}
+			}
+			return []policy.Action{a}
+		}},
+		{"outside its group or window", func(w *world, a policy.Action) []policy.Action {
+			if s, ok := a.(policy.Send); ok {
+				return []policy.Action{a, other(w, s)}
+			}
+			return []policy.Action{a}
+		}},
+		{"attempts", func(w *world, a policy.Action) []policy.Action {
+			if s, ok := a.(policy.Send); ok {
+				return []policy.Action{a, s, s, s, s, s}
+			}
+			return []policy.Action{a}
+		}},
+		{"for a request that is over", func(w *world, a policy.Action) []policy.Action {
+			if r, ok := a.(policy.Refuse); ok {
+				return []policy.Action{a, policy.Send{ID: r.ID, Server: w.ids[0]}}
+			}
+			return []policy.Action{a}
+		}},
+		{"refused although", func(w *world, a policy.Action) []policy.Action {
+			if f, ok := a.(policy.Fail); ok {
+				return []policy.Action{policy.Refuse{ID: f.ID}}
+			}
+			return []policy.Action{a}
+		}},
+		{"its budget is", func(w *world, a policy.Action) []policy.Action {
+			if s, ok := a.(policy.Send); ok {
+				for _, id := range w.ids {
+					if l := w.servers[id]; l.startTold && l.drainTold == 0 && w.now-l.StartedAt < 2*time.Second {
+						s.Server = id
+					}
+				}
+				return []policy.Action{s}
+			}
+			return []policy.Action{a}
+		}},
+		{"cancel", func(w *world, a policy.Action) []policy.Action {
+			if s, ok := a.(policy.Send); ok {
+				return []policy.Action{a, policy.CancelAttempt{ID: s.ID, Attempt: 9}}
+			}
+			return []policy.Action{a}
+		}},
+		{"forbidden probe", func(w *world, a policy.Action) []policy.Action {
+			return []policy.Action{a, policy.Probe{Server: w.ids[0]}}
+		}},
+		{"forbidden message", func(w *world, a policy.Action) []policy.Action {
+			return []policy.Action{a, policy.SendMessage{ToAll: true}}
+		}},
+	} {
+		found := false
+		for seed := int64(1); seed <= 25 && !found; seed++ {
+			w := play(seed, 10*time.Second, each(c.change))
+			found = strings.Contains(fmt.Sprint(w.broken), c.want)
+		}
+		if !found {
+			t.Errorf("a module broken so that %q was not caught", c.want)
+		}
+	}
+}
--- a/decide/send.go
+++ b/policy/send.go
@@ -1,4 +1,4 @@
-package decide
+package policy
 
 // The rules on sending: what may be sent where, trials of suspects, the pace of cold servers.
 
--- a/decide/servers.go
+++ b/policy/servers.go
@@ -1,4 +1,4 @@
-package decide
+package policy
 
 // The list of servers, and the subset of them that is in use.
 
--- a/decide/state.go
+++ b/policy/state.go
@@ -1,4 +1,4 @@
-package decide
+package policy
 
 // The state that the policy keeps, and its source of random numbers. Nothing is decided here.
 
--- a/decide/trouble_test.go
+++ b/policy/trouble_test.go
@@ -1,4 +1,4 @@
-package decide_test
+package policy_test
 
 // Servers that fail, fall silent, stick or come back.
 
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"starlingvalve/decide"
+	"meadowsill/policy"
 )
 
 // A silent server is left out and its requests are answered elsewhere, also while the list is down; it then comes
@@ -18,9 +18,9 @@
 	r := newRig(t, s, 5)
 	r.run(5*time.Second, 100, "cheap")
 	quick := r.delay
-	r.delay = func(id decide.ServerID) (time.Duration, decide.OutcomeCode) {
+	r.delay = func(id policy.ServerID) (time.Duration, policy.OutcomeCode) {
 		if id == 3 {
-			return time.Hour, decide.TimedOut
+			return time.Hour, policy.TimedOut
 		}
 		return quick(id)
 	}
@@ -47,11 +47,11 @@
 // A server that fails fast must not attract work.
 func TestFastFailerAttractsNothing(t *testing.T) {
 	r := newRig(t, rigSettings(), 4)
-	r.delay = func(id decide.ServerID) (time.Duration, decide.OutcomeCode) {
+	r.delay = func(id policy.ServerID) (time.Duration, policy.OutcomeCode) {
 		if id == 2 {
-			return time.Millisecond, decide.ServerError
+			return time.Millisecond, policy.ServerError
 		}
-		return 50 * time.Millisecond, decide.OK
+		return 50 * time.Millisecond, policy.OK
 	}
 	r.run(10*time.Second, 100, "cheap")
 	if r.sent[2] > 60 {
@@ -63,13 +63,13 @@
 func TestAllSlowAtOnceEjectsNobody(t *testing.T) {
 	r := newRig(t, rigSettings(), 4)
 	r.run(5*time.Second, 80, "cheap")
-	r.delay = func(decide.ServerID) (time.Duration, decide.OutcomeCode) { return 150 * time.Millisecond, decide.OK }
+	r.delay = func(policy.ServerID) (time.Duration, policy.OutcomeCode) { return 150 * time.Millisecond, policy.OK }
 	r.reset()
 	r.run(5*time.Second, 80, "cheap")
 	if r.accused > 0 {
 		t.Errorf("%d servers were made suspects", r.accused)
 	}
-	for id := decide.ServerID(1); id <= 4; id++ {
+	for id := policy.ServerID(1); id <= 4; id++ {
 		if r.sent[id] < 25 { // one in flight, as before, is 33 in 5 s
 			t.Errorf("server %d got %d only", id, r.sent[id])
 		}
@@ -83,11 +83,11 @@
 	s.Nodes = 2
 	r := newRig(t, s, 8)
 	answers := 0
-	r.delay = func(decide.ServerID) (time.Duration, decide.OutcomeCode) {
+	r.delay = func(policy.ServerID) (time.Duration, policy.OutcomeCode) {
 		if answers++; answers%40 == 0 {
-			return time.Hour, decide.OK
+			return time.Hour, policy.OK
 		}
-		return 5 * time.Millisecond, decide.OK
+		return 5 * time.Millisecond, policy.OK
 	}
 	r.run(4*time.Second, 300, "once")
 	r.reset()
@@ -103,14 +103,14 @@
 	for _, broke := range []bool{false, true} {
 		r := newRig(t, rigSettings(), 4)
 		away := false
-		r.delay = func(s decide.ServerID) (time.Duration, decide.OutcomeCode) {
+		r.delay = func(s policy.ServerID) (time.Duration, policy.OutcomeCode) {
 			switch {
 			case away && s == 1 && broke:
-				return 5 * time.Millisecond, decide.ConnectFailed
+				return 5 * time.Millisecond, policy.ConnectFailed
 			case away && s == 1:
-				return time.Hour, decide.OK
+				return time.Hour, policy.OK
 			}
-			return 20 * time.Millisecond, decide.OK
+			return 20 * time.Millisecond, policy.OK
 		}
 		r.run(4*time.Second, 200, "dear")
 		away = true
@@ -136,11 +136,11 @@
 	s.Nodes = 2
 	r := newRig(t, s, 8)
 	r.run(10*time.Second, 60, "cheap")
-	lost := func(id decide.ServerID) bool { return id > 4 }
+	lost := func(id policy.ServerID) bool { return id > 4 }
 	up := r.delay
-	r.delay = func(id decide.ServerID) (time.Duration, decide.OutcomeCode) {
+	r.delay = func(id policy.ServerID) (time.Duration, policy.OutcomeCode) {
 		if lost(id) {
-			return time.Hour, decide.TimedOut
+			return time.Hour, policy.TimedOut
 		}
 		return up(id)
 	}
@@ -158,12 +158,12 @@
 	if dead > 60 || alive < 300 || r.failed > 0 {
 		t.Errorf("zone lost: %d sends into it, %d to the rest, %d failed", dead, alive, r.failed)
 	}
-	var gone, back []decide.Server
-	for id := decide.ServerID(5); id <= 8; id++ {
-		gone = append(gone, decide.Server{ID: id, Zone: "z", State: decide.Gone})
-		back = append(back, decide.Server{ID: id, Zone: "z", StartedAt: r.now + 2*time.Second})
+	var gone, back []policy.Server
+	for id := policy.ServerID(5); id <= 8; id++ {
+		gone = append(gone, policy.Server{ID: id, Zone: "z", State: policy.Gone})
+		back = append(back, policy.Server{ID: id, Zone: "z", StartedAt: r.now + 2*time.Second})
 	}
-	r.feed(decide.ListUpdate{Kind: decide.ListChanges, Entries: gone})
+	r.feed(policy.ListUpdate{Kind: policy.ListChanges, Entries: gone})
 	r.reset()
 	r.run(2*time.Second, 120, "cheap")
 	for id := range r.sent {
@@ -172,7 +172,7 @@
 		}
 	}
 	r.delay = up
-	r.feed(decide.ListUpdate{Kind: decide.ListChanges, Entries: back})
+	r.feed(policy.ListUpdate{Kind: policy.ListChanges, Entries: back})
 	r.reset()
 	r.run(time.Second, 120, "cheap")
 	for id, n := range r.sent {
@@ -193,13 +193,13 @@
 	r := newRig(t, rigSettings(), 3)
 	r.run(3*time.Second, 100, "cheap")
 	n := 0
-	r.delay = func(id decide.ServerID) (time.Duration, decide.OutcomeCode) {
+	r.delay = func(id policy.ServerID) (time.Duration, policy.OutcomeCode) {
 		if id == 1 {
 			if n++; n%3 != 0 {
-				return time.Millisecond, decide.Reset
+				return time.Millisecond, policy.Reset
 			}
 		}
-		return 50 * time.Millisecond, decide.OK
+		return 50 * time.Millisecond, policy.OK
 	}
 	r.accused = 0
 	r.run(60*time.Second, 100, "cheap")
@@ -214,15 +214,15 @@
 	r := newRig(t, rigSettings(), 3)
 	r.run(10*time.Second, 60, "dear")
 	for i := range 60 {
-		id := decide.RequestID(fmt.Sprint("long", i))
-		for _, a := range r.m.Handle(r.now, decide.RequestArrived{ID: id, Class: "dear", Patience: time.Minute}) {
-			if s, ok := a.(decide.Send); ok && i%2 == 0 {
-				r.m.Handle(r.now, decide.StreamStarted{ID: id, Server: s.Server, Elapsed: 50 * time.Millisecond})
+		id := policy.RequestID(fmt.Sprint("long", i))
+		for _, a := range r.m.Handle(r.now, policy.RequestArrived{ID: id, Class: "dear", Patience: time.Minute}) {
+			if s, ok := a.(policy.Send); ok && i%2 == 0 {
+				r.m.Handle(r.now, policy.StreamStarted{ID: id, Server: s.Server, Elapsed: 50 * time.Millisecond})
 			} else if ok {
-				r.m.Handle(r.now, decide.BodyStarted{ID: id})
+				r.m.Handle(r.now, policy.BodyStarted{ID: id})
 				if i%10 == 1 {
-					for _, a := range r.m.Handle(r.now, decide.AttemptEnded{ID: id, Server: s.Server, Code: decide.ConnectFailed}) {
-						if _, again := a.(decide.Send); again {
+					for _, a := range r.m.Handle(r.now, policy.AttemptEnded{ID: id, Server: s.Server, Code: policy.ConnectFailed}) {
+						if _, again := a.(policy.Send); again {
 							t.Error("a body that was passed on is sent again")
 						}
 					}
