--- a/decide/world_test.go
+++ b/policy/world_test.go
@@ -1,4 +1,4 @@
-package decide_test
+package policy_test
 
 // A small world that drives the module through legal but unkind events; its checker is in worldcheck_test.go. Nothing
 // here uses the module's own code beyond its interface.
@@ -9,18 +9,18 @@
 	"sort"
 	"time"
 
-	"starlingvalve/decide"
+	"meadowsill/policy"
 )
 
 type sentAttempt struct {
-	server decide.ServerID
+	server policy.ServerID
 	at     time.Duration
 	ended  bool
-	code   decide.OutcomeCode
+	code   policy.OutcomeCode
 }
 
 type liveRequest struct {
-	class    decide.Class
+	class    policy.Class
 	deadline time.Duration
 	attempts []sentAttempt
 	final    bool
@@ -28,7 +28,7 @@
 }
 
 type listed struct {
-	decide.Server
+	policy.Server
 	drainTold time.Duration // when the node was told that it drains or is gone; 0: it is ready
 	startTold bool
 	out       bool          // taken out by the operators
@@ -38,24 +38,24 @@
 type pending struct {
 	at    time.Duration
 	order int
-	event decide.Event
-	id    decide.RequestID
+	event policy.Event
+	id    policy.RequestID
 }
 
 type world struct {
-	set      decide.Settings
+	set      policy.Settings
 	r        *rand.Rand
 	now      time.Duration
 	queue    []pending
 	order    int
-	requests map[decide.RequestID]*liveRequest
-	servers  map[decide.ServerID]*listed
-	ids      []decide.ServerID
-	sends    map[decide.ServerID][]time.Duration
+	requests map[policy.RequestID]*liveRequest
+	servers  map[policy.ServerID]*listed
+	ids      []policy.ServerID
+	sends    map[policy.ServerID][]time.Duration
 	capacity float64 // requests a second that this node's share of a warm server can do
-	module   *decide.Module
-	mutate   func(w *world, a []decide.Action) []decide.Action
-	events   []decide.Event
+	module   *policy.Module
+	mutate   func(w *world, a []policy.Action) []policy.Action
+	events   []policy.Event
 	times    []time.Duration
 	actions  []string
 	broken   []string
@@ -68,7 +68,7 @@
 	w.queue = append(w.queue, p)
 }
 
-func (w *world) handle(e decide.Event) {
+func (w *world) handle(e policy.Event) {
 	w.events, w.times = append(w.events, e), append(w.times, w.now)
 	actions := w.module.Handle(w.now, e)
 	w.actions = append(w.actions, fmt.Sprintf("%#v", actions))
@@ -81,54 +81,54 @@
 }
 
 // outcome plans how an attempt ends.
-func (w *world) outcome(a decide.Send, q *liveRequest, n int) {
+func (w *world) outcome(a policy.Send, q *liveRequest, n int) {
 	limit := q.deadline - w.now
 	if a.Timeout != 0 {
 		limit = min(limit, a.Timeout)
 	}
-	codes := []decide.OutcomeCode{decide.OK, decide.OK, decide.OK, decide.OK, decide.OK, decide.ServerError,
-		decide.Full, decide.TimedOut, decide.ConnectFailed, decide.Reset, decide.Moot}
+	codes := []policy.OutcomeCode{policy.OK, policy.OK, policy.OK, policy.OK, policy.OK, policy.ServerError,
+		policy.Full, policy.TimedOut, policy.ConnectFailed, policy.Reset, policy.Moot}
 	code, took := codes[w.r.Intn(len(codes))], time.Duration(1+w.r.Intn(400))*time.Millisecond
 	if uint32(a.Server)%5 == uint32(w.now.Seconds()/7)%5 && w.r.Intn(2) == 0 {
-		code = decide.TimedOut // some servers are silent for a while
+		code = policy.TimedOut // some servers are silent for a while
 	}
-	if code == decide.TimedOut || took > limit {
-		code, took = decide.TimedOut, limit
+	if code == policy.TimedOut || took > limit {
+		code, took = policy.TimedOut, limit
 	}
-	if q.class.Streamed && code == decide.OK && took > 10*time.Millisecond && w.r.Intn(2) == 0 {
-		w.later(took/2, pending{event: decide.StreamStarted{ID: a.ID, Attempt: n, Server: a.Server, Elapsed: took / 2}})
+	if q.class.Streamed && code == policy.OK && took > 10*time.Millisecond && w.r.Intn(2) == 0 {
+		w.later(took/2, pending{event: policy.StreamStarted{ID: a.ID, Attempt: n, Server: a.Server, Elapsed: took / 2}})
 	}
-	var report *decide.Report
+	var report *policy.Report
 	if w.r.Intn(3) == 0 {
-		report = &decide.Report{InFlight: float64(w.r.Intn(30)), HasInFlight: w.r.Intn(4) > 0}
+		report = &policy.Report{InFlight: float64(w.r.Intn(30)), HasInFlight: w.r.Intn(4) > 0}
 	}
-	w.later(took, pending{id: a.ID, event: decide.AttemptEnded{ID: a.ID, Attempt: n, Server: a.Server, Elapsed: took,
+	w.later(took, pending{id: a.ID, event: policy.AttemptEnded{ID: a.ID, Attempt: n, Server: a.Server, Elapsed: took,
 		Code: code, Report: report}})
 }
 
 // deliver hands an event over, as the wire would: one outcome for each attempt, none for what the node forgot.
 func (w *world) deliver(p pending) {
 	switch e := p.event.(type) {
-	case decide.AttemptEnded:
+	case policy.AttemptEnded:
 		q := w.requests[e.ID]
 		if q == nil || q.attempts[e.Attempt].ended {
 			return
 		}
 		at := &q.attempts[e.Attempt]
 		at.ended, at.code = true, e.Code
-		e.Over = q.final || e.Code == decide.OK
-		if e.Code == decide.OK && !q.final {
+		e.Over = q.final || e.Code == policy.OK
+		if e.Code == policy.OK && !q.final {
 			q.final = true
 		}
 		w.handle(e)
 		return
-	case decide.StreamStarted:
+	case policy.StreamStarted:
 		q := w.requests[e.ID]
 		if q == nil || q.final || q.attempts[e.Attempt].ended {
 			return
 		}
 		q.stream = true
-	case decide.RequestAbandoned:
+	case policy.RequestAbandoned:
 		q := w.requests[e.ID]
 		if q == nil || q.final {
 			return
@@ -141,7 +141,7 @@
 // arrivals and changes of the list.
 func (w *world) arrive() {
 	w.next++
-	id := decide.RequestID(fmt.Sprintf("%036d", w.next))
+	id := policy.RequestID(fmt.Sprintf("%036d", w.next))
 	c := w.set.Classes[w.r.Intn(len(w.set.Classes))]
 	patience := time.Duration(float64(c.Deadline) * (0.3 + 0.7*w.r.Float64()))
 	if w.r.Intn(50) == 0 {
@@ -149,24 +149,24 @@
 	}
 	w.requests[id] = &liveRequest{class: c, deadline: w.now + patience}
 	if w.r.Intn(40) == 0 {
-		w.later(patience/2, pending{event: decide.RequestAbandoned{ID: id}})
+		w.later(patience/2, pending{event: policy.RequestAbandoned{ID: id}})
 	}
-	e := decide.RequestArrived{ID: id, Class: c.Name, Patience: patience}
+	e := policy.RequestArrived{ID: id, Class: c.Name, Patience: patience}
 	if len(w.set.Tenants) > 0 {
 		e.Tenant = w.set.Tenants[w.r.Intn(len(w.set.Tenants))].Name
 	}
 	w.handle(e)
 }
 
-func (w *world) newServer(started time.Duration) decide.Server {
+func (w *world) newServer(started time.Duration) policy.Server {
 	w.next++
-	return decide.Server{ID: decide.ServerID(w.next*2654435761 + 1), Zone: fmt.Sprint("z", w.r.Intn(2)),
+	return policy.Server{ID: policy.ServerID(w.next*2654435761 + 1), Zone: fmt.Sprint("z", w.r.Intn(2)),
 		Cell: w.r.Intn(3), Size: 1, StartedAt: started}
 }
 
 // tell records what a list says and passes it on.
-func (w *world) tell(kind decide.ListKind, entries []decide.Server) {
-	in := map[decide.ServerID]bool{}
+func (w *world) tell(kind policy.ListKind, entries []policy.Server) {
+	in := map[policy.ServerID]bool{}
 	for _, n := range entries {
 		s := w.servers[n.ID]
 		if s == nil {
@@ -174,79 +174,79 @@
 			w.servers[n.ID] = s
 			w.ids = append(w.ids, n.ID)
 		}
-		s.startTold = n.State == decide.Ready && n.StartedAt > 0
+		s.startTold = n.State == policy.Ready && n.StartedAt > 0
 		s.Server = n
 		in[n.ID] = true
-		if n.State == decide.Ready {
+		if n.State == policy.Ready {
 			s.drainTold = 0
 		} else if s.drainTold == 0 {
 			s.drainTold = w.now
 		}
 	}
-	if kind != decide.ListChanges {
+	if kind != policy.ListChanges {
 		for _, id := range w.ids {
 			if s := w.servers[id]; !in[id] && s.drainTold == 0 {
-				s.drainTold, s.State = w.now, decide.Gone
+				s.drainTold, s.State = w.now, policy.Gone
 			}
 		}
 	}
-	w.handle(decide.ListUpdate{Kind: kind, Entries: entries})
+	w.handle(policy.ListUpdate{Kind: kind, Entries: entries})
 }
 
 func (w *world) changeList() {
 	s := w.servers[w.ids[w.r.Intn(len(w.ids))]].Server
 	switch w.r.Intn(6) {
 	case 0:
-		s.State = decide.Draining
+		s.State = policy.Draining
 	case 1:
-		s.State = decide.Gone
+		s.State = policy.Gone
 	case 2:
-		s.State, s.StartedAt = decide.Ready, w.now
+		s.State, s.StartedAt = policy.Ready, w.now
 	case 3:
 		s = w.newServer(w.now)
 	case 4:
-		var all []decide.Server
+		var all []policy.Server
 		for _, id := range w.ids {
-			if e := w.servers[id].Server; e.State != decide.Gone {
+			if e := w.servers[id].Server; e.State != policy.Gone {
 				all = append(all, e)
 			}
 		}
-		w.tell(decide.ListFull, all)
+		w.tell(policy.ListFull, all)
 		return
 	case 5:
 		if w.set.AskForList {
-			w.handle(decide.ListUpdate{Kind: decide.ListFailed})
+			w.handle(policy.ListUpdate{Kind: policy.ListFailed})
 		}
 		return
 	}
-	w.tell(decide.ListChanges, []decide.Server{s})
+	w.tell(policy.ListChanges, []policy.Server{s})
 }
 
 // exclude takes a server out, or back if it is out.
 func (w *world) exclude() {
 	s := w.servers[w.ids[w.r.Intn(len(w.ids))]]
 	if s.out = !s.out; s.out {
-		w.handle(decide.ServerExcluded{Server: s.ID})
+		w.handle(policy.ServerExcluded{Server: s.ID})
 	} else {
 		s.back = w.now
-		w.handle(decide.ServerIncluded{Server: s.ID, At: w.now})
+		w.handle(policy.ServerIncluded{Server: s.ID, At: w.now})
 	}
 }
 
 func (w *world) start() {
-	w.module = decide.New(w.set, w.r.Int63())
-	w.requests, w.queue = map[decide.RequestID]*liveRequest{}, nil
-	var all []decide.Server
+	w.module = policy.New(w.set, w.r.Int63())
+	w.requests, w.queue = map[policy.RequestID]*liveRequest{}, nil
+	var all []policy.Server
 	for _, id := range w.ids {
-		if e := w.servers[id].Server; e.State != decide.Gone {
+		if e := w.servers[id].Server; e.State != policy.Gone {
 			all = append(all, e)
 		}
 	}
 	for len(all) < 4 {
 		all = append(all, w.newServer(0))
 	}
-	w.servers, w.ids = map[decide.ServerID]*listed{}, nil
-	w.tell(decide.ListCached, all)
+	w.servers, w.ids = map[policy.ServerID]*listed{}, nil
+	w.tell(policy.ListCached, all)
 }
 
 // run plays a stretch of time; restarts says whether the node may be restarted in between.
@@ -286,21 +286,21 @@
 
 func newWorld(seed int64) *world {
 	r := rand.New(rand.NewSource(seed))
-	w := &world{r: r, now: time.Hour, servers: map[decide.ServerID]*listed{}, sends: map[decide.ServerID][]time.Duration{}}
+	w := &world{r: r, now: time.Hour, servers: map[policy.ServerID]*listed{}, sends: map[policy.ServerID][]time.Duration{}}
 	ms := func(lo, hi int) time.Duration { return time.Duration(lo+r.Intn(hi-lo)) * time.Millisecond }
-	w.set = decide.Settings{Nodes: 1 + r.Intn(6), Zone: "z0", MaxAttempts: 1 + r.Intn(5), MayOverlap: r.Intn(2) == 0,
+	w.set = policy.Settings{Nodes: 1 + r.Intn(6), Zone: "z0", MaxAttempts: 1 + r.Intn(5), MayOverlap: r.Intn(2) == 0,
 		MayCancel: r.Intn(3) > 0, MayProbe: r.Intn(2) == 0, MayMessage: r.Intn(2) == 0, HoldOffs: r.Intn(2) == 0,
 		MaxHoldOff: time.Second, ConnectTimeout: 100 * time.Millisecond, MinTick: 5 * time.Millisecond,
 		AskForList: r.Intn(2) == 0, AnswerSlack: 20 * time.Millisecond, AskWithin: 10 * time.Second,
 		DrainGrace: ms(0, 1000), ColdFrom: 0.3, ColdTime: ms(3000, 9000), OverloadFactor: 2.5, OverloadTime: time.Second}
 	for i, n := 0, 1+r.Intn(4); i < n; i++ {
 		aim := ms(100, 1500)
-		w.set.Classes = append(w.set.Classes, decide.Class{Name: fmt.Sprint("c", i), Worth: float64(r.Intn(13)), Aim: aim,
-			Deadline: 2*aim + ms(0, 2000), LateWorth: float64(r.Intn(2)) / 2, Effect: decide.Effect(r.Intn(3)),
-			KeyScope: decide.Scope(r.Intn(3)), DedupWindow: ms(100, 4000), Streamed: r.Intn(4) == 0})
+		w.set.Classes = append(w.set.Classes, policy.Class{Name: fmt.Sprint("c", i), Worth: float64(r.Intn(13)), Aim: aim,
+			Deadline: 2*aim + ms(0, 2000), LateWorth: float64(r.Intn(2)) / 2, Effect: policy.Effect(r.Intn(3)),
+			KeyScope: policy.Scope(r.Intn(3)), DedupWindow: ms(100, 4000), Streamed: r.Intn(4) == 0})
 	}
 	if r.Intn(3) == 0 {
-		w.set.Tenants = []decide.Tenant{{Name: "a", Quota: 10}, {Name: "b", Quota: 100}}
+		w.set.Tenants = []policy.Tenant{{Name: "a", Quota: 10}, {Name: "b", Quota: 100}}
 	}
 	w.start()
 	return w
--- a/decide/worldcheck_test.go
+++ b/policy/worldcheck_test.go
@@ -1,4 +1,4 @@
-package decide_test
+package policy_test
 
 // An independent checker of the rules, for the world of world_test.go.
 
@@ -6,7 +6,7 @@
 	"fmt"
 	"time"
 
-	"starlingvalve/decide"
+	"meadowsill/policy"
 )
 
 func (w *world) fault(format string, args ...any) {
@@ -14,15 +14,15 @@
 }
 
 // sameGroup is the checker's own reading of the scopes.
-func sameGroup(s decide.Scope, a, b *listed) bool {
-	return s == decide.ScopeAll || s == decide.ScopeZone && a.Zone == b.Zone || s == decide.ScopeCell && a.Cell == b.Cell
+func sameGroup(s policy.Scope, a, b *listed) bool {
+	return s == policy.ScopeAll || s == policy.ScopeZone && a.Zone == b.Zone || s == policy.ScopeCell && a.Cell == b.Cell
 }
 
-func neverRan(c decide.OutcomeCode) bool {
-	return c == decide.Full || c == decide.ConnectFailed || c == decide.Moot
+func neverRan(c policy.OutcomeCode) bool {
+	return c == policy.Full || c == policy.ConnectFailed || c == policy.Moot
 }
 
-func (w *world) checkSend(q *liveRequest, a decide.Send) {
+func (w *world) checkSend(q *liveRequest, a policy.Send) {
 	s := w.servers[a.Server]
 	if s == nil {
 		w.fault("send to server %d, which was never listed", a.Server)
@@ -47,10 +47,10 @@
 		if !p.ended && !w.set.MayOverlap {
 			w.fault("two attempts out at once")
 		}
-		if p.ended && neverRan(p.code) || q.class.Effect == decide.Safe {
+		if p.ended && neverRan(p.code) || q.class.Effect == policy.Safe {
 			continue
 		}
-		if q.class.Effect == decide.Unsafe {
+		if q.class.Effect == policy.Unsafe {
 			w.fault("unsafe request sent again")
 		} else if !sameGroup(q.class.KeyScope, s, w.servers[p.server]) || w.now > p.at+q.class.DedupWindow {
 			w.fault("keyed request sent outside its group or window")
@@ -73,9 +73,9 @@
 	}
 }
 
-func (w *world) carryOut(a decide.Action) {
+func (w *world) carryOut(a policy.Action) {
 	switch a := a.(type) {
-	case decide.Send:
+	case policy.Send:
 		q := w.requests[a.ID]
 		if q == nil {
 			w.fault("send for an unknown request")
@@ -87,52 +87,52 @@
 		}
 		q.attempts = append(q.attempts, sentAttempt{server: a.Server, at: w.now})
 		w.outcome(a, q, len(q.attempts)-1)
-	case decide.Refuse:
+	case policy.Refuse:
 		q := w.final(a.ID)
 		if q == nil {
 			return
 		}
 		for _, p := range q.attempts {
 			ran := !p.ended || !neverRan(p.code)
-			if ran && (q.class.Effect == decide.Unsafe ||
-				q.class.Effect == decide.Keyed && q.class.KeyScope != decide.ScopeAll) {
+			if ran && (q.class.Effect == policy.Unsafe ||
+				q.class.Effect == policy.Keyed && q.class.KeyScope != policy.ScopeAll) {
 				w.fault("refused although it may have run")
 			}
 		}
-	case decide.Fail:
+	case policy.Fail:
 		w.final(a.ID)
-	case decide.CancelAttempt:
+	case policy.CancelAttempt:
 		q := w.requests[a.ID]
 		if !w.set.MayCancel || q == nil || a.Attempt >= len(q.attempts) {
 			w.fault("forbidden or unknown cancel")
 			return
 		}
-		w.later(time.Millisecond, pending{id: a.ID, event: decide.AttemptEnded{ID: a.ID, Attempt: a.Attempt,
-			Server: q.attempts[a.Attempt].server, Code: decide.Cancelled}})
-	case decide.Probe:
+		w.later(time.Millisecond, pending{id: a.ID, event: policy.AttemptEnded{ID: a.ID, Attempt: a.Attempt,
+			Server: q.attempts[a.Attempt].server, Code: policy.Cancelled}})
+	case policy.Probe:
 		if !w.set.MayProbe {
 			w.fault("forbidden probe")
 		}
-	case decide.SendMessage:
+	case policy.SendMessage:
 		if !w.set.MayMessage || len(a.Data) > 256 {
 			w.fault("forbidden message")
 		}
-	case decide.SetTimer:
+	case policy.SetTimer:
 		late := time.Duration(0)
 		if w.r.Intn(20) == 0 {
 			late = time.Duration(w.r.Intn(200)) * time.Millisecond
 		}
-		w.later(a.After+late, pending{event: decide.TimerFired{Token: a.Token}})
-	case decide.Subscribe, decide.FetchList:
+		w.later(a.After+late, pending{event: policy.TimerFired{Token: a.Token}})
+	case policy.Subscribe, policy.FetchList:
 		if w.r.Intn(3) == 0 {
-			w.later(time.Second, pending{event: decide.ListUpdate{Kind: decide.ListFailed}})
+			w.later(time.Second, pending{event: policy.ListUpdate{Kind: policy.ListFailed}})
 		} else {
-			w.later(50*time.Millisecond, pending{event: decide.ListUpdate{Kind: decide.ListChanges}})
+			w.later(50*time.Millisecond, pending{event: policy.ListUpdate{Kind: policy.ListChanges}})
 		}
 	}
 }
 
-func (w *world) final(id decide.RequestID) *liveRequest {
+func (w *world) final(id policy.RequestID) *liveRequest {
 	q := w.requests[id]
 	if q == nil {
 		w.fault("answer to an unknown request")
