--- a/policy/world_test.go
+++ b/policy/world_test.go
@@ -81,13 +81,13 @@
 }
 
 // outcome plans how an attempt ends.
-func (w *world) outcome(a policy.Send, q *liveRequest, n int) {
+func (w *world) outcome(a policy.Forward, q *liveRequest, n int) {
 	limit := q.deadline - w.now
 	if a.Timeout != 0 {
 		limit = min(limit, a.Timeout)
 	}
 	codes := []policy.OutcomeCode{policy.OK, policy.OK, policy.OK, policy.OK, policy.OK, policy.ServerError,
-		policy.Full, policy.TimedOut, policy.ConnectFailed, policy.Reset, policy.Moot}
+		policy.Rejected, policy.TimedOut, policy.ConnectFailed, policy.Reset, policy.NotSent}
 	code, took := codes[w.r.Intn(len(codes))], time.Duration(1+w.r.Intn(400))*time.Millisecond
 	if uint32(a.Server)%5 == uint32(w.now.Seconds()/7)%5 && w.r.Intn(2) == 0 {
 		code = policy.TimedOut // some servers are silent for a while
@@ -98,9 +98,9 @@
 	if q.class.Streamed && code == policy.OK && took > 10*time.Millisecond && w.r.Intn(2) == 0 {
 		w.later(took/2, pending{event: policy.StreamStarted{ID: a.ID, Attempt: n, Server: a.Server, Elapsed: took / 2}})
 	}
-	var report *policy.Report
+	var report *policy.LoadReport
 	if w.r.Intn(3) == 0 {
-		report = &policy.Report{InFlight: float64(w.r.Intn(30)), HasInFlight: w.r.Intn(4) > 0}
+		report = &policy.LoadReport{InFlight: float64(w.r.Intn(30)), HasInFlight: w.r.Intn(4) > 0}
 	}
 	w.later(took, pending{id: a.ID, event: policy.AttemptEnded{ID: a.ID, Attempt: n, Server: a.Server, Elapsed: took,
 		Code: code, Report: report}})
@@ -116,7 +116,7 @@
 		}
 		at := &q.attempts[e.Attempt]
 		at.ended, at.code = true, e.Code
-		e.Over = q.final || e.Code == policy.OK
+		e.Answered = q.final || e.Code == policy.OK
 		if e.Code == policy.OK && !q.final {
 			q.final = true
 		}
@@ -151,7 +151,7 @@
 	if w.r.Intn(40) == 0 {
 		w.later(patience/2, pending{event: policy.RequestAbandoned{ID: id}})
 	}
-	e := policy.RequestArrived{ID: id, Class: c.Name, Patience: patience}
+	e := policy.RequestArrived{ID: id, Class: c.Name, Timeout: patience}
 	if len(w.set.Tenants) > 0 {
 		e.Tenant = w.set.Tenants[w.r.Intn(len(w.set.Tenants))].Name
 	}
@@ -161,11 +161,11 @@
 func (w *world) newServer(started time.Duration) policy.Server {
 	w.next++
 	return policy.Server{ID: policy.ServerID(w.next*2654435761 + 1), Zone: fmt.Sprint("z", w.r.Intn(2)),
-		Cell: w.r.Intn(3), Size: 1, StartedAt: started}
+		Cell: w.r.Intn(3), Weight: 1, StartedAt: started}
 }
 
 // tell records what a list says and passes it on.
-func (w *world) tell(kind policy.ListKind, entries []policy.Server) {
+func (w *world) tell(kind policy.EndpointUpdateKind, entries []policy.Server) {
 	in := map[policy.ServerID]bool{}
 	for _, n := range entries {
 		s := w.servers[n.ID]
@@ -183,14 +183,14 @@
 			s.drainTold = w.now
 		}
 	}
-	if kind != policy.ListChanges {
+	if kind != policy.EndpointsChanged {
 		for _, id := range w.ids {
 			if s := w.servers[id]; !in[id] && s.drainTold == 0 {
-				s.drainTold, s.State = w.now, policy.Gone
+				s.drainTold, s.State = w.now, policy.Removed
 			}
 		}
 	}
-	w.handle(policy.ListUpdate{Kind: kind, Entries: entries})
+	w.handle(policy.EndpointUpdate{Kind: kind, Servers: entries})
 }
 
 func (w *world) changeList() {
@@ -199,7 +199,7 @@
 	case 0:
 		s.State = policy.Draining
 	case 1:
-		s.State = policy.Gone
+		s.State = policy.Removed
 	case 2:
 		s.State, s.StartedAt = policy.Ready, w.now
 	case 3:
@@ -207,19 +207,19 @@
 	case 4:
 		var all []policy.Server
 		for _, id := range w.ids {
-			if e := w.servers[id].Server; e.State != policy.Gone {
+			if e := w.servers[id].Server; e.State != policy.Removed {
 				all = append(all, e)
 			}
 		}
-		w.tell(policy.ListFull, all)
+		w.tell(policy.EndpointsComplete, all)
 		return
 	case 5:
-		if w.set.AskForList {
-			w.handle(policy.ListUpdate{Kind: policy.ListFailed})
+		if w.set.PollsEndpoints {
+			w.handle(policy.EndpointUpdate{Kind: policy.EndpointsFailed})
 		}
 		return
 	}
-	w.tell(policy.ListChanges, []policy.Server{s})
+	w.tell(policy.EndpointsChanged, []policy.Server{s})
 }
 
 // exclude takes a server out, or back if it is out.
@@ -238,7 +238,7 @@
 	w.requests, w.queue = map[policy.RequestID]*liveRequest{}, nil
 	var all []policy.Server
 	for _, id := range w.ids {
-		if e := w.servers[id].Server; e.State != policy.Gone {
+		if e := w.servers[id].Server; e.State != policy.Removed {
 			all = append(all, e)
 		}
 	}
@@ -246,7 +246,7 @@
 		all = append(all, w.newServer(0))
 	}
 	w.servers, w.ids = map[policy.ServerID]*listed{}, nil
-	w.tell(policy.ListCached, all)
+	w.tell(policy.EndpointsCached, all)
 }
 
 // run plays a stretch of time; restarts says whether the node may be restarted in between.
@@ -288,16 +288,16 @@
 	r := rand.New(rand.NewSource(seed))
 	w := &world{r: r, now: time.Hour, servers: map[policy.ServerID]*listed{}, sends: map[policy.ServerID][]time.Duration{}}
 	ms := func(lo, hi int) time.Duration { return time.Duration(lo+r.Intn(hi-lo)) * time.Millisecond }
-	w.set = policy.Settings{Nodes: 1 + r.Intn(6), Zone: "z0", MaxAttempts: 1 + r.Intn(5), MayOverlap: r.Intn(2) == 0,
-		MayCancel: r.Intn(3) > 0, MayProbe: r.Intn(2) == 0, MayMessage: r.Intn(2) == 0, HoldOffs: r.Intn(2) == 0,
-		MaxHoldOff: time.Second, ConnectTimeout: 100 * time.Millisecond, MinTick: 5 * time.Millisecond,
-		AskForList: r.Intn(2) == 0, AnswerSlack: 20 * time.Millisecond, AskWithin: 10 * time.Second,
-		DrainGrace: ms(0, 1000), ColdFrom: 0.3, ColdTime: ms(3000, 9000), OverloadFactor: 2.5, OverloadTime: time.Second}
+	w.set = policy.Settings{Nodes: 1 + r.Intn(6), Zone: "z0", MaxAttempts: 1 + r.Intn(5), MayHedge: r.Intn(2) == 0,
+		MayCancel: r.Intn(3) > 0, MayHealthCheck: r.Intn(2) == 0, MayMessagePeers: r.Intn(2) == 0, SendsRetryAfter: r.Intn(2) == 0,
+		MaxRetryAfter: time.Second, ConnectTimeout: 100 * time.Millisecond, MinTick: 5 * time.Millisecond,
+		PollsEndpoints: r.Intn(2) == 0, AnswerSlack: 20 * time.Millisecond, MaxPollInterval: 10 * time.Second,
+		DrainGrace: ms(0, 1000), SlowStartMinCapacity: 0.3, SlowStartWindow: ms(3000, 9000), OverloadFactor: 2.5, OverloadDuration: time.Second}
 	for i, n := 0, 1+r.Intn(4); i < n; i++ {
 		aim := ms(100, 1500)
-		w.set.Classes = append(w.set.Classes, policy.Class{Name: fmt.Sprint("c", i), Worth: float64(r.Intn(13)), Aim: aim,
-			Deadline: 2*aim + ms(0, 2000), LateWorth: float64(r.Intn(2)) / 2, Effect: policy.Effect(r.Intn(3)),
-			KeyScope: policy.Scope(r.Intn(3)), DedupWindow: ms(100, 4000), Streamed: r.Intn(4) == 0})
+		w.set.Classes = append(w.set.Classes, policy.Class{Name: fmt.Sprint("c", i), PriorityWeight: float64(r.Intn(13)), LatencyObjective: aim,
+			Deadline: 2*aim + ms(0, 2000), LateWeight: float64(r.Intn(2)) / 2, Idempotency: policy.Idempotency(r.Intn(3)),
+			KeyScope: policy.KeyScope(r.Intn(3)), DedupWindow: ms(100, 4000), Streamed: r.Intn(4) == 0})
 	}
 	if r.Intn(3) == 0 {
 		w.set.Tenants = []policy.Tenant{{Name: "a", Quota: 10}, {Name: "b", Quota: 100}}
--- a/policy/worldcheck_test.go
+++ b/policy/worldcheck_test.go
@@ -14,15 +14,15 @@
 }
 
 // sameGroup is the checker's own reading of the scopes.
-func sameGroup(s policy.Scope, a, b *listed) bool {
-	return s == policy.ScopeAll || s == policy.ScopeZone && a.Zone == b.Zone || s == policy.ScopeCell && a.Cell == b.Cell
+func sameGroup(s policy.KeyScope, a, b *listed) bool {
+	return s == policy.KeyScopeAll || s == policy.KeyScopeZone && a.Zone == b.Zone || s == policy.KeyScopeCell && a.Cell == b.Cell
 }
 
 func neverRan(c policy.OutcomeCode) bool {
-	return c == policy.Full || c == policy.ConnectFailed || c == policy.Moot
+	return c == policy.Rejected || c == policy.ConnectFailed || c == policy.NotSent
 }
 
-func (w *world) checkSend(q *liveRequest, a policy.Send) {
+func (w *world) checkSend(q *liveRequest, a policy.Forward) {
 	s := w.servers[a.Server]
 	if s == nil {
 		w.fault("send to server %d, which was never listed", a.Server)
@@ -44,13 +44,13 @@
 		w.fault("send to a server that is taken out")
 	}
 	for _, p := range q.attempts {
-		if !p.ended && !w.set.MayOverlap {
+		if !p.ended && !w.set.MayHedge {
 			w.fault("two attempts out at once")
 		}
-		if p.ended && neverRan(p.code) || q.class.Effect == policy.Safe {
+		if p.ended && neverRan(p.code) || q.class.Idempotency == policy.Idempotent {
 			continue
 		}
-		if q.class.Effect == policy.Unsafe {
+		if q.class.Idempotency == policy.NonIdempotent {
 			w.fault("unsafe request sent again")
 		} else if !sameGroup(q.class.KeyScope, s, w.servers[p.server]) || w.now > p.at+q.class.DedupWindow {
 			w.fault("keyed request sent outside its group or window")
@@ -58,16 +58,16 @@
 	}
 	w.sends[a.Server] = append(w.sends[a.Server], w.now)
 	started := max(s.StartedAt, s.back)
-	age := (w.now - started).Seconds() / w.set.ColdTime.Seconds()
+	age := (w.now - started).Seconds() / w.set.SlowStartWindow.Seconds()
 	if (s.startTold || s.back > 0) && age < 1 {
-		part := w.set.ColdFrom + (1-w.set.ColdFrom)*max(0, age)
+		part := w.set.SlowStartMinCapacity + (1-w.set.SlowStartMinCapacity)*max(0, age)
 		n := 0
 		for _, at := range w.sends[a.Server] {
-			if at > w.now-w.set.OverloadTime && at >= started {
+			if at > w.now-w.set.OverloadDuration && at >= started {
 				n++
 			}
 		}
-		if limit := w.set.OverloadFactor * part * w.capacity * w.set.OverloadTime.Seconds(); float64(n) > limit+3 {
+		if limit := w.set.OverloadFactor * part * w.capacity * w.set.OverloadDuration.Seconds(); float64(n) > limit+3 {
 			w.fault("cold server %d was sent %d, its budget is %.1f", a.Server, n, limit)
 		}
 	}
@@ -75,7 +75,7 @@
 
 func (w *world) carryOut(a policy.Action) {
 	switch a := a.(type) {
-	case policy.Send:
+	case policy.Forward:
 		q := w.requests[a.ID]
 		if q == nil {
 			w.fault("send for an unknown request")
@@ -87,15 +87,15 @@
 		}
 		q.attempts = append(q.attempts, sentAttempt{server: a.Server, at: w.now})
 		w.outcome(a, q, len(q.attempts)-1)
-	case policy.Refuse:
+	case policy.Reject:
 		q := w.final(a.ID)
 		if q == nil {
 			return
 		}
 		for _, p := range q.attempts {
 			ran := !p.ended || !neverRan(p.code)
-			if ran && (q.class.Effect == policy.Unsafe ||
-				q.class.Effect == policy.Keyed && q.class.KeyScope != policy.ScopeAll) {
+			if ran && (q.class.Idempotency == policy.NonIdempotent ||
+				q.class.Idempotency == policy.IdempotentByKey && q.class.KeyScope != policy.KeyScopeAll) {
 				w.fault("refused although it may have run")
 			}
 		}
@@ -109,12 +109,12 @@
 		}
 		w.later(time.Millisecond, pending{id: a.ID, event: policy.AttemptEnded{ID: a.ID, Attempt: a.Attempt,
 			Server: q.attempts[a.Attempt].server, Code: policy.Cancelled}})
-	case policy.Probe:
-		if !w.set.MayProbe {
+	case policy.HealthCheck:
+		if !w.set.MayHealthCheck {
 			w.fault("forbidden probe")
 		}
 	case policy.SendMessage:
-		if !w.set.MayMessage || len(a.Data) > 256 {
+		if !w.set.MayMessagePeers || len(a.Data) > 256 {
 			w.fault("forbidden message")
 		}
 	case policy.SetTimer:
@@ -123,11 +123,11 @@
 			late = time.Duration(w.r.Intn(200)) * time.Millisecond
 		}
 		w.later(a.After+late, pending{event: policy.TimerFired{Token: a.Token}})
-	case policy.Subscribe, policy.FetchList:
+	case policy.Subscribe, policy.FetchEndpoints:
 		if w.r.Intn(3) == 0 {
-			w.later(time.Second, pending{event: policy.ListUpdate{Kind: policy.ListFailed}})
+			w.later(time.Second, pending{event: policy.EndpointUpdate{Kind: policy.EndpointsFailed}})
 		} else {
-			w.later(50*time.Millisecond, pending{event: policy.ListUpdate{Kind: policy.ListChanges}})
+			w.later(50*time.Millisecond, pending{event: policy.EndpointUpdate{Kind: policy.EndpointsChanged}})
 		}
 	}
 }
