--- a/cmd/discovery/agent_flags_test.go
+++ b/cmd/discovery/agent_flags_test.go
@@ -12,14 +12,14 @@
 func TestAgentRefusesBadServices(t *testing.T) {
 	t.Parallel()
 	many := []string{"--node", "n", "--zone", "z"}
-	for range fleet.ScopeLimit + 1 {
+	for range fleet.MaxScopeServices + 1 {
 		many = append(many, "--service", "s"+strings.Repeat("x", len(many)%60))
 	}
 	for name, flags := range map[string][]string{
 		"without a node": {"--service", "billing"},
 		"named twice":    {"--node", "n", "--zone", "z", "--service", "search", "--service", "billing", "--service", "search"},
 		"empty":          {"--node", "n", "--zone", "z", "--service", ""},
-		"too long":       {"--node", "n", "--zone", "z", "--service", strings.Repeat("x", fleet.ServiceNameLimit+1)},
+		"too long":       {"--node", "n", "--zone", "z", "--service", strings.Repeat("x", fleet.MaxServiceNameBytes+1)},
 		"too many":       many,
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/cmd/discovery/agents_test.go
+++ b/cmd/discovery/agents_test.go
@@ -46,13 +46,13 @@
 	a.Boot()
 	f.startAgent(a)
 	f.until("the copy served", func() bool { return a.Serves("brand") > 0 })
-	if in := a.Look(); in.CaughtUp || in.HeldMS != 0 || in.AgeMS < 60_000 {
+	if in := a.Look(); in.CaughtUp || in.LeaseMS != 0 || in.AgeMS < 60_000 {
 		t.Errorf("from the copy alone: %+v", in)
 	}
 	a.Cut(false)
 	f.until("caught up", func() bool {
 		in := a.Look()
-		return in.CaughtUp && in.AgeMS < 5000 && in.HeldMS > 0 && a.Serves("brand") == 2
+		return in.CaughtUp && in.AgeMS < 5000 && in.LeaseMS > 0 && a.Serves("brand") == 2
 	})
 
 	// b: its copy is damaged.
@@ -103,7 +103,7 @@
 		f.Kill(i)
 	}
 	for _, n := range f.nodes {
-		f.until(n.Name+" counted out, and told the age", func() bool { in := n.Look(); return in.HeldMS == 0 && in.AgeMS > 2000 })
+		f.until(n.Name+" counted out, and told the age", func() bool { in := n.Look(); return in.LeaseMS == 0 && in.AgeMS > 2000 })
 		if in := n.Look(); n.Serves("brand") != 1 || !in.CaughtUp {
 			t.Errorf("%s with the replicas gone: generation %d, %+v", n.Name, n.Serves("brand"), in)
 		}
--- a/cmd/discovery/drift_test.go
+++ b/cmd/discovery/drift_test.go
@@ -18,7 +18,7 @@
 	States   map[string]int
 	Suspect  bool
 	Verdicts []drift.Verdict
-	Log      []drift.Entry
+	Log      []drift.LogEntry
 }
 
 func (f *fleetUp) drift(query string) (a driftAnswer) {
@@ -56,27 +56,27 @@
 
 	odd := f.nodes[4]
 	odd.With(func() {
-		odd.Odd = func(facts []fleet.Held) []fleet.Held {
+		odd.Odd = func(facts []fleet.AppliedItem) []fleet.AppliedItem {
 			for i, h := range facts {
 				if h.Key != "tenant/brand" {
 					continue
 				}
-				var b fleet.HeldTenant
+				var b fleet.AppliedTenant
 				json.Unmarshal(h.Body, &b)
 				b.Committed.Rate = 999
-				facts[i], _, _ = drift.Hold(h.Key, b)
+				facts[i], _, _ = drift.AppliedItemOf(h.Key, b)
 			}
 			return facts
 		}
 	})
 	f.until("the node named", func() bool {
 		a := f.drift("?node=n04&state=" + drift.Diverged)
-		return len(a.Verdicts) == 1 && slices.ContainsFunc(a.Verdicts[0].Items, func(d drift.Difference) bool {
+		return len(a.Verdicts) == 1 && slices.ContainsFunc(a.Verdicts[0].Differences, func(d drift.Difference) bool {
 			return d.Key == "tenant/brand" && d.Field == "committed.rate" && d.Intended == "100" && d.Applied == "999"
 		})
 	})
 	f.until("told again", func() bool {
-		return slices.ContainsFunc(f.drift("").Log, func(e drift.Entry) bool { return e.Node == "n04" && slices.Contains(e.Keys, "tenant/brand") })
+		return slices.ContainsFunc(f.drift("").Log, func(e drift.LogEntry) bool { return e.Node == "n04" && slices.Contains(e.Keys, "tenant/brand") })
 	})
 	f.metric("the leader's count", f.HTTP[f.leader()], `fleet_drift_differences_total{kind="tenant",state="diverged"} 1`)
 	f.metric("the agent's own verdict", odd.Agent, `fleet_agent_drift{state="diverged"} 1`)
@@ -94,16 +94,16 @@
 
 	f.nodes[5].With(func() { f.nodes[5].Silent = true })
 	f.nodes[6].With(func() {
-		f.nodes[6].Odd = func(facts []fleet.Held) []fleet.Held {
-			ban, _, _ := drift.Hold("ban/s-1", fleet.HeldBan{Out: true})
-			ban.By, ban.SinceMS = "ops", 1000
+		f.nodes[6].Odd = func(facts []fleet.AppliedItem) []fleet.AppliedItem {
+			ban, _, _ := drift.AppliedItemOf("ban/s-1", fleet.AppliedExclusion{Excluded: true})
+			ban.ChangedBy, ban.SinceMS = "ops", 1000
 			return append(facts, ban)
 		}
 	})
 	f.until("one silent, one overridden", func() bool {
 		a := f.drift("")
 		over := slices.ContainsFunc(a.Verdicts, func(v drift.Verdict) bool {
-			return v.Node == "n06" && v.State == drift.Overridden && len(v.Overrides) == 1 && v.Overrides[0].By == "ops"
+			return v.Node == "n06" && v.State == drift.Overridden && len(v.Overrides) == 1 && v.Overrides[0].ChangedBy == "ops"
 		})
 		return over && a.States[drift.Silent] == 1 && a.States[drift.InStep] == 8
 	})
--- a/cmd/discovery/failover_test.go
+++ b/cmd/discovery/failover_test.go
@@ -37,7 +37,7 @@
 			}
 			var seen []uint64
 			for _, n := range f.nodes {
-				if in := n.Look(); in.HeldMS > 0 {
+				if in := n.Look(); in.LeaseMS > 0 {
 					seen = append(seen, n.Serves(name))
 				}
 			}
@@ -126,8 +126,8 @@
 		return f.status("brand").Phase == "settled"
 	})
 	for _, n := range away {
-		if in := n.Look(); in.HeldMS > 0 || n.Serves("brand") != 1 {
-			t.Errorf("%s, cut off, serves generation %d and counts %d ms of its session", n.Name, n.Serves("brand"), in.HeldMS)
+		if in := n.Look(); in.LeaseMS > 0 || n.Serves("brand") != 1 {
+			t.Errorf("%s, cut off, serves generation %d and counts %d ms of its session", n.Name, n.Serves("brand"), in.LeaseMS)
 		}
 	}
 	f.mustPut("brand", 2, 300) // another, while they are away: their generation is now two behind
--- a/cmd/discovery/fleet_test.go
+++ b/cmd/discovery/fleet_test.go
@@ -63,7 +63,7 @@
 func (f *fleetUp) present() {
 	f.t.Helper()
 	for _, n := range f.nodes {
-		f.until("the session of "+n.Name, func() bool { return n.Look().HeldMS > 0 })
+		f.until("the session of "+n.Name, func() bool { return n.Look().LeaseMS > 0 })
 	}
 }
 
@@ -74,7 +74,7 @@
 		if time.Now().After(end) {
 			for _, n := range f.nodes {
 				in := n.Look()
-				f.t.Logf("%s: revision %d, %d items, held %d ms, age %d ms, caught up %v, last answer %s", n.Name, in.Revision, len(in.Items), in.HeldMS, in.AgeMS, in.CaughtUp, n.Last())
+				f.t.Logf("%s: revision %d, %d items, held %d ms, age %d ms, caught up %v, last answer %s", n.Name, in.Revision, len(in.Items), in.LeaseMS, in.AgeMS, in.CaughtUp, n.Last())
 			}
 			f.t.Fatalf("after a minute: not yet %s", what)
 		}
--- a/cmd/discovery/rollout_test.go
+++ b/cmd/discovery/rollout_test.go
@@ -194,7 +194,7 @@
 		{"PUT", "/fleet/v1/tenants/a", `{"generation":0,"spec":{"name":"a","quota":{"rate":1},"colour":1}}`, 400, "colour"},
 		{"PUT", "/fleet/v1/tenants/a", `{"generation":0,"spec":{"name":"b","quota":{"rate":1,"burst":1}}}`, 400, "name"},
 		{"PUT", "/fleet/v1/tenants/a", `{"generation":0,`, 400, "invalid"},
-		{"PUT", "/fleet/v1/tenants/a", `"` + strings.Repeat("x", fleet.TenantLimit) + `"`, 400, "over"},
+		{"PUT", "/fleet/v1/tenants/a", `"` + strings.Repeat("x", fleet.MaxTenantBytes) + `"`, 400, "over"},
 		{"PUT", "/fleet/v1/tenants/a", `{"generation":3,"spec":{"name":"a","quota":{"rate":1,"burst":1}}}`, 409, "generation 0"},
 		{"DELETE", "/fleet/v1/tenants/a?generation=x", ``, 400, "generation"},
 		{"DELETE", "/fleet/v1/tenants/a?generation=1", ``, 404, "not found"},
@@ -206,10 +206,10 @@
 		{"POST", "/fleet/v1/report", `{"node":"","zone":"za","incarnation":1}`, 400, "node"},
 		{"POST", "/fleet/v1/report", `{` + member + `,"zones":[{"zone":"za","attempts":1,"lost":2}]}`, 400, "lost"},
 		{"POST", "/fleet/v1/report", `{"node":"n00","zone":"za","incarnation":1}`, 409, "older incarnation"},
-		{"POST", "/fleet/v1/report", `"` + strings.Repeat("x", fleet.ReportLimit) + `"`, 400, "over"},
+		{"POST", "/fleet/v1/report", `"` + strings.Repeat("x", fleet.MaxReportBytes) + `"`, 400, "over"},
 		{"POST", "/fleet/v1/report/difference", `{"head":{` + member + `,"seq":2},"base_seq":2,"digest":"0123456789abcdef"}`, 400, "base_seq"},
 		{"POST", "/fleet/v1/report/difference", `{"head":{"node":""},"base_seq":2}`, 400, "base_seq"},
-		{"POST", "/fleet/v1/report/difference", `"` + strings.Repeat("x", fleet.ReportLimit) + `"`, 400, "over"},
+		{"POST", "/fleet/v1/report/difference", `"` + strings.Repeat("x", fleet.MaxReportBytes) + `"`, 400, "over"},
 		{"POST", "/fleet/v1/report/difference", `{"head":{` + member + `,"seq":2},"base_seq":1,"digest":"0123456789abcdef"}`, 200, `"whole":true`},
 	} {
 		code, text := f.api(row.method, row.path, json.RawMessage(row.body))
--- a/cmd/discovery/tenants.go
+++ b/cmd/discovery/tenants.go
@@ -79,7 +79,7 @@
 			return answer{}, err
 		}
 		defer resp.Body.Close()
-		raw, err := io.ReadAll(io.LimitReader(resp.Body, fleet.IntentLimit))
+		raw, err := io.ReadAll(io.LimitReader(resp.Body, fleet.MaxIntentBytes))
 		if err == nil && resp.StatusCode < 500 {
 			return answer{status: resp.StatusCode, body: raw, unclear: unclear}, nil
 		}
--- a/cmd/discovery/tenants_test.go
+++ b/cmd/discovery/tenants_test.go
@@ -65,7 +65,7 @@
 		panic(http.ErrAbortHandler)
 	}
 	if err != nil {
-		http.Error(w, err.Error(), map[bool]int{true: 404, false: 409}[strings.HasPrefix(err.Error(), fleet.ErrUnknown.Error())])
+		http.Error(w, err.Error(), map[bool]int{true: 404, false: 409}[strings.HasPrefix(err.Error(), fleet.ErrNotFound.Error())])
 		return
 	}
 	json.NewEncoder(w).Encode(out)
@@ -73,7 +73,7 @@
 
 // settle carries the tenant's rollout through, as no node is present.
 func (l *leaderStub) settle() {
-	j := tenants.NewJudge(tenants.Config{Slots: 1})
+	j := tenants.NewController(tenants.Config{Slots: 1})
 	for range 3 {
 		for _, c := range j.Step(0, &l.s, tenants.Present{Epoch: firstEpoch}) {
 			l.apply(c)
--- a/cmd/discovery/zone_test.go
+++ b/cmd/discovery/zone_test.go
@@ -33,10 +33,10 @@
 			if it.Key != "zone/zb" {
 				return
 			}
-			if p := d.Phase; !it.Gone && (len(phases) == 0 || phases[len(phases)-1] != p) {
+			if p := d.Phase; !it.Removed && (len(phases) == 0 || phases[len(phases)-1] != p) {
 				phases = append(phases, p)
 			}
-			if d.Phase == fleet.Returning {
+			if d.Phase == fleet.Recovering {
 				steps = append(steps, d.Share)
 			}
 		}
@@ -66,7 +66,7 @@
 	})
 	t.Logf("back on 10 nodes after %v, by shares %v", time.Since(start), steps)
 	watching.With(func() {
-		if want := []string{fleet.Left, fleet.Probation, fleet.Returning}; !slices.Equal(phases, want) {
+		if want := []string{fleet.Evacuated, fleet.Probation, fleet.Recovering}; !slices.Equal(phases, want) {
 			t.Errorf("phases %v", phases)
 		}
 		if len(steps) < 3 || !slices.IsSorted(steps) {
--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -244,7 +244,7 @@
 	for _, n := range []int{rowsLimit, rowsLimit + 1} {
 		intent := fleet.Intent{Revision: 1, Full: true}
 		for i := range n {
-			intent.Items = append(intent.Items, fleet.Item{Key: "other/" + plain(float64(i)), Rev: 1, Body: json.RawMessage(`{}`)})
+			intent.Items = append(intent.Items, fleet.Item{Key: "other/" + plain(float64(i)), Revision: 1, Body: json.RawMessage(`{}`)})
 		}
 		raw, err := json.Marshal(intent)
 		if err != nil {
--- a/internal/capacity/leaderchecks.go
+++ b/internal/capacity/leaderchecks.go
@@ -178,7 +178,7 @@
 	{role: RoleOperator, quantity: "one read of all tenants", formula: "tenants × slope of a snapshot", slopes: []ID{FleetSnapshotSize}, unit: "B",
 		mechanism: PagedReads, reckoned: "a tenant's answer taken as long as its part of a snapshot", why: "the limit of an intent",
 		cost:    func(p Plan, s Slopes) float64 { return s.Get(FleetSnapshotSize).At(p.Size.Tenants) },
-		allowed: func(Plan, Slopes) float64 { return fleet.IntentLimit }},
+		allowed: func(Plan, Slopes) float64 { return fleet.MaxIntentBytes }},
 	{role: RoleOperator, quantity: "changes of tenants, at the peak, as commands of raft's log", formula: "3 × changes a second × peak over mean",
 		slopes: []ID{Commits}, unit: "1/s", mechanism: None, why: "commits measured",
 		cost:    func(p Plan, _ Slopes) float64 { return 3 * changesPerS(p) * p.Input(PeakOverMean) },
--- a/internal/fleet/agent/agent.go
+++ b/internal/fleet/agent/agent.go
@@ -54,7 +54,7 @@
 	updated   chan struct{} // closed when there is something to send to the node
 	dirty     chan struct{} // holds one: the copy is to be saved
 
-	holder  session.Holder
+	holder  session.AgentLease
 	report  *carried      // the node's newest
 	reports chan struct{} // holds one: a report is to be carried
 	last    fleet.ReportAnswer
@@ -134,7 +134,7 @@
 	}
 	a := &Agent{cfg: cfg, zero: time.Now(), m: newMetrics(reg), again: map[string]bool{}, updated: make(chan struct{}),
 		dirty: make(chan struct{}, 1), reports: make(chan struct{}, 1)}
-	a.own.judge = drift.NewLocal(drift.Defaults())
+	a.own.judge = drift.NewLocalDetector(drift.Defaults())
 	a.client.Transport = &http.Transport{DialContext: cfg.Dial, MaxIdleConnsPerHost: 4, IdleConnTimeout: time.Minute}
 	a.cfg.Log = cfg.Log.With("node", cfg.Node, "zone", cfg.Zone)
 	a.openCopy()
--- a/internal/fleet/agent/bench_test.go
+++ b/internal/fleet/agent/bench_test.go
@@ -19,7 +19,7 @@
 	if err != nil {
 		panic(err)
 	}
-	return fleet.Item{Key: fleet.KeyTenant + name, Rev: rev, Body: body}
+	return fleet.Item{Key: fleet.KeyTenant + name, Revision: rev, Body: body}
 }
 
 // benchWhole is a whole answer of so many tenants.
--- a/internal/fleet/agent/capacity_bench_test.go
+++ b/internal/fleet/agent/capacity_bench_test.go
@@ -24,7 +24,7 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		intent.Items = append(intent.Items, fleet.Item{Key: "tenant/" + spec.Name, Rev: uint64(i + 1), Body: body})
+		intent.Items = append(intent.Items, fleet.Item{Key: "tenant/" + spec.Name, Revision: uint64(i + 1), Body: body})
 	}
 	return intent
 }
@@ -58,8 +58,8 @@
 		}
 		for b.Loop() {
 			changed := intent.Items[0]
-			changed.Rev = own.Revision + 1
-			if _, err := own.Take(fleet.Intent{Revision: changed.Rev, Items: []fleet.Item{changed}}); err != nil {
+			changed.Revision = own.Revision + 1
+			if _, err := own.Take(fleet.Intent{Revision: changed.Revision, Items: []fleet.Item{changed}}); err != nil {
 				b.Fatal(err)
 			}
 		}
@@ -129,8 +129,8 @@
 		written := 0
 		for b.Loop() {
 			changed := intent.Items[0]
-			changed.Rev = own.Revision + 1
-			if _, err := own.Take(fleet.Intent{Revision: changed.Rev, Items: []fleet.Item{changed}}); err != nil {
+			changed.Revision = own.Revision + 1
+			if _, err := own.Take(fleet.Intent{Revision: changed.Revision, Items: []fleet.Item{changed}}); err != nil {
 				b.Fatal(err)
 			}
 			bytes, err := d.save(own.Read(d.since(), nil), false)
--- a/internal/fleet/agent/carry.go
+++ b/internal/fleet/agent/carry.go
@@ -79,7 +79,7 @@
 	defer a.mu.Unlock()
 	if lost != a.lost {
 		a.lost = lost
-		a.cfg.Log.Warn("reports to the leader", "answered", !lost, "incarnation", c.rep.Incarnation, "held_ms", a.holder.Left(a.now()).Milliseconds())
+		a.cfg.Log.Warn("reports to the leader", "answered", !lost, "incarnation", c.rep.Incarnation, "held_ms", a.holder.Remaining(a.now()).Milliseconds())
 	}
 }
 
@@ -115,11 +115,11 @@
 		if err := json.Unmarshal(raw, &ans); err != nil || len(raw) > answerLimit {
 			return "", fmt.Errorf("answer: %w", errors.Join(err, errors.New("malformed or too long")))
 		}
-		if ans.Whole {
+		if ans.SendComplete {
 			a.sender.Forget()
 			return "", wished(out)
 		}
-		a.sender.Acknowledged(c.rep, ans.AckSeq)
+		a.sender.Acknowledged(c.rep, ans.AckSequence)
 		a.answered(c, ans, t0)
 		return "", nil
 	case http.StatusConflict: // an older incarnation: it never will be taken
@@ -142,9 +142,9 @@
 		return // of a run that has a successor
 	}
 	a.lastAt = a.now()
-	held := a.holder.Left(a.now()) > 0
-	if ttl := time.Duration(ans.TTLMS) * time.Millisecond; ttl > 0 && ttl <= time.Hour {
-		a.holder.Renewed(t0, ttl)
+	held := a.holder.Remaining(a.now()) > 0
+	if ttl := time.Duration(ans.LeaseTTLMS) * time.Millisecond; ttl > 0 && ttl <= time.Hour {
+		a.holder.Renew(t0, ttl)
 		a.m.renewals.Inc()
 		if !a.session {
 			a.session, a.need = true, ans.Revision
@@ -153,7 +153,7 @@
 	} else {
 		a.holder.Drop()
 	}
-	if now := a.holder.Left(a.now()) > 0; now != held {
+	if now := a.holder.Remaining(a.now()) > 0; now != held {
 		a.cfg.Log.Info("session", "held", now, "incarnation", c.rep.Incarnation, "revision", ans.Revision)
 		a.wake()
 	}
@@ -164,9 +164,9 @@
 		a.resend(ans.Resend)
 		a.cfg.Log.Info("resending to the node", "keys", ans.Resend, "restart", ans.Restart, "incarnation", c.rep.Incarnation)
 	}
-	want := union(a.last.Want, ans.Want) // what the node has not been sent yet
+	want := union(a.last.WantedKeys, ans.WantedKeys) // what the node has not been sent yet
 	a.last = ans
-	a.last.Want = want[:min(len(want), 1024)]
+	a.last.WantedKeys = want[:min(len(want), 1024)]
 }
 
 // refused notes that the run which made the report has a successor.
--- a/internal/fleet/agent/copy.go
+++ b/internal/fleet/agent/copy.go
@@ -84,10 +84,10 @@
 // put takes one item in the place of the one of its key.
 func (c *Copy) put(item fleet.Item) {
 	c.drop(item.Key)
-	at := change{item.Rev, item.Key}
+	at := change{item.Revision, item.Key}
 	c.items[item.Key] = item
 	c.changes.ReplaceOrInsert(at)
-	if item.Gone {
+	if item.Removed {
 		c.gone.ReplaceOrInsert(at)
 	}
 }
@@ -97,7 +97,7 @@
 	if !ok {
 		return
 	}
-	at := change{old.Rev, key}
+	at := change{old.Revision, key}
 	delete(c.items, key)
 	c.changes.Delete(at)
 	c.gone.Delete(at)
@@ -109,7 +109,7 @@
 // same says whether the copy holds these items and no others.
 func (c *Copy) same(items []fleet.Item) bool {
 	for _, item := range items {
-		if old, ok := c.items[item.Key]; !ok || old.Gone || old.Rev != item.Rev || !bytes.Equal(old.Body, item.Body) {
+		if old, ok := c.items[item.Key]; !ok || old.Removed || old.Revision != item.Revision || !bytes.Equal(old.Body, item.Body) {
 			return false
 		}
 	}
@@ -148,7 +148,7 @@
 func (c *Copy) live() []fleet.Item {
 	items := make([]fleet.Item, 0, len(c.items))
 	for _, item := range c.items {
-		if !item.Gone {
+		if !item.Removed {
 			items = append(items, item)
 		}
 	}
@@ -174,10 +174,10 @@
 	for key := range again {
 		item, held := c.items[key]
 		switch {
-		case held && item.Rev <= since:
+		case held && item.Revision <= since:
 			items = append(items, item)
 		case !held && mayBeGone(key):
-			items = append(items, fleet.Item{Key: key, Rev: c.Revision, Gone: true})
+			items = append(items, fleet.Item{Key: key, Revision: c.Revision, Removed: true})
 		}
 	}
 	return items
--- a/internal/fleet/agent/copy_test.go
+++ b/internal/fleet/agent/copy_test.go
@@ -20,16 +20,16 @@
 
 func (s *intended) change(key string, gone bool) {
 	s.rev++
-	s.items[key] = fleet.Item{Key: key, Rev: s.rev, Gone: gone}
+	s.items[key] = fleet.Item{Key: key, Revision: s.rev, Removed: gone}
 	if !gone {
-		s.items[key] = fleet.Item{Key: key, Rev: s.rev, Body: json.RawMessage(fmt.Sprintf(`{"phase":"left","valid_ms":%d}`, s.rev))}
+		s.items[key] = fleet.Item{Key: key, Revision: s.rev, Body: json.RawMessage(fmt.Sprintf(`{"phase":"left","valid_ms":%d}`, s.rev))}
 	}
 }
 
 func (s *intended) read(since uint64) fleet.Intent {
 	in := fleet.Intent{Revision: s.rev, Full: since == 0 || since < s.floor || since > s.rev}
 	for _, it := range s.items {
-		if in.Full && !it.Gone || !in.Full && it.Rev > since {
+		if in.Full && !it.Removed || !in.Full && it.Revision > since {
 			in.Items = append(in.Items, it)
 		}
 	}
@@ -42,7 +42,7 @@
 		held = map[string]fleet.Item{}
 	}
 	for _, it := range in.Items {
-		if delete(held, it.Key); !it.Gone {
+		if delete(held, it.Key); !it.Removed {
 			held[it.Key] = it
 		}
 	}
@@ -178,7 +178,7 @@
 
 func sample() *Copy {
 	c := &Copy{}
-	c.Take(fleet.Intent{Revision: 9, Full: true, Items: []fleet.Item{{Key: "zone/a", Rev: 7, Body: json.RawMessage(`{"phase":"left","valid_ms":5000}`)}}})
+	c.Take(fleet.Intent{Revision: 9, Full: true, Items: []fleet.Item{{Key: "zone/a", Revision: 7, Body: json.RawMessage(`{"phase":"left","valid_ms":5000}`)}}})
 	return c
 }
 
@@ -191,10 +191,10 @@
 		}
 		return sample().Read(9, keys)
 	}
-	if in := read("zone/a"); in.Full || len(in.Items) != 1 || in.Items[0].Gone {
+	if in := read("zone/a"); in.Full || len(in.Items) != 1 || in.Items[0].Removed {
 		t.Errorf("sent again: %+v", in)
 	}
-	if in := read("tenant/x", "share"); in.Full || len(in.Items) != 1 || !in.Items[0].Gone || in.Items[0].Rev != 9 {
+	if in := read("tenant/x", "share"); in.Full || len(in.Items) != 1 || !in.Items[0].Removed || in.Items[0].Revision != 9 {
 		t.Errorf("of another scope: %+v", in)
 	}
 	if in := read("*"); !in.Full || len(in.Items) != 1 {
@@ -216,12 +216,12 @@
 			}
 			changes, gone := 0, 0
 			for key, item := range c.items {
-				at := change{item.Rev, key}
-				if !c.changes.Has(at) || c.gone.Has(at) != item.Gone {
+				at := change{item.Revision, key}
+				if !c.changes.Has(at) || c.gone.Has(at) != item.Removed {
 					t.Fatalf("%+v is not in its place", item)
 				}
 				changes++
-				if item.Gone {
+				if item.Removed {
 					gone++
 				}
 			}
--- a/internal/fleet/agent/disk.go
+++ b/internal/fleet/agent/disk.go
@@ -15,9 +15,9 @@
 	copyName    = "intent.copy"
 	refusedName = copyName + ".refused"
 
-	logSlack  = 64 << 10              // the log is written anew once its differences are so much larger than its base
-	baseLimit = 2 * fleet.IntentLimit // bytes of a base; the copy of more is not kept
-	fileLimit = 6 * fleet.IntentLimit // of a base, as many differences, and a last one as large as an answer
+	logSlack  = 64 << 10                 // the log is written anew once its differences are so much larger than its base
+	baseLimit = 2 * fleet.MaxIntentBytes // bytes of a base; the copy of more is not kept
+	fileLimit = 6 * fleet.MaxIntentBytes // of a base, as many differences, and a last one as large as an answer
 )
 
 // Errors of a write. After the first, what is on disk is newer than what was to be written, and stays. After the
@@ -141,8 +141,8 @@
 	if err != nil {
 		return 0, err
 	}
-	if len(raw) > fleet.IntentLimit {
-		return 0, fmt.Errorf("copy: a difference of %d bytes, at most %d", len(raw), fleet.IntentLimit)
+	if len(raw) > fleet.MaxIntentBytes {
+		return 0, fmt.Errorf("copy: a difference of %d bytes, at most %d", len(raw), fleet.MaxIntentBytes)
 	}
 	file, err := os.OpenFile(d.path(), os.O_WRONLY|os.O_APPEND, 0)
 	if err != nil {
--- a/internal/fleet/agent/disk_test.go
+++ b/internal/fleet/agent/disk_test.go
@@ -29,7 +29,7 @@
 	if err != nil {
 		panic(err)
 	}
-	return fleet.Item{Key: fleet.KeyTenant + name, Rev: revision, Body: body}
+	return fleet.Item{Key: fleet.KeyTenant + name, Revision: revision, Body: body}
 }
 
 // wholeFile is a copy as the build before the log wrote it.
@@ -52,7 +52,7 @@
 	for since := uint64(9); since < 12; since++ {
 		items := []fleet.Item{tenantOf("x", since+1, "billing", "-")}
 		if since == 10 {
-			items = []fleet.Item{{Key: "zone/a", Rev: 11, Gone: true}}
+			items = []fleet.Item{{Key: "zone/a", Revision: 11, Removed: true}}
 		}
 		record, err := appendRecord(nil, differenceRecord{Since: since, Revision: since + 1, Items: items})
 		if err != nil {
--- a/internal/fleet/agent/golden_test.go
+++ b/internal/fleet/agent/golden_test.go
@@ -24,18 +24,18 @@
 
 // A whole file of the durable copy: a base and two differences. It is decoded, and its content encoded to the same bytes.
 func TestCopyFileBytes(t *testing.T) {
-	directive, err := json.Marshal(fleet.Directive{Phase: fleet.Left, Share: 0.5, ValidMS: 5000, Reason: "lost"})
+	directive, err := json.Marshal(fleet.Directive{Phase: fleet.Evacuated, Share: 0.5, ValidMS: 5000, Reason: "lost"})
 	if err != nil {
 		t.Fatal(err)
 	}
-	shares, err := json.Marshal(fleet.Shares{Epoch: 3, Incarnation: 7, Slots: 4, Rates: map[string]float64{"a": 2.5}})
+	shares, err := json.Marshal(fleet.QuotaLease{Epoch: 3, Incarnation: 7, Slots: 4, Rates: map[string]float64{"a": 2.5}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	base := baseRecord{Node: "n1", Services: []string{"billing"}, Revision: 5, Items: []fleet.Item{{Key: "share/n1", Rev: 4, Body: shares}}}
+	base := baseRecord{Node: "n1", Services: []string{"billing"}, Revision: 5, Items: []fleet.Item{{Key: "share/n1", Revision: 4, Body: shares}}}
 	differences := []differenceRecord{
-		{Since: 5, Revision: 6, Items: []fleet.Item{{Key: "zone/a", Rev: 6, Body: directive}}},
-		{Since: 6, Revision: 9, Items: []fleet.Item{{Key: "zone/a", Rev: 9, Gone: true}}},
+		{Since: 5, Revision: 6, Items: []fleet.Item{{Key: "zone/a", Revision: 6, Body: directive}}},
+		{Since: 6, Revision: 9, Items: []fleet.Item{{Key: "zone/a", Revision: 9, Removed: true}}},
 	}
 	file, err := encodeBase(base)
 	if err != nil {
--- a/internal/fleet/agent/outgoing_test.go
+++ b/internal/fleet/agent/outgoing_test.go
@@ -61,7 +61,7 @@
 
 // take is the leader's work on one body.
 func (l *differenceLeader) take(path string, body []byte) (fleet.ReportAnswer, int) {
-	ans := fleet.ReportAnswer{TTLMS: 6000, Revision: 5}
+	ans := fleet.ReportAnswer{LeaseTTLMS: 6000, Revision: 5}
 	switch {
 	case path == "/fleet/v1/report":
 		r, err := fleet.DecodeReport(body)
@@ -69,10 +69,10 @@
 			l.log = append(l.log, err.Error())
 			return ans, http.StatusBadRequest
 		}
-		l.log = append(l.log, fmt.Sprint("whole ", r.Seq))
+		l.log = append(l.log, fmt.Sprint("whole ", r.Sequence))
 		l.has = reportdelta.Normalize(r)
 		if !l.lastBuild {
-			ans.AckSeq = l.bases.Keep(l.has, 0)
+			ans.AckSequence = l.bases.Keep(l.has, 0)
 		}
 		return ans, http.StatusOK
 	case l.lastBuild:
@@ -93,12 +93,12 @@
 	}
 	if l.stale || err != nil {
 		l.stale = false
-		l.log = append(l.log, fmt.Sprint("wish ", d.Head.Seq))
-		return fleet.ReportAnswer{Whole: true}, http.StatusOK
+		l.log = append(l.log, fmt.Sprint("wish ", d.Head.Sequence))
+		return fleet.ReportAnswer{SendComplete: true}, http.StatusOK
 	}
-	l.log = append(l.log, fmt.Sprintf("difference %d after %d", d.Head.Seq, d.BaseSeq))
+	l.log = append(l.log, fmt.Sprintf("difference %d after %d", d.Head.Sequence, d.BaseSeq))
 	l.has = base
-	ans.AckSeq = l.bases.Keep(base, d.BaseSeq)
+	ans.AckSequence = l.bases.Keep(base, d.BaseSeq)
 	return ans, http.StatusOK
 }
 
@@ -136,7 +136,7 @@
 // raw is the node's next report: ten tenants, of which one's load changes, and one comes and goes.
 func (l *reportLink) raw() []byte {
 	l.seq++
-	r := fleet.Report{Member: fleet.Member{Node: "n", Zone: "z", Incarnation: l.inc}, Seq: l.seq, Revision: 5, Ready: true, WindowMS: 1000}
+	r := fleet.Report{Member: fleet.Member{Node: "n", Zone: "z", Incarnation: l.inc}, Sequence: l.seq, Revision: 5, Ready: true, WindowMS: 1000}
 	for i := range 10 + int(l.seq%2) {
 		r.Tenants = append(r.Tenants, fleet.TenantAck{Name: fmt.Sprint("tenant-", i), UID: 1, Committed: 2, Digest: "0123456789abcdef"})
 	}
@@ -187,7 +187,7 @@
 	if d := cmp.Diff(l.made, l.leader.has, cmpopts.EquateEmpty()); d != "" {
 		l.t.Error("the leader has another report:", d)
 	}
-	if l.a.holder.Left(l.a.now()) == 0 {
+	if l.a.holder.Remaining(l.a.now()) == 0 {
 		l.t.Error("the session is not held")
 	}
 }
@@ -262,7 +262,7 @@
 	l := newReportLink(t)
 	for range 3 {
 		ans, code := l.leader.take("/fleet/v1/report", l.raw())
-		if code != http.StatusOK || ans.TTLMS != 6000 || ans.AckSeq != l.seq || ans.Whole {
+		if code != http.StatusOK || ans.LeaseTTLMS != 6000 || ans.AckSequence != l.seq || ans.SendComplete {
 			t.Errorf("%d %+v", code, ans)
 		}
 	}
@@ -339,7 +339,7 @@
 // so is the whole report. The session is held until then by agent and leader, with a second report lost besides.
 func TestLostDifferenceLosesNoLease(t *testing.T) {
 	const ttl, every = 6 * time.Second, time.Second // of a session, and between a quiet node's reports
-	var holder session.Holder
+	var holder session.AgentLease
 	m := fleet.Member{Node: "n", Zone: "z", Incarnation: 7}
 	state := &session.State{}
 	if _, err := state.Apply(session.Command{Op: session.Join, Member: m, Slots: 1}); err != nil {
@@ -351,12 +351,12 @@
 		if err := leases.Renew(now, m); err != nil {
 			t.Fatal(err)
 		}
-		holder.Renewed(t0, ttl)
+		holder.Renew(t0, ttl)
 	}
 	advance := func(d time.Duration) {
 		t.Helper()
 		now += d
-		if holder.Left(now) == 0 || len(leases.Lapsed(now, state)) > 0 {
+		if holder.Remaining(now) == 0 || len(leases.Expired(now, state)) > 0 {
 			t.Fatalf("the session is lost at %v", now)
 		}
 	}
@@ -368,10 +368,10 @@
 	t0 := now
 	advance(carryTimeout) // and so is the whole report
 	renew(t0)
-	if left := holder.Left(now); left < every+carryTimeout {
+	if left := holder.Remaining(now); left < every+carryTimeout {
 		t.Errorf("held for %v more", left)
 	}
-	if sum := every + 3*carryTimeout + 300*time.Millisecond; float64(sum+carryTimeout) > session.HoldPart*float64(ttl) {
+	if sum := every + 3*carryTimeout + 300*time.Millisecond; float64(sum+carryTimeout) > session.AgentLeasePart*float64(ttl) {
 		t.Errorf("%v with another report lost, of %v", sum+carryTimeout, ttl)
 	}
 }
--- a/internal/fleet/agent/own.go
+++ b/internal/fleet/agent/own.go
@@ -19,7 +19,7 @@
 // own is the agent's judgement of its own node, by the agent's copy (docs/drift.md): a machine that is cut off still knows.
 type own struct {
 	mu     sync.Mutex
-	judge  *drift.Local
+	judge  *drift.LocalDetector
 	member fleet.Member // of the newest report; none: Node is empty
 
 	state  string     // of the last verdict
@@ -54,10 +54,10 @@
 		level = slog.LevelWarn
 	}
 	var keys []string
-	for _, d := range v.Items[:min(len(v.Items), 8)] {
+	for _, d := range v.Differences[:min(len(v.Differences), 8)] {
 		keys = union(keys, []string{d.Key})
 	}
-	a.cfg.Log.Log(context.Background(), level, "own node's verdict", "state", v.State, "was", o.said, "reason", v.Evidence, "keys", keys, "incarnation", v.Incarnation, "revision", v.LastRev)
+	a.cfg.Log.Log(context.Background(), level, "own node's verdict", "state", v.State, "was", o.said, "reason", v.Evidence, "keys", keys, "incarnation", v.Incarnation, "revision", v.LastRevision)
 	o.said, o.saidAt = v.State, now
 }
 
--- a/internal/fleet/agent/record.go
+++ b/internal/fleet/agent/record.go
@@ -197,8 +197,8 @@
 		if err := item.Check(); err != nil {
 			return fmt.Errorf("copy: items[%d]: %w", i, err)
 		}
-		if item.Rev <= since || item.Rev > revision {
-			return fmt.Errorf("copy: %s: revision %d is not above %d, up to %d", item.Key, item.Rev, since, revision)
+		if item.Revision <= since || item.Revision > revision {
+			return fmt.Errorf("copy: %s: revision %d is not above %d, up to %d", item.Key, item.Revision, since, revision)
 		}
 		if seen[item.Key] {
 			return fmt.Errorf("copy: %s twice", item.Key)
--- a/internal/fleet/agent/scope.go
+++ b/internal/fleet/agent/scope.go
@@ -28,7 +28,7 @@
 // generation and, while a rollout is on, that of the staged one. A tenant without either is in every scope, as is an
 // item that is gone: its body, which would tell, is gone as well.
 func inScope(services []string, item fleet.Item) bool {
-	if len(services) == 0 || item.Gone || !strings.HasPrefix(item.Key, fleet.KeyTenant) {
+	if len(services) == 0 || item.Removed || !strings.HasPrefix(item.Key, fleet.KeyTenant) {
 		return true
 	}
 	var tenant scopedTenant
@@ -50,7 +50,7 @@
 		case inScope(services, item):
 			items = append(items, item)
 		case !in.Full:
-			items = append(items, fleet.Item{Key: item.Key, Rev: item.Rev, Gone: true})
+			items = append(items, fleet.Item{Key: item.Key, Revision: item.Revision, Removed: true})
 		}
 	}
 	in.Items = items
--- a/internal/fleet/agent/scope_test.go
+++ b/internal/fleet/agent/scope_test.go
@@ -25,9 +25,9 @@
 		{tenantOf("x", 3, "-", "-"), true},
 		{tenantOf("x", 3, "", "-"), true},
 		{tenantOf("x", 3, "mail", ""), true},
-		{fleet.Item{Key: "tenant/x", Rev: 3, Gone: true}, true},
-		{fleet.Item{Key: "zone/mail", Rev: 3, Body: json.RawMessage(`{"phase":"left"}`)}, true},
-		{fleet.Item{Key: "share/n", Rev: 3, Body: json.RawMessage(`{}`)}, true},
+		{fleet.Item{Key: "tenant/x", Revision: 3, Removed: true}, true},
+		{fleet.Item{Key: "zone/mail", Revision: 3, Body: json.RawMessage(`{"phase":"left"}`)}, true},
+		{fleet.Item{Key: "share/n", Revision: 3, Body: json.RawMessage(`{}`)}, true},
 	} {
 		if got := inScope(scope, row.item); got != row.want {
 			t.Errorf("%s %s: %v", row.item.Key, row.item.Body, got)
@@ -43,7 +43,7 @@
 	items := []fleet.Item{tenantOf("in", 3, "billing", "-"), tenantOf("out", 4, "mail", "-"), tenantOf("moves", 5, "billing", "mail")}
 	summary := func(in fleet.Intent) (out []string) {
 		for _, item := range in.Items {
-			out = append(out, fmt.Sprintf("%s %d %v", item.Key, item.Rev, item.Gone))
+			out = append(out, fmt.Sprintf("%s %d %v", item.Key, item.Revision, item.Removed))
 		}
 		return out
 	}
--- a/internal/fleet/agent/serve.go
+++ b/internal/fleet/agent/serve.go
@@ -56,7 +56,7 @@
 	if !in.CaughtUp { // nobody has confirmed it, or nothing is sent
 		in.AgeMS = (now + copyAge).Milliseconds()
 	}
-	in.HeldMS = a.holder.Left(now).Milliseconds()
+	in.LeaseMS = a.holder.Remaining(now).Milliseconds()
 	a.mu.Unlock()
 	w.Header().Set("X-Waited-Ms", strconv.FormatInt(time.Since(start).Milliseconds(), 10))
 	w.Header().Set("Content-Type", "application/json")
@@ -75,7 +75,7 @@
 // takeReport takes the node's report, hands it on, and gives the leader's answer to it, or the last one where the leader
 // is slow or gone.
 func (a *Agent) takeReport(w http.ResponseWriter, r *http.Request) {
-	raw, err := io.ReadAll(io.LimitReader(r.Body, fleet.ReportLimit+1))
+	raw, err := io.ReadAll(io.LimitReader(r.Body, fleet.MaxReportBytes+1))
 	if err != nil {
 		return // the node has gone
 	}
@@ -113,7 +113,7 @@
 		http.Error(w, fleet.ErrFenced.Error(), http.StatusConflict)
 		return
 	}
-	ans.Want = union(ans.Want, want)
+	ans.WantedKeys = union(ans.WantedKeys, want)
 	w.Header().Set("Content-Type", "application/json")
 	json.NewEncoder(w).Encode(ans)
 }
@@ -126,14 +126,14 @@
 	switch {
 	case rep.Incarnation < a.inc:
 		return nil, fmt.Errorf("%w: %d, seen %d", fleet.ErrFenced, rep.Incarnation, a.inc)
-	case rep.Incarnation == a.inc && rep.Seq <= a.seq:
-		return nil, fmt.Errorf("seq: %d, seen %d", rep.Seq, a.seq)
+	case rep.Incarnation == a.inc && rep.Sequence <= a.seq:
+		return nil, fmt.Errorf("seq: %d, seen %d", rep.Sequence, a.seq)
 	case rep.Incarnation > a.inc:
 		a.holder.Drop()
 		a.last, a.fenced = fleet.ReportAnswer{}, false
 		a.cfg.Log.Info("node's process", "incarnation", rep.Incarnation, "revision", rep.Revision)
 	}
-	a.inc, a.seq = rep.Incarnation, rep.Seq
+	a.inc, a.seq = rep.Incarnation, rep.Sequence
 	if a.report != nil {
 		a.report.end()
 	}
@@ -151,12 +151,12 @@
 // for outFor: without a control plane the node's own rules hold. The caller holds mu.
 func (a *Agent) nextAnswer() fleet.ReportAnswer {
 	ans := a.last
-	a.last.Want = nil
-	if ans.Out && ans.TTLMS == 0 && a.now()-a.lastAt > outFor {
-		ans.Out = false
+	a.last.WantedKeys = nil
+	if ans.NotReady && ans.LeaseTTLMS == 0 && a.now()-a.lastAt > outFor {
+		ans.NotReady = false
 	}
-	ans.TTLMS = a.holder.Left(a.now()).Milliseconds()
-	ans.Resend, ans.Restart, ans.AckSeq = nil, false, 0 // the agent's own work
+	ans.LeaseTTLMS = a.holder.Remaining(a.now()).Milliseconds()
+	ans.Resend, ans.Restart, ans.AckSequence = nil, false, 0 // the agent's own work
 	return ans
 }
 
--- a/internal/fleet/agent/serve_test.go
+++ b/internal/fleet/agent/serve_test.go
@@ -108,7 +108,7 @@
 	until("held, and the wish sent once", func() bool {
 		_, text := next(7)
 		in, _ := get("?since=5")
-		return !strings.Contains(text, "want") && in.HeldMS > 0 && in.HeldMS <= 5760 && in.AgeMS < 10_000
+		return !strings.Contains(text, "want") && in.LeaseMS > 0 && in.LeaseMS <= 5760 && in.AgeMS < 10_000
 	})
 	for _, row := range []struct {
 		body string
@@ -120,7 +120,7 @@
 		{`{"node":"n","zone":"z","incarnation":7,"seq":1}`, 409, "seq"},
 		{`{"node":"n","zone":"z","incarnation":6,"seq":99}`, 409, "older incarnation"},
 		{`{"node":"n","zone":"z","incarnation":7,"seq":99`, 400, "invalid"},
-		{strings.Repeat(" ", fleet.ReportLimit+1), 400, "invalid"},
+		{strings.Repeat(" ", fleet.MaxReportBytes+1), 400, "invalid"},
 	} {
 		if code, text := post(row.body); code != row.code || !strings.Contains(text, row.want) {
 			t.Errorf("%.60s: %d %s", row.body, code, text)
@@ -130,14 +130,14 @@
 		t.Errorf("another node's watch: %s", text)
 	}
 	lead.says(409, "older incarnation")
-	until("refused", func() bool { code, _ := next(7); in, _ := get("?since=5"); return code == 409 && in.HeldMS == 0 })
+	until("refused", func() bool { code, _ := next(7); in, _ := get("?since=5"); return code == 409 && in.LeaseMS == 0 })
 	lead.says(200, `{"ttl_ms":6000,"revision":5}`)
-	until("held again by a new incarnation", func() bool { next(8); in, _ := get("?since=5"); return in.HeldMS > 0 })
+	until("held again by a new incarnation", func() bool { next(8); in, _ := get("?since=5"); return in.LeaseMS > 0 })
 	lead.says(200, `{"revision":5,"out":true}`)
 	until("out", func() bool {
 		_, text := next(8)
 		in, _ := get("?since=5")
-		return strings.Contains(text, `"out":true`) && in.HeldMS == 0
+		return strings.Contains(text, `"out":true`) && in.LeaseMS == 0
 	})
 	lead.says(200, `garbage`)
 	if code, text := next(8); code != 200 || !strings.Contains(text, `"out":true`) {
--- a/internal/fleet/agent/subscription_test.go
+++ b/internal/fleet/agent/subscription_test.go
@@ -62,7 +62,7 @@
 	var out []string
 	for _, item := range in.Items {
 		name := strings.TrimPrefix(item.Key, fleet.KeyTenant)
-		if item.Gone {
+		if item.Removed {
 			name = "-" + name
 		}
 		out = append(out, name)
@@ -277,7 +277,7 @@
 	} {
 		a, mux, rec := atRest(t, t.TempDir(), row.mine...), http.NewServeMux(), httptest.NewRecorder()
 		a.Routes(mux)
-		raw, _ := json.Marshal(fleet.Report{Member: fleet.Member{Node: "n", Zone: "z", Incarnation: 7}, Services: row.reported, Seq: 1})
+		raw, _ := json.Marshal(fleet.Report{Member: fleet.Member{Node: "n", Zone: "z", Incarnation: 7}, Services: row.reported, Sequence: 1})
 		mux.ServeHTTP(rec, httptest.NewRequest(http.MethodPost, "/fleet/v1/report", strings.NewReader(string(raw))))
 		refused := rec.Code == http.StatusBadRequest
 		if refused != (row.code == 400) || refused != (counter(t, a.m.badReports) == 1) || refused && !strings.Contains(rec.Body.String(), "services") || refused == (a.report != nil) {
@@ -306,7 +306,7 @@
 	since, _ := strconv.ParseUint(query.Get("since"), 10, 64)
 	out := fleet.Intent{Revision: r.state.Revision, Full: since == 0 || since > r.state.Revision, Items: []fleet.Item{}}
 	for _, item := range restrict(query["service"], r.state).Items {
-		if out.Full || item.Rev > since {
+		if out.Full || item.Revision > since {
 			out.Items = append(out.Items, item)
 		}
 	}
--- a/internal/fleet/agent/watch.go
+++ b/internal/fleet/agent/watch.go
@@ -63,7 +63,7 @@
 		return err
 	}
 	defer resp.Body.Close()
-	raw, err := io.ReadAll(io.LimitReader(resp.Body, fleet.IntentLimit+1))
+	raw, err := io.ReadAll(io.LimitReader(resp.Body, fleet.MaxIntentBytes+1))
 	if err != nil {
 		return err
 	}
--- a/internal/fleet/agentclient/mirror.go
+++ b/internal/fleet/agentclient/mirror.go
@@ -54,13 +54,13 @@
 	m.Changed, m.News = nil, false
 	take := func(it fleet.Item) {
 		old, had := m.Items[it.Key]
-		if had && it.Rev < old.Rev || it.Gone && (!had || old.Gone) {
+		if had && it.Revision < old.Revision || it.Removed && (!had || old.Removed) {
 			return
 		}
-		if it.Gone {
+		if it.Removed {
 			it.Body = old.Body // it tells whom it was
 		}
-		m.Items[it.Key], m.News = it, m.News || !had || it.Rev > old.Rev
+		m.Items[it.Key], m.News = it, m.News || !had || it.Revision > old.Revision
 		if strings.HasPrefix(it.Key, fleet.KeyTenant) {
 			m.Changed = append(m.Changed, it.Key)
 		}
@@ -73,14 +73,14 @@
 	}
 	if in.Full {
 		for key, it := range m.Items {
-			if !named[key] && !it.Gone {
-				take(fleet.Item{Key: key, Rev: in.Revision, Gone: true})
+			if !named[key] && !it.Removed {
+				take(fleet.Item{Key: key, Revision: in.Revision, Removed: true})
 			}
 		}
 	}
 	slices.Sort(m.Changed)
 	m.Revision, m.Known = in.Revision, true
-	m.Age, m.Held = Millis(in.AgeMS), Millis(in.HeldMS)
+	m.Age, m.Held = Millis(in.AgeMS), Millis(in.LeaseMS)
 	return nil
 }
 
@@ -93,7 +93,7 @@
 	return strings.HasPrefix(key, fleet.KeyTenant) || key == m.share()
 }
 
-func (m *Mirror) share() string { return fleet.KeyShare + "/" + m.Node }
+func (m *Mirror) share() string { return fleet.KeyLease + "/" + m.Node }
 
 // Events gives the last answer as the module's events, as they are so long after the answer came: every
 // directive and the share, which it confirms, and the tenants that it names. The share comes after the tenants, by
@@ -116,7 +116,7 @@
 		if m.directed[zone] = true; d == nil {
 			delete(m.directed, zone)
 		} else {
-			h := fleet.ZoneBody(rev, *d, m.Node)
+			h := fleet.AppliedZoneOf(rev, *d, m.Node)
 			e = policy.ZoneDirective{Zone: zone, Revision: rev, IntentRevision: m.Revision, Share: h.Share, Floor: h.Floor, Rate: h.Rate,
 				Trial: h.Trial, Age: age, ValidFor: Millis(h.ValidMS)}
 		}
@@ -128,18 +128,18 @@
 		if json.Unmarshal(it.Body, &t) != nil {
 			continue // DecodeIntent has read it
 		}
-		e := policy.TenantUpdate{Name: key[len(fleet.KeyTenant):], UID: t.UID, Revision: it.Rev, IntentRevision: m.Revision, Removed: it.Gone, Age: age}
-		if !it.Gone {
-			e.Committed, e.Staged, e.Removing, e.QuotaWithdrawn = tenantRules(t.Committed), tenantRules(t.Staged), t.Removing, t.QuotaGone
+		e := policy.TenantUpdate{Name: key[len(fleet.KeyTenant):], UID: t.UID, Revision: it.Revision, IntentRevision: m.Revision, Removed: it.Removed, Age: age}
+		if !it.Removed {
+			e.Committed, e.Staged, e.Removing, e.QuotaWithdrawn = tenantRules(t.Committed), tenantRules(t.Staged), t.Removing, t.QuotaWithdrawn
 		}
 		out = append(out, e)
 	}
 	if it, ok := m.Items[m.share()]; ok {
-		var s fleet.Shares
+		var s fleet.QuotaLease
 		if json.Unmarshal(it.Body, &s) == nil {
 			e := policy.QuotaLease{Epoch: s.Epoch, Slots: s.Slots, Rates: s.Rates, Age: age}
 			switch {
-			case it.Gone:
+			case it.Removed:
 				e.Rates = nil
 			case s.Incarnation == m.Incarnation: // another run has none of it
 				e.ValidFor = max(0, m.Held-since)
@@ -147,7 +147,7 @@
 			out = append(out, e)
 		}
 	}
-	maps.DeleteFunc(m.Items, func(key string, it fleet.Item) bool { return it.Gone && key != m.share() }) // the module knows
+	maps.DeleteFunc(m.Items, func(key string, it fleet.Item) bool { return it.Removed && key != m.share() }) // the module knows
 	return out
 }
 
@@ -156,11 +156,11 @@
 	for _, key := range []string{fleet.KeyZone + zone, fleet.KeyZone + zone + "@" + m.Zone} {
 		it, ok := m.Items[key]
 		var d fleet.Directive
-		if !ok || it.Gone || json.Unmarshal(it.Body, &d) != nil || d.Phase == fleet.Serving {
+		if !ok || it.Removed || json.Unmarshal(it.Body, &d) != nil || d.Phase == fleet.Serving {
 			continue
 		}
-		if best == nil || fleet.Narrower(*best, d) {
-			best, rev = &d, it.Rev
+		if best == nil || fleet.IsNarrower(*best, d) {
+			best, rev = &d, it.Revision
 		}
 	}
 	return best, rev
--- a/internal/fleet/agentclient/mirror_test.go
+++ b/internal/fleet/agentclient/mirror_test.go
@@ -13,7 +13,7 @@
 
 func item(key string, rev uint64, body any) fleet.Item {
 	b, _ := json.Marshal(body)
-	return fleet.Item{Key: key, Rev: rev, Body: b}
+	return fleet.Item{Key: key, Revision: rev, Body: b}
 }
 
 func tenant(uid, generation uint64, name string) fleet.Tenant {
@@ -25,7 +25,7 @@
 func TestMirror(t *testing.T) {
 	me := fleet.Member{Node: "n0", Zone: "z", Incarnation: 7}
 	left := func(share float64) fleet.Directive {
-		return fleet.Directive{Phase: fleet.Left, Share: share, Budget: 12, Slots: 4, Trial: []string{"n0"}, ValidMS: 5000}
+		return fleet.Directive{Phase: fleet.Evacuated, Share: share, Budget: 12, Slots: 4, TrialNodes: []string{"n0"}, ValidMS: 5000}
 	}
 	zone := func(name string, rev, intent uint64, share float64) policy.ZoneDirective {
 		return policy.ZoneDirective{Zone: name, Revision: rev, IntentRevision: intent, Share: share, Rate: 3, Trial: true, Age: 30 * time.Millisecond, ValidFor: 5 * time.Second}
@@ -45,16 +45,16 @@
 		bad    bool
 	}{
 		{in: fleet.Intent{Revision: 5}, bad: true}, // changes, where all was asked for
-		{in: fleet.Intent{Revision: 5, Full: true, HeldMS: 100, Items: []fleet.Item{item("zone/y", 5, left(0.5)), item("zone/y@z", 3, left(0.25)),
+		{in: fleet.Intent{Revision: 5, Full: true, LeaseMS: 100, Items: []fleet.Item{item("zone/y", 5, left(0.5)), item("zone/y@z", 3, left(0.25)),
 			item("zone/y@x", 4, left(0)), item("zone/w", 2, fleet.Directive{Phase: fleet.Serving, Share: 1}), item("tenant/a", 4, tenant(3, 1, "a")),
-			item("share/n0", 5, fleet.Shares{Epoch: 2, Incarnation: 7, Slots: 4, Rates: map[string]float64{"a": 5}}),
-			item("share/n1", 5, fleet.Shares{Epoch: 3, Incarnation: 7}), item("later/q", 1, 1)}},
+			item("share/n0", 5, fleet.QuotaLease{Epoch: 2, Incarnation: 7, Slots: 4, Rates: map[string]float64{"a": 5}}),
+			item("share/n1", 5, fleet.QuotaLease{Epoch: 3, Incarnation: 7}), item("later/q", 1, 1)}},
 			events: []policy.Event{zone("y", 3, 5, 0.25), told, share(80 * time.Millisecond)}},
 		{in: fleet.Intent{Revision: 4, Full: true}, bad: true},
 		{in: fleet.Intent{Revision: 5}, events: []policy.Event{zone("y", 3, 5, 0.25), share(0)}}, // confirmed; counted out
-		{in: fleet.Intent{Revision: 6, Items: []fleet.Item{{Key: "zone/y@z", Rev: 6, Gone: true}}}, events: []policy.Event{zone("y", 5, 6, 0.5), share(0)}},
-		{in: fleet.Intent{Revision: 7, Full: true, HeldMS: 9000, Items: []fleet.Item{
-			item("share/n0", 7, fleet.Shares{Epoch: 2, Incarnation: 8, Slots: 4, Rates: map[string]float64{"a": 5}})}},
+		{in: fleet.Intent{Revision: 6, Items: []fleet.Item{{Key: "zone/y@z", Revision: 6, Removed: true}}}, events: []policy.Event{zone("y", 5, 6, 0.5), share(0)}},
+		{in: fleet.Intent{Revision: 7, Full: true, LeaseMS: 9000, Items: []fleet.Item{
+			item("share/n0", 7, fleet.QuotaLease{Epoch: 2, Incarnation: 8, Slots: 4, Rates: map[string]float64{"a": 5}})}},
 			events: []policy.Event{served("y", 7), policy.TenantUpdate{Name: "a", UID: 3, Revision: 7, IntentRevision: 7, Removed: true, Age: 30 * time.Millisecond}, share(0)}},
 		{in: fleet.Intent{Revision: 8}, events: []policy.Event{share(0)}}, // nothing is said twice
 	} {
--- a/internal/fleet/agentclient/report.go
+++ b/internal/fleet/agentclient/report.go
@@ -14,7 +14,7 @@
 type Observed struct {
 	Window   policy.FleetWindow
 	Facts    []policy.AppliedItem
-	Held     []fleet.Held // Facts as Hold gives them, where the caller has them already
+	Held     []fleet.AppliedItem // Facts as Hold gives them, where the caller has them already
 	Now      policy.Time
 	Revision uint64 // newest intent that the module has whole
 	List     uint64 // version of the server list that it has
@@ -32,39 +32,39 @@
 // Report makes the report of what was observed; want is what the last answer asked for.
 func (o *Observed) Report(m fleet.Member, seq uint64, want []string) fleet.Report {
 	span := max(o.Now-o.Window.Start, time.Millisecond)
-	r := fleet.Report{Member: m, Seq: seq, Revision: o.Revision, Ready: o.Ready, WindowMS: span.Milliseconds(), List: o.List}
+	r := fleet.Report{Member: m, Sequence: seq, Revision: o.Revision, Ready: o.Ready, WindowMS: span.Milliseconds(), List: o.List}
 	for _, z := range o.Window.Zones {
 		if z.Zone == "" {
 			continue // a server without a zone is no evidence on one
 		}
-		r.Zones = append(r.Zones, fleet.ZoneCount{Zone: z.Zone, Attempts: z.Attempts, Lost: z.Lost, Servers: z.Servers,
-			LostServers: z.LostServers, OK: z.Answered, Listed: z.Listed, Sent: z.Started, Rate: z.Rate})
+		r.Zones = append(r.Zones, fleet.ZoneEvidence{Zone: z.Zone, Attempts: z.Attempts, Lost: z.Lost, Servers: z.Servers,
+			LostServers: z.LostServers, Answered: z.Answered, Listed: z.Listed, Started: z.Started, Rate: z.Rate})
 	}
 	for _, t := range o.Window.Tenants {
 		r.Tenants = append(r.Tenants, fleet.TenantAck{Name: t.Name, UID: t.UID, Committed: t.Committed, Staged: t.Staged, Digest: t.Digest,
-			Refused: t.RejectReason, Open: t.Open, Offered: float64(t.Arrived) / span.Seconds(), Admitted: float64(t.Admitted) / span.Seconds(), Rate: t.Rate})
+			RejectReason: t.RejectReason, Open: t.Open, Offered: float64(t.Arrived) / span.Seconds(), Admitted: float64(t.Admitted) / span.Seconds(), Rate: t.Rate})
 	}
 	held := o.Held
 	if held == nil {
 		held = Hold(o.Facts, o.Settled)
 	}
-	drift.Fill(&r, held, want)
+	drift.FillReport(&r, held, want)
 	return r
 }
 
 // Hold makes facts what a report holds, with their digests. settled is when the settings in force were taken.
-func Hold(facts []policy.AppliedItem, settled time.Time) []fleet.Held {
-	var held []fleet.Held
+func Hold(facts []policy.AppliedItem, settled time.Time) []fleet.AppliedItem {
+	var held []fleet.AppliedItem
 	for _, f := range facts {
-		h, ok, err := drift.Hold(f.Key, f.Value)
+		h, ok, err := drift.AppliedItemOf(f.Key, f.Value)
 		if err != nil || !ok {
 			continue // what can't be written is missing from the root: the judge names it
 		}
 		switch {
 		case f.Key == fleet.KeySettings:
-			h.By, h.SinceMS = "the configuration file", settled.UnixMilli()
-		case strings.HasPrefix(f.Key, fleet.KeyBan):
-			h.By = "the operators' door"
+			h.ChangedBy, h.SinceMS = "the configuration file", settled.UnixMilli()
+		case strings.HasPrefix(f.Key, fleet.KeyExclusion):
+			h.ChangedBy = "the operators' door"
 		}
 		held = append(held, h)
 	}
--- a/internal/fleet/bench_test.go
+++ b/internal/fleet/bench_test.go
@@ -8,8 +8,8 @@
 
 // benchReport acknowledges n tenants. A report of some 2,300 is over ReportLimit.
 func benchReport(n int) Report {
-	report := Report{Member: Member{Node: "n1", Zone: "za", Incarnation: 1}, Seq: 1, Revision: uint64(n), Ready: true,
-		WindowMS: 1000, Root: "0123456789abcdef", ListRoot: "0123456789abcdef"}
+	report := Report{Member: Member{Node: "n1", Zone: "za", Incarnation: 1}, Sequence: 1, Revision: uint64(n), Ready: true,
+		WindowMS: 1000, AppliedRoot: "0123456789abcdef", ListRoot: "0123456789abcdef"}
 	for i := range n {
 		report.Tenants = append(report.Tenants, TenantAck{Name: fmt.Sprintf("tenant-%06d", i), UID: uint64(i + 1), Committed: 1,
 			Digest: "0123456789abcdef", Rate: 0.1})
--- a/internal/fleet/control/bench_test.go
+++ b/internal/fleet/control/bench_test.go
@@ -33,7 +33,7 @@
 		b.Run(fmt.Sprintf("tenants=%d", n), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				if in := s.Read(s.Rev-1, "node"); len(in.Items) != 1 {
+				if in := s.Read(s.Revision-1, "node"); len(in.Items) != 1 {
 					b.Fatalf("%d items, want 1", len(in.Items))
 				}
 			}
--- a/internal/fleet/control/capacity_bench_test.go
+++ b/internal/fleet/control/capacity_bench_test.go
@@ -33,8 +33,8 @@
 		spec := benchSpec(i)
 		apply(tenants.Command{Op: tenants.Put, Name: spec.Name, Spec: &spec})
 		entry := state.Tenants.Tenants[spec.Name]
-		apply(tenants.Command{Op: tenants.Commit, Name: spec.Name, Generation: 1, UID: entry.UID, IfRev: entry.Rev})
-		apply(tenants.Command{Op: tenants.Applied, Name: spec.Name, Generation: 1, UID: entry.UID, IfRev: entry.Rev})
+		apply(tenants.Command{Op: tenants.Commit, Name: spec.Name, Generation: 1, UID: entry.UID, IfRevision: entry.Revision})
+		apply(tenants.Command{Op: tenants.Applied, Name: spec.Name, Generation: 1, UID: entry.UID, IfRevision: entry.Revision})
 	}
 	return state
 }
@@ -48,7 +48,7 @@
 
 // benchReport acknowledges every tenant of state.
 func benchReport(state *State) fleet.Report {
-	report := fleet.Report{Member: fleet.Member{Node: "n1", Zone: "za", Incarnation: 1}, Seq: 1, Revision: state.Rev, Ready: true}
+	report := fleet.Report{Member: fleet.Member{Node: "n1", Zone: "za", Incarnation: 1}, Sequence: 1, Revision: state.Revision, Ready: true}
 	for name, entry := range state.Tenants.Tenants {
 		report.Tenants = append(report.Tenants, fleet.TenantAck{Name: name, UID: entry.UID, Committed: entry.Committed.Number,
 			Digest: entry.Committed.Digest, Rate: 1})
@@ -60,7 +60,7 @@
 func BenchmarkCapacityReadOneChange(b *testing.B) {
 	benchEach(b, func(b *testing.B, state *State) {
 		for b.Loop() {
-			state.Read(state.Rev-1, "n1")
+			state.Read(state.Revision-1, "n1")
 		}
 	})
 }
@@ -78,7 +78,7 @@
 func BenchmarkCapacityGuard(b *testing.B) {
 	benchEach(b, func(b *testing.B, state *State) {
 		for b.Loop() {
-			state.Guard("n1", nil)
+			state.ScopeDigest("n1", nil)
 		}
 	})
 }
@@ -111,12 +111,12 @@
 }
 
 // benchJudge is a leader's judge of up to 2,200 nodes.
-func benchJudge(b *testing.B, state *State) *Judge {
+func benchJudge(b *testing.B, state *State) *Controller {
 	set, err := ParseSettings("slots = 2200")
 	if err != nil {
 		b.Fatal(err)
 	}
-	return NewJudge(set, 0, state)
+	return NewController(set, 0, state)
 }
 
 // BenchmarkCapacityJudgeStep is a step of the leader while no session is present and no tenant changes. The first step of a leader,
@@ -156,7 +156,7 @@
 		now := fleet.Time(0)
 		for b.Loop() {
 			now += time.Millisecond
-			report.Seq++
+			report.Sequence++
 			if _, err := judge.Report(now, now, state, report); err != nil {
 				b.Fatal(err)
 			}
--- a/internal/fleet/control/capacity_scope_bench_test.go
+++ b/internal/fleet/control/capacity_scope_bench_test.go
@@ -28,7 +28,7 @@
 func BenchmarkCapacityGuardInScope(b *testing.B) {
 	benchScopes(b, func(b *testing.B, state *State, report fleet.Report) {
 		for b.Loop() {
-			state.Guard(report.Node, report.Services)
+			state.ScopeDigest(report.Node, report.Services)
 		}
 	})
 }
--- a/internal/fleet/control/control_test.go
+++ b/internal/fleet/control/control_test.go
@@ -58,7 +58,7 @@
 			"restart": func(t *rapid.T) { r.boot(who.Draw(t, "node"), scopes.Draw(t, "scope")...) },
 			"leave": func(t *rapid.T) {
 				rep := r.nodes[who.Draw(t, "node")].report()
-				rep.Leaving = true
+				rep.Draining = true
 				r.hear(rep)
 			},
 			"all": func(t *rapid.T) { // a quiet moment: all read and report, the leader judges
@@ -71,7 +71,7 @@
 				}
 			},
 			"step":       func(t *rapid.T) { r.step(time.Duration(rapid.IntRange(1, 7000).Draw(t, "ms")) * time.Millisecond) },
-			"new leader": func(t *rapid.T) { r.judge = NewJudge(r.set, r.now, r.state) },
+			"new leader": func(t *rapid.T) { r.judge = NewController(r.set, r.now, r.state) },
 			"restore": func(t *rapid.T) {
 				raw, err := r.state.Snapshot()
 				if err != nil {
@@ -110,7 +110,7 @@
 						for _, l := range r.state.Tenants.Runs {
 							sum += l.Rates[name]
 						}
-						if q := e.Committed.Spec.Quota.Rate; sum > q*(1-fleet.FloorPart)+1e-6 {
+						if q := e.Committed.Spec.Quota.Rate; sum > q*(1-fleet.GuaranteedPart)+1e-6 {
 							t.Fatalf("T3: %g of %s's %g leased", sum, name, q)
 						}
 					}
@@ -148,7 +148,7 @@
 		for range 4 {
 			for _, n := range r.nodes[:2] {
 				n.read(r.state)
-				if a, err := r.hear(n.report()); err != nil || a.TTLMS == 0 {
+				if a, err := r.hear(n.report()); err != nil || a.LeaseTTLMS == 0 {
 					t.Fatal(a, err)
 				}
 			}
@@ -168,11 +168,11 @@
 	all()
 	roll(1)
 	late := r.nodes[2]
-	if a, err := r.hear(late.report()); err != nil || !a.Out || a.TTLMS == 0 || !r.state.Session.Present(late.Member) {
+	if a, err := r.hear(late.report()); err != nil || !a.NotReady || a.LeaseTTLMS == 0 || !r.state.Session.Present(late.Member) {
 		t.Errorf("a run that holds nothing: %+v, %v", a, err)
 	}
 	late.read(r.state)
-	if a, err := r.hear(late.report()); err != nil || a.Out || a.TTLMS == 0 {
+	if a, err := r.hear(late.report()); err != nil || a.NotReady || a.LeaseTTLMS == 0 {
 		t.Errorf("a run that has caught up: %+v, %v", a, err)
 	}
 	for range 6 { // longer than its lease
@@ -182,7 +182,7 @@
 		t.Fatal("a silent run is present")
 	}
 	roll(2)
-	if a, err := r.hear(late.report()); err != nil || !a.Out || a.TTLMS != 0 || r.state.Session.Present(late.Member) {
+	if a, err := r.hear(late.report()); err != nil || !a.NotReady || a.LeaseTTLMS != 0 || r.state.Session.Present(late.Member) {
 		t.Errorf("a run that was away, with generation 1: %+v, %v", a, err)
 	}
 	late.read(r.state)
@@ -195,12 +195,12 @@
 	if err := r.apply(*c); !errors.Is(err, ErrStale) || r.state.Session.Present(late.Member) {
 		t.Errorf("a join decided before generation 3: %v", err)
 	}
-	divide := Command{Tenants: &tenants.Command{Op: tenants.Divide, IfRev: r.state.Tenants.Divided, Epoch: r.state.Session.Epoch - 1,
-		Division: &tenants.Division{Slots: 8, Over: []tenants.Run{{Node: "n0", Incarnation: r.nodes[0].Incarnation}}}}}
+	divide := Command{Tenants: &tenants.Command{Op: tenants.Divide, IfRevision: r.state.Tenants.DividedRevision, Epoch: r.state.Session.Epoch - 1,
+		Division: &tenants.Division{Slots: 8, Expired: []tenants.Run{{Node: "n0", Incarnation: r.nodes[0].Incarnation}}}}}
 	if err := r.apply(divide); !errors.Is(err, ErrStale) {
 		t.Errorf("a division of an older epoch, which ends the lease of a run that may be back: %v", err)
 	}
-	rep.Seq = 0
+	rep.Sequence = 0
 	rep.Node, rep.Incarnation = "n0", r.nodes[0].Incarnation
 	rep.Zone = "za"
 	if _, err := r.hear(rep); !errors.Is(err, ErrOlder) {
@@ -210,7 +210,7 @@
 
 func TestSettings(t *testing.T) {
 	set, err := ParseSettings(fileText)
-	if err != nil || set.Slots != 8 || set.TTL != 6*time.Second || set.Zones.Region["zb"] != "gulf" || set.Zones.ColdTime != 5*time.Second {
+	if err != nil || set.Slots != 8 || set.TTL != 6*time.Second || set.Zones.Region["zb"] != "gulf" || set.Zones.SlowStartWindow != 5*time.Second {
 		t.Fatalf("%+v, %v", set, err)
 	}
 	if set, err := ParseSettings("slots = 1"); err != nil || set.TTL != 6*time.Second {
@@ -244,8 +244,8 @@
 func BenchmarkStep(b *testing.B) {
 	for _, size := range [][2]int{{50, 10}, {300, 10}, {300, 200}} {
 		r := newTestFleet(b, size[0])
-		r.judge = NewJudge(r.set, 0, r.state)
-		r.judge.set.Slots, r.judge.set.Zones.Slots = size[0], size[0]
+		r.judge = NewController(r.set, 0, r.state)
+		r.judge.settings.Slots, r.judge.settings.Zones.Slots = size[0], size[0]
 		all := func() {
 			for _, n := range r.nodes {
 				n.read(r.state)
@@ -269,7 +269,7 @@
 		rep := r.nodes[0].report()
 		b.Run(name+"/report", func(b *testing.B) {
 			for b.Loop() {
-				rep.Seq++
+				rep.Sequence++
 				r.hear(rep)
 			}
 		})
--- a/internal/fleet/control/cost_test.go
+++ b/internal/fleet/control/cost_test.go
@@ -18,8 +18,8 @@
 	tb.Helper()
 	name := fmt.Sprintf("tenant-%06d", i)
 	e := s.Tenants.Tenants[name]
-	commit := Command{Tenants: &tenants.Command{Op: tenants.Commit, Name: name, Generation: 1, UID: e.UID, IfRev: e.Rev}}
-	if _, err := s.Apply(commit, func() uint64 { return s.Rev + 1 }); err != nil {
+	commit := Command{Tenants: &tenants.Command{Op: tenants.Commit, Name: name, Generation: 1, UID: e.UID, IfRevision: e.Revision}}
+	if _, err := s.Apply(commit, func() uint64 { return s.Revision + 1 }); err != nil {
 		tb.Fatal(err)
 	}
 }
@@ -35,7 +35,7 @@
 	tb.Helper()
 	s, c := populated(tb, n, 10), &changed{}
 	s.items.index.CountVisits(&c.visits)
-	c.since = s.Rev
+	c.since = s.Revision
 	changeOf(tb, s, 0)
 	c.view = s.View()
 	return c
@@ -84,13 +84,13 @@
 // What changes outside of a reader's scope costs it nothing.
 func TestChangesOutsideTheScopeCostNothing(t *testing.T) {
 	s := populated(t, 1_000, 10)
-	since := s.Rev
+	since := s.Revision
 	var visits atomic.Int64
 	s.items.index.CountVisits(&visits)
 	for i := range 100 {
 		changeOf(t, s, i*10) // of service-0
 	}
-	if in := s.Read(since, "node", "service-1"); in.Full || len(in.Items) > 0 || in.Revision != s.Rev || s.View().HasChanges(since, "node", "service-1") {
+	if in := s.Read(since, "node", "service-1"); in.Full || len(in.Items) > 0 || in.Revision != s.Revision || s.View().HasChanges(since, "node", "service-1") {
 		t.Errorf("a reader of service-1: %+v", in)
 	}
 	if n := visits.Load(); n != 0 {
@@ -107,7 +107,7 @@
 	for range readers {
 		all.Go(func() {
 			for v := range views {
-				if in := v.Read(v.Revision-1, "node"); in.Full || len(in.Items) != 1 || in.Items[0].Rev != v.Revision {
+				if in := v.Read(v.Revision-1, "node"); in.Full || len(in.Items) != 1 || in.Items[0].Revision != v.Revision {
 					t.Errorf("changes at %d: %+v", v.Revision, in)
 				}
 				if in := v.Read(0, "node", "service-3"); len(in.Items) != size/10 {
--- a/internal/fleet/control/fixture_test.go
+++ b/internal/fleet/control/fixture_test.go
@@ -17,7 +17,7 @@
 type testFleet struct {
 	set   Settings
 	state *State
-	judge *Judge
+	judge *Controller
 	now   fleet.Time
 	rev   uint64
 	nodes []*node
@@ -37,7 +37,7 @@
 		t.Fatal(err)
 	}
 	r := &testFleet{set: set, state: New()}
-	r.judge = NewJudge(set, 0, r.state)
+	r.judge = NewController(set, 0, r.state)
 	for i := range n {
 		r.nodes = append(r.nodes, &node{})
 		r.boot(i)
@@ -73,7 +73,7 @@
 		n.held = map[string]fleet.Item{}
 	}
 	for _, it := range in.Items {
-		if it.Gone {
+		if it.Removed {
 			delete(n.held, it.Key)
 		} else {
 			n.held[it.Key] = it
@@ -103,7 +103,7 @@
 
 func (n *node) report() fleet.Report {
 	n.seq++
-	rep := fleet.Report{Member: n.Member, Services: n.services, Seq: n.seq, Revision: n.revision, Ready: true, WindowMS: 100}
+	rep := fleet.Report{Member: n.Member, Services: n.services, Sequence: n.seq, Revision: n.revision, Ready: true, WindowMS: 100}
 	for key, it := range n.held {
 		if t, ok := n.tenant(key, it); ok {
 			a := fleet.TenantAck{Name: strings.TrimPrefix(key, "tenant/"), UID: t.UID}
@@ -126,7 +126,7 @@
 		return fleet.ReportAnswer{}, err
 	}
 	if c != nil {
-		if err := r.apply(*c); err != nil && !errors.Is(err, session.ErrFull) {
+		if err := r.apply(*c); err != nil && !errors.Is(err, session.ErrNoSlot) {
 			return fleet.ReportAnswer{}, err
 		}
 	}
@@ -138,7 +138,7 @@
 	r.now += d
 	for _, c := range r.judge.Step(r.now, r.state, nil) {
 		r.apply(c)
-		r.judge.Settled(c)
+		r.judge.Resolved(c)
 	}
 }
 
@@ -174,7 +174,7 @@
 	t.Helper()
 	for _, c := range f.judged(t, nodes...) {
 		f.apply(c)
-		f.judge.Settled(c)
+		f.judge.Resolved(c)
 	}
 }
 
@@ -224,7 +224,7 @@
 				return c
 			}
 			f.apply(c)
-			f.judge.Settled(c)
+			f.judge.Resolved(c)
 		}
 	}
 	t.Fatalf("no %s is decided", op)
--- a/internal/fleet/control/guard.go
+++ b/internal/fleet/control/guard.go
@@ -15,10 +15,10 @@
 	return tenants.Present{Epoch: s.Session.ScopeEpoch, Members: s.Session.List(), Services: s.Session.ServicesByNode()}
 }
 
-// Guard is a digest of all that a run of these services must hold before it may be present: the committed generations of its
+// ScopeDigest is a digest of all that a run of these services must hold before it may be present: the committed generations of its
 // scope, and its node's share. A join names it, so that it is refused where any of it has changed since the run was looked
 // at. It costs what the scope holds. Without services it is the digest that joins named before there were scopes.
-func (s *State) Guard(node string, services []string) uint64 {
+func (s *State) ScopeDigest(node string, services []string) uint64 {
 	var names []string
 	for name := range s.Tenants.InScope(services) {
 		names = append(names, name)
@@ -27,15 +27,15 @@
 	digest := xxhash.New()
 	var line []byte
 	for _, name := range names {
-		line = appendGuard(line[:0], name, s.Tenants.Tenants[name])
+		line = appendTenantDigest(line[:0], name, s.Tenants.Tenants[name])
 		digest.Write(line)
 	}
-	digest.Write(append(strconv.AppendUint(line[:0], s.shareRev(node), 10), '\n'))
+	digest.Write(append(strconv.AppendUint(line[:0], s.leaseRevision(node), 10), '\n'))
 	return digest.Sum64()
 }
 
-// appendGuard appends a tenant's line of the guard: name, uid, generation, and how far its removal is.
-func appendGuard(line []byte, name string, e *tenants.Entry) []byte {
+// appendTenantDigest appends a tenant's line of the guard: name, uid, generation, and how far its removal is.
+func appendTenantDigest(line []byte, name string, e *tenants.Entry) []byte {
 	generation := uint64(0)
 	if e.Committed != nil {
 		generation = e.Committed.Number
@@ -44,7 +44,7 @@
 	line = strconv.AppendUint(append(line, ' '), e.UID, 10)
 	line = strconv.AppendUint(append(line, ' '), generation, 10)
 	line = strconv.AppendBool(append(line, ' '), e.Removing)
-	line = strconv.AppendBool(append(line, ' '), e.QuotaGone)
+	line = strconv.AppendBool(append(line, ' '), e.QuotaWithdrawn)
 	return append(line, '\n')
 }
 
@@ -58,11 +58,11 @@
 // CaughtUp says whether a run that reports so may begin to serve: it holds what is committed in its scope and nothing outside
 // of it, and its node's share as it is now, so that a lease renewed never wakes an older share.
 func (s *State) CaughtUp(r fleet.Report) bool {
-	if r.Revision < s.Floor || r.Revision < s.shareRev(r.Node) {
+	if r.Revision < s.Floor || r.Revision < s.leaseRevision(r.Node) {
 		return false
 	}
 	for _, e := range s.Tenants.InScope(r.Services) {
-		if (e.Removing || e.QuotaGone) && r.Revision < e.Rev {
+		if (e.Removing || e.QuotaWithdrawn) && r.Revision < e.Revision {
 			return false
 		}
 	}
--- a/internal/fleet/control/guard_bench_test.go
+++ b/internal/fleet/control/guard_bench_test.go
@@ -31,15 +31,15 @@
 		spec := fleet.Spec{Name: name, Service: serviceName(i % services), Quota: fleet.Quota{Rate: 10, Burst: 1}}
 		apply(tenants.Command{Op: tenants.Put, Name: name, Spec: &spec})
 		entry := state.Tenants.Tenants[name]
-		apply(tenants.Command{Op: tenants.Commit, Name: name, UID: entry.UID, IfRev: entry.Rev, Generation: 1})
-		apply(tenants.Command{Op: tenants.Applied, Name: name, UID: entry.UID, IfRev: entry.Rev, Generation: 1})
+		apply(tenants.Command{Op: tenants.Commit, Name: name, UID: entry.UID, IfRevision: entry.Revision, Generation: 1})
+		apply(tenants.Command{Op: tenants.Applied, Name: name, UID: entry.UID, IfRevision: entry.Revision, Generation: 1})
 	}
 	return state
 }
 
 // scopedReport is the report of a run that serves the first services and holds all their tenants.
 func scopedReport(state *State) fleet.Report {
-	r := fleet.Report{Member: fleet.Member{Node: "n0", Zone: "za", Incarnation: 1}, Seq: 1, Revision: state.Rev}
+	r := fleet.Report{Member: fleet.Member{Node: "n0", Zone: "za", Incarnation: 1}, Sequence: 1, Revision: state.Revision}
 	for i := range benchNodeServices {
 		r.Services = append(r.Services, serviceName(i))
 	}
@@ -58,12 +58,12 @@
 		services := scopedReport(state).Services
 		b.Run(fmt.Sprintf("scope/tenants=%d", count), func(b *testing.B) {
 			for b.Loop() {
-				state.Guard("n0", services)
+				state.ScopeDigest("n0", services)
 			}
 		})
 		b.Run(fmt.Sprintf("whole/tenants=%d", count), func(b *testing.B) {
 			for b.Loop() {
-				state.Guard("n0", nil)
+				state.ScopeDigest("n0", nil)
 			}
 		})
 	}
--- a/internal/fleet/control/items.go
+++ b/internal/fleet/control/items.go
@@ -11,7 +11,7 @@
 // Prefixes of items' keys.
 const (
 	tenantPrefix = "tenant/"
-	sharePrefix  = "share/"
+	leasePrefix  = "share/"
 )
 
 // Scopes of the intent. An item is in one of the first kind or in one of a service or node; what is in one of those is also
@@ -44,7 +44,7 @@
 
 // itemScopes gives the scopes that an item is in.
 func itemScopes(key, service string) []index.Scope {
-	if node, ok := strings.CutPrefix(key, sharePrefix); ok {
+	if node, ok := strings.CutPrefix(key, leasePrefix); ok {
 		return []index.Scope{nodeScope(node), scopeAllNodes}
 	}
 	if service != "" {
@@ -62,13 +62,13 @@
 // Tombstone remembers that an item is gone, and for a tenant of which service it was: a name that is used again in another
 // service is gone for the nodes of the first. Builds before services wrote none: those tombstones count for every node.
 type Tombstone struct {
-	Key     string `json:"key"`
-	Rev     uint64 `json:"rev"`
-	Service string `json:"service,omitempty"`
+	Key      string `json:"key"`
+	Revision uint64 `json:"rev"`
+	Service  string `json:"service,omitempty"`
 }
 
 func (t Tombstone) item() scopedItem {
-	return scopedItem{Item: fleet.Item{Key: t.Key, Rev: t.Rev, Gone: true}, Service: t.Service}
+	return scopedItem{Item: fleet.Item{Key: t.Key, Revision: t.Revision, Removed: true}, Service: t.Service}
 }
 
 // items indexes the intent's items and tombstones by scope and revision.
@@ -84,7 +84,7 @@
 func (x *items) put(it scopedItem) []index.Scope {
 	scopes := itemScopes(it.Key, it.Service)
 	for _, scope := range scopes {
-		x.index.Set(scope, it.Key, it.Rev, it)
+		x.index.Set(scope, it.Key, it.Revision, it)
 	}
 	x.view, x.all = nil, nil
 	return scopes
@@ -93,7 +93,7 @@
 // forget takes out a tombstone, where nothing newer is in its place.
 func (x *items) forget(t Tombstone) {
 	for _, scope := range itemScopes(t.Key, t.Service) {
-		if entry := x.index.Get(scope, t.Key); entry != nil && entry.Revision == t.Rev && entry.Value.Gone {
+		if entry := x.index.Get(scope, t.Key); entry != nil && entry.Revision == t.Revision && entry.Value.Removed {
 			x.index.Remove(scope, t.Key)
 		}
 	}
@@ -103,7 +103,7 @@
 // newest gives the newest item or tombstone of a key.
 func (x *items) newest(key string) (scopedItem, bool) {
 	scopes := []index.Scope{scopeEveryone, scopeAllServices}
-	if strings.HasPrefix(key, sharePrefix) {
+	if strings.HasPrefix(key, leasePrefix) {
 		scopes = []index.Scope{scopeAllNodes}
 	}
 	var newest *index.Entry[scopedItem]
@@ -128,7 +128,7 @@
 		s.items.put(scopedItem{Item: it})
 	}
 	for _, it := range s.Tenants.Items() {
-		if !it.Gone {
+		if !it.Removed {
 			s.items.put(scopedItem{Item: it, Service: s.service(it.Key)})
 		}
 	}
@@ -150,7 +150,7 @@
 		return it, true
 	}
 	it, ok := s.Tenants.Item(key)
-	return it, ok && !it.Gone
+	return it, ok && !it.Removed
 }
 
 // refresh brings the item of a key that changed at rev up to date, or leaves a tombstone, and gives the scopes that changed.
@@ -162,11 +162,11 @@
 	}
 	was, _ := s.items.newest(key)
 	s.Tombstones = without(s.Tombstones, key, was.Service)
-	t := Tombstone{Key: key, Rev: rev, Service: was.Service}
+	t := Tombstone{Key: key, Revision: rev, Service: was.Service}
 	s.Tombstones = append(s.Tombstones, t)
 	scopes := s.items.put(t.item())
-	for len(s.Tombstones) > tombstonesKept {
-		s.Floor = s.Tombstones[0].Rev
+	for len(s.Tombstones) > maxTombstones {
+		s.Floor = s.Tombstones[0].Revision
 		s.items.forget(s.Tombstones[0])
 		s.Tombstones = s.Tombstones[1:]
 	}
@@ -198,8 +198,8 @@
 	return it.Item, ok
 }
 
-// shareRev is the revision of a node's share, or of its tombstone; 0 for neither.
-func (s *State) shareRev(node string) uint64 {
-	it, _ := s.items.newest(sharePrefix + node)
-	return it.Rev
+// leaseRevision is the revision of a node's share, or of its tombstone; 0 for neither.
+func (s *State) leaseRevision(node string) uint64 {
+	it, _ := s.items.newest(leasePrefix + node)
+	return it.Revision
 }
--- a/internal/fleet/control/items_test.go
+++ b/internal/fleet/control/items_test.go
@@ -32,7 +32,7 @@
 
 func (l *intentLog) tenant(c tenants.Command) error {
 	if e := l.state.Tenants.Tenants[c.Name]; e != nil && c.Op != tenants.Put && c.Op != tenants.Delete {
-		c.UID, c.IfRev, c.Epoch = e.UID, e.Rev, l.state.Session.Epoch
+		c.UID, c.IfRevision, c.Epoch = e.UID, e.Revision, l.state.Session.Epoch
 	}
 	return l.apply(Command{Tenants: &c})
 }
@@ -59,8 +59,8 @@
 		return l.tenant(tenants.Command{Op: tenants.Delete, Name: name, Generation: e.Committed.Number})
 	case tenants.PhaseRemoving:
 		return l.tenant(tenants.Command{Op: tenants.Drained, Name: name})
-	case tenants.PhaseUnquoted:
-		return l.tenant(tenants.Command{Op: tenants.Unquoted, Name: name})
+	case tenants.PhaseQuotaWithdrawn:
+		return l.tenant(tenants.Command{Op: tenants.QuotaWithdrawn, Name: name})
 	}
 	return nil
 }
@@ -90,26 +90,26 @@
 	run := tenants.Run{Node: node, Incarnation: 1}
 	d := &tenants.Division{Slots: 8, Grants: []tenants.Grant{{Run: run}}}
 	if end {
-		d = &tenants.Division{Slots: 8, Over: []tenants.Run{run}}
+		d = &tenants.Division{Slots: 8, Expired: []tenants.Run{run}}
 	}
-	return l.tenant(tenants.Command{Op: tenants.Divide, IfRev: l.state.Tenants.Divided, Epoch: l.state.Session.Epoch, Division: d})
+	return l.tenant(tenants.Command{Op: tenants.Divide, IfRevision: l.state.Tenants.DividedRevision, Epoch: l.state.Session.Epoch, Division: d})
 }
 
 // leave has nodes leave a zone, once.
 func (l *intentLog) leave(zone string) error {
-	d := fleet.Directive{Phase: fleet.Left, ValidMS: 5000, Reason: "lost", HoldMS: 1000}
-	change := zones.Change{Key: "zone/" + zone, Event: zones.Lost, Entry: zones.Entry{Directive: d, Listed: 1}}
-	return l.apply(Command{Zones: &zones.Command{IfState: l.state.Zones.Rev, Items: []zones.Change{change}}})
+	d := fleet.Directive{Phase: fleet.Evacuated, ValidMS: 5000, Reason: "lost", BackoffMS: 1000}
+	change := zones.Change{Key: "zone/" + zone, Event: zones.Lost, Entry: zones.Entry{Directive: d, ListedServers: 1}}
+	return l.apply(Command{Zones: &zones.Command{IfStateRevision: l.state.Zones.Revision, Items: []zones.Change{change}}})
 }
 
 // scanRead is the reference for Read: a scan of the cores' items and the tombstones.
 func scanRead(s *State, since uint64, node string, services ...string) fleet.Intent {
-	out := fleet.Intent{Revision: s.Rev, Full: since == 0 || since < s.Floor || since > s.Rev, Items: []fleet.Item{}}
+	out := fleet.Intent{Revision: s.Revision, Full: since == 0 || since < s.Floor || since > s.Revision, Items: []fleet.Item{}}
 	newest := map[string]fleet.Item{}
 	add := func(it fleet.Item, service string) {
-		of, share := strings.CutPrefix(it.Key, sharePrefix)
+		of, share := strings.CutPrefix(it.Key, leasePrefix)
 		outside := share && node != "" && of != node || !fleet.Serves(services, service)
-		if !outside && newest[it.Key].Rev <= it.Rev && (out.Full && !it.Gone || !out.Full && it.Rev > since) {
+		if !outside && newest[it.Key].Revision <= it.Revision && (out.Full && !it.Removed || !out.Full && it.Revision > since) {
 			newest[it.Key] = it
 		}
 	}
@@ -117,7 +117,7 @@
 		add(it, "")
 	}
 	for _, it := range s.Tenants.Items() {
-		if !it.Gone {
+		if !it.Removed {
 			add(it, s.service(it.Key))
 		}
 	}
@@ -145,7 +145,7 @@
 		r.held = map[string]fleet.Item{}
 	}
 	for _, it := range in.Items {
-		if it.Gone {
+		if it.Removed {
 			delete(r.held, it.Key)
 		} else {
 			r.held[it.Key] = it
@@ -171,7 +171,7 @@
 		all := readers()
 		held, heldWant := l.state.View(), scanRead(l.state, 0, "n1")
 		must := func(err error) {
-			if err != nil && !errors.Is(err, fleet.ErrConflict) && !errors.Is(err, fleet.ErrInvalid) && !errors.Is(err, zones.ErrChanged) && !errors.Is(err, zones.ErrIllegal) {
+			if err != nil && !errors.Is(err, fleet.ErrConflict) && !errors.Is(err, fleet.ErrInvalid) && !errors.Is(err, zones.ErrChanged) && !errors.Is(err, zones.ErrIllegalTransition) {
 				t.Fatal(err)
 			}
 		}
@@ -238,12 +238,12 @@
 
 // checkReads holds a reader's answers against the scan's, from the revisions that matter and from since.
 func checkReads(t interface{ Fatalf(string, ...any) }, s *State, r *reader, since uint64) {
-	for _, since := range []uint64{0, 1, s.Floor, s.Floor + 1, s.Rev - min(s.Rev, 3), s.Rev, s.Rev + 1, since} {
+	for _, since := range []uint64{0, 1, s.Floor, s.Floor + 1, s.Revision - min(s.Revision, 3), s.Revision, s.Revision + 1, since} {
 		want, got := scanRead(s, since, r.node, r.services...), s.Read(since, r.node, r.services...)
 		if !reflect.DeepEqual(want, got) {
 			t.Fatalf("%q of %q since %d: %s", r.node, r.services, since, gocmp.Diff(want, got))
 		}
-		changes := since != s.Rev && (want.Full || len(want.Items) > 0)
+		changes := since != s.Revision && (want.Full || len(want.Items) > 0)
 		if got := s.View().HasChanges(since, r.node, r.services...); got != changes {
 			t.Fatalf("%q of %q since %d: has changes %v, want %v", r.node, r.services, since, got, changes)
 		}
@@ -253,26 +253,26 @@
 // Tombstones are forgotten, the oldest first, from the most kept on; who read before the last forgotten gets everything.
 func TestTombstonesAreBounded(t *testing.T) {
 	l := renamed(t) // whose first tombstone is forgotten while the name is used in another service
-	for i := range tombstonesKept + tombstonesKept/2 {
-		name := fmt.Sprint("t", i%(tombstonesKept+tombstonesKept/4)) // the first ones come and go again
+	for i := range maxTombstones + maxTombstones/2 {
+		name := fmt.Sprint("t", i%(maxTombstones+maxTombstones/4)) // the first ones come and go again
 		if err := l.put(name, []string{"", "x", "y"}[i%3]); err != nil {
 			t.Fatal(err)
 		}
 		if err := l.rollback(name); err != nil {
 			t.Fatal(err)
 		}
-		if i%(tombstonesKept/2) != 0 {
+		if i%(maxTombstones/2) != 0 {
 			continue
 		}
 		for _, r := range readers() {
-			checkReads(t, l.state, r, l.state.Rev/2)
+			checkReads(t, l.state, r, l.state.Revision/2)
 		}
 	}
-	if n := len(l.state.Tombstones); n != tombstonesKept || l.state.Floor == 0 {
+	if n := len(l.state.Tombstones); n != maxTombstones || l.state.Floor == 0 {
 		t.Errorf("%d tombstones, floor %d", n, l.state.Floor)
 	}
-	if n := l.state.View().items.Len(); n > 2*tombstonesKept {
-		t.Errorf("%d entries are indexed for %d tombstones", n, tombstonesKept)
+	if n := l.state.View().items.Len(); n > 2*maxTombstones {
+		t.Errorf("%d entries are indexed for %d tombstones", n, maxTombstones)
 	}
 	if _, there := keysOf(l.state.Read(0, "n1"))["tenant/a"]; !there {
 		t.Error("the name that is used again went with its former tombstone")
--- a/internal/fleet/control/judge.go
+++ b/internal/fleet/control/judge.go
@@ -19,29 +19,29 @@
 	Zones zones.Settings
 }
 
-// Judge is the soft part of a leader: leases, and what the cores' judges saw. It is not safe for concurrent
+// Controller is the soft part of a leader: leases, and what the cores' judges saw. It is not safe for concurrent
 // use. Times are the leader's monotonic clock.
-type Judge struct {
-	set     Settings
-	leases  *session.Leases
-	zones   *zones.Judge
-	tenants *tenants.Judge
-	drift   *drift.Judge
-	seqs    map[string]seen   // the newest report taken, by node
-	ready   map[string]uint64 // incarnations that were found to be caught up since they joined, by node
-	ended   map[string]uint64 // incarnations whose leases are not renewed, as they hold up a rollout, by node
+type Controller struct {
+	settings        Settings
+	leases          *session.Leases
+	zones           *zones.Controller
+	tenants         *tenants.Controller
+	drift           *drift.Detector
+	newestReports   map[string]reportID // the newest report taken, by node
+	caughtUp        map[string]uint64   // incarnations that were found to be caught up since they joined, by node
+	rolloutBlockers map[string]uint64   // incarnations whose leases are not renewed, as they hold up a rollout, by node
 }
 
-type seen struct{ incarnation, seq uint64 }
+type reportID struct{ incarnation, sequence uint64 }
 
-// NewJudge makes the judge of a leader whose leadership begins at now. It is called once the leader has applied all that was
+// NewController makes the judge of a leader whose leadership begins at now. It is called once the leader has applied all that was
 // committed before it.
-func NewJudge(set Settings, now fleet.Time, s *State) *Judge {
-	j := &Judge{set: set, leases: session.NewLeases(now, set.TTL), zones: zones.NewJudge(set.Zones),
-		tenants: tenants.NewJudge(tenants.Config{Slots: set.Slots, TTL: set.TTL}), drift: drift.NewJudge(drift.Defaults()),
-		seqs: map[string]seen{}, ready: map[string]uint64{}, ended: map[string]uint64{}}
+func NewController(set Settings, now fleet.Time, s *State) *Controller {
+	j := &Controller{settings: set, leases: session.NewLeases(now, set.TTL), zones: zones.NewController(set.Zones),
+		tenants: tenants.NewController(tenants.Config{Slots: set.Slots, TTL: set.TTL}), drift: drift.NewDetector(drift.Defaults()),
+		newestReports: map[string]reportID{}, caughtUp: map[string]uint64{}, rolloutBlockers: map[string]uint64{}}
 	for node, m := range s.Session.Members {
-		j.ready[node] = m.Incarnation // a former leader has seen to it, or the run has served since
+		j.caughtUp[node] = m.Incarnation // a former leader has seen to it, or the run has served since
 	}
 	j.zones.Lead(now)
 	j.tenants.Lead(now)
@@ -57,7 +57,7 @@
 
 // Admit looks at a report as it comes, before it is known whether this process still leads. It gives the command that must be
 // applied first (a join, a leave), or out where the run is not present and can't be yet.
-func (j *Judge) Admit(s *State, r fleet.Report) (c *Command, out bool, err error) {
+func (j *Controller) Admit(s *State, r fleet.Report) (c *Command, out bool, err error) {
 	if err := s.Session.Check(r.Member); err != nil {
 		return nil, false, err
 	}
@@ -66,71 +66,73 @@
 	}
 	present := s.Session.Present(r.Member)
 	switch {
-	case r.Leaving && present:
+	case r.Draining && present:
 		return &Command{Session: &session.Command{Op: session.Leave, Member: r.Member}}, false, nil
-	case r.Leaving:
+	case r.Draining:
 		return nil, true, nil
 	case present:
 		return nil, false, nil
-	case !s.MayJoin(r) || j.holdsUp(s, r):
+	case !s.MayJoin(r) || j.blocksRollout(s, r):
 		return nil, true, nil
 	}
-	join := &session.Command{Op: session.Join, Member: r.Member, Services: r.Services, Slots: j.set.Slots}
-	return &Command{Session: join, Guard: s.Guard(r.Node, r.Services)}, false, nil
+	join := &session.Command{Op: session.Join, Member: r.Member, Services: r.Services, Slots: j.settings.Slots}
+	return &Command{Session: join, ScopeDigest: s.ScopeDigest(r.Node, r.Services)}, false, nil
 }
 
-// holdsUp says that a run is not to be present, as it held up a rollout, was taken out of the front for it, and has not
+// blocksRollout says that a run is not to be present, as it held up a rollout, was taken out of the front for it, and has not
 // followed since.
-func (j *Judge) holdsUp(s *State, r fleet.Report) bool {
-	if inc, ok := j.ended[r.Node]; ok && (inc != r.Incarnation || tenants.Follows(&s.Tenants, r)) {
-		delete(j.ended, r.Node)
+func (j *Controller) blocksRollout(s *State, r fleet.Report) bool {
+	if inc, ok := j.rolloutBlockers[r.Node]; ok && (inc != r.Incarnation || tenants.HasFollowed(&s.Tenants, r)) {
+		delete(j.rolloutBlockers, r.Node)
 	}
-	_, ok := j.ended[r.Node]
+	_, ok := j.rolloutBlockers[r.Node]
 	return ok
 }
 
-// Out is the answer to a run that is not present.
-func Out(s *State) fleet.ReportAnswer { return fleet.ReportAnswer{Revision: s.Rev, Out: true} }
+// NotReadyAnswer is the answer to a run that is not present.
+func NotReadyAnswer(s *State) fleet.ReportAnswer {
+	return fleet.ReportAnswer{Revision: s.Revision, NotReady: true}
+}
 
 // Report takes a report of a present run that came at at, and renews its lease at now. It is called after a VerifyLeader that
 // began after the report came. A report again (a lost answer) renews and is not counted twice.
-func (j *Judge) Report(now, at fleet.Time, s *State, r fleet.Report) (fleet.ReportAnswer, error) {
-	v := fleet.NodeView{Member: r.Member, At: at, Report: r}
+func (j *Controller) Report(now, at fleet.Time, s *State, r fleet.Report) (fleet.ReportAnswer, error) {
+	v := fleet.NodeView{Member: r.Member, ReceivedAt: at, Report: r}
 	if !s.Session.Present(r.Member) {
 		j.drift.Observe(now, v) // of a run that is too far behind, or says goodbye, too; what came before changes nothing
-		ans := Out(s)
-		_, ans.Want, _, _ = j.drift.Answer(r.Node)
+		ans := NotReadyAnswer(s)
+		_, ans.WantedKeys, _, _ = j.drift.Answer(r.Node)
 		return ans, nil
 	}
 	if err := s.Session.CheckScope(r.Member, r.Services); err != nil {
 		return fleet.ReportAnswer{}, err
 	}
-	last := j.seqs[r.Node]
-	if last.incarnation == r.Incarnation && r.Seq < last.seq {
+	last := j.newestReports[r.Node]
+	if last.incarnation == r.Incarnation && r.Sequence < last.sequence {
 		return fleet.ReportAnswer{}, ErrOlder
 	}
-	held := !j.holdsUp(s, r)
+	held := !j.blocksRollout(s, r)
 	if held {
 		if err := j.leases.Renew(now, r.Member); err != nil {
 			return fleet.ReportAnswer{}, err
 		}
 	}
-	if last.incarnation != r.Incarnation || r.Seq > last.seq {
-		j.seqs[r.Node] = seen{r.Incarnation, r.Seq}
+	if last.incarnation != r.Incarnation || r.Sequence > last.sequence {
+		j.newestReports[r.Node] = reportID{r.Incarnation, r.Sequence}
 		j.zones.Observe(now, v)
 		j.tenants.Observe(now, v)
 		j.drift.Observe(now, v) // refuses only what is refused above
 	}
-	ans := fleet.ReportAnswer{TTLMS: j.set.TTL.Milliseconds(), Revision: s.Rev}
-	ans.Resend, ans.Want, ans.Restart, ans.Out = j.drift.Answer(r.Node)
+	ans := fleet.ReportAnswer{LeaseTTLMS: j.settings.TTL.Milliseconds(), Revision: s.Revision}
+	ans.Resend, ans.WantedKeys, ans.Restart, ans.NotReady = j.drift.Answer(r.Node)
 	if !held {
-		ans.TTLMS, ans.Out = 0, true
+		ans.LeaseTTLMS, ans.NotReady = 0, true
 	}
-	if j.ready[r.Node] != r.Incarnation {
+	if j.caughtUp[r.Node] != r.Incarnation {
 		if s.CaughtUp(r) {
-			j.ready[r.Node] = r.Incarnation
+			j.caughtUp[r.Node] = r.Incarnation
 		} else {
-			ans.Out = true
+			ans.NotReady = true
 		}
 	}
 	return ans, nil
@@ -138,10 +140,10 @@
 
 // Step gives the commands that the state is ready for, in their order; call it each 100 ms. servers is the list of app
 // servers under the same revisions, nil where there is none. Settled must be given the outcome of each.
-func (j *Judge) Step(now fleet.Time, s *State, servers []drift.Listed) []Command {
+func (j *Controller) Step(now fleet.Time, s *State, servers []drift.ListedServer) []Command {
 	var out []Command
-	for _, m := range j.leases.Lapsed(now, &s.Session) {
-		out = append(out, Command{Session: &session.Command{Op: session.Lapse, Member: m}})
+	for _, m := range j.leases.Expired(now, &s.Session) {
+		out = append(out, Command{Session: &session.Command{Op: session.Expire, Member: m}})
 	}
 	present := s.Session.List()
 	for _, c := range j.zones.Step(now, &s.Zones, present) {
@@ -150,60 +152,62 @@
 	for _, c := range j.tenants.Step(now, &s.Tenants, s.present()) {
 		out = append(out, Command{Tenants: &c})
 	}
-	late := j.late(now, s)
-	for _, c := range j.drift.Step(now, &s.Drift, drift.Intended{Revision: s.Rev, Items: s.All(), Servers: servers, Late: late}, present) {
+	late := j.lateNodes(now, s)
+	for _, c := range j.drift.Step(now, &s.Drift, drift.Intended{Revision: s.Revision, Items: s.All(), Servers: servers, LateSteps: late}, present) {
 		out = append(out, Command{Drift: &c})
 	}
 	for _, m := range present {
-		if late[m.Node] != nil && j.drift.Out(m.Node) {
-			j.ended[m.Node] = m.Incarnation
+		if late[m.Node] != nil && j.drift.IsTakenOut(m.Node) {
+			j.rolloutBlockers[m.Node] = m.Incarnation
 		}
 	}
-	for node := range j.seqs {
+	for node := range j.newestReports {
 		if _, ok := s.Session.Members[node]; !ok {
-			delete(j.seqs, node)
+			delete(j.newestReports, node)
 		}
 	}
-	for node := range j.ready {
+	for node := range j.caughtUp {
 		if _, ok := s.Session.Members[node]; !ok {
-			delete(j.ready, node)
+			delete(j.caughtUp, node)
 		}
 	}
 	return out
 }
 
-// late is what present nodes hold up past its bound, as drift names it.
-func (j *Judge) late(now fleet.Time, s *State) map[string][]drift.Difference {
+// lateNodes is what present nodes hold up past its bound, as drift names it.
+func (j *Controller) lateNodes(now fleet.Time, s *State) map[string][]drift.Difference {
 	out := map[string][]drift.Difference{}
 	for _, l := range j.tenants.Late(now, &s.Tenants, s.present()) {
 		out[l.Node] = append(out[l.Node], drift.Difference{Key: "tenant/" + l.Tenant, Field: "applied",
-			Intended: strconv.FormatUint(l.Want, 10), Applied: strconv.FormatUint(l.Has, 10)})
+			Intended: strconv.FormatUint(l.WantedGeneration, 10), Applied: strconv.FormatUint(l.Generation, 10)})
 	}
 	return out
 }
 
-// Settled says that a command's outcome is known: it was applied, refused, or will surely never be.
-func (j *Judge) Settled(c Command) {
-	if c.Session != nil && c.Session.Op == session.Lapse {
-		j.leases.Settled(c.Session.Member)
+// Resolved says that a command's outcome is known: it was applied, refused, or will surely never be.
+func (j *Controller) Resolved(c Command) {
+	if c.Session != nil && c.Session.Op == session.Expire {
+		j.leases.Resolved(c.Session.Member)
 	}
 }
 
-// Findings is what zones are judged by now.
-func (j *Judge) Findings() []zones.Finding { return j.zones.Findings() }
+// ZoneEvidence is what zones are judged by now.
+func (j *Controller) ZoneEvidence() []zones.Evidence { return j.zones.Evidence() }
 
-// Status is how far each node present in a tenant's scope is with it.
-func (j *Judge) Status(now fleet.Time, s *State, name string) ([]tenants.NodeStatus, error) {
+// TenantStatus is how far each node present in a tenant's scope is with it.
+func (j *Controller) TenantStatus(now fleet.Time, s *State, name string) ([]tenants.NodeStatus, error) {
 	return j.tenants.Status(now, &s.Tenants, name, s.present())
 }
 
 // Verdicts is what is thought of each node. wallMS is the wall clock at now, for people.
-func (j *Judge) Verdicts(now fleet.Time, wallMS int64, s *State) []drift.Verdict {
+func (j *Controller) Verdicts(now fleet.Time, wallMS int64, s *State) []drift.Verdict {
 	return j.drift.Verdicts(now, wallMS, &s.Drift)
 }
 
-// Drift is the fleet's drift at a glance.
-func (j *Judge) Drift(now fleet.Time, s *State) drift.Summary { return j.drift.Summary(now, &s.Drift) }
+// DriftSummary is the fleet's drift at a glance.
+func (j *Controller) DriftSummary(now fleet.Time, s *State) drift.Summary {
+	return j.drift.Summary(now, &s.Drift)
+}
 
 // Repairs is the log of the repairs after an entry's number.
-func (j *Judge) Repairs(after uint64) []drift.Entry { return j.drift.Log(after) }
+func (j *Controller) Repairs(after uint64) []drift.LogEntry { return j.drift.Log(after) }
--- a/internal/fleet/control/late_test.go
+++ b/internal/fleet/control/late_test.go
@@ -18,7 +18,7 @@
 		t.Run(name, func(t *testing.T) {
 			r := newTestFleet(t, 12)
 			r.set.Slots = 30
-			r.judge = NewJudge(r.set, 0, r.state)
+			r.judge = NewController(r.set, 0, r.state)
 			late, stays := r.nodes[11], false
 			said := false
 			run := func(d time.Duration) {
@@ -29,14 +29,14 @@
 						}
 						rep := n.report()
 						facts, _ := drift.Expect(drift.Intended{Revision: n.revision, Items: slices.Collect(maps.Values(n.held))}, n.Member)
-						if drift.Fill(&rep, facts, nil); n == late && stays && !deaf && len(rep.Tenants) > 0 {
+						if drift.FillReport(&rep, facts, nil); n == late && stays && !deaf && len(rep.Tenants) > 0 {
 							rep.Tenants[0].Committed = 1
 						}
-						if a, err := r.hear(rep); err == nil && n != late && a.TTLMS == 0 {
+						if a, err := r.hear(rep); err == nil && n != late && a.LeaseTTLMS == 0 {
 							t.Fatalf("%s loses its lease at %v", n.Node, r.now)
 						}
 					}
-					st, _ := r.judge.Status(r.now, r.state, "a")
+					st, _ := r.judge.TenantStatus(r.now, r.state, "a")
 					said = said || slices.ContainsFunc(st, func(s tenants.NodeStatus) bool { return s.Node == late.Node && s.Reason != "" })
 				}
 			}
--- a/internal/fleet/control/scope_join_test.go
+++ b/internal/fleet/control/scope_join_test.go
@@ -34,11 +34,11 @@
 		return c
 	}
 	first := join()
-	f.state.Session.Apply(session.Command{Op: session.Lapse, Member: f.state.Session.Members["n0"]})
+	f.state.Session.Apply(session.Command{Op: session.Expire, Member: f.state.Session.Members["n0"]})
 	f.mustPut(t, "search", "s", 20)
 	f.until(t, "settled", f.settled("s"), rest...)
 	before, _ := f.state.Snapshot()
-	if again := join(); again.Guard != first.Guard {
+	if again := join(); again.ScopeDigest != first.ScopeDigest {
 		t.Error("a change outside of the scope moves the guard")
 	}
 	f.mustPut(t, "billing", "b", 20)
@@ -62,16 +62,16 @@
 	searching.read(f.state)
 	f.mustDelete(t, "b")
 	report := searching.report()
-	if !f.state.CaughtUp(report) || !tenants.Follows(&f.state.Tenants, report) {
+	if !f.state.CaughtUp(report) || !tenants.HasFollowed(&f.state.Tenants, report) {
 		t.Error("a run that holds its scope is not caught up while a tenant elsewhere is removed")
 	}
 	f.mustDelete(t, "s")
-	if f.state.CaughtUp(report) || tenants.Follows(&f.state.Tenants, report) {
+	if f.state.CaughtUp(report) || tenants.HasFollowed(&f.state.Tenants, report) {
 		t.Error("a run is caught up with a removal in its scope of which it has not heard")
 	}
 	searching.read(f.state)
 	report = searching.report()
-	if !f.state.CaughtUp(report) || !tenants.Follows(&f.state.Tenants, report) {
+	if !f.state.CaughtUp(report) || !tenants.HasFollowed(&f.state.Tenants, report) {
 		t.Error("a run that has heard of the removal is not caught up")
 	}
 	report.Tenants = append(report.Tenants, fleet.TenantAck{Name: "b", UID: f.state.Tenants.Tenants["b"].UID, Committed: 1})
@@ -87,13 +87,13 @@
 	f.mustPut(t, "billing", "b", 10)
 	f.until(t, "leased", func() bool { return f.leased("n0", "b") > 3 && f.leased("n1", "b") > 3 }, f.nodes...)
 	back := f.nodes[0]
-	if err := f.apply(Command{Session: &session.Command{Op: session.Lapse, Member: back.Member}}); err != nil {
+	if err := f.apply(Command{Session: &session.Command{Op: session.Expire, Member: back.Member}}); err != nil {
 		t.Fatal(err)
 	}
 	back.services, back.revision = []string{"search"}, 0
 	f.until(t, "leased to the other alone", func() bool {
-		most := f.state.Tenants.Runs["n0"].Most["b"] + f.state.Tenants.Runs["n1"].Most["b"]
-		if pool := f.state.Tenants.Pool("b"); most > pool*(1+1e-9) {
+		most := f.state.Tenants.Runs["n0"].MaxRates["b"] + f.state.Tenants.Runs["n1"].MaxRates["b"]
+		if pool := f.state.Tenants.Leasable("b"); most > pool*(1+1e-9) {
 			t.Fatalf("T3: %g may be held, of a pool of %g", most, pool)
 		}
 		return f.leased("n0", "b") == 0 && f.leased("n1", "b") > 7
@@ -162,12 +162,12 @@
 	if again, _ := restored.Snapshot(); !bytes.Equal(again, want) {
 		t.Errorf("restored %s, want %s", again, want)
 	}
-	if a, b := replayed.Guard("n0", nil), restored.Guard("n0", nil); a != b {
+	if a, b := replayed.ScopeDigest("n0", nil), restored.ScopeDigest("n0", nil); a != b {
 		t.Errorf("guards %x and %x", a, b)
 	}
 	f := newTestFleet(t, 1)
 	f.state, f.rev = restored, revision
-	f.judge = NewJudge(f.set, f.now, f.state)
+	f.judge = NewController(f.set, f.now, f.state)
 	f.boot(0, "billing")
 	f.turn(t, f.nodes...)
 	f.mustPut(t, "billing", "b", 10)
--- a/internal/fleet/control/scope_test.go
+++ b/internal/fleet/control/scope_test.go
@@ -23,12 +23,12 @@
 			return session.Command{Op: session.Leave, Member: n.Member}
 		},
 		"lapse": func(_ *testFleet, n *node) session.Command {
-			return session.Command{Op: session.Lapse, Member: n.Member}
+			return session.Command{Op: session.Expire, Member: n.Member}
 		},
 	}
 	for _, service := range []string{"billing", "search"} {
 		for name, change := range changes {
-			for _, op := range []string{tenants.Commit, tenants.Applied, tenants.Drained, tenants.Unquoted} {
+			for _, op := range []string{tenants.Commit, tenants.Applied, tenants.Drained, tenants.QuotaWithdrawn} {
 				t.Run(fmt.Sprintf("%s of %s at %s", name, service, op), func(t *testing.T) {
 					f := newScopedFleet(t, []string{"billing"}, []string{"billing"}, []string{service})
 					counted, third := f.nodes[:2], f.nodes[2]
@@ -41,7 +41,7 @@
 					if name == "join" {
 						nodes = counted
 					}
-					if op == tenants.Drained || op == tenants.Unquoted {
+					if op == tenants.Drained || op == tenants.QuotaWithdrawn {
 						f.until(t, "settled", f.settled("a"), nodes...)
 						f.mustDelete(t, "a")
 					}
@@ -92,7 +92,7 @@
 				if !goes || applied {
 					checkCommit(t, f, c, serving)
 					f.apply(c)
-					f.judge.Settled(c)
+					f.judge.Resolved(c)
 				}
 				if goes {
 					raw, _ := f.state.Snapshot()
@@ -101,7 +101,7 @@
 						t.Fatal(err)
 					}
 					f.state, gone = state, true
-					f.judge = NewJudge(f.set, f.now, f.state)
+					f.judge = NewController(f.set, f.now, f.state)
 					break
 				}
 			}
@@ -145,24 +145,24 @@
 	f.mustDelete(t, "a")
 	f.until(t, "removed", func() bool { return f.state.Tenants.Phase("a") == tenants.PhaseNone }, rest...)
 	f.mustPut(t, "search", "a", 30)
-	if a, err := f.hear(away.report()); err != nil || !a.Out || f.state.Session.Present(away.Member) {
+	if a, err := f.hear(away.report()); err != nil || !a.NotReady || f.state.Session.Present(away.Member) {
 		t.Errorf("with the old tenant while the new one is staged: %+v, %v", a, err)
 	}
 	f.until(t, "settled", f.settled("a"), rest...)
 	if e := f.state.Tenants.Tenants["a"]; e.UID <= old || e.Service() != "search" {
 		t.Errorf("%+v is no new tenant", e)
 	}
-	if a, err := f.hear(away.report()); err != nil || !a.Out || f.state.Session.Present(away.Member) {
+	if a, err := f.hear(away.report()); err != nil || !a.NotReady || f.state.Session.Present(away.Member) {
 		t.Errorf("with the old tenant: %+v, %v", a, err)
 	}
 	away.read(f.state)
-	if a, err := f.hear(away.report()); err != nil || a.Out || !f.state.Session.Present(away.Member) || len(away.serves) > 0 {
+	if a, err := f.hear(away.report()); err != nil || a.NotReady || !f.state.Session.Present(away.Member) || len(away.serves) > 0 {
 		t.Errorf("after it has dropped it: %+v, %v, serves %v", a, err, away.serves)
 	}
 	f.until(t, "leased to its service alone", func() bool {
 		return f.leased("n0", "a") == 0 && f.leased("n1", "a") == 0 && f.leased("n2", "a") > 20
 	}, f.nodes...)
-	status, err := f.judge.Status(f.now, f.state, "a")
+	status, err := f.judge.TenantStatus(f.now, f.state, "a")
 	if err != nil || len(status) != 1 || status[0].Node != "n2" {
 		t.Errorf("status %+v, %v", status, err)
 	}
@@ -211,7 +211,7 @@
 				sum += rate
 			}
 		}
-		status, _ := f.judge.Status(f.now, f.state, name)
+		status, _ := f.judge.TenantStatus(f.now, f.state, name)
 		for _, s := range status {
 			listed = append(listed, s.Node)
 			if s.Phase != tenants.NodeApplied {
@@ -221,7 +221,7 @@
 		if !slices.Equal(serve, want) || !slices.Equal(leased, want) || !slices.Equal(listed, want) {
 			t.Errorf("%s is served by %v, leased to %v and shown of %v, want %v", name, serve, leased, listed, want)
 		}
-		if floors := fleet.FloorPart * 100; sum < 0.95*(100-floors) || sum > 100-floors+1e-6 {
+		if floors := fleet.GuaranteedPart * 100; sum < 0.95*(100-floors) || sum > 100-floors+1e-6 {
 			t.Errorf("%g of %s leased, of 100 with floors of %g", sum, name, floors)
 		}
 	}
@@ -237,11 +237,11 @@
 	}
 	f.nodes = append(f.nodes, &node{})
 	f.boot(1, "billing")
-	if a, err := f.hear(f.nodes[1].report()); err != nil || !a.Out {
+	if a, err := f.hear(f.nodes[1].report()); err != nil || !a.NotReady {
 		t.Errorf("a node that holds nothing: %+v, %v", a, err)
 	}
 	f.nodes[1].read(f.state)
-	if a, err := f.hear(f.nodes[1].report()); err != nil || a.Out || f.nodes[1].serves["a"] != 1 {
+	if a, err := f.hear(f.nodes[1].report()); err != nil || a.NotReady || f.nodes[1].serves["a"] != 1 {
 		t.Errorf("a node that holds its scope: %+v, %v", a, err)
 	}
 	f.mustDelete(t, "a")
--- a/internal/fleet/control/services_test.go
+++ b/internal/fleet/control/services_test.go
@@ -17,9 +17,9 @@
 func keysOf(in fleet.Intent) map[string]int {
 	out := map[string]int{}
 	for _, it := range in.Items {
-		out[it.Key] = int(it.Rev)
-		if it.Gone {
-			out[it.Key] = -int(it.Rev)
+		out[it.Key] = int(it.Revision)
+		if it.Removed {
+			out[it.Key] = -int(it.Revision)
 		}
 	}
 	return out
@@ -168,7 +168,7 @@
 		{"the tenant of x gone", func() error { return l.rollback("a") }, []int{0, 1, 2, 4, 6}},
 		{"named again in y", func() error { return l.put("a", "y") }, []int{0, 1, 3, 4, 6}},
 	} {
-		before := l.state.Rev
+		before := l.state.Revision
 		if err := c.do(); err != nil {
 			t.Fatalf("%s: %v", c.name, err)
 		}
--- a/internal/fleet/control/settings.go
+++ b/internal/fleet/control/settings.go
@@ -15,13 +15,13 @@
 
 // Bounds of the settings.
 const (
-	maxSlots = session.MaxNames
+	maxSlots = session.MaxRememberedNames
 	minTTLMS = 1000
 	maxTTLMS = 60_000
 )
 
-// file is the settings file as docs/fleet.md gives it.
-type file struct {
+// settingsFile is the settings file as docs/fleet.md gives it.
+type settingsFile struct {
 	Slots   int                 `toml:"slots"`
 	TTLMS   *int64              `toml:"ttl_ms"`
 	Regions map[string][]string `toml:"regions"`
@@ -36,7 +36,7 @@
 	bad := func(field, format string, args ...any) (Settings, error) {
 		return Settings{}, fmt.Errorf("%w: %s: %s", fleet.ErrInvalid, field, fmt.Sprintf(format, args...))
 	}
-	var f file
+	var f settingsFile
 	meta, err := toml.Decode(data, &f)
 	if err != nil {
 		return Settings{}, fmt.Errorf("%w: %w", fleet.ErrInvalid, err)
@@ -60,20 +60,20 @@
 			if old, ok := set.Zones.Region[z]; ok {
 				return bad("regions."+region, "zone %q is in %s already", z, old)
 			}
-			if z == "" || len(z) > session.NameLimit || strings.Contains(z, "@") {
+			if z == "" || len(z) > session.MaxNameBytes || strings.Contains(z, "@") {
 				return bad("regions."+region, "%q is no zone's name", z)
 			}
 			set.Zones.Region[z] = region
 		}
 	}
 	if c := f.Cold.From; c != nil {
-		set.Zones.ColdFrom = *c
+		set.Zones.SlowStartMinCapacity = *c
 	}
 	if c := f.Cold.TimeMS; c != nil {
 		if !(*c >= 0 && *c <= math.MaxInt32) {
 			return bad("cold.time_ms", "%g, must be 0 to %d", *c, math.MaxInt32)
 		}
-		set.Zones.ColdTime = time.Duration(*c * float64(time.Millisecond))
+		set.Zones.SlowStartWindow = time.Duration(*c * float64(time.Millisecond))
 	}
 	if err := set.Zones.Check(); err != nil {
 		return Settings{}, err
--- a/internal/fleet/control/state.go
+++ b/internal/fleet/control/state.go
@@ -20,29 +20,29 @@
 // ErrStale refuses a command that was decided from what has changed since. It is decided anew.
 var ErrStale = errors.New("decided from an older state")
 
-// tombstonesKept is how many items that are gone are remembered; a watch from before them gets every item.
-const tombstonesKept = 1000
+// maxTombstones is how many items that are gone are remembered; a watch from before them gets every item.
+const maxTombstones = 1000
 
 // Command is one change of State, as it stands in raft's log (registry.Command.Fleet): one of the cores' commands.
 type Command struct {
-	Session *session.Command `json:"session,omitempty"`
-	Guard   uint64           `json:"guard,omitempty"` // with a join: State.Guard when the run was found to be caught up
-	Zones   *zones.Command   `json:"zones,omitempty"`
-	Tenants *tenants.Command `json:"tenants,omitempty"`
-	Drift   *drift.Command   `json:"drift,omitempty"`
+	Session     *session.Command `json:"session,omitempty"`
+	ScopeDigest uint64           `json:"guard,omitempty"` // with a join: State.Guard when the run was found to be caught up
+	Zones       *zones.Command   `json:"zones,omitempty"`
+	Tenants     *tenants.Command `json:"tenants,omitempty"`
+	Drift       *drift.Command   `json:"drift,omitempty"`
 }
 
 // Change is what a command changed: the revision it took (0: none), and whether items of the intent, or verdicts of
 // drift, are among it.
 type Change struct {
-	Rev          uint64
+	Revision     uint64
 	Items, Drift bool
 	Scopes       []index.Scope // that the items are in, each once
 }
 
 // State is the replicated part of the whole fleet. Its JSON is its snapshot. New makes one, Restore reads one back.
 type State struct {
-	Rev        uint64        `json:"rev"`   // that last changed an item of the intent
+	Revision   uint64        `json:"rev"`   // that last changed an item of the intent
 	Floor      uint64        `json:"floor"` // changes up to here can no longer be listed
 	Tombstones []Tombstone   `json:"tombs,omitempty"`
 	Session    session.State `json:"session"`
@@ -57,7 +57,7 @@
 func New() *State { return &State{items: newItems()} }
 
 // Empty says that no command has changed anything yet.
-func (s *State) Empty() bool { return s.Rev == 0 && s.Session.Epoch == 0 && s.Drift.Rev == 0 }
+func (s *State) Empty() bool { return s.Revision == 0 && s.Session.Epoch == 0 && s.Drift.Revision == 0 }
 
 // Snapshot is the state as bytes.
 func (s *State) Snapshot() ([]byte, error) { return json.Marshal(s) }
@@ -76,12 +76,12 @@
 // changes nothing; it wraps one of package fleet's, or says that the command was decided from an older state.
 func (s *State) Apply(c Command, next func() uint64) (Change, error) {
 	var ch Change
-	take := func() uint64 { ch.Rev = next(); return ch.Rev }
+	take := func() uint64 { ch.Revision = next(); return ch.Revision }
 	var keys []string
 	var err error
 	switch {
 	case c.Session != nil:
-		if c.Session.Op == session.Join && c.Guard != s.Guard(c.Session.Member.Node, c.Session.Services) {
+		if c.Session.Op == session.Join && c.ScopeDigest != s.ScopeDigest(c.Session.Member.Node, c.Session.Services) {
 			return ch, fmt.Errorf("%w: %s is not caught up any more", ErrStale, c.Session.Member.Node)
 		}
 		var changed bool
@@ -97,7 +97,7 @@
 		}
 		keys, err = s.Tenants.Apply(*c.Tenants, s.Session.ScopeEpoch, take)
 	case c.Drift != nil: // parts that came too late change nothing, and the others stand
-		if err = s.Drift.Apply(*c.Drift, take); ch.Rev != 0 {
+		if err = s.Drift.Apply(*c.Drift, take); ch.Revision != 0 {
 			ch.Drift, err = true, nil
 		}
 	default:
@@ -107,10 +107,10 @@
 		return Change{}, err
 	}
 	for _, k := range keys {
-		ch.Scopes = append(ch.Scopes, s.refresh(k, ch.Rev)...)
+		ch.Scopes = append(ch.Scopes, s.refresh(k, ch.Revision)...)
 	}
 	if len(keys) > 0 {
-		s.Rev, ch.Items = ch.Rev, true
+		s.Revision, ch.Items = ch.Revision, true
 	}
 	slices.Sort(ch.Scopes)
 	ch.Scopes = slices.Compact(ch.Scopes)
--- a/internal/fleet/control/view.go
+++ b/internal/fleet/control/view.go
@@ -20,7 +20,7 @@
 // View gives the intent as it is now. It is the same one until an item changes, and costs the same however many there are.
 func (s *State) View() *View {
 	if s.items.view == nil {
-		s.items.view = &View{Revision: s.Rev, Floor: s.Floor, items: s.items.index.Snapshot()}
+		s.items.view = &View{Revision: s.Revision, Floor: s.Floor, items: s.items.index.Snapshot()}
 	}
 	return s.items.view
 }
@@ -67,13 +67,13 @@
 			entries = v.items.All(scope)
 		}
 		for entry := range entries {
-			if !all || tombstones || !entry.Value.Gone {
+			if !all || tombstones || !entry.Value.Removed {
 				out = append(out, entry.Value.Item)
 			}
 		}
 	}
 	slices.SortFunc(out, func(a, b fleet.Item) int {
-		return cmp.Or(strings.Compare(a.Key, b.Key), cmp.Compare(b.Rev, a.Rev))
+		return cmp.Or(strings.Compare(a.Key, b.Key), cmp.Compare(b.Revision, a.Revision))
 	})
 	return slices.CompactFunc(out, func(a, b fleet.Item) bool { return a.Key == b.Key })
 }
--- a/internal/fleet/decode.go
+++ b/internal/fleet/decode.go
@@ -12,13 +12,13 @@
 
 // Limits on what one body may hold; more is refused whole.
 const (
-	nameLimit = 128  // bytes of a name: node, zone, tenant, server id
-	textLimit = 1024 // bytes of a reason
-	zoneLimit = 256
-	manyLimit = 16 << 10 // tenants, facts, keys asked for, items
-	countMost = 1 << 30  // of a count
-	rateMost  = 1e12     // of a rate, requests/s
-	msMost    = 86_400_000
+	maxNameBytes = 128  // bytes of a name: node, zone, tenant, server id
+	maxTextBytes = 1024 // bytes of a reason
+	maxZones     = 256
+	maxItems     = 16 << 10 // tenants, facts, keys asked for, items
+	maxCount     = 1 << 30  // of a count
+	maxRate      = 1e12     // of a rate, requests/s
+	maxMS        = 86_400_000
 )
 
 // DecodeReport reads the body of POST /fleet/v1/report. Members it does not know are ignored. Anything else that
@@ -26,7 +26,7 @@
 // the member's name; nothing of such a report is used.
 func DecodeReport(b []byte) (Report, error) {
 	var r Report
-	if err := decode(b, ReportLimit, &r); err != nil {
+	if err := decodeStrict(b, MaxReportBytes, &r); err != nil {
 		return Report{}, err
 	}
 	if err := r.Check(); err != nil {
@@ -38,7 +38,7 @@
 // DecodeNodeReport reads a report as DecodeReport does, and says whether it has members that this build does not know: a newer
 // node made it.
 func DecodeNodeReport(b []byte) (r Report, newer bool, err error) {
-	if len(b) <= ReportLimit && utf8.Valid(b) {
+	if len(b) <= MaxReportBytes && utf8.Valid(b) {
 		dec := json.NewDecoder(bytes.NewReader(b))
 		dec.DisallowUnknownFields()
 		err := dec.Decode(&r)
@@ -58,7 +58,7 @@
 // The errors are DecodeReport's.
 func DecodeIntent(b []byte) (Intent, error) {
 	var in Intent
-	if err := decode(b, IntentLimit, &in); err != nil {
+	if err := decodeStrict(b, MaxIntentBytes, &in); err != nil {
 		return Intent{}, err
 	}
 	if err := in.check(); err != nil {
@@ -67,7 +67,7 @@
 	return in, nil
 }
 
-func decode(b []byte, limit int, v any) error {
+func decodeStrict(b []byte, limit int, v any) error {
 	if len(b) > limit {
 		return fmt.Errorf("%w: %d bytes, at most %d", ErrInvalid, len(b), limit)
 	}
@@ -80,27 +80,27 @@
 	return nil
 }
 
-// bad is an error on a member.
-func bad(field string, v any) error { return fmt.Errorf("%w: %s: %.80v", ErrInvalid, field, v) }
+// fieldError is an error on a member.
+func fieldError(field string, v any) error { return fmt.Errorf("%w: %s: %.80v", ErrInvalid, field, v) }
 
-// number is a count or a rate that can be: nothing negative, not a number or beyond most.
-func number[T int | int64 | float64](field string, v T, most float64) error {
+// checkNumber is a count or a rate that can be: nothing negative, not a number or beyond most.
+func checkNumber[T int | int64 | float64](field string, v T, most float64) error {
 	if f := float64(v); !(f >= 0 && f <= most) { // so NaN is refused
-		return bad(field, v)
+		return fieldError(field, v)
 	}
 	return nil
 }
 
-// name is a name that may stand in a key, a log line and a metric.
-func name(field, s string) error {
-	if s == "" || len(s) > nameLimit || strings.ContainsFunc(s, func(r rune) bool { return r < ' ' || r == 0x7f || r == utf8.RuneError }) {
-		return bad(field, fmt.Sprintf("%q", s))
+// checkName is a name that may stand in a key, a log line and a metric.
+func checkName(field, s string) error {
+	if s == "" || len(s) > maxNameBytes || strings.ContainsFunc(s, func(r rune) bool { return r < ' ' || r == 0x7f || r == utf8.RuneError }) {
+		return fieldError(field, fmt.Sprintf("%q", s))
 	}
 	return nil
 }
 
-// first gives the first error.
-func first(errs ...error) error {
+// firstError gives the first error.
+func firstError(errs ...error) error {
 	for _, err := range errs {
 		if err != nil {
 			return err
@@ -109,24 +109,24 @@
 	return nil
 }
 
-func text(field, s string, most int) error {
+func checkText(field, s string, most int) error {
 	if len(s) > most {
-		return bad(field, fmt.Sprintf("%d bytes", len(s)))
+		return fieldError(field, fmt.Sprintf("%d bytes", len(s)))
 	}
 	return nil
 }
 
 // Check reads a report through, rows and all.
 func (r *Report) Check() error {
-	if err := first(name("node", r.Node), name("zone", r.Zone), number("window_ms", r.WindowMS, msMost),
-		text("root", r.Root, 16), text("list_root", r.ListRoot, 16), ValidScope(r.Services)); err != nil {
+	if err := firstError(checkName("node", r.Node), checkName("zone", r.Zone), checkNumber("window_ms", r.WindowMS, maxMS),
+		checkText("root", r.AppliedRoot, 16), checkText("list_root", r.ListRoot, 16), ValidScope(r.Services)); err != nil {
 		return err
 	}
 	if r.Incarnation == 0 {
-		return bad("incarnation", 0)
+		return fieldError("incarnation", 0)
 	}
-	if len(r.Zones) > zoneLimit || len(r.Tenants) > manyLimit || len(r.Held) > manyLimit {
-		return bad("report", "too many zones, tenants or facts")
+	if len(r.Zones) > maxZones || len(r.Tenants) > maxItems || len(r.Applied) > maxItems {
+		return fieldError("report", "too many zones, tenants or facts")
 	}
 	seen := map[string]bool{}
 	for i, z := range r.Zones {
@@ -134,7 +134,7 @@
 			return fmt.Errorf("zones[%d]: %w", i, err)
 		}
 		if seen["z"+z.Zone] {
-			return bad("zones", z.Zone+" twice")
+			return fieldError("zones", z.Zone+" twice")
 		}
 		seen["z"+z.Zone] = true
 	}
@@ -143,16 +143,16 @@
 			return fmt.Errorf("tenants[%d]: %w", i, err)
 		}
 		if seen["t"+t.Name] {
-			return bad("tenants", t.Name+" twice")
+			return fieldError("tenants", t.Name+" twice")
 		}
 		seen["t"+t.Name] = true
 	}
-	for i, h := range r.Held {
-		if err := first(name("key", h.Key), text("digest", h.Digest, 16), text("by", h.By, nameLimit)); err != nil {
+	for i, h := range r.Applied {
+		if err := firstError(checkName("key", h.Key), checkText("digest", h.Digest, 16), checkText("by", h.ChangedBy, maxNameBytes)); err != nil {
 			return fmt.Errorf("held[%d]: %w", i, err)
 		}
 		if seen["h"+h.Key] {
-			return bad("held", h.Key+" twice")
+			return fieldError("held", h.Key+" twice")
 		}
 		seen["h"+h.Key] = true
 	}
@@ -161,46 +161,46 @@
 
 // Check reads a tenant's row through.
 func (t *TenantAck) Check() error {
-	return first(name("name", t.Name), text("digest", t.Digest, 16), text("refused", t.Refused, textLimit),
-		number("open", t.Open, countMost), number("offered", t.Offered, rateMost),
-		number("admitted", t.Admitted, rateMost), number("rate", t.Rate, rateMost))
+	return firstError(checkName("name", t.Name), checkText("digest", t.Digest, 16), checkText("refused", t.RejectReason, maxTextBytes),
+		checkNumber("open", t.Open, maxCount), checkNumber("offered", t.Offered, maxRate),
+		checkNumber("admitted", t.Admitted, maxRate), checkNumber("rate", t.Rate, maxRate))
 }
 
-func (z *ZoneCount) check() error {
-	if err := first(name("zone", z.Zone), number("attempts", z.Attempts, countMost), number("lost", z.Lost, countMost),
-		number("servers", z.Servers, countMost), number("lost_servers", z.LostServers, countMost),
-		number("ok", z.OK, countMost), number("listed", z.Listed, countMost), number("sent", z.Sent, countMost),
-		number("rate", z.Rate, rateMost)); err != nil {
+func (z *ZoneEvidence) check() error {
+	if err := firstError(checkName("zone", z.Zone), checkNumber("attempts", z.Attempts, maxCount), checkNumber("lost", z.Lost, maxCount),
+		checkNumber("servers", z.Servers, maxCount), checkNumber("lost_servers", z.LostServers, maxCount),
+		checkNumber("ok", z.Answered, maxCount), checkNumber("listed", z.Listed, maxCount), checkNumber("sent", z.Started, maxCount),
+		checkNumber("rate", z.Rate, maxRate)); err != nil {
 		return err
 	}
 	switch {
 	case z.Lost > z.Attempts:
-		return bad("lost", z.Lost)
-	case z.OK > z.Attempts:
-		return bad("ok", z.OK)
+		return fieldError("lost", z.Lost)
+	case z.Answered > z.Attempts:
+		return fieldError("ok", z.Answered)
 	case z.LostServers > z.Servers:
-		return bad("lost_servers", z.LostServers)
+		return fieldError("lost_servers", z.LostServers)
 	}
 	return nil
 }
 
 func (in *Intent) check() error {
-	if err := first(number("age_ms", in.AgeMS, math.MaxInt64), number("held_ms", in.HeldMS, msMost)); err != nil {
+	if err := firstError(checkNumber("age_ms", in.AgeMS, math.MaxInt64), checkNumber("held_ms", in.LeaseMS, maxMS)); err != nil {
 		return err
 	}
-	if len(in.Items) > manyLimit {
-		return bad("items", len(in.Items))
+	if len(in.Items) > maxItems {
+		return fieldError("items", len(in.Items))
 	}
 	seen := map[string]bool{}
 	for i, it := range in.Items {
 		if err := it.Check(); err != nil {
 			return fmt.Errorf("items[%d]: %w", i, err)
 		}
-		if it.Rev > in.Revision {
-			return bad("rev", it.Rev)
+		if it.Revision > in.Revision {
+			return fieldError("rev", it.Revision)
 		}
 		if seen[it.Key] {
-			return bad("items", it.Key+" twice")
+			return fieldError("items", it.Key+" twice")
 		}
 		seen[it.Key] = true
 	}
@@ -209,49 +209,49 @@
 
 // Check reads an item through, body and all.
 func (it *Item) Check() error {
-	if err := name("key", it.Key); err != nil {
+	if err := checkName("key", it.Key); err != nil {
 		return err
 	}
-	if it.Rev == 0 {
-		return bad("rev", it.Rev)
+	if it.Revision == 0 {
+		return fieldError("rev", it.Revision)
 	}
-	if it.Gone {
+	if it.Removed {
 		return nil
 	}
 	kind, _, ok := strings.Cut(it.Key, "/")
 	if !ok {
-		return bad("key", it.Key)
+		return fieldError("key", it.Key)
 	}
 	switch kind {
 	case "zone":
-		return body(it, func(d *Directive) error { return d.check() })
+		return checkBody(it, func(d *Directive) error { return d.check() })
 	case "tenant":
-		return body(it, func(t *Tenant) error {
+		return checkBody(it, func(t *Tenant) error {
 			if t.UID == 0 {
-				return bad("uid", 0)
+				return fieldError("uid", 0)
 			}
-			return first(t.Committed.check("committed"), t.Staged.check("staged"))
+			return firstError(t.Committed.check("committed"), t.Staged.check("staged"))
 		})
 	case "share":
-		return body(it, func(s *Shares) error {
+		return checkBody(it, func(s *QuotaLease) error {
 			for k, v := range s.Rates {
-				if err := first(name("rates", k), number("rates."+k, v, rateMost)); err != nil {
+				if err := firstError(checkName("rates", k), checkNumber("rates."+k, v, maxRate)); err != nil {
 					return err
 				}
 			}
-			return number("slots", s.Slots, countMost)
+			return checkNumber("slots", s.Slots, maxCount)
 		})
 	}
 	return nil
 }
 
-func body[T any](it *Item, check func(*T) error) error {
+func checkBody[T any](it *Item, check func(*T) error) error {
 	var v *T
 	if err := json.Unmarshal(it.Body, &v); err != nil {
 		return fmt.Errorf("%w: %s: %w", ErrInvalid, it.Key, err)
 	}
 	if v == nil {
-		return bad(it.Key, "no body")
+		return fieldError(it.Key, "no body")
 	}
 	if err := check(v); err != nil {
 		return fmt.Errorf("%s: %w", it.Key, err)
@@ -261,13 +261,13 @@
 
 func (d *Directive) check() error {
 	switch d.Phase {
-	case Serving, Left, Probation, Returning:
+	case Serving, Evacuated, Probation, Recovering:
 	default:
-		return bad("phase", d.Phase)
+		return fieldError("phase", d.Phase)
 	}
-	return first(number("share", d.Share, 1), number("floor", d.Floor, d.Share), number("budget", d.Budget, rateMost),
-		number("slots", d.Slots, countMost), number("valid_ms", d.ValidMS, msMost), number("hold_ms", d.HoldMS, msMost),
-		number("step", d.Step, countMost), number("relapse", d.Relapse, countMost))
+	return firstError(checkNumber("share", d.Share, 1), checkNumber("floor", d.Floor, d.Share), checkNumber("budget", d.Budget, maxRate),
+		checkNumber("slots", d.Slots, maxCount), checkNumber("valid_ms", d.ValidMS, maxMS), checkNumber("hold_ms", d.BackoffMS, maxMS),
+		checkNumber("step", d.Step, maxCount), checkNumber("relapse", d.Relapses, maxCount))
 }
 
 func (g *Generation) check(field string) error {
@@ -275,20 +275,20 @@
 		return nil
 	}
 	if g.Number == 0 {
-		return bad(field+".number", 0)
+		return fieldError(field+".number", 0)
 	}
 	q := g.Spec.Quota
-	if err := first(name(field+".spec.name", g.Spec.Name), text(field+".digest", g.Digest, 16),
-		number(field+".spec.quota.rate", q.Rate, rateMost), number(field+".spec.quota.burst", q.Burst, rateMost)); err != nil {
+	if err := firstError(checkName(field+".spec.name", g.Spec.Name), checkText(field+".digest", g.Digest, 16),
+		checkNumber(field+".spec.quota.rate", q.Rate, maxRate), checkNumber(field+".spec.quota.burst", q.Burst, maxRate)); err != nil {
 		return err
 	}
 	for c, v := range q.Classes {
-		if err := number(field+".spec.quota.classes."+c, v, rateMost); err != nil {
+		if err := checkNumber(field+".spec.quota.classes."+c, v, maxRate); err != nil {
 			return err
 		}
 	}
 	for _, r := range g.Spec.Routes {
-		if err := number(field+".spec.routes.weight", r.Weight, rateMost); err != nil {
+		if err := checkNumber(field+".spec.routes.weight", r.Weight, maxRate); err != nil {
 			return err
 		}
 	}
--- a/internal/fleet/decode_test.go
+++ b/internal/fleet/decode_test.go
@@ -31,7 +31,7 @@
 	}{
 		{report, goodReport, `"n1"`, `""`, "node"},
 		{report, goodReport, `"n1"`, `"a\nb"`, "node"},
-		{report, goodReport, `"n1"`, `"` + strings.Repeat("n", nameLimit+1) + `"`, "node"},
+		{report, goodReport, `"n1"`, `"` + strings.Repeat("n", maxNameBytes+1) + `"`, "node"},
 		{report, goodReport, `"n1"`, "\"\xff\"", "UTF-8"},
 		{report, goodReport, `"incarnation":7`, `"incarnation":0`, "incarnation"},
 		{report, goodReport, `"lost":2`, `"lost":6`, "lost"},
@@ -44,7 +44,7 @@
 		{report, goodReport, `"held":[`, `"held":[{"key":"settings"},`, "settings twice"},
 		{report, goodReport, `"zones":[`, `"zones":[{"zone":"rusayl"},`, "rusayl twice"},
 		{report, goodReport, `"list_root":""}`, `"list_root":""} {}`, "invalid"},
-		{report, goodReport, `"n1"`, `"n1","x":"` + strings.Repeat("x", ReportLimit) + `"`, "bytes"},
+		{report, goodReport, `"n1"`, `"n1","x":"` + strings.Repeat("x", MaxReportBytes) + `"`, "bytes"},
 		{intent, goodIntent, `"share":0.25`, `"share":1.25`, "share"},
 		{intent, goodIntent, `"floor":0.1`, `"floor":0.5`, "floor"},
 		{intent, goodIntent, `"returning"`, `"gone"`, "phase"},
@@ -83,7 +83,7 @@
 		`{` + member + `,"zones":[{"zone":"za","attempts":1,"lost":2}]}`: false,
 		`{` + member + `,"later":1,"seq":"1"}`:                           false,
 		"{\"node\":\"\xff\"}":                                            false,
-		strings.Repeat(" ", ReportLimit+1):                               false,
+		strings.Repeat(" ", MaxReportBytes+1):                            false,
 	} {
 		want, wantErr := DecodeReport([]byte(body))
 		got, gotNewer, err := DecodeNodeReport([]byte(body))
@@ -118,7 +118,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(out) > ReportLimit { // escapes may make it longer than what was read
+	if len(out) > MaxReportBytes { // escapes may make it longer than what was read
 		return
 	}
 	w, err := read(out)
--- a/internal/fleet/drift/bench_test.go
+++ b/internal/fleet/drift/bench_test.go
@@ -10,17 +10,17 @@
 // benchFill makes a report's digests of n facts, as a node does for each report: each fact's canonical form, and the trees.
 func benchFill(b *testing.B, n int, fact func(i int) (key string, value any)) {
 	for b.Loop() {
-		held := make([]fleet.Held, 0, n)
+		held := make([]fleet.AppliedItem, 0, n)
 		for i := range n {
 			key, value := fact(i)
-			h, _, err := Hold(key, value)
+			h, _, err := AppliedItemOf(key, value)
 			if err != nil {
 				b.Fatal(err)
 			}
 			held = append(held, h)
 		}
 		var report fleet.Report
-		Fill(&report, held, nil)
+		FillReport(&report, held, nil)
 	}
 }
 
@@ -29,7 +29,7 @@
 	for _, n := range []int{1000, 5000, 13_000, 26_000} {
 		b.Run(fmt.Sprintf("servers=%d", n), func(b *testing.B) {
 			benchFill(b, n, func(i int) (string, any) {
-				return fleet.KeyServer + fmt.Sprintf("s-%08d", i), fleet.HeldServer{Zone: "zone-01", Kind: "svc-001", State: "ready", Size: 1}
+				return fleet.KeyServer + fmt.Sprintf("s-%08d", i), fleet.AppliedServer{Zone: "zone-01", Kind: "svc-001", State: "ready", Weight: 1}
 			})
 		})
 	}
@@ -39,10 +39,10 @@
 func BenchmarkCapacityFillTenants(b *testing.B) {
 	for _, n := range []int{1000, 2000, 4000, 8000} {
 		b.Run(fmt.Sprintf("tenants=%d", n), func(b *testing.B) {
-			rules := &fleet.HeldRules{Generation: 1, Digest: "0123456789abcdef", Rate: 10, Burst: 20,
-				Routes: []fleet.Route{{Kind: "svc-001", Weight: 1}}, RefuseElse: true}
+			rules := &fleet.AppliedRules{Generation: 1, Digest: "0123456789abcdef", Rate: 10, Burst: 20,
+				Routes: []fleet.Route{{Kind: "svc-001", Weight: 1}}, RejectUnrouted: true}
 			benchFill(b, n, func(i int) (string, any) {
-				return fleet.KeyTenant + fmt.Sprintf("tenant-%06d", i), fleet.HeldTenant{UID: uint64(i + 1), Rev: uint64(i + 1), Committed: rules}
+				return fleet.KeyTenant + fmt.Sprintf("tenant-%06d", i), fleet.AppliedTenant{UID: uint64(i + 1), Revision: uint64(i + 1), Committed: rules}
 			})
 		})
 	}
--- a/internal/fleet/drift/bounds.go
+++ b/internal/fleet/drift/bounds.go
@@ -4,30 +4,30 @@
 
 // Bounds are the times and shares that verdicts and repairs go by (docs/drift.md).
 type Bounds struct {
-	CatchUp time.Duration // an item outstanding for so long is stuck
-	Fresh   time.Duration // without a report for so long a node is silent
-	Ahead   time.Duration // a revision above the leader's for so long is ahead
-	Away    time.Duration // without a step for so long the judge itself was away
-	Settle  time.Duration // settings that most nodes hold for so long are the fleet's
-	Forget  time.Duration // a silent node without a session is forgotten
-	Refresh time.Duration // counts of a verdict that lasts are written so often
+	MaxLag          time.Duration // an item outstanding for so long is stuck
+	ReportLifetime  time.Duration // without a report for so long a node is silent
+	MaxAheadTime    time.Duration // a revision above the leader's for so long is ahead
+	MaxStepGap      time.Duration // without a step for so long the judge itself was away
+	BaselineDelay   time.Duration // settings that most nodes hold for so long are the fleet's
+	ForgetAfter     time.Duration // a silent node without a session is forgotten
+	RefreshInterval time.Duration // counts of a verdict that lasts are written so often
 
-	Wait, WaitMost time.Duration // after the first re-send, doubled by each further step; at most
-	Tries          int           // re-sends before the agent restarts
-	Damp           time.Duration // a node that drifts again within it has relapsed
-	ResendEvery    time.Duration // over the fleet; as many as fit a second at once
-	StrongEvery    time.Duration // over the fleet: restarts, and nodes taken out
-	OutShare       float64       // of the present nodes: most that are out at once, rounded down
-	DoubtShare     float64       // of the present nodes: with more drifting, the detector doubts itself
-	DoubtMin       int           // and with no fewer than so many
-	DoubtEnd       float64       // under this share for DoubtHold, it trusts itself again
-	DoubtHold      time.Duration
+	InitialRepairDelay, MaxRepairDelay time.Duration // after the first re-send, doubled by each further step; at most
+	MaxResends                         int           // re-sends before the agent restarts
+	RelapseWindow                      time.Duration // a node that drifts again within it has relapsed
+	ResendInterval                     time.Duration // over the fleet; as many as fit a second at once
+	DisruptiveInterval                 time.Duration // over the fleet: restarts, and nodes taken out
+	MaxTakenOutPart                    float64       // of the present nodes: most that are out at once, rounded down
+	SuspectSelfPart                    float64       // of the present nodes: with more drifting, the detector doubts itself
+	SuspectSelfMinNodes                int           // and with no fewer than so many
+	TrustSelfPart                      float64       // under this share for DoubtHold, it trusts itself again
+	TrustSelfDelay                     time.Duration
 }
 
 // Defaults are the bounds that the page names.
 func Defaults() Bounds {
 	const s = time.Second
-	return Bounds{CatchUp: 3 * s, Fresh: 2 * s, Ahead: s, Away: s, Settle: 3 * s, Forget: 600 * s, Refresh: 10 * s,
-		Wait: 2 * s, WaitMost: 64 * s, Tries: 3, Damp: 60 * s, ResendEvery: 200 * time.Millisecond, StrongEvery: 5 * s,
-		OutShare: 0.1, DoubtShare: 0.3, DoubtMin: 3, DoubtEnd: 0.15, DoubtHold: 10 * s}
+	return Bounds{MaxLag: 3 * s, ReportLifetime: 2 * s, MaxAheadTime: s, MaxStepGap: s, BaselineDelay: 3 * s, ForgetAfter: 600 * s, RefreshInterval: 10 * s,
+		InitialRepairDelay: 2 * s, MaxRepairDelay: 64 * s, MaxResends: 3, RelapseWindow: 60 * s, ResendInterval: 200 * time.Millisecond, DisruptiveInterval: 5 * s,
+		MaxTakenOutPart: 0.1, SuspectSelfPart: 0.3, SuspectSelfMinNodes: 3, TrustSelfPart: 0.15, TrustSelfDelay: 10 * s}
 }
--- a/internal/fleet/drift/canonical.go
+++ b/internal/fleet/drift/canonical.go
@@ -34,12 +34,12 @@
 	if err := d.Decode(&x); err != nil {
 		return nil, err
 	}
-	out, _, err := write(nil, x)
+	out, _, err := appendCanonical(nil, x)
 	return out, err
 }
 
-// write appends x and says whether x is a zero value.
-func write(out []byte, x any) ([]byte, bool, error) {
+// appendCanonical appends x and says whether x is a zero value.
+func appendCanonical(out []byte, x any) ([]byte, bool, error) {
 	switch x := x.(type) {
 	case nil:
 		return append(out, "null"...), true, nil
@@ -49,7 +49,7 @@
 		s, err := json.Marshal(x)
 		return append(out, s...), x == "", err
 	case json.Number:
-		s, err := number(string(x))
+		s, err := canonicalNumber(string(x))
 		return append(out, s...), s == "0", err
 	case []any:
 		out = append(out, '[')
@@ -58,7 +58,7 @@
 				out = append(out, ',')
 			}
 			var err error
-			if out, _, err = write(out, e); err != nil {
+			if out, _, err = appendCanonical(out, e); err != nil {
 				return nil, false, err
 			}
 		}
@@ -82,7 +82,7 @@
 			}
 			out = append(append(out, name...), ':')
 			var zero bool
-			if out, zero, err = write(out, x[k]); err != nil {
+			if out, zero, err = appendCanonical(out, x[k]); err != nil {
 				return nil, false, err
 			}
 			if zero {
@@ -96,9 +96,9 @@
 	return nil, false, fmt.Errorf("no JSON value: %T", x)
 }
 
-// number is the one spelling of a JSON number: integers below 2^63 (2^64 unsigned) as digits, others as the shortest
+// canonicalNumber is the one spelling of a JSON number: integers below 2^63 (2^64 unsigned) as digits, others as the shortest
 // decimal of the same float64.
-func number(s string) (string, error) {
+func canonicalNumber(s string) (string, error) {
 	if i, err := strconv.ParseInt(s, 10, 64); err == nil {
 		return strconv.FormatInt(i, 10), nil
 	}
@@ -115,18 +115,18 @@
 	return strconv.FormatFloat(f, 'g', -1, 64), nil
 }
 
-// none is the canonical body of a fact that is not held.
-const none = "{}"
+// emptyBody is the canonical body of a fact that is not held.
+const emptyBody = "{}"
 
 // Digest is xxhash64 in 16 hex digits.
 func Digest(b []byte) string { return hex(xxhash.Sum64(b)) }
 
-// Hold makes a fact of a key and any value that marshals to the key's body. ok is false where it is not held: its
+// AppliedItemOf makes a fact of a key and any value that marshals to the key's body. ok is false where it is not held: its
 // canonical body is empty.
-func Hold(key string, v any) (h fleet.Held, ok bool, err error) {
+func AppliedItemOf(key string, v any) (h fleet.AppliedItem, ok bool, err error) {
 	b, err := Canonical(v)
 	if err != nil {
-		return fleet.Held{}, false, fmt.Errorf("%s: %w", key, err)
+		return fleet.AppliedItem{}, false, fmt.Errorf("%s: %w", key, err)
 	}
-	return fleet.Held{Key: key, Digest: Digest(b), Body: b}, string(b) != none, nil
+	return fleet.AppliedItem{Key: key, Digest: Digest(b), Body: b}, string(b) != emptyBody, nil
 }
--- a/internal/fleet/drift/differ.go
+++ b/internal/fleet/drift/differ.go
@@ -10,29 +10,29 @@
 	"meadowsill/internal/fleet"
 )
 
-// textMost is how many bytes of a value a difference shows.
-const textMost = 200
+// maxShownBytes is how many bytes of a value a difference shows.
+const maxShownBytes = 200
 
 // Differences names the fields in which two canonical bodies of a fact differ, in order, by their path
 // ("committed.routes[0].zone"). Where only one side has the fact, it is one difference without a field. Bodies that
 // are not JSON differ as a whole.
 func Differences(key string, intended, applied json.RawMessage) []Difference {
-	a, aok := parse(intended)
-	b, bok := parse(applied)
+	a, aok := decodeBody(intended)
+	b, bok := decodeBody(applied)
 	if !aok || !bok || a == nil || b == nil {
 		if bytes.Equal(intended, applied) {
 			return nil
 		}
-		return []Difference{{Key: key, Intended: show(intended), Applied: show(applied)}}
+		return []Difference{{Key: key, Intended: shorten(intended), Applied: shorten(applied)}}
 	}
 	var out []Difference
-	walk("", a, b, func(field string, x, y any) {
-		out = append(out, Difference{Key: key, Field: field, Intended: text(x), Applied: text(y)})
+	walkDifferences("", a, b, func(field string, x, y any) {
+		out = append(out, Difference{Key: key, Field: field, Intended: canonicalText(x), Applied: canonicalText(y)})
 	})
 	return out
 }
 
-func parse(b json.RawMessage) (any, bool) {
+func decodeBody(b json.RawMessage) (any, bool) {
 	if len(b) == 0 {
 		return nil, true
 	}
@@ -42,8 +42,8 @@
 	return x, d.Decode(&x) == nil
 }
 
-// walk calls differ for every field in which x and y differ; a field that one lacks is nil there.
-func walk(path string, x, y any, differ func(string, any, any)) {
+// walkDifferences calls differ for every field in which x and y differ; a field that one lacks is nil there.
+func walkDifferences(path string, x, y any, differ func(string, any, any)) {
 	if a, ok := x.(map[string]any); ok {
 		if b, ok := y.(map[string]any); ok {
 			names := slices.AppendSeq(slices.Collect(maps.Keys(a)), maps.Keys(b))
@@ -53,7 +53,7 @@
 				if path != "" {
 					p = path + "." + k
 				}
-				walk(p, a[k], b[k], differ)
+				walkDifferences(p, a[k], b[k], differ)
 			}
 			return
 		}
@@ -68,36 +68,36 @@
 				if i < len(b) {
 					v = b[i]
 				}
-				walk(path+"["+strconv.Itoa(i)+"]", u, v, differ)
+				walkDifferences(path+"["+strconv.Itoa(i)+"]", u, v, differ)
 			}
 			return
 		}
 	}
-	if text(x) != text(y) {
+	if canonicalText(x) != canonicalText(y) {
 		differ(path, x, y)
 	}
 }
 
-func text(x any) string {
-	b, _, err := write(nil, x)
+func canonicalText(x any) string {
+	b, _, err := appendCanonical(nil, x)
 	if err != nil {
 		return "?"
 	}
-	return show(b)
+	return shorten(b)
 }
 
-func show(b []byte) string {
+func shorten(b []byte) string {
 	switch {
 	case len(b) == 0:
 		return "null"
-	case len(b) > textMost:
-		return string(bytes.ToValidUTF8(b[:textMost], nil)) + "..."
+	case len(b) > maxShownBytes:
+		return string(bytes.ToValidUTF8(b[:maxShownBytes], nil)) + "..."
 	}
 	return string(b)
 }
 
 // bodyOf finds a fact among those in key order of their trees.
-func bodyOf(held []fleet.Held, key string) json.RawMessage {
+func bodyOf(held []fleet.AppliedItem, key string) json.RawMessage {
 	for i := range held {
 		if held[i].Key == key {
 			return held[i].Body
--- a/internal/fleet/drift/exchange.go
+++ b/internal/fleet/drift/exchange.go
@@ -10,29 +10,29 @@
 // The first letter of a place in a tree, as Want and Held name it: the tree of zones, tenants and share; that of
 // the list. No key of a fact begins so.
 const (
-	inFleet = "~"
-	inList  = "="
+	fleetTree = "~"
+	listTree  = "="
 )
 
-// listAt is how many facts may be expected below a place for its keys to be asked for at once.
-const listAt = 32
+// maxItemsToList is how many facts may be expected below a place for its keys to be asked for at once.
+const maxItemsToList = 32
 
 // Limits on one report's answers. A listing beyond listMost is answered by hashes, bodies beyond bodyMost bytes are
 // left out and asked for again.
 const (
-	listMost = 2048
-	bodyMost = 128 << 10
-	gotMost  = 64 << 10 // answers kept of one tree; then all is asked anew
+	maxListed    = 2048
+	maxBodyBytes = 128 << 10
+	maxAnswers   = 64 << 10 // answers kept of one tree; then all is asked anew
 )
 
 // isList says which tree a fact is in; isLocal, that it is in neither.
 func isList(key string) bool { return strings.HasPrefix(key, fleet.KeyServer) }
 func isLocal(key string) bool {
-	return key == fleet.KeySettings || strings.HasPrefix(key, fleet.KeyBan)
+	return key == fleet.KeySettings || strings.HasPrefix(key, fleet.KeyExclusion)
 }
 
-// split parts what a node holds by tree.
-func split(held []fleet.Held) (intended, list, local []fleet.Held) {
+// splitByTree parts what a node holds by tree.
+func splitByTree(held []fleet.AppliedItem) (intended, list, local []fleet.AppliedItem) {
 	for _, h := range held {
 		switch {
 		case isLocal(h.Key):
@@ -46,28 +46,28 @@
 	return intended, list, local
 }
 
-// Fill puts a report's Root, ListRoot and Held in place: held is all that the module holds now, with bodies; want is
+// FillReport puts a report's Root, ListRoot and Held in place: held is all that the module holds now, with bodies; want is
 // what the last answer asked for. What it does not know in want gives nothing.
-func Fill(r *fleet.Report, held []fleet.Held, want []string) {
-	in, list, local := split(held)
-	trees := map[string]*Tree{inFleet: NewTree(in), inList: NewTree(list)}
-	r.Root, r.ListRoot, r.Held = trees[inFleet].Root(), trees[inList].Root(), nil
+func FillReport(r *fleet.Report, held []fleet.AppliedItem, want []string) {
+	in, list, local := splitByTree(held)
+	trees := map[string]*Tree{fleetTree: NewTree(in), listTree: NewTree(list)}
+	r.AppliedRoot, r.ListRoot, r.Applied = trees[fleetTree].Root(), trees[listTree].Root(), nil
 	for _, h := range local {
 		if !slices.Contains(want, h.Key) {
 			h.Body = nil
 		}
-		r.Held = append(r.Held, h)
+		r.Applied = append(r.Applied, h)
 	}
 	seen, bytes := map[string]bool{}, 0
-	add := func(h fleet.Held) {
+	add := func(h fleet.AppliedItem) {
 		if !seen[h.Key] {
 			seen[h.Key] = true
-			r.Held = append(r.Held, h)
+			r.Applied = append(r.Applied, h)
 		}
 	}
 	for _, w := range want { // bodies first: a listing's line on the same fact adds nothing
-		i := slices.IndexFunc(held, func(h fleet.Held) bool { return h.Key == w })
-		if i >= 0 && !isLocal(w) && bytes+len(held[i].Body) <= bodyMost {
+		i := slices.IndexFunc(held, func(h fleet.AppliedItem) bool { return h.Key == w })
+		if i >= 0 && !isLocal(w) && bytes+len(held[i].Body) <= maxBodyBytes {
 			bytes += len(held[i].Body)
 			add(held[i])
 		}
@@ -79,59 +79,59 @@
 		}
 		t := trees[w[:1]]
 		path, all := strings.CutSuffix(w[1:], "*")
-		if _, _, ok := below(path); !ok {
+		if _, _, ok := leafRange(path); !ok {
 			continue
 		}
 		facts := t.list(path)
-		if all && listed+len(facts) <= listMost {
+		if all && listed+len(facts) <= maxListed {
 			listed += len(facts)
-			add(fleet.Held{Key: w, Digest: hex(t.at(path))})
+			add(fleet.AppliedItem{Key: w, Digest: hex(t.at(path))})
 			for _, f := range facts {
-				add(fleet.Held{Key: f.key, Digest: f.digest})
+				add(fleet.AppliedItem{Key: f.key, Digest: f.digest})
 			}
 		} else if len(path) < depth {
-			add(fleet.Held{Key: w[:1] + path, Digest: hex(t.at(path))})
+			add(fleet.AppliedItem{Key: w[:1] + path, Digest: hex(t.at(path))})
 			for _, c := range digits {
 				if child := path + string(c); t.at(child) != 0 {
-					add(fleet.Held{Key: w[:1] + child, Digest: hex(t.at(child))})
+					add(fleet.AppliedItem{Key: w[:1] + child, Digest: hex(t.at(child))})
 				}
 			}
 		}
 	}
 }
 
-// exchange is what the judge has learnt of one tree of a node by asking. It stands as long as the node's root does.
-type exchange struct {
-	root string
-	got  map[string]fleet.Held // answers by key: places and facts
+// treeExchange is what the judge has learnt of one tree of a node by asking. It stands as long as the node's root does.
+type treeExchange struct {
+	root    string
+	answers map[string]fleet.AppliedItem // answers by key: places and facts
 }
 
-// hear takes the answers of one report.
-func (x *exchange) hear(root, letter string, held []fleet.Held) {
-	if x.root != root || x.got == nil || len(x.got) > gotMost {
-		x.root, x.got = root, map[string]fleet.Held{}
+// takeAnswers takes the answers of one report.
+func (x *treeExchange) takeAnswers(root, letter string, held []fleet.AppliedItem) {
+	if x.root != root || x.answers == nil || len(x.answers) > maxAnswers {
+		x.root, x.answers = root, map[string]fleet.AppliedItem{}
 	}
 	for _, h := range held {
 		place := strings.HasPrefix(h.Key, letter)
-		if fact := !strings.HasPrefix(h.Key, inFleet) && !strings.HasPrefix(h.Key, inList) &&
-			!isLocal(h.Key) && isList(h.Key) == (letter == inList); !place && !fact {
+		if fact := !strings.HasPrefix(h.Key, fleetTree) && !strings.HasPrefix(h.Key, listTree) &&
+			!isLocal(h.Key) && isList(h.Key) == (letter == listTree); !place && !fact {
 			continue
 		}
-		if old, ok := x.got[h.Key]; ok && h.Body == nil {
+		if old, ok := x.answers[h.Key]; ok && h.Body == nil {
 			h.Body = old.Body
 		}
-		x.got[h.Key] = h
+		x.answers[h.Key] = h
 	}
 }
 
-// bodiesAt is how many bodies of one tree are asked for; of other keys that differ only that is said.
-const bodiesAt = 32
+// maxBodies is how many bodies of one tree are asked for; of other keys that differ only that is said.
+const maxBodies = 32
 
-// name compares what has been learnt with the expected tree: the keys that differ, in order, once all are known;
+// differingKeys compares what has been learnt with the expected tree: the keys that differ, in order, once all are known;
 // and what to ask for next. With neither, the root and what the node says of its facts do not agree.
-func (x *exchange) name(t *Tree, letter string) (keys, ask []string) {
-	var facts []fleet.Held
-	for k, h := range x.got {
+func (x *treeExchange) differingKeys(t *Tree, letter string) (keys, ask []string) {
+	var facts []fleet.AppliedItem
+	for k, h := range x.answers {
 		if !strings.HasPrefix(k, letter) {
 			facts = append(facts, h)
 		}
@@ -139,24 +139,24 @@
 	have := NewTree(facts)
 	var visit func(path string)
 	visit = func(path string) {
-		_, listed := x.got[letter+path+"*"]
-		from, to, _ := below(path)
-		switch own := x.got[letter+path].Digest; {
+		_, listed := x.answers[letter+path+"*"]
+		from, to, _ := leafRange(path)
+		switch own := x.answers[letter+path].Digest; {
 		case listed || own == hex(0):
 			for p := from; p < to; p++ {
-				keys = append(keys, differing(t.facts[p], have.facts[p])...)
+				keys = append(keys, differing(t.items[p], have.items[p])...)
 			}
-		case own != "" && x.children(letter+path):
+		case own != "" && x.hasChildren(letter+path):
 			for _, c := range digits {
 				child, hash := path+string(c), hex(0)
-				if h, ok := x.got[letter+child]; ok {
+				if h, ok := x.answers[letter+child]; ok {
 					hash = h.Digest
 				}
 				if hash != hex(t.at(child)) {
 					visit(child)
 				}
 			}
-		case len(path) == depth || len(t.list(path)) <= listAt:
+		case len(path) == depth || len(t.list(path)) <= maxItemsToList:
 			ask = append(ask, letter+path+"*")
 		default:
 			ask = append(ask, letter+path)
@@ -167,18 +167,18 @@
 	if len(ask) > 0 {
 		return nil, ask
 	}
-	for _, k := range keys[:min(len(keys), bodiesAt)] {
-		if h, held := x.got[k]; held && h.Body == nil {
+	for _, k := range keys[:min(len(keys), maxBodies)] {
+		if h, held := x.answers[k]; held && h.Body == nil {
 			ask = append(ask, k)
 		}
 	}
 	return keys, ask
 }
 
-// children says that hashes below a place have come.
-func (x *exchange) children(place string) bool {
+// hasChildren says that hashes below a place have come.
+func (x *treeExchange) hasChildren(place string) bool {
 	for _, c := range digits {
-		if _, ok := x.got[place+string(c)]; ok {
+		if _, ok := x.answers[place+string(c)]; ok {
 			return true
 		}
 	}
--- a/internal/fleet/drift/export_test.go
+++ b/internal/fleet/drift/export_test.go
@@ -9,18 +9,18 @@
 
 // Feed gives a module what is intended, as the node does: by fleet.ZoneBody and fleet.TenantBody.
 func Feed(m *policy.Module, at policy.Time, in Intended, self fleet.Member) {
-	b := book{}
+	b := intentHistory{}
 	b.ingest(0, in)
 	var list []policy.Server
 	for i, s := range in.Servers {
-		if s.Gone {
+		if s.Removed {
 			continue
 		}
 		state := policy.Ready
 		if s.Body.State == "draining" {
 			state = policy.Draining
 		}
-		list = append(list, policy.Server{ID: policy.ServerID(i + 1), Name: s.ID, Zone: s.Body.Zone, Kind: s.Body.Kind, Cell: s.Body.Cell, Weight: s.Body.Size, State: state})
+		list = append(list, policy.Server{ID: policy.ServerID(i + 1), Name: s.ID, Zone: s.Body.Zone, Kind: s.Body.Kind, Cell: s.Body.Cell, Weight: s.Body.Weight, State: state})
 	}
 	m.Handle(at, policy.EndpointUpdate{Kind: policy.EndpointsComplete, Version: in.Revision, Servers: list})
 	zones := map[string]bool{}
@@ -30,18 +30,18 @@
 	for zone := range zones {
 		update := policy.ZoneDirective{Zone: zone, Revision: in.Revision, IntentRevision: in.Revision, Serving: true}
 		if d, rev := b.directive(zone, in.Revision, self); d != nil {
-			h := fleet.ZoneBody(rev, *d, self.Node)
+			h := fleet.AppliedZoneOf(rev, *d, self.Node)
 			update = policy.ZoneDirective{Zone: zone, Revision: rev, IntentRevision: in.Revision, Share: h.Share, Floor: h.Floor, Rate: h.Rate, Trial: h.Trial, ValidFor: time.Duration(h.ValidMS) * time.Millisecond}
 		}
 		m.Handle(at, update)
 	}
 	for _, e := range b.tenants {
-		v := e.last()
-		update := policy.TenantUpdate{Name: e.key[len(fleet.KeyTenant):], Revision: v.rev, Removed: v.gone}
-		if !v.gone {
-			update.UID, update.Removing, update.QuotaWithdrawn = v.tenant.UID, v.tenant.Removing, v.tenant.QuotaGone
-			if r := fleet.TenantBody(v.rev, *v.tenant).Committed; r != nil {
-				update.Committed = &policy.TenantRules{Generation: r.Generation, Digest: r.Digest, Classes: r.Classes, Rate: r.Rate, Burst: r.Burst, ClassRates: r.ClassRates, RejectUnrouted: r.RefuseElse}
+		v := e.newest()
+		update := policy.TenantUpdate{Name: e.key[len(fleet.KeyTenant):], Revision: v.revision, Removed: v.removed}
+		if !v.removed {
+			update.UID, update.Removing, update.QuotaWithdrawn = v.tenant.UID, v.tenant.Removing, v.tenant.QuotaWithdrawn
+			if r := fleet.AppliedTenantOf(v.revision, *v.tenant).Committed; r != nil {
+				update.Committed = &policy.TenantRules{Generation: r.Generation, Digest: r.Digest, Classes: r.Classes, Rate: r.Rate, Burst: r.Burst, ClassRates: r.ClassRates, RejectUnrouted: r.RejectUnrouted}
 				for _, x := range r.Routes {
 					update.Committed.Routes = append(update.Committed.Routes, policy.TenantRoute{Zone: x.Zone, Kind: x.Kind, ID: x.ID, Weight: x.Weight})
 				}
@@ -49,17 +49,17 @@
 		}
 		m.Handle(at, update)
 	}
-	if s := b.shares[self.Node].last().shares; s != nil {
+	if s := b.leases[self.Node].newest().lease; s != nil {
 		m.Handle(at, policy.QuotaLease{Epoch: s.Epoch, Slots: s.Slots, Rates: s.Rates, ValidFor: time.Hour})
 	}
 }
 
 // Book is the judge's book, for the tests from outside that play what is intended.
-type Book struct{ b book }
+type Book struct{ b intentHistory }
 
 func (b *Book) Ingest(in Intended) { b.b.ingest(0, in) }
 
-func (b *Book) Expect(rev uint64, self fleet.Member, services ...string) ([]fleet.Held, bool) {
+func (b *Book) Expect(rev uint64, self fleet.Member, services ...string) ([]fleet.AppliedItem, bool) {
 	return b.b.expect(rev, self, services)
 }
 
@@ -68,10 +68,10 @@
 
 func Compared(r fleet.Report) *Node { return &Node{node{Member: r.Member, heard: true, report: r}} }
 
-func (n *Node) Compare(b *Book) { n.n.compare(0, &b.b) }
-func (n *Node) Redo() bool      { return n.n.redo }
-func (n *Node) Judged() bool    { return n.n.judged() }
-func (n *Node) Asks() bool      { return len(n.n.trees[1].ask) > 0 }
+func (n *Node) Compare(b *Book) { n.n.compareContent(0, &b.b) }
+func (n *Node) Redo() bool      { return n.n.compareAgain }
+func (n *Node) Judged() bool    { return n.n.isComparable() }
+func (n *Node) Asks() bool      { return len(n.n.trees[1].wanted) > 0 }
 func (n *Node) Same() bool      { return n.n.trees[0].same && n.n.trees[1].same }
 
 var (
--- a/internal/fleet/drift/golden_test.go
+++ b/internal/fleet/drift/golden_test.go
@@ -16,6 +16,6 @@
 // What GET /fleet/v1/drift shows.
 func TestDriftOnTheWire(t *testing.T) {
 	golden.JSON[drift.Summary](t, "summary")
-	golden.JSON[drift.Entry](t, "entry")
+	golden.JSON[drift.LogEntry](t, "entry")
 	golden.JSON[drift.Verdict](t, "verdict")
 }
--- a/internal/fleet/drift/intent_test.go
+++ b/internal/fleet/drift/intent_test.go
@@ -20,8 +20,8 @@
 func TestExpectAndDifferences(t *testing.T) {
 	c := simulation.Seed(2)
 	c.Put("zone/z2@z1", simulation.Left(0)) // tie: that for every node holds
-	c.Put("zone/z2@z3", fleet.Directive{Phase: fleet.Left, Share: 0, ValidMS: 1})
-	c.Put("zone/z3", fleet.Directive{Phase: fleet.Returning, Share: 0.6, Floor: 0.2, Budget: 30, Slots: 10, Trial: []string{"n000"}, ValidMS: 5000})
+	c.Put("zone/z2@z3", fleet.Directive{Phase: fleet.Evacuated, Share: 0, ValidMS: 1})
+	c.Put("zone/z3", fleet.Directive{Phase: fleet.Recovering, Share: 0.6, Floor: 0.2, Budget: 30, Slots: 10, TrialNodes: []string{"n000"}, ValidMS: 5000})
 	c.Put("zone/a", fleet.Directive{Phase: fleet.Serving, Share: 1})
 	c.Put("zone/a-b", simulation.Left(0.25))
 	c.Put("later/x", []int{1})
@@ -44,7 +44,7 @@
 	d := Differences("k", json.RawMessage(`{"a":{"b":[1,{"c":2}]},"d":"x"}`), json.RawMessage(`{"a":{"b":[1,{"c":3},4]},"e":true}`))
 	want := []Difference{{"k", "a.b[1].c", "2", "3"}, {"k", "a.b[2]", "null", "4"}, {"k", "d", `"x"`, "null"}, {"k", "e", "null", "true"}}
 	must(t, cmp.Equal(d, want), "%s", cmp.Diff(want, d))
-	c.Set(fleet.Item{Key: "tenant/t1", Rev: c.In.Revision, Body: json.RawMessage(`{"uid":-1}`)})
+	c.Set(fleet.Item{Key: "tenant/t1", Revision: c.In.Revision, Body: json.RawMessage(`{"uid":-1}`)})
 	if _, err := Expect(c.In, fleet.Member{Node: "n000"}); !errors.Is(err, fleet.ErrInvalid) {
 		t.Errorf("a bad item: %v", err)
 	}
@@ -100,7 +100,7 @@
 // again; a copy older than what the node holds makes no alarm until a replica has answered.
 func TestLocal(t *testing.T) {
 	c, m := simulation.Seed(1), &simulation.Module{Member: fleet.Member{Node: "n000", Zone: "z1", Incarnation: 5}}
-	l, now := NewLocal(Defaults()), fleet.Time(0)
+	l, now := NewLocalDetector(Defaults()), fleet.Time(0)
 	m.Hear(c.In)
 	old := c.In
 	run := func(in Intended, caughtUp bool, want string) Verdict {
@@ -121,7 +121,7 @@
 	}
 	run(c.In, false, InStep)
 	m.Plant = simulation.Plant("tenant/t2", nil)
-	must(t, simulation.Has(run(c.In, false, Diverged).Items, "tenant/t2", ""), "not named")
+	must(t, simulation.Has(run(c.In, false, Diverged).Differences, "tenant/t2", ""), "not named")
 	m.Plant = nil
 	run(c.In, false, InStep)
 	c.Put("zone/z2", simulation.Left(0.9))
--- a/internal/fleet/drift/module_test.go
+++ b/internal/fleet/drift/module_test.go
@@ -15,7 +15,7 @@
 // the last update differs in just that.
 func TestModuleHoldsWhatIsExpected(t *testing.T) {
 	c, self := simulation.Seed(1), fleet.Member{Node: "n000", Zone: "z1", Incarnation: 1}
-	c.Put("zone/z3", fleet.Directive{Phase: fleet.Returning, Share: 0.4, Floor: 0.1, Budget: 30, Slots: 7, ValidMS: 5000})
+	c.Put("zone/z3", fleet.Directive{Phase: fleet.Recovering, Share: 0.4, Floor: 0.1, Budget: 30, Slots: 7, ValidMS: 5000})
 	spec := fleet.Spec{Name: "t9", Namespace: fleet.Namespace{Classes: []string{"read"}}, Fallback: "refuse",
 		Quota: fleet.Quota{Rate: 50, Burst: 10, Classes: map[string]float64{"read": 20}}, Routes: []fleet.Route{{Zone: "z1", Weight: 2}, {ID: "s*", Weight: 1}}}
 	c.Put("tenant/t9", fleet.Tenant{UID: c.In.Revision + 1, Committed: &fleet.Generation{Number: 3, Digest: "0a", Spec: spec}})
@@ -24,7 +24,7 @@
 	Feed(m, time.Second, c.In, self)
 	check := func(want ...string) {
 		t.Helper()
-		var held []fleet.Held
+		var held []fleet.AppliedItem
 		for _, f := range m.Applied() {
 			if h := simulation.Fact(f.Key, f.Value); !IsLocal(f.Key) {
 				held = append(held, h)
@@ -48,12 +48,12 @@
 	Feed(m, 2*time.Second, c.In, self)
 	check()
 	for epoch, rates := range []map[string]float64{{"t0": 2}, {}, nil} {
-		c.Put("share/n000", fleet.Shares{Epoch: uint64(epoch + 2), Slots: 3, Rates: rates})
+		c.Put("share/n000", fleet.QuotaLease{Epoch: uint64(epoch + 2), Slots: 3, Rates: rates})
 		check("share")
 		Feed(m, 3*time.Second, c.In, self)
 		check()
 	}
-	c.Put("share/n000", fleet.Shares{Epoch: 9, Slots: 3, Rates: map[string]float64{"t0": 2}})
+	c.Put("share/n000", fleet.QuotaLease{Epoch: 9, Slots: 3, Rates: map[string]float64{"t0": 2}})
 	Feed(m, 3*time.Second, c.In, self)
 	check()
 	c.Drop("share/n000")
@@ -61,7 +61,7 @@
 	m.Handle(3*time.Second, policy.QuotaLease{Epoch: 9, Slots: 3}) // as internal/node feeds a share that is gone
 	check()
 	at := slices.IndexFunc(m.Applied(), func(f policy.AppliedItem) bool { return f.Key == fleet.KeySettings })
-	got, want := simulation.Fact("settings", m.Applied()[at].Value), simulation.Fact("settings", fleet.HeldSettings{Nodes: 1, MaxAttempts: 3, MaxOpen: 100,
-		Classes: []fleet.HeldClass{{Name: "read", Worth: 1, AimMS: 1000, DeadlineMS: 2000, Effect: 2}}})
+	got, want := simulation.Fact("settings", m.Applied()[at].Value), simulation.Fact("settings", fleet.AppliedSettings{Nodes: 1, MaxAttempts: 3, MaxOpenRequests: 100,
+		Classes: []fleet.AppliedClass{{Name: "read", PriorityWeight: 1, LatencyObjectiveMS: 1000, DeadlineMS: 2000, Idempotency: 2}}})
 	must(t, got.Digest == want.Digest, "settings %s, want %s", got.Body, want.Body)
 }
--- a/internal/fleet/drift/repair_test.go
+++ b/internal/fleet/drift/repair_test.go
@@ -21,29 +21,29 @@
 }
 
 func (c repairCase) run() (next, act string) {
-	j, now := NewJudge(Defaults()), fleet.Time(time.Hour)
-	n := j.meet(now-time.Hour, fleet.Member{Node: "n"})
-	n.shown.state, n.shown.items = c.shown, []Difference{{Key: "zone/z"}}
-	n.repair.Step, n.repair.Tries, n.repair.until = c.step, c.tries, now+1
+	j, now := NewDetector(Defaults()), fleet.Time(time.Hour)
+	n := j.addNode(now-time.Hour, fleet.Member{Node: "n"})
+	n.verdict.state, n.verdict.differences = c.shown, []Difference{{Key: "zone/z"}}
+	n.repair.Step, n.repair.Resends, n.repair.waitUntil = c.step, c.tries, now+1
 	if c.over {
-		n.repair.until = now
+		n.repair.waitUntil = now
 	}
 	n.repair.waiting = c.waiting
 	if c.relapsed {
-		n.repair.mended = now - time.Second
+		n.repair.repairedAt = now - time.Second
 	}
 	if !c.rate {
-		j.resends.next, j.strong.next = now+time.Hour, now+time.Hour
+		j.resends.nextAt, j.disruptive.nextAt = now+time.Hour, now+time.Hour
 	}
-	j.doubting = c.doubts
+	j.selfSuspecting = c.doubts
 	outs, room := 1, 1
 	if c.room {
 		room = 2
 	}
 	if c.absent {
-		n.repair.leave()
+		n.repair.abandon()
 	} else {
-		act = j.repairStep(now, n, &outs, room)
+		act = j.advanceRepair(now, n, &outs, room)
 	}
 	if next = n.repair.Step; next == Idle {
 		next = "idle"
@@ -72,14 +72,14 @@
 		"in step for its wait":            func(c *repairCase) {},
 	}
 	acts := map[string]string{"items re-sent": ActResend, "items re-sent, wait doubled": ActResend, "agent restarts": ActRestart,
-		"not ready": ActOut, "in front again": ActBack, "relapse counted if it drifts again": ActMended}
+		"not ready": ActTakeOut, "in front again": ActReturn, "relapse counted if it drifts again": ActRepaired}
 	known := map[string]bool{}
 	for _, row := range rows {
 		set := conditions[row.Condition]
 		must(t, set != nil, "%v: no test makes this so", row)
 		from := []string{row.State}
 		if row.State == "any" {
-			from = []string{"idle", Resending, Restarting, Out}
+			from = []string{"idle", Resending, Restarting, TakenOut}
 		}
 		for _, step := range from {
 			for _, shown := range map[string][]string{"drifts": {Stuck, Diverged, Ahead}, "mends": {InStep, Overridden}, "left": {Silent}}[row.Event] {
@@ -96,7 +96,7 @@
 		}
 	}
 	bits := []bool{false, true}
-	for _, step := range []string{Idle, Resending, Restarting, Out} {
+	for _, step := range []string{Idle, Resending, Restarting, TakenOut} {
 		for _, shown := range []string{Stuck, Diverged, Ahead, InStep, Overridden, CatchingUp, Silent} {
 			for i := range 128 {
 				c := repairCase{step, 1 + i%4, shown, bits[i>>1&1], bits[i>>2&1], bits[i>>3&1], bits[i>>4&1], bits[i>>5&1], false, bits[i>>6&1]}
--- a/internal/fleet/drift/scope.go
+++ b/internal/fleet/drift/scope.go
@@ -35,7 +35,7 @@
 	for i := range e.versions {
 		v := &e.versions[i]
 		unknown := v.tenant == nil && before == nil
-		if v.rev > n && (unknown || v.tenant != nil && v.serves(services) || before != nil && before.serves(services)) {
+		if v.revision > n && (unknown || v.tenant != nil && v.serves(services) || before != nil && before.serves(services)) {
 			return true
 		}
 		if v.tenant != nil {
--- a/internal/fleet/drift/scope_test.go
+++ b/internal/fleet/drift/scope_test.go
@@ -14,14 +14,14 @@
 	member fleet.Member
 	seq    uint64
 	now    fleet.Time
-	held   []fleet.Held
+	held   []fleet.AppliedItem
 	at     uint64 // revision that it holds
 	want   []string
-	judge  *Local
+	judge  *LocalDetector
 }
 
 func newScopedNode() *scopedNode {
-	return &scopedNode{member: fleet.Member{Node: "n000", Zone: "z1", Incarnation: 5}, judge: NewLocal(Defaults())}
+	return &scopedNode{member: fleet.Member{Node: "n000", Zone: "z1", Incarnation: 5}, judge: NewLocalDetector(Defaults())}
 }
 
 // take has the node hold what is intended for its scope.
@@ -38,8 +38,8 @@
 	for range 70 {
 		n.now += 100 * time.Millisecond
 		n.seq++
-		r := fleet.Report{Member: n.member, Services: []string{"billing"}, Seq: n.seq, Revision: n.at, List: in.Revision, WindowMS: 100}
-		Fill(&r, n.held, n.want)
+		r := fleet.Report{Member: n.member, Services: []string{"billing"}, Sequence: n.seq, Revision: n.at, List: in.Revision, WindowMS: 100}
+		FillReport(&r, n.held, n.want)
 		must(t, n.judge.Observe(n.now, r) == nil, "refused")
 		_, n.want = n.judge.Answer(n.member.Node)
 		n.judge.Step(n.now, in, n.member, true)
@@ -91,20 +91,20 @@
 
 	c.Put("tenant/bill", scoped(90, 2, "billing"))
 	v = n.run(t, c.In)
-	must(t, v.State == Stuck && simulation.Has(v.Items, "tenant/bill", "rev"), "after a change inside of its scope: %+v", v)
+	must(t, v.State == Stuck && simulation.Has(v.Differences, "tenant/bill", "rev"), "after a change inside of its scope: %+v", v)
 	n.take(t, c.In)
 	v = n.run(t, c.In)
 	must(t, v.State == InStep, "%+v", v)
 
 	n.held = simulation.Plant("tenant/bill", nil)(n.held)
 	v = n.run(t, c.In)
-	must(t, v.State == Diverged && simulation.Has(v.Items, "tenant/bill", ""), "without a tenant of its scope: %+v", v)
+	must(t, v.State == Diverged && simulation.Has(v.Differences, "tenant/bill", ""), "without a tenant of its scope: %+v", v)
 
 	c.Put("tenant/find", scoped(c.In.Revision+1, 1, "search"))
 	n.take(t, c.In)
-	n.held = simulation.Plant("tenant/find", fleet.HeldTenant{UID: c.In.Revision, Rev: c.In.Revision})(n.held)
+	n.held = simulation.Plant("tenant/find", fleet.AppliedTenant{UID: c.In.Revision, Revision: c.In.Revision})(n.held)
 	v = n.run(t, c.In)
-	must(t, v.State == Diverged && simulation.Has(v.Items, "tenant/find", ""), "with a tenant outside of its scope: %+v", v)
+	must(t, v.State == Diverged && simulation.Has(v.Differences, "tenant/find", ""), "with a tenant outside of its scope: %+v", v)
 }
 
 // A name that is removed and named again in another service is outstanding at a node of the first, until it has dropped it.
@@ -115,7 +115,7 @@
 	c.Drop("tenant/bill")
 	c.Put("tenant/bill", scoped(c.In.Revision+1, 1, "search"))
 	v := n.run(t, c.In)
-	must(t, v.State == Stuck && simulation.Has(v.Items, "tenant/bill", "rev"), "%+v", v)
+	must(t, v.State == Stuck && simulation.Has(v.Differences, "tenant/bill", "rev"), "%+v", v)
 	n.take(t, c.In)
 	must(t, BodyOf(n.held, "tenant/bill") == nil, "it holds the tenant that has its name now")
 	v = n.run(t, c.In)
--- a/internal/fleet/drift/simulation/harness_test.go
+++ b/internal/fleet/drift/simulation/harness_test.go
@@ -12,7 +12,7 @@
 // harness is a leader and a few nodes without a network: the first node is the one that is tested.
 type harness struct {
 	*Intent
-	j       *Judge
+	j       *Detector
 	st      *State
 	now     fleet.Time
 	rev     uint64
@@ -25,9 +25,9 @@
 }
 
 func newHarness(nodes int) *harness {
-	h := &harness{Intent: Seed(nodes), j: NewJudge(Defaults()), st: &State{}, now: time.Hour}
+	h := &harness{Intent: Seed(nodes), j: NewDetector(Defaults()), st: &State{}, now: time.Hour}
 	for i := range nodes {
-		h.nodes = append(h.nodes, &Module{Member: fleet.Member{Node: nodeName(i), Zone: "z1", Incarnation: 100}, local: []fleet.Held{settings(nodes)}})
+		h.nodes = append(h.nodes, &Module{Member: fleet.Member{Node: nodeName(i), Zone: "z1", Incarnation: 100}, local: []fleet.AppliedItem{settings(nodes)}})
 		h.present = append(h.present, h.nodes[i].Member)
 	}
 	h.hear()
@@ -43,7 +43,7 @@
 
 // send has a node report, and takes the answer.
 func (h *harness) send(m *Module) (resend []string) {
-	if err := h.j.Observe(h.now, fleet.NodeView{Member: m.Member, At: h.now, Report: m.Report()}); err != nil {
+	if err := h.j.Observe(h.now, fleet.NodeView{Member: m.Member, ReceivedAt: h.now, Report: m.Report()}); err != nil {
 		h.refused = append(h.refused, err)
 	}
 	resend, m.Want, _, _ = h.j.Answer(m.Node)
@@ -52,7 +52,7 @@
 
 func (h *harness) step() {
 	in := h.In
-	in.Late = h.late
+	in.LateSteps = h.late
 	for _, c := range h.j.Step(h.now, h.st, in, h.present) {
 		c.AtMS = int64(h.now / ms)
 		h.st.Apply(c, func() uint64 { h.rev++; return h.rev })
@@ -87,7 +87,7 @@
 // mend makes the first node right again.
 func (h *harness) mend() {
 	m := h.nodes[0]
-	*m = Module{Member: m.Member, seq: m.seq, local: []fleet.Held{settings(len(h.nodes))}}
+	*m = Module{Member: m.Member, seq: m.seq, local: []fleet.AppliedItem{settings(len(h.nodes))}}
 	h.quiet = false
 	m.Hear(h.In)
 }
--- a/internal/fleet/drift/simulation/intent.go
+++ b/internal/fleet/drift/simulation/intent.go
@@ -22,33 +22,33 @@
 	if err != nil {
 		panic(err)
 	}
-	return c.Set(fleet.Item{Key: key, Rev: c.In.Revision, Body: b})
+	return c.Set(fleet.Item{Key: key, Revision: c.In.Revision, Body: b})
 }
 
 // Drop takes an item away.
 func (c *Intent) Drop(key string) uint64 {
 	c.In.Revision++
-	return c.Set(fleet.Item{Key: key, Rev: c.In.Revision, Gone: true})
+	return c.Set(fleet.Item{Key: key, Revision: c.In.Revision, Removed: true})
 }
 
 // Set puts an item in place of the one with its key.
 func (c *Intent) Set(it fleet.Item) uint64 {
 	c.In.Items = slices.DeleteFunc(slices.Clone(c.In.Items), func(o fleet.Item) bool { return o.Key == it.Key })
 	c.In.Items = append(c.In.Items, it)
-	return it.Rev
+	return it.Revision
 }
 
 // Serve lists a server in a state; in "gone" it is off the list.
 func (c *Intent) Serve(id, state string) {
 	c.In.Revision++
-	s := drift.Listed{ID: id, Rev: c.In.Revision, Gone: state == "gone", Body: fleet.HeldServer{Zone: "z1", Kind: "k", State: state, Size: 1}}
-	c.In.Servers = slices.DeleteFunc(slices.Clone(c.In.Servers), func(o drift.Listed) bool { return o.ID == id })
+	s := drift.ListedServer{ID: id, Revision: c.In.Revision, Removed: state == "gone", Body: fleet.AppliedServer{Zone: "z1", Kind: "k", State: state, Weight: 1}}
+	c.In.Servers = slices.DeleteFunc(slices.Clone(c.In.Servers), func(o drift.ListedServer) bool { return o.ID == id })
 	c.In.Servers = append(c.In.Servers, s)
 }
 
 // Left is a directive to leave a zone but for a share.
 func Left(share float64) fleet.Directive {
-	return fleet.Directive{Phase: fleet.Left, Share: share, ValidMS: 5000}
+	return fleet.Directive{Phase: fleet.Evacuated, Share: share, ValidMS: 5000}
 }
 
 // Brand is a tenant with one generation committed.
@@ -59,7 +59,7 @@
 // Seed is an intent of 3 zones (one of them left), a few tenants, servers and the shares of the nodes.
 func Seed(nodes int) *Intent {
 	c := &Intent{}
-	c.In.Servers = []drift.Listed{}
+	c.In.Servers = []drift.ListedServer{}
 	c.Put("zone/z2", Left(0))
 	c.Put("zone/z3@z1", Left(0.5))
 	for i := range 5 {
@@ -69,7 +69,7 @@
 		c.Serve(fmt.Sprintf("s%d", i), "ready")
 	}
 	for i := range nodes {
-		c.Put("share/"+nodeName(i), fleet.Shares{Epoch: 1, Slots: nodes, Rates: map[string]float64{"t0": 1, "t1": 2}})
+		c.Put("share/"+nodeName(i), fleet.QuotaLease{Epoch: 1, Slots: nodes, Rates: map[string]float64{"t0": 1, "t1": 2}})
 	}
 	return c
 }
@@ -81,11 +81,11 @@
 	fleet.Member
 	seq, rev   uint64
 	List       uint64 // the version of the list that it reports
-	held       []fleet.Held
-	local      []fleet.Held
+	held       []fleet.AppliedItem
+	local      []fleet.AppliedItem
 	Want       []string
-	deaf, mute bool                            // takes nothing more; answers no wants
-	Plant      func([]fleet.Held) []fleet.Held // what it holds in place of what it was sent
+	deaf, mute bool                                          // takes nothing more; answers no wants
+	Plant      func([]fleet.AppliedItem) []fleet.AppliedItem // what it holds in place of what it was sent
 	counts     func(*fleet.Report)
 	leaving    bool
 }
@@ -108,7 +108,7 @@
 // Report is the next one, with what was wanted.
 func (m *Module) Report() fleet.Report {
 	m.seq++
-	r := fleet.Report{Member: m.Member, Seq: m.seq, Revision: m.rev, List: m.List, WindowMS: 500, Leaving: m.leaving}
+	r := fleet.Report{Member: m.Member, Sequence: m.seq, Revision: m.rev, List: m.List, WindowMS: 500, Draining: m.leaving}
 	held := append(slices.Clone(m.held), m.local...)
 	if m.Plant != nil {
 		held = m.Plant(held)
@@ -117,7 +117,7 @@
 	if m.mute {
 		want = nil
 	}
-	drift.Fill(&r, held, want)
+	drift.FillReport(&r, held, want)
 	m.Want = nil
 	if m.counts != nil {
 		m.counts(&r)
@@ -126,24 +126,24 @@
 }
 
 // Fact gives a fact as a node reports it.
-func Fact(key string, v any) fleet.Held {
-	h, _, err := drift.Hold(key, v)
+func Fact(key string, v any) fleet.AppliedItem {
+	h, _, err := drift.AppliedItemOf(key, v)
 	if err != nil {
 		panic(err)
 	}
 	return h
 }
 
-func settings(nodes int) fleet.Held {
-	h := Fact(fleet.KeySettings, fleet.HeldSettings{Nodes: nodes, MaxAttempts: 3})
-	h.By, h.SinceMS = "SIGHUP", 17
+func settings(nodes int) fleet.AppliedItem {
+	h := Fact(fleet.KeySettings, fleet.AppliedSettings{Nodes: nodes, MaxAttempts: 3})
+	h.ChangedBy, h.SinceMS = "SIGHUP", 17
 	return h
 }
 
 // Plant gives a plant that puts v in place of a fact, or takes it away where v is nil.
-func Plant(key string, v any) func([]fleet.Held) []fleet.Held {
-	return func(held []fleet.Held) []fleet.Held {
-		held = slices.DeleteFunc(slices.Clone(held), func(h fleet.Held) bool { return h.Key == key })
+func Plant(key string, v any) func([]fleet.AppliedItem) []fleet.AppliedItem {
+	return func(held []fleet.AppliedItem) []fleet.AppliedItem {
+		held = slices.DeleteFunc(slices.Clone(held), func(h fleet.AppliedItem) bool { return h.Key == key })
 		if v != nil {
 			held = append(held, Fact(key, v))
 		}
--- a/internal/fleet/drift/simulation/plants.go
+++ b/internal/fleet/drift/simulation/plants.go
@@ -15,14 +15,14 @@
 }{
 	{"a zone lost on the way", "zone/z2", "", drift.Diverged, func(w *world, n *simNode) { n.Plant = Plant("zone/z2", nil) }},
 	{"a truncated update", "tenant/t3", "committed.rate", drift.Diverged, func(w *world, n *simNode) {
-		n.Plant = Plant("tenant/t3", fleet.TenantBody(ItemRev(w.Intent, "tenant/t3"), Brand(ItemRev(w.Intent, "tenant/t3"), 1, 70)))
+		n.Plant = Plant("tenant/t3", fleet.AppliedTenantOf(ItemRev(w.Intent, "tenant/t3"), Brand(ItemRev(w.Intent, "tenant/t3"), 1, 70)))
 	}},
 	{"an old binary that knows no floor", "zone/z2", "floor", drift.Diverged, func(w *world, n *simNode) {
-		rev := w.Put("zone/z2", fleet.Directive{Phase: fleet.Left, Share: 0.5, Floor: 0.25, ValidMS: 5000})
-		n.Plant = Plant("zone/z2", fleet.HeldZone{Rev: rev, Share: 0.5, ValidMS: 5000})
+		rev := w.Put("zone/z2", fleet.Directive{Phase: fleet.Evacuated, Share: 0.5, Floor: 0.25, ValidMS: 5000})
+		n.Plant = Plant("zone/z2", fleet.AppliedZone{Revision: rev, Share: 0.5, ValidMS: 5000})
 	}},
 	{"a server kept that is gone", "server/s99", "", drift.Diverged, func(w *world, n *simNode) {
-		n.Plant = Plant("server/s99", fleet.HeldServer{Zone: "z1", Kind: "k", State: "ready", Size: 1})
+		n.Plant = Plant("server/s99", fleet.AppliedServer{Zone: "z1", Kind: "k", State: "ready", Weight: 1})
 	}},
 	{"an old copy of the agent", "zone/z2", "rev", drift.Stuck, func(w *world, n *simNode) { n.frozen = true; w.Put("zone/z2", Left(0.9)) }},
 	{"a replica from an old snapshot", "zone/z2", "rev", drift.Stuck, func(w *world, n *simNode) {
@@ -32,11 +32,11 @@
 		n.frozen = true
 	}},
 	{"a generation that was never committed", "tenant/t1", "committed.generation", drift.Ahead, func(w *world, n *simNode) {
-		n.Plant = Plant("tenant/t1", fleet.TenantBody(ItemRev(w.Intent, "tenant/t1"), Brand(ItemRev(w.Intent, "tenant/t1"), 2, 100)))
+		n.Plant = Plant("tenant/t1", fleet.AppliedTenantOf(ItemRev(w.Intent, "tenant/t1"), Brand(ItemRev(w.Intent, "tenant/t1"), 2, 100)))
 	}},
-	{"another file by SIGHUP", "settings", "nodes", drift.Overridden, func(w *world, n *simNode) { n.local = []fleet.Held{settings(7)} }},
+	{"another file by SIGHUP", "settings", "nodes", drift.Overridden, func(w *world, n *simNode) { n.local = []fleet.AppliedItem{settings(7)} }},
 	{"a ban by the operators", "ban/s1", "", drift.Overridden, func(w *world, n *simNode) {
-		n.local = append(slices.Clone(n.local), Fact("ban/s1", fleet.HeldBan{Out: true}))
+		n.local = append(slices.Clone(n.local), Fact("ban/s1", fleet.AppliedExclusion{Excluded: true}))
 	}},
 	{"attempts to a zone that is left", "zone/z2", "sent", drift.Diverged, func(w *world, n *simNode) { n.counts = sent(1, 1<<30) }},
 	{"more admitted than its share", "tenant/t0", "admitted", drift.Diverged, func(w *world, n *simNode) {
@@ -62,7 +62,7 @@
 
 // ItemRev gives the revision of an item that there is.
 func ItemRev(c *Intent, key string) uint64 {
-	return c.In.Items[slices.IndexFunc(c.In.Items, func(it fleet.Item) bool { return it.Key == key })].Rev
+	return c.In.Items[slices.IndexFunc(c.In.Items, func(it fleet.Item) bool { return it.Key == key })].Revision
 }
 
 // found runs the world until the node's verdict has the state and names the item; it gives how long that took.
@@ -76,7 +76,7 @@
 			}
 			last = v
 			local := slices.ContainsFunc(v.Overrides, func(o drift.Override) bool { return o.Key == key && (field == "" || Has(o.Fields, key, field)) })
-			if v.State == state && (Has(v.Items, key, field) || local) {
+			if v.State == state && (Has(v.Differences, key, field) || local) {
 				return w.now - start, v
 			}
 		}
@@ -89,7 +89,7 @@
 	n := 0
 	return func(r *fleet.Report) {
 		if n++; n >= first && n <= last {
-			r.Zones = []fleet.ZoneCount{{Zone: "z2", Sent: 4, Listed: 2}}
+			r.Zones = []fleet.ZoneEvidence{{Zone: "z2", Started: 4, Listed: 2}}
 		}
 	}
 }
--- a/internal/fleet/drift/simulation/play.go
+++ b/internal/fleet/drift/simulation/play.go
@@ -30,7 +30,7 @@
 func One(seed uint64, nodes int, loss float64, d time.Duration, r Rules) Outcome {
 	p := Plants[seed%uint64(len(Plants))]
 	o := Outcome{Seed: seed, Planted: p.name, Stuck: p.state == drift.Stuck, Alarm: Storm(nodes, seed, loss, r, d)}
-	most := r.Bounds.CatchUp
+	most := r.Bounds.MaxLag
 	if loss > 0 {
 		most += slack
 	}
--- a/internal/fleet/drift/simulation/prop_test.go
+++ b/internal/fleet/drift/simulation/prop_test.go
@@ -91,7 +91,7 @@
 		after, _ := json.Marshal([]any{h.j.Verdicts(h.now, 0, h.st), h.st})
 		must(t, cmp.Equal(before, after), "%s", cmp.Diff(string(before), string(after)))
 	}
-	late := Command{Set: []Change{{Verdict: Verdict{Member: old[0].Member, State: Ahead}, IfRev: h.st.Verdicts[old[0].Node].Rev}}}
+	late := Command{Set: []Change{{Verdict: Verdict{Member: old[0].Member, State: Ahead}, IfRevision: h.st.Verdicts[old[0].Node].Revision}}}
 	must(t, errors.Is(h.st.Apply(late, nil), fleet.ErrFenced), "a command on an older incarnation")
 	events["left|the node's last report said leaving"](h) // and what comes late does not bring back a node that left
 	h.j.Lead(h.now, h.st)
@@ -119,11 +119,11 @@
 			err := json.Unmarshal(snapshot, h.st)
 			must(t, err == nil, "%v", err)
 			h.now += 7 * time.Minute // another process's clock
-			h.j = NewJudge(Defaults())
+			h.j = NewDetector(Defaults())
 			h.j.Lead(h.now, h.st)
 			h.each = func() {
 				v := h.verdict(0)
-				must(t, v.State == state && v.FirstSeenMS == first.FirstSeenMS && v.FirstRev == first.FirstRev, "%+v, then %+v", first, v)
+				must(t, v.State == state && v.FirstSeenMS == first.FirstSeenMS && v.FirstRevision == first.FirstRevision, "%+v, then %+v", first, v)
 			}
 			h.run(5 * time.Second)
 		}
@@ -148,13 +148,13 @@
 		break_ func(*Bounds)
 		check  func(Rules) error
 	}{
-		"catching up has no bound to speak of": {func(b *Bounds) { b.CatchUp = 100 * ms }, calm},
-		"silence is not noticed":               {func(b *Bounds) { b.Fresh = time.Hour }, calm},
-		"ahead is said at once":                {func(b *Bounds) { b.Ahead = 0 }, calm},
-		"it never doubts itself":               {func(b *Bounds) { b.DoubtShare = 2 }, AllDrift},
-		"it doubts itself too late":            {func(b *Bounds) { b.Wait = 10 * ms }, AllDrift},
-		"any number may be out":                {func(b *Bounds) { b.OutShare = 1 }, SomeDrift},
-		"nothing is damped":                    {func(b *Bounds) { b.Damp = 0 }, SomeDrift},
+		"catching up has no bound to speak of": {func(b *Bounds) { b.MaxLag = 100 * ms }, calm},
+		"silence is not noticed":               {func(b *Bounds) { b.ReportLifetime = time.Hour }, calm},
+		"ahead is said at once":                {func(b *Bounds) { b.MaxAheadTime = 0 }, calm},
+		"it never doubts itself":               {func(b *Bounds) { b.SuspectSelfPart = 2 }, AllDrift},
+		"it doubts itself too late":            {func(b *Bounds) { b.InitialRepairDelay = 10 * ms }, AllDrift},
+		"any number may be out":                {func(b *Bounds) { b.MaxTakenOutPart = 1 }, SomeDrift},
+		"nothing is damped":                    {func(b *Bounds) { b.RelapseWindow = 0 }, SomeDrift},
 	} {
 		b := Defaults()
 		c.break_(&b)
--- a/internal/fleet/drift/simulation/storm.go
+++ b/internal/fleet/drift/simulation/storm.go
@@ -72,14 +72,14 @@
 	if w.resent > 0 || w.outMax > 0 || len(sum.Repairs) > 0 {
 		return fmt.Errorf("re-sent %d, out %d: %+v", w.resent, w.outMax, sum)
 	}
-	if sum.States[drift.Diverged] < 290 || !sum.Suspect || !slices.ContainsFunc(w.j.Log(0), func(e drift.Entry) bool { return e.Act == drift.ActDoubt }) {
+	if sum.States[drift.Diverged] < 290 || !sum.SelfSuspecting || !slices.ContainsFunc(w.j.Log(0), func(e drift.LogEntry) bool { return e.Action == drift.ActSuspectSelf }) {
 		return fmt.Errorf("it does not say so: %+v", sum)
 	}
 	for _, n := range w.nodes {
 		n.Plant = nil
 	}
 	w.run(15 * time.Second)
-	if sum := w.j.Summary(w.now+w.skew, w.st); sum.Suspect {
+	if sum := w.j.Summary(w.now+w.skew, w.st); sum.SelfSuspecting {
 		return fmt.Errorf("it does not trust itself again: %+v", sum)
 	}
 	return w.breach
@@ -99,8 +99,8 @@
 	}
 	acts := map[string]int{}
 	for _, e := range w.j.Log(0) {
-		acts[e.Act+e.Node]++
-		if e.Act == drift.ActOut && (acts[drift.ActResend+e.Node] != 3 || acts[drift.ActRestart+e.Node] != 1) {
+		acts[e.Action+e.Node]++
+		if e.Action == drift.ActTakeOut && (acts[drift.ActResend+e.Node] != 3 || acts[drift.ActRestart+e.Node] != 1) {
 			return fmt.Errorf("%+v after %v", e, acts)
 		}
 	}
--- a/internal/fleet/drift/simulation/table_test.go
+++ b/internal/fleet/drift/simulation/table_test.go
@@ -28,7 +28,7 @@
 	Silent:     func(h *harness) { h.quiet = true; h.run(2500 * ms) },
 }
 
-var above = Plant("zone/z2", fleet.HeldZone{Rev: 1 << 40})
+var above = Plant("zone/z2", fleet.AppliedZone{Revision: 1 << 40})
 
 // behind has something new intended that the first node does not hear.
 func (h *harness) behind() {
@@ -38,8 +38,8 @@
 }
 
 func (h *harness) ban() {
-	b := Fact("ban/s3", fleet.HeldBan{Out: true})
-	b.By, b.SinceMS = "operator", 99
+	b := Fact("ban/s3", fleet.AppliedExclusion{Excluded: true})
+	b.ChangedBy, b.SinceMS = "operator", 99
 	h.nodes[0].local = append(h.nodes[0].local, b)
 }
 
@@ -48,8 +48,8 @@
 	"report|all as intended": func(h *harness) error { return h.then(time.Second, func() {}) },
 	"report|a ban":           func(h *harness) error { return h.then(time.Second, h.ban) },
 	"report|other settings than the fleet's": func(h *harness) error {
-		h.then(time.Second, func() { h.nodes[0].local = []fleet.Held{settings(77)} })
-		if o := h.verdict(0).Overrides; len(o) != 1 || o[0].By != "SIGHUP" || o[0].SinceMS != 17 || !Has(o[0].Fields, "settings", "nodes") {
+		h.then(time.Second, func() { h.nodes[0].local = []fleet.AppliedItem{settings(77)} })
+		if o := h.verdict(0).Overrides; len(o) != 1 || o[0].ChangedBy != "SIGHUP" || o[0].SinceMS != 17 || !Has(o[0].Fields, "settings", "nodes") {
 			return fmt.Errorf("overrides %+v", o)
 		}
 		return nil
@@ -68,7 +68,7 @@
 	},
 	"report|other content, named": func(h *harness) error {
 		h.then(time.Second, func() {
-			h.nodes[0].Plant = Plant("server/s3", fleet.HeldServer{Zone: "z9", Kind: "k", State: "ready", Size: 1})
+			h.nodes[0].Plant = Plant("server/s3", fleet.AppliedServer{Zone: "z9", Kind: "k", State: "ready", Weight: 1})
 		})
 		return h.names("server/s3", "zone")
 	},
@@ -152,7 +152,7 @@
 }
 
 func (h *harness) names(key, field string) error {
-	if v := h.verdict(0); !Has(v.Items, key, field) {
+	if v := h.verdict(0); !Has(v.Differences, key, field) {
 		return fmt.Errorf("%+v names no %s %s", v, key, field)
 	}
 	return nil
--- a/internal/fleet/drift/simulation/world.go
+++ b/internal/fleet/drift/simulation/world.go
@@ -26,7 +26,7 @@
 	*Intent
 	rng            *rand.Rand
 	now, skew      fleet.Time
-	j              *drift.Judge
+	j              *drift.Detector
 	st             *drift.State
 	rev            uint64
 	nodes          []*simNode
@@ -62,7 +62,7 @@
 }
 
 func newWorld(nodes int, seedOf uint64, loss float64, r Rules) *world {
-	w := &world{Intent: Seed(nodes), rng: rand.New(rand.NewPCG(seedOf, 1)), now: time.Hour, j: drift.NewJudge(r.Bounds), st: &drift.State{}, loss: loss, rules: r}
+	w := &world{Intent: Seed(nodes), rng: rand.New(rand.NewPCG(seedOf, 1)), now: time.Hour, j: drift.NewDetector(r.Bounds), st: &drift.State{}, loss: loss, rules: r}
 	for i := range nodes {
 		n := &simNode{Module: Module{Member: fleet.Member{Node: nodeName(i), Zone: fmt.Sprintf("z%d", 1+i%3)}}}
 		w.nodes = append(w.nodes, n)
@@ -95,7 +95,7 @@
 	n.life++
 	skew := time.Duration(w.rng.IntN(4000)-2000) * ms
 	n.Incarnation = max(n.Incarnation+1, uint64(w.now+10*time.Second+skew))
-	n.Module = Module{Member: n.Member, local: []fleet.Held{settings(50)}, Plant: n.Plant}
+	n.Module = Module{Member: n.Member, local: []fleet.AppliedItem{settings(50)}, Plant: n.Plant}
 	n.up, n.paused, n.fetching, n.reportAt = true, 0, false, w.now+time.Duration(w.rng.IntN(500))*ms
 	w.fetch(n)
 }
@@ -137,11 +137,11 @@
 		w.after(w.paused-w.now, func() { w.arrive(n, r, life) })
 		return
 	}
-	if w.j.Observe(w.now+w.skew, fleet.NodeView{Member: r.Member, At: w.now + w.skew, Report: r}) != nil {
+	if w.j.Observe(w.now+w.skew, fleet.NodeView{Member: r.Member, ReceivedAt: w.now + w.skew, Report: r}) != nil {
 		return
 	}
 	n.session, n.heardAt = w.now, w.now
-	if r.Leaving {
+	if r.Draining {
 		n.session = -time.Hour
 	}
 	resend, want, _, _ := w.j.Answer(n.Node)
@@ -205,7 +205,7 @@
 	w.commands = append(w.commands, w.j.Step(w.now+w.skew, w.st, w.applied, present)...)
 	outs := 0
 	for _, v := range w.j.Verdicts(w.now+w.skew, int64(w.now/ms), w.st) {
-		if v.Repair.Step == drift.Out {
+		if v.Repair.Step == drift.TakenOut {
 			outs++
 		}
 		if w.rules.Rows != nil && !w.rules.Rows[v.State+"|"+v.Evidence] {
@@ -231,7 +231,7 @@
 		return slices.ContainsFunc(w.nodes, func(n *simNode) bool { return n.Member == r.Member })
 	})
 	w.skew = time.Duration(w.rng.IntN(4000)-2000) * ms
-	w.j = drift.NewJudge(w.rules.Bounds)
+	w.j = drift.NewDetector(w.rules.Bounds)
 	w.j.Lead(w.now+w.skew, w.st)
 }
 
@@ -254,7 +254,7 @@
 		w.Serve(fmt.Sprintf("s%d", w.rng.IntN(12)), []string{"ready", "draining", "gone"}[w.rng.IntN(3)])
 	case 5:
 		n := w.nodes[w.rng.IntN(len(w.nodes))]
-		w.Put("share/"+n.Node, fleet.Shares{Epoch: w.In.Revision, Slots: len(w.nodes), Rates: map[string]float64{"t0": w.rng.Float64()}})
+		w.Put("share/"+n.Node, fleet.QuotaLease{Epoch: w.In.Revision, Slots: len(w.nodes), Rates: map[string]float64{"t0": w.rng.Float64()}})
 	}
 }
 
--- a/internal/fleet/drift/state.go
+++ b/internal/fleet/drift/state.go
@@ -28,7 +28,7 @@
 	Idle       = "" // the page's idle
 	Resending  = "resending"
 	Restarting = "restarting"
-	Out        = "out"
+	TakenOut   = "out"
 )
 
 // Difference is one field of one fact that is not as intended, in JSON. An empty Field is the whole fact: "null" is
@@ -42,35 +42,35 @@
 
 // Override is a local fact that stands against what the rest of the fleet has: legitimate, and never repaired.
 type Override struct {
-	Key     string       `json:"key"`
-	By      string       `json:"by,omitempty"`
-	SinceMS int64        `json:"since_ms,omitempty"` // Unix ms by the node's machine
-	Fields  []Difference `json:"fields,omitempty"`   // of settings: against the fleet's
+	Key       string       `json:"key"`
+	ChangedBy string       `json:"by,omitempty"`
+	SinceMS   int64        `json:"since_ms,omitempty"` // Unix ms by the node's machine
+	Fields    []Difference `json:"fields,omitempty"`   // of settings: against the fleet's
 }
 
 // Repair is where a node's repair stands.
 type Repair struct {
-	Step    string `json:"step,omitempty"`
-	Tries   int    `json:"tries,omitempty"`   // re-sends
-	Relapse int    `json:"relapse,omitempty"` // doublings of its first wait
+	Step     string `json:"step,omitempty"`
+	Resends  int    `json:"tries,omitempty"`   // re-sends
+	Relapses int    `json:"relapse,omitempty"` // doublings of its first wait
 }
 
 // Verdict is what is thought of one node. Times are Unix ms by the leader's clock, for people: nothing is decided
 // by them. The first ones stay while the state does, over failovers and the node's restarts.
 type Verdict struct {
 	fleet.Member
-	State       string       `json:"state"`
-	FirstRev    uint64       `json:"first_rev"` // revision of the intent it was first judged against
-	FirstSeenMS int64        `json:"first_seen_ms"`
-	LastRev     uint64       `json:"last_rev"`
-	LastSeenMS  int64        `json:"last_seen_ms"`
-	Count       uint64       `json:"count"` // reports, or looks without one, that said so
-	Items       []Difference `json:"items,omitempty"`
-	More        int          `json:"more,omitempty"` // items beyond those listed
-	Overrides   []Override   `json:"overrides,omitempty"`
-	Evidence    string       `json:"evidence,omitempty"`
-	Repair      Repair       `json:"repair,omitzero"`
-	Rev         uint64       `json:"rev"` // of the verdict's last change
+	State         string       `json:"state"`
+	FirstRevision uint64       `json:"first_rev"` // revision of the intent it was first judged against
+	FirstSeenMS   int64        `json:"first_seen_ms"`
+	LastRevision  uint64       `json:"last_rev"`
+	LastSeenMS    int64        `json:"last_seen_ms"`
+	Count         uint64       `json:"count"` // reports, or looks without one, that said so
+	Differences   []Difference `json:"items,omitempty"`
+	Omitted       int          `json:"more,omitempty"` // items beyond those listed
+	Overrides     []Override   `json:"overrides,omitempty"`
+	Evidence      string       `json:"evidence,omitempty"`
+	Repair        Repair       `json:"repair,omitzero"`
+	Revision      uint64       `json:"rev"` // of the verdict's last change
 }
 
 // Baseline is the fleet's settings: those that most nodes hold.
@@ -82,8 +82,8 @@
 // Change puts a verdict: its Verdict's First* and Rev are State's to fill in. It is refused where the node's verdict
 // is no longer the one of IfRev (0: there is none), or is of a newer incarnation.
 type Change struct {
-	Verdict Verdict `json:"verdict"`
-	IfRev   uint64  `json:"if_rev"`
+	Verdict    Verdict `json:"verdict"`
+	IfRevision uint64  `json:"if_rev"`
 }
 
 // Command is one entry of the replicated log: a step's changes together. AtMS is the leader's wall clock, Unix ms, put
@@ -99,14 +99,14 @@
 // It is not safe for concurrent use.
 type State struct {
 	Verdicts map[string]*Verdict `json:"verdicts,omitempty"`
-	Fleet    Baseline            `json:"fleet,omitzero"`
-	Rev      uint64              `json:"rev"` // of the last change
+	Baseline Baseline            `json:"fleet,omitzero"`
+	Revision uint64              `json:"rev"` // of the last change
 	// Incarnations are the least that are taken of every node that has or had a verdict, so that reports of an
 	// earlier run, or of one that has ended, stay refused. Beyond a bound the oldest go.
 	Incarnations map[string]uint64 `json:"incarnations,omitempty"`
 }
 
-const incarnationsMost = 8192
+const maxIncarnations = 8192
 
 // Apply carries out a command. rev gives the revision of the change; it is called at most once, and only where
 // something changes. It may count on its own or be the control plane's: no item of intent changes with it. Parts of a command
@@ -119,7 +119,7 @@
 	change := func() uint64 {
 		if at == 0 {
 			at = rev()
-			s.Rev = at
+			s.Revision = at
 		}
 		return at
 	}
@@ -131,39 +131,39 @@
 			refused = fmt.Errorf("%w: %s: %d, known %d", fleet.ErrFenced, v.Node, v.Incarnation, known)
 			continue
 		}
-		if now := revOf(old); now != ch.IfRev {
+		if now := revisionOf(old); now != ch.IfRevision {
 			refused = fmt.Errorf("%w: %s: now at %d", fleet.ErrConflict, v.Node, now)
 			continue
 		}
-		v.FirstRev, v.FirstSeenMS, v.LastSeenMS = v.LastRev, c.AtMS, c.AtMS
+		v.FirstRevision, v.FirstSeenMS, v.LastSeenMS = v.LastRevision, c.AtMS, c.AtMS
 		if old != nil && old.State == v.State {
-			v.FirstRev, v.FirstSeenMS, v.Count = old.FirstRev, old.FirstSeenMS, old.Count+v.Count
+			v.FirstRevision, v.FirstSeenMS, v.Count = old.FirstRevision, old.FirstSeenMS, old.Count+v.Count
 		}
-		v.Rev = change()
+		v.Revision = change()
 		s.Verdicts[v.Node], s.Incarnations[v.Node] = &v, v.Incarnation
 	}
 	for node, at := range c.Forget {
 		switch v := s.Verdicts[node]; {
 		case v == nil:
-		case v.Rev != at:
-			refused = fmt.Errorf("%w: %s: now at %d", fleet.ErrConflict, node, v.Rev)
+		case v.Revision != at:
+			refused = fmt.Errorf("%w: %s: now at %d", fleet.ErrConflict, node, v.Revision)
 		default:
 			delete(s.Verdicts, node)
 			s.Incarnations[node] = v.Incarnation + 1 // it ended: its next run has a larger one
 			change()
 		}
 	}
-	s.trim()
-	if c.Baseline != nil && (c.Baseline.Digest != s.Fleet.Digest || s.Fleet.Body == nil) {
-		s.Fleet = *c.Baseline
+	s.trimIncarnations()
+	if c.Baseline != nil && (c.Baseline.Digest != s.Baseline.Digest || s.Baseline.Body == nil) {
+		s.Baseline = *c.Baseline
 		change()
 	}
 	return refused
 }
 
-// trim keeps the incarnations within their bound: first go those of nodes without a verdict, the oldest first.
-func (s *State) trim() {
-	if len(s.Incarnations) <= incarnationsMost {
+// trimIncarnations keeps the incarnations within their bound: first go those of nodes without a verdict, the oldest first.
+func (s *State) trimIncarnations() {
+	if len(s.Incarnations) <= maxIncarnations {
 		return
 	}
 	names := slices.SortedFunc(maps.Keys(s.Incarnations), func(a, b string) int {
@@ -181,16 +181,16 @@
 		}
 		return 0
 	})
-	for _, n := range names[:len(names)-incarnationsMost] {
+	for _, n := range names[:len(names)-maxIncarnations] {
 		if s.Verdicts[n] == nil {
 			delete(s.Incarnations, n)
 		}
 	}
 }
 
-func revOf(v *Verdict) uint64 {
+func revisionOf(v *Verdict) uint64 {
 	if v == nil {
 		return 0
 	}
-	return v.Rev
+	return v.Revision
 }
--- a/internal/fleet/drift/tree.go
+++ b/internal/fleet/drift/tree.go
@@ -20,30 +20,30 @@
 // Tree is a digest tree over facts: 256 leaves by the first two hex digits of the hash of a fact's key, 16 inner
 // nodes, a root. Building one costs two hashes a fact and 273 for the nodes; it holds the facts' keys and digests.
 type Tree struct {
-	facts [leaves][]fact // by key
+	items [leaves][]treeItem // by key
 	leaf  [leaves]uint64
 	inner [fanOut]uint64
 	root  uint64
 	size  int
 }
 
-type fact struct{ key, digest string }
+type treeItem struct{ key, digest string }
 
 // NewTree makes the tree over facts with different keys, in any order; of facts with one key the last counts.
-func NewTree(held []fleet.Held) *Tree {
+func NewTree(held []fleet.AppliedItem) *Tree {
 	t := &Tree{}
 	for _, h := range held {
 		p := xxhash.Sum64String(h.Key) >> 56
-		at, found := slices.BinarySearchFunc(t.facts[p], h.Key, func(f fact, k string) int { return strings.Compare(f.key, k) })
+		at, found := slices.BinarySearchFunc(t.items[p], h.Key, func(f treeItem, k string) int { return strings.Compare(f.key, k) })
 		if found {
-			t.facts[p][at].digest = h.Digest
+			t.items[p][at].digest = h.Digest
 			continue
 		}
-		t.facts[p] = slices.Insert(t.facts[p], at, fact{h.Key, h.Digest})
+		t.items[p] = slices.Insert(t.items[p], at, treeItem{h.Key, h.Digest})
 		t.size++
 	}
 	var d xxhash.Digest
-	for p, facts := range t.facts {
+	for p, facts := range t.items {
 		if len(facts) == 0 {
 			continue
 		}
@@ -57,14 +57,14 @@
 		t.leaf[p] = d.Sum64()
 	}
 	for i := range t.inner {
-		t.inner[i] = over(t.leaf[i*fanOut : (i+1)*fanOut])
+		t.inner[i] = hashChildren(t.leaf[i*fanOut : (i+1)*fanOut])
 	}
-	t.root = over(t.inner[:])
+	t.root = hashChildren(t.inner[:])
 	return t
 }
 
-// over is the hash over the hashes of children; 0 where all are empty.
-func over(of []uint64) uint64 {
+// hashChildren is the hash over the hashes of children; 0 where all are empty.
+func hashChildren(of []uint64) uint64 {
 	var b [8 * fanOut]byte
 	empty := true
 	for i, h := range of {
@@ -98,8 +98,8 @@
 		hashes += fanOut
 		for p := i * fanOut; p < (i+1)*fanOut; p++ {
 			if a.leaf[p] != b.leaf[p] {
-				hashes += len(b.facts[p])
-				keys = append(keys, differing(a.facts[p], b.facts[p])...)
+				hashes += len(b.items[p])
+				keys = append(keys, differing(a.items[p], b.items[p])...)
 			}
 		}
 	}
@@ -108,7 +108,7 @@
 }
 
 // differing gives the keys in which two sorted lists of facts differ.
-func differing(a, b []fact) (keys []string) {
+func differing(a, b []treeItem) (keys []string) {
 	for len(a) > 0 || len(b) > 0 {
 		switch {
 		case len(b) == 0 || len(a) > 0 && a[0].key < b[0].key:
@@ -125,8 +125,8 @@
 	return keys
 }
 
-// below gives the range of leaves under a path of at most two hex digits.
-func below(path string) (from, to int, ok bool) {
+// leafRange gives the range of leaves under a path of at most two hex digits.
+func leafRange(path string) (from, to int, ok bool) {
 	if len(path) > depth {
 		return 0, 0, false
 	}
@@ -145,7 +145,7 @@
 
 // at is the hash of the node at a path.
 func (t *Tree) at(path string) uint64 {
-	from, _, _ := below(path)
+	from, _, _ := leafRange(path)
 	switch len(path) {
 	case 0:
 		return t.root
@@ -156,10 +156,10 @@
 }
 
 // list gives the facts under a path.
-func (t *Tree) list(path string) (out []fact) {
-	from, to, ok := below(path)
+func (t *Tree) list(path string) (out []treeItem) {
+	from, to, ok := leafRange(path)
 	for p := from; ok && p < to; p++ {
-		out = append(out, t.facts[p]...)
+		out = append(out, t.items[p]...)
 	}
 	return out
 }
--- a/internal/fleet/drift/unit_test.go
+++ b/internal/fleet/drift/unit_test.go
@@ -30,7 +30,7 @@
 			t.Errorf("%v: %s", v, out)
 		}
 	}
-	a, _ := Canonical(fleet.HeldRules{Generation: 3, Rate: 5, ClassRates: map[string]float64{"x": 1, "b": 2}})
+	a, _ := Canonical(fleet.AppliedRules{Generation: 3, Rate: 5, ClassRates: map[string]float64{"x": 1, "b": 2}})
 	b, _ := Canonical(struct { // another package's type: other order, omitempty, unknown to it what is zero
 		ClassRates map[string]float64 `json:"class_rates,omitempty"`
 		Rate       int                `json:"rate"`
@@ -40,12 +40,12 @@
 }
 
 // facts draws two sets of facts that share most.
-func facts(t *rapid.T) (a, b []fleet.Held, differ []string) {
+func facts(t *rapid.T) (a, b []fleet.AppliedItem, differ []string) {
 	n := rapid.SampledFrom([]int{0, 1, 5, 40, 300, 1500}).Draw(t, "facts")
 	odd := rapid.MapOf(rapid.IntRange(0, n+3), rapid.SampledFrom([]string{"other", "a only", "b only"})).Draw(t, "odd")
 	for i := range n + 4 {
-		h := hold(fmt.Sprintf("tenant/t%d", i), fleet.HeldTenant{UID: 1 + uint64(i)})
-		o := hold(h.Key, fleet.HeldTenant{UID: 1 + uint64(i), Rev: 9})
+		h := hold(fmt.Sprintf("tenant/t%d", i), fleet.AppliedTenant{UID: 1 + uint64(i)})
+		o := hold(h.Key, fleet.AppliedTenant{UID: 1 + uint64(i), Revision: 9})
 		switch what := odd[i]; {
 		case i >= n && what == "":
 		case what == "":
@@ -72,48 +72,48 @@
 		must(t, slices.Equal(keys, differ) && (len(differ) == 0) == (ta.Root() == tb.Root()), "%v, want %v", keys, differ)
 		most := 1 + fanOut + len(differ)*(fanOut+2+2*len(b)/leaves+12)
 		must(t, hashes <= most, "%d hashes for %d keys of %d facts", hashes, len(differ), len(b))
-		var x exchange
+		var x treeExchange
 		var ask []string
 		for round := 0; ; round++ {
 			var r fleet.Report
-			Fill(&r, b, ask)
+			FillReport(&r, b, ask)
 			out, _ := json.Marshal(r)
-			must(t, len(out) <= fleet.ReportLimit && round <= 5, "round %d: %d bytes, asked for %v", round, len(out), ask)
-			if r.Root == ta.Root() {
+			must(t, len(out) <= fleet.MaxReportBytes && round <= 5, "round %d: %d bytes, asked for %v", round, len(out), ask)
+			if r.AppliedRoot == ta.Root() {
 				break
 			}
-			x.hear(r.Root, inFleet, r.Held)
-			if keys, ask = x.name(ta, inFleet); len(ask) == 0 {
+			x.takeAnswers(r.AppliedRoot, fleetTree, r.Applied)
+			if keys, ask = x.differingKeys(ta, fleetTree); len(ask) == 0 {
 				break
 			}
 		}
 		must(t, slices.Equal(keys, differ), "named %v, want %v", keys, differ)
-		for _, k := range keys[:min(len(keys), bodiesAt)] {
+		for _, k := range keys[:min(len(keys), maxBodies)] {
 			want := bodyOf(b, k)
-			must(t, string(x.got[k].Body) == string(want), "%s: body %s, want %s", k, x.got[k].Body, want)
+			must(t, string(x.answers[k].Body) == string(want), "%s: body %s, want %s", k, x.answers[k].Body, want)
 		}
 	})
 }
 
 // What Want asks for and nobody knows, or too much at once, gives a report within its limit.
 func TestFillIsBounded(t *testing.T) {
-	var held []fleet.Held
+	var held []fleet.AppliedItem
 	want := []string{"", "~", "~*", "=*", "~zz", "~333", "nobody", "~0*"}
 	for i := range 9000 {
-		h := hold(fmt.Sprintf("server/s%d", i), fleet.HeldServer{Zone: "z", Kind: "some kind of machine", State: "ready", Size: 1})
+		h := hold(fmt.Sprintf("server/s%d", i), fleet.AppliedServer{Zone: "z", Kind: "some kind of machine", State: "ready", Weight: 1})
 		held, want = append(held, h), append(want, h.Key)
 	}
 	var r fleet.Report
-	Fill(&r, held, want)
+	FillReport(&r, held, want)
 	out, _ := json.Marshal(r)
-	must(t, len(out) <= fleet.ReportLimit && len(r.Held) > 500, "%d bytes, %d facts", len(out), len(r.Held))
+	must(t, len(out) <= fleet.MaxReportBytes && len(r.Applied) > 500, "%d bytes, %d facts", len(out), len(r.Applied))
 }
 
 func TestStateRefuses(t *testing.T) {
 	s, rev := &State{}, uint64(10)
 	next := func() uint64 { rev++; return rev }
 	put := func(inc, ifRev uint64, state string) error {
-		return s.Apply(Command{AtMS: 5, Set: []Change{{Verdict{Member: fleet.Member{Node: "n", Incarnation: inc}, State: state, LastRev: 3, Count: 2}, ifRev}}}, next)
+		return s.Apply(Command{AtMS: 5, Set: []Change{{Verdict{Member: fleet.Member{Node: "n", Incarnation: inc}, State: state, LastRevision: 3, Count: 2}, ifRev}}}, next)
 	}
 	must(t, put(7, 0, Stuck) == nil && rev == 11, "first")
 	for _, c := range []struct {
@@ -124,14 +124,14 @@
 			t.Errorf("%+v: %v, revision %d", c, err, rev)
 		}
 	}
-	must(t, put(8, 11, Stuck) == nil && s.Verdicts["n"].Count == 4 && s.Verdicts["n"].FirstRev == 3 && s.Verdicts["n"].Rev == 12, "%+v", s.Verdicts["n"])
+	must(t, put(8, 11, Stuck) == nil && s.Verdicts["n"].Count == 4 && s.Verdicts["n"].FirstRevision == 3 && s.Verdicts["n"].Revision == 12, "%+v", s.Verdicts["n"])
 	must(t, errors.Is(s.Apply(Command{Forget: map[string]uint64{"n": 11}}, next), fleet.ErrConflict), "forgotten at an older revision")
 	must(t, s.Apply(Command{Forget: map[string]uint64{"n": 12, "m": 3}}, next) == nil && len(s.Verdicts) == 0, "forget")
 	must(t, errors.Is(put(8, 0, Stuck), fleet.ErrFenced) && put(9, 0, Stuck) == nil, "a forgotten run came back")
 }
 
-func hold(key string, v any) fleet.Held {
-	h, _, err := Hold(key, v)
+func hold(key string, v any) fleet.AppliedItem {
+	h, _, err := AppliedItemOf(key, v)
 	if err != nil {
 		panic(err)
 	}
