--- a/internal/fleet/drift/view.go
+++ b/internal/fleet/drift/view.go
@@ -10,7 +10,7 @@
 // Verdicts gives what is thought of every node now, by name: st's verdicts with what the judge has seen since. wallMS is
 // the wall clock at now, Unix ms, for the times that people read. A node that st has in step and that has not yet
 // been heard in this leadership is shown as catching up.
-func (j *Judge) Verdicts(now fleet.Time, wallMS int64, st *State) []Verdict {
+func (j *Detector) Verdicts(now fleet.Time, wallMS int64, st *State) []Verdict {
 	names := slices.Collect(maps.Keys(j.nodes))
 	for name := range st.Verdicts {
 		if j.nodes[name] == nil {
@@ -26,21 +26,21 @@
 			v = *old
 		}
 		switch {
-		case n == nil || old != nil && (n.shown.state == "" || (!n.heard || n.at < j.leadSince) && n.shown.state == old.State):
+		case n == nil || old != nil && (n.verdict.state == "" || (!n.heard || n.receivedAt < j.leaderSince) && n.verdict.state == old.State):
 			if v.State == InStep {
-				v.State, v.Evidence = CatchingUp, whyUnheard
+				v.State, v.Evidence = CatchingUp, evidenceNoReport
 			}
-		case n.shown.state == "":
+		case n.verdict.state == "":
 			continue
-		case n.heard && n.report.Leaving && n.absent:
+		case n.heard && n.report.Draining && n.absent:
 			continue
 		default:
 			v.Member, v.Repair = n.Member, n.repair.Repair
-			if old == nil || old.State != n.shown.state {
-				v.FirstRev, v.FirstSeenMS, v.Count = n.shownRev, wallMS-(now-n.shownAt).Milliseconds(), 0
+			if old == nil || old.State != n.verdict.state {
+				v.FirstRevision, v.FirstSeenMS, v.Count = n.verdictRevision, wallMS-(now-n.verdictSince).Milliseconds(), 0
 			}
-			v.State, v.Items, v.More, v.Overrides, v.Evidence = n.shown.state, n.shown.items, n.shown.more, n.shown.overrides, n.shown.evidence
-			v.LastRev, v.LastSeenMS = j.book.rev, wallMS-max(0, now-max(n.at, j.leadSince)).Milliseconds()
+			v.State, v.Differences, v.Omitted, v.Overrides, v.Evidence = n.verdict.state, n.verdict.differences, n.verdict.omitted, n.verdict.overrides, n.verdict.evidence
+			v.LastRevision, v.LastSeenMS = j.intents.revision, wallMS-max(0, now-max(n.receivedAt, j.leaderSince)).Milliseconds()
 			v.Count += n.reports
 		}
 		out = append(out, v)
@@ -50,14 +50,14 @@
 
 // Summary is the fleet at a glance.
 type Summary struct {
-	States  map[string]int `json:"states"`  // nodes by state
-	Repairs map[string]int `json:"repairs"` // nodes by step of their repair, idle left out
-	Suspect bool           `json:"suspect"` // the detector suspects itself: no repair is started
+	States         map[string]int `json:"states"`  // nodes by state
+	Repairs        map[string]int `json:"repairs"` // nodes by step of their repair, idle left out
+	SelfSuspecting bool           `json:"suspect"` // the detector suspects itself: no repair is started
 }
 
 // Summary counts what Verdicts shows.
-func (j *Judge) Summary(now fleet.Time, st *State) Summary {
-	s := Summary{States: map[string]int{}, Repairs: map[string]int{}, Suspect: j.doubting}
+func (j *Detector) Summary(now fleet.Time, st *State) Summary {
+	s := Summary{States: map[string]int{}, Repairs: map[string]int{}, SelfSuspecting: j.selfSuspecting}
 	for _, v := range j.Verdicts(now, 0, st) {
 		s.States[v.State]++
 		if v.Repair.Step != Idle {
@@ -67,43 +67,43 @@
 	return s
 }
 
-// Local is an agent's judgement of its own node: the leader's, with the agent's copy of intent, for one node. It
+// LocalDetector is an agent's judgement of its own node: the leader's, with the agent's copy of intent, for one node. It
 // repairs by re-sending alone, and knows no settings of the fleet.
-type Local struct {
-	j  *Judge
-	st State
+type LocalDetector struct {
+	detector *Detector
+	state    State
 }
 
-// NewLocal makes the judgement of an agent that has just started.
-func NewLocal(b Bounds) *Local { return &Local{j: NewJudge(b)} }
+// NewLocalDetector makes the judgement of an agent that has just started.
+func NewLocalDetector(b Bounds) *LocalDetector { return &LocalDetector{detector: NewDetector(b)} }
 
 // Observe takes the node's report; see Judge.Observe.
-func (l *Local) Observe(now fleet.Time, r fleet.Report) error {
-	return l.j.Observe(now, fleet.NodeView{Member: r.Member, At: now, Report: r})
+func (l *LocalDetector) Observe(now fleet.Time, r fleet.Report) error {
+	return l.detector.Observe(now, fleet.NodeView{Member: r.Member, ReceivedAt: now, Report: r})
 }
 
 // Step judges the node by the agent's copy. caughtUp says that a replica has answered since the agent's start:
 // until then its copy may be older than what the node holds, and nothing is said to be newer than it.
-func (l *Local) Step(now fleet.Time, in Intended, m fleet.Member, caughtUp bool) {
-	l.j.bounds.Ahead = Defaults().Ahead
+func (l *LocalDetector) Step(now fleet.Time, in Intended, m fleet.Member, caughtUp bool) {
+	l.detector.bounds.MaxAheadTime = Defaults().MaxAheadTime
 	if !caughtUp {
-		l.j.bounds.Ahead = l.j.bounds.Forget
+		l.detector.bounds.MaxAheadTime = l.detector.bounds.ForgetAfter
 	}
-	for _, c := range l.j.Step(now, &l.st, in, []fleet.Member{m}) {
+	for _, c := range l.detector.Step(now, &l.state, in, []fleet.Member{m}) {
 		c.Baseline = nil
-		l.st.Apply(c, func() uint64 { return l.st.Rev + 1 })
+		l.state.Apply(c, func() uint64 { return l.state.Revision + 1 })
 	}
 }
 
 // Answer gives what the agent is to send its node again, and what the next report is to carry.
-func (l *Local) Answer(node string) (resend, want []string) {
-	resend, want, _, _ = l.j.Answer(node)
+func (l *LocalDetector) Answer(node string) (resend, want []string) {
+	resend, want, _, _ = l.detector.Answer(node)
 	return resend, want
 }
 
 // Verdict is the node's; ok is false before there is one.
-func (l *Local) Verdict(now fleet.Time, wallMS int64, node string) (v Verdict, ok bool) {
-	for _, v := range l.j.Verdicts(now, wallMS, &l.st) {
+func (l *LocalDetector) Verdict(now fleet.Time, wallMS int64, node string) (v Verdict, ok bool) {
+	for _, v := range l.detector.Verdicts(now, wallMS, &l.state) {
 		if v.Node == node {
 			return v, true
 		}
--- a/internal/fleet/held.go
+++ b/internal/fleet/held.go
@@ -12,125 +12,127 @@
 
 // Keys of Held. A zone's, tenant's, server's or ban's name follows the slash.
 const (
-	KeyZone     = "zone/"
-	KeyTenant   = "tenant/"
-	KeyServer   = "server/" // the id that discovery gives
-	KeyBan      = "ban/"    // the same ids
-	KeyShare    = "share"
-	KeySettings = "settings"
+	KeyZone      = "zone/"
+	KeyTenant    = "tenant/"
+	KeyServer    = "server/" // the id that discovery gives
+	KeyExclusion = "ban/"    // the same ids
+	KeyLease     = "share"
+	KeySettings  = "settings"
 )
 
-// HeldZone is the body of "zone/Y": the directive that holds at this node, as it was told. Nothing is held for a
+// AppliedZone is the body of "zone/Y": the directive that holds at this node, as it was told. Nothing is held for a
 // zone that is served as ever.
-type HeldZone struct {
-	Rev     uint64  `json:"rev"` // of the item told
-	Share   float64 `json:"share"`
-	Floor   float64 `json:"floor"`
-	Rate    float64 `json:"rate"`  // requests/s that this node may send to each server; 0: no limit
-	Trial   bool    `json:"trial"` // this node tries the zone
-	ValidMS int64   `json:"valid_ms"`
+type AppliedZone struct {
+	Revision uint64  `json:"rev"` // of the item told
+	Share    float64 `json:"share"`
+	Floor    float64 `json:"floor"`
+	Rate     float64 `json:"rate"`  // requests/s that this node may send to each server; 0: no limit
+	Trial    bool    `json:"trial"` // this node tries the zone
+	ValidMS  int64   `json:"valid_ms"`
 }
 
-// HeldTenant is the body of "tenant/NAME". What is staged is not in it: its acknowledgement is TenantAck's.
-type HeldTenant struct {
-	UID       uint64     `json:"uid"`
-	Rev       uint64     `json:"rev"` // of the item told
-	Committed *HeldRules `json:"committed"`
-	Removing  bool       `json:"removing"`
-	QuotaGone bool       `json:"quota_gone"`
+// AppliedTenant is the body of "tenant/NAME". What is staged is not in it: its acknowledgement is TenantAck's.
+type AppliedTenant struct {
+	UID            uint64        `json:"uid"`
+	Revision       uint64        `json:"rev"` // of the item told
+	Committed      *AppliedRules `json:"committed"`
+	Removing       bool          `json:"removing"`
+	QuotaWithdrawn bool          `json:"quota_gone"`
 }
 
-// HeldRules are the rules of the committed generation, as the module decides by them.
-type HeldRules struct {
-	Generation uint64             `json:"generation"`
-	Digest     string             `json:"digest"`
-	Classes    []string           `json:"classes"`
-	Rate       float64            `json:"rate"`  // over all nodes, requests/s
-	Burst      float64            `json:"burst"` // over all nodes, requests
-	ClassRates map[string]float64 `json:"class_rates"`
-	Routes     []Route            `json:"routes"` // in the order of the specification
-	RefuseElse bool               `json:"refuse_else"`
+// AppliedRules are the rules of the committed generation, as the module decides by them.
+type AppliedRules struct {
+	Generation     uint64             `json:"generation"`
+	Digest         string             `json:"digest"`
+	Classes        []string           `json:"classes"`
+	Rate           float64            `json:"rate"`  // over all nodes, requests/s
+	Burst          float64            `json:"burst"` // over all nodes, requests
+	ClassRates     map[string]float64 `json:"class_rates"`
+	Routes         []Route            `json:"routes"` // in the order of the specification
+	RejectUnrouted bool               `json:"refuse_else"`
 }
 
-// HeldShare is the body of "share": the leased parts as last told, whether or not the lease still runs. Nothing is
+// AppliedLease is the body of "share": the leased parts as last told, whether or not the lease still runs. Nothing is
 // held before the first is told, and where its rates are null.
-type HeldShare struct {
+type AppliedLease struct {
 	Epoch uint64             `json:"epoch"`
 	Slots int                `json:"slots"`
 	Rates map[string]float64 `json:"rates"` // by tenant, requests/s
 }
 
-// HeldServer is the body of "server/ID": an entry of the list in use. An entry that is gone is not held.
-type HeldServer struct {
-	Zone  string  `json:"zone"`
-	Kind  string  `json:"kind"`
-	Cell  int     `json:"cell"`
-	State string  `json:"state"` // ready, draining
-	Size  float64 `json:"size"`  // discovery's weight
+// AppliedServer is the body of "server/ID": an entry of the list in use. An entry that is gone is not held.
+type AppliedServer struct {
+	Zone   string  `json:"zone"`
+	Kind   string  `json:"kind"`
+	Cell   int     `json:"cell"`
+	State  string  `json:"state"` // ready, draining
+	Weight float64 `json:"size"`  // discovery's weight
 }
 
-// HeldBan is the body of "ban/ID": an app server that the operators have taken out at this node. Who and since when
+// AppliedExclusion is the body of "ban/ID": an app server that the operators have taken out at this node. Who and since when
 // are Held's By and SinceMS: they are the node's to add, as the module does not know them.
-type HeldBan struct {
-	Out bool `json:"out"` // always true
+type AppliedExclusion struct {
+	Excluded bool `json:"out"` // always true
 }
 
-// HeldSettings is the body of "settings": the settings that matter to what is decided, durations in ms. What differs
+// AppliedSettings is the body of "settings": the settings that matter to what is decided, durations in ms. What differs
 // from node to node by design (its number, its zone, its paths) is not in it.
-type HeldSettings struct {
-	Nodes          int                `json:"nodes"`
-	Classes        []HeldClass        `json:"classes"` // by name
-	Tenants        map[string]float64 `json:"tenants"` // quotas that the settings name, requests/s
-	MaxAttempts    int                `json:"max_attempts"`
-	MayOverlap     bool               `json:"may_overlap"`
-	HoldOffs       bool               `json:"hold_offs"`
-	MaxHoldOffMS   float64            `json:"max_hold_off_ms"`
-	ConnectMS      float64            `json:"connect_timeout_ms"`
-	DrainGraceMS   float64            `json:"drain_grace_ms"`
-	ColdFrom       float64            `json:"cold_from"`
-	ColdMS         float64            `json:"cold_time_ms"`
-	OverloadFactor float64            `json:"overload_factor"`
-	OverloadMS     float64            `json:"overload_time_ms"`
-	OverShareWorth float64            `json:"over_share_worth"`
-	MaxOpen        int                `json:"max_open"`
+type AppliedSettings struct {
+	Nodes                int                `json:"nodes"`
+	Classes              []AppliedClass     `json:"classes"` // by name
+	Tenants              map[string]float64 `json:"tenants"` // quotas that the settings name, requests/s
+	MaxAttempts          int                `json:"max_attempts"`
+	MayHedge             bool               `json:"may_overlap"`
+	SendsRetryAfter      bool               `json:"hold_offs"`
+	MaxRetryAfterMS      float64            `json:"max_hold_off_ms"`
+	ConnectTimeoutMS     float64            `json:"connect_timeout_ms"`
+	DrainGraceMS         float64            `json:"drain_grace_ms"`
+	SlowStartMinCapacity float64            `json:"cold_from"`
+	SlowStartWindowMS    float64            `json:"cold_time_ms"`
+	OverloadFactor       float64            `json:"overload_factor"`
+	OverloadDurationMS   float64            `json:"overload_time_ms"`
+	OverQuotaWeight      float64            `json:"over_share_worth"`
+	MaxOpenRequests      int                `json:"max_open"`
 }
 
-// HeldClass is one class of the settings.
-type HeldClass struct {
-	Name       string  `json:"name"`
-	Worth      float64 `json:"worth"`
-	AimMS      float64 `json:"aim_ms"`
-	DeadlineMS float64 `json:"deadline_ms"`
-	LateWorth  float64 `json:"late_worth"`
-	Effect     int     `json:"effect"` // policy.Effect: 0 unsafe, 1 keyed, 2 safe
+// AppliedClass is one class of the settings.
+type AppliedClass struct {
+	Name               string  `json:"name"`
+	PriorityWeight     float64 `json:"worth"`
+	LatencyObjectiveMS float64 `json:"aim_ms"`
+	DeadlineMS         float64 `json:"deadline_ms"`
+	LateWeight         float64 `json:"late_worth"`
+	Idempotency        int     `json:"effect"` // policy.Effect: 0 unsafe, 1 keyed, 2 safe
 }
 
-// ZoneBody is the directive in the node's own words. The node tells its module by it, and drift compares with it.
-func ZoneBody(rev uint64, d Directive, node string) HeldZone {
-	h := HeldZone{Rev: rev, Share: d.Share, Floor: d.Floor, ValidMS: d.ValidMS, Trial: slices.Contains(d.Trial, node)}
+// AppliedZoneOf is the directive in the node's own words. The node tells its module by it, and drift compares with it.
+func AppliedZoneOf(rev uint64, d Directive, node string) AppliedZone {
+	h := AppliedZone{Revision: rev, Share: d.Share, Floor: d.Floor, ValidMS: d.ValidMS, Trial: slices.Contains(d.TrialNodes, node)}
 	if d.Budget > 0 {
 		h.Rate = d.Budget / float64(max(d.Slots, 1))
 	}
 	return h
 }
 
-// Narrower says which of two directives on a zone holds at a node of an observing zone: one for every node ("zone/Y"),
+// IsNarrower says which of two directives on a zone holds at a node of an observing zone: one for every node ("zone/Y"),
 // one for its zone alone ("zone/Y@X"). The smaller share holds, then the smaller floor, then the one for every node.
 // It is true for the one of the observing zone.
-func Narrower(every, own Directive) bool {
+func IsNarrower(every, own Directive) bool {
 	return cmp.Or(cmp.Compare(own.Share, every.Share), cmp.Compare(own.Floor, every.Floor)) < 0
 }
 
-// TenantBody is the tenant in the node's own words.
-func TenantBody(rev uint64, t Tenant) HeldTenant {
-	h := HeldTenant{UID: t.UID, Rev: rev, Removing: t.Removing, QuotaGone: t.QuotaGone}
+// AppliedTenantOf is the tenant in the node's own words.
+func AppliedTenantOf(rev uint64, t Tenant) AppliedTenant {
+	h := AppliedTenant{UID: t.UID, Revision: rev, Removing: t.Removing, QuotaWithdrawn: t.QuotaWithdrawn}
 	if g := t.Committed; g != nil {
-		h.Committed = &HeldRules{Generation: g.Number, Digest: g.Digest, Classes: g.Spec.Namespace.Classes,
+		h.Committed = &AppliedRules{Generation: g.Number, Digest: g.Digest, Classes: g.Spec.Namespace.Classes,
 			Rate: g.Spec.Quota.Rate, Burst: g.Spec.Quota.Burst, ClassRates: g.Spec.Quota.Classes,
-			Routes: g.Spec.Routes, RefuseElse: g.Spec.Fallback == "refuse"}
+			Routes: g.Spec.Routes, RejectUnrouted: g.Spec.Fallback == "refuse"}
 	}
 	return h
 }
 
-// ShareBody is the node's leased parts in its own words.
-func ShareBody(s Shares) HeldShare { return HeldShare{Epoch: s.Epoch, Slots: s.Slots, Rates: s.Rates} }
+// AppliedLeaseOf is the node's leased parts in its own words.
+func AppliedLeaseOf(s QuotaLease) AppliedLease {
+	return AppliedLease{Epoch: s.Epoch, Slots: s.Slots, Rates: s.Rates}
+}
--- a/internal/fleet/reportdelta/decode.go
+++ b/internal/fleet/reportdelta/decode.go
@@ -29,8 +29,8 @@
 // Decode reads the body of POST /fleet/v1/report/difference by the rules of fleet.DecodeReport: what is malformed, too much
 // or impossible is fleet.ErrInvalid with the member's name. Whether it fits its base is Apply's to say.
 func Decode(b []byte) (Difference, error) {
-	if len(b) > fleet.ReportLimit {
-		return Difference{}, fmt.Errorf("%w: %d bytes, at most %d", fleet.ErrInvalid, len(b), fleet.ReportLimit)
+	if len(b) > fleet.MaxReportBytes {
+		return Difference{}, fmt.Errorf("%w: %d bytes, at most %d", fleet.ErrInvalid, len(b), fleet.MaxReportBytes)
 	}
 	if !utf8.Valid(b) {
 		return Difference{}, fmt.Errorf("%w: not UTF-8", fleet.ErrInvalid)
@@ -50,17 +50,17 @@
 
 func (d *Difference) check() error {
 	h := &d.Head
-	if len(h.Services)+len(h.Zones)+len(h.Tenants)+len(h.Held) > 0 {
+	if len(h.Services)+len(h.Zones)+len(h.Tenants)+len(h.Applied) > 0 {
 		return fmt.Errorf("%w: head: has services or rows", fleet.ErrInvalid)
 	}
-	if d.BaseSeq == 0 || d.BaseSeq >= h.Seq {
-		return fmt.Errorf("%w: base_seq: %d, the report's seq is %d", fleet.ErrInvalid, d.BaseSeq, h.Seq)
+	if d.BaseSeq == 0 || d.BaseSeq >= h.Sequence {
+		return fmt.Errorf("%w: base_seq: %d, the report's seq is %d", fleet.ErrInvalid, d.BaseSeq, h.Sequence)
 	}
 	if len(d.Digest) != 16 {
 		return fmt.Errorf("%w: digest: %.40q", fleet.ErrInvalid, d.Digest)
 	}
 	part := d.Head // its rows are checked as a report's are
-	part.Zones, part.Tenants, part.Held = d.Zones, d.Tenants, d.Held
+	part.Zones, part.Tenants, part.Applied = d.Zones, d.Tenants, d.Held
 	if err := part.Check(); err != nil {
 		return err
 	}
@@ -107,7 +107,7 @@
 // checkSize refuses a whole report that no body of fleet.ReportLimit bytes can hold: what a leader keeps of a node is
 // bounded by that.
 func checkSize(r *fleet.Report) error {
-	if len(r.Zones) > rowLimit || len(r.Tenants) > rowLimit || len(r.Held) > rowLimit {
+	if len(r.Zones) > rowLimit || len(r.Tenants) > rowLimit || len(r.Applied) > rowLimit {
 		return fmt.Errorf("%w: too many zones, tenants or facts", fleet.ErrInvalid)
 	}
 	size := 0
@@ -116,14 +116,14 @@
 	}
 	for i := range r.Tenants {
 		t := &r.Tenants[i]
-		size += len(t.Name) + len(t.Digest) + len(t.Refused)
+		size += len(t.Name) + len(t.Digest) + len(t.RejectReason)
 	}
-	for i := range r.Held {
-		h := &r.Held[i]
-		size += len(h.Key) + len(h.Digest) + len(h.By) + len(h.Body)
+	for i := range r.Applied {
+		h := &r.Applied[i]
+		size += len(h.Key) + len(h.Digest) + len(h.ChangedBy) + len(h.Body)
 	}
-	if size > fleet.ReportLimit {
-		return fmt.Errorf("%w: whole report: over %d bytes", fleet.ErrInvalid, fleet.ReportLimit)
+	if size > fleet.MaxReportBytes {
+		return fmt.Errorf("%w: whole report: over %d bytes", fleet.ErrInvalid, fleet.MaxReportBytes)
 	}
 	return nil
 }
--- a/internal/fleet/reportdelta/digest.go
+++ b/internal/fleet/reportdelta/digest.go
@@ -17,9 +17,9 @@
 	hash := xxhash.New()
 	b := make(buffer, 0, 512)
 	b.text(r.Node, r.Zone)
-	b.numbers(r.Incarnation, r.Seq, r.Revision, uint64(r.WindowMS), r.List, flag(r.Ready), flag(r.Leaving))
-	b.text(r.Root, r.ListRoot)
-	b.numbers(uint64(len(r.Services)), uint64(len(r.Zones)), uint64(len(r.Tenants)), uint64(len(r.Held)))
+	b.numbers(r.Incarnation, r.Sequence, r.Revision, uint64(r.WindowMS), r.List, flag(r.Ready), flag(r.Draining))
+	b.text(r.AppliedRoot, r.ListRoot)
+	b.numbers(uint64(len(r.Services)), uint64(len(r.Zones)), uint64(len(r.Tenants)), uint64(len(r.Applied)))
 	b.text(r.Services...)
 	b.flush(hash)
 	for i := range r.Zones {
@@ -30,8 +30,8 @@
 		b.tenant(&r.Tenants[i])
 		b.flush(hash)
 	}
-	for i := range r.Held {
-		b.fact(&r.Held[i])
+	for i := range r.Applied {
+		b.fact(&r.Applied[i])
 		b.flush(hash)
 	}
 	return fmt.Sprintf("%016x", hash.Sum64())
@@ -71,20 +71,20 @@
 	return 0
 }
 
-func (b *buffer) zone(z *fleet.ZoneCount) {
+func (b *buffer) zone(z *fleet.ZoneEvidence) {
 	b.text(z.Zone)
-	b.numbers(uint64(z.Attempts), uint64(z.Lost), uint64(z.Servers), uint64(z.LostServers), uint64(z.OK), uint64(z.Listed), uint64(z.Sent))
+	b.numbers(uint64(z.Attempts), uint64(z.Lost), uint64(z.Servers), uint64(z.LostServers), uint64(z.Answered), uint64(z.Listed), uint64(z.Started))
 	b.rates(z.Rate)
 }
 
 func (b *buffer) tenant(t *fleet.TenantAck) {
-	b.text(t.Name, t.Digest, t.Refused)
+	b.text(t.Name, t.Digest, t.RejectReason)
 	b.numbers(t.UID, t.Committed, t.Staged, uint64(t.Open))
 	b.rates(t.Offered, t.Admitted, t.Rate)
 }
 
-func (b *buffer) fact(h *fleet.Held) {
-	b.text(h.Key, h.Digest, h.By, string(h.Body))
+func (b *buffer) fact(h *fleet.AppliedItem) {
+	b.text(h.Key, h.Digest, h.ChangedBy, string(h.Body))
 	b.numbers(uint64(h.SinceMS))
 }
 
--- a/internal/fleet/reportdelta/link.go
+++ b/internal/fleet/reportdelta/link.go
@@ -15,7 +15,7 @@
 
 // Difference gives next as a difference; ok is false where it is to be sent whole: nothing is acknowledged, or by another run.
 func (s *Sender) Difference(next fleet.Report) (d Difference, ok bool) {
-	if !s.known || next.Seq <= s.base.Seq {
+	if !s.known || next.Sequence <= s.base.Sequence {
 		return Difference{}, false
 	}
 	d, err := Diff(s.base, next)
@@ -25,7 +25,7 @@
 // Acknowledged takes the ack_seq of the answer to a report. A leader that does not acknowledge it (one of the build before,
 // or one at which the run has no session) is sent whole reports.
 func (s *Sender) Acknowledged(sent fleet.Report, ackSeq uint64) {
-	if ackSeq == 0 || ackSeq != sent.Seq {
+	if ackSeq == 0 || ackSeq != sent.Sequence {
 		s.Forget()
 		return
 	}
@@ -49,7 +49,7 @@
 func (b *Bases) Find(d *Difference) (fleet.Report, error) {
 	if held, ok := b.nodes[d.Head.Node]; ok {
 		for _, base := range []fleet.Report{held.newest, held.before} {
-			if base.Member == d.Head.Member && base.Seq == d.BaseSeq {
+			if base.Member == d.Head.Member && base.Sequence == d.BaseSeq {
 				return base, nil
 			}
 		}
@@ -61,15 +61,15 @@
 // answer's ack_seq: 0 where a newer one is, as r is no base then.
 func (b *Bases) Keep(r fleet.Report, baseSeq uint64) (ackSeq uint64) {
 	held, ok := b.nodes[r.Node]
-	if ok && (held.newest.Incarnation > r.Incarnation || held.newest.Incarnation == r.Incarnation && held.newest.Seq > r.Seq) {
+	if ok && (held.newest.Incarnation > r.Incarnation || held.newest.Incarnation == r.Incarnation && held.newest.Sequence > r.Sequence) {
 		return 0
 	}
-	if ok && held.newest.Member == r.Member && held.newest.Seq == r.Seq {
-		return r.Seq // once more, as the answer was lost
+	if ok && held.newest.Member == r.Member && held.newest.Sequence == r.Sequence {
+		return r.Sequence // once more, as the answer was lost
 	}
 	next := bases{newest: r}
 	for _, base := range []fleet.Report{held.newest, held.before} {
-		if baseSeq != 0 && base.Member == r.Member && base.Seq == baseSeq {
+		if baseSeq != 0 && base.Member == r.Member && base.Sequence == baseSeq {
 			next.before = base
 		}
 	}
@@ -77,7 +77,7 @@
 		b.nodes = map[string]bases{}
 	}
 	b.nodes[r.Node] = next
-	return r.Seq
+	return r.Sequence
 }
 
 // Retain forgets the runs that are not present.
--- a/internal/fleet/reportdelta/lossy_test.go
+++ b/internal/fleet/reportdelta/lossy_test.go
@@ -39,17 +39,17 @@
 
 func newWorld(draw func(n int) int) *world {
 	w := &world{draw: draw, made: map[string]fleet.Report{}, acked: map[uint64]uint64{}, taken: map[string]int{}, refused: map[string]int{}}
-	w.node = fleet.Report{Member: fleet.Member{Node: "n", Zone: "z", Incarnation: 1}, Root: "00", ListRoot: "00"}
+	w.node = fleet.Report{Member: fleet.Member{Node: "n", Zone: "z", Incarnation: 1}, AppliedRoot: "00", ListRoot: "00"}
 	return w
 }
 
-func name(r fleet.Report) string { return fmt.Sprint(r.Incarnation, "/", r.Seq) }
+func name(r fleet.Report) string { return fmt.Sprint(r.Incarnation, "/", r.Sequence) }
 
 // next has the node make a report: rows come, change and go.
 func (w *world) next() fleet.Report {
 	n := &w.node
-	n.Seq++
-	n.Tenants, n.Zones, n.Held = slices.Clone(n.Tenants), slices.Clone(n.Zones), slices.Clone(n.Held)
+	n.Sequence++
+	n.Tenants, n.Zones, n.Applied = slices.Clone(n.Tenants), slices.Clone(n.Zones), slices.Clone(n.Applied)
 	for range w.draw(5) {
 		key := fmt.Sprint("t", w.draw(8))
 		i := slices.IndexFunc(n.Tenants, func(t fleet.TenantAck) bool { return t.Name == key })
@@ -67,11 +67,11 @@
 	if w.draw(3) == 0 {
 		n.Zones = nil
 		for i := range w.draw(3) {
-			n.Zones = append(n.Zones, fleet.ZoneCount{Zone: fmt.Sprint("z", i), Attempts: w.draw(3)})
+			n.Zones = append(n.Zones, fleet.ZoneEvidence{Zone: fmt.Sprint("z", i), Attempts: w.draw(3)})
 		}
-		n.Held = nil
+		n.Applied = nil
 		for i := range w.draw(3) {
-			n.Held = append(n.Held, fleet.Held{Key: fmt.Sprint("~", i), Digest: "aa", Body: json.RawMessage(fmt.Sprintf(`{"a": "<%d>"}`, w.draw(3)))})
+			n.Applied = append(n.Applied, fleet.AppliedItem{Key: fmt.Sprint("~", i), Digest: "aa", Body: json.RawMessage(fmt.Sprintf(`{"a": "<%d>"}`, w.draw(3)))})
 		}
 	}
 	n.Ready = w.draw(2) == 0
@@ -106,7 +106,7 @@
 	r.Zones, _ = merge(base.Zones, zoneKey, d.Zones, d.ZonesGone)
 	tenants, _ := applyLoads(base.Tenants, d.Loads)
 	r.Tenants, _ = merge(tenants, tenantKey, d.Tenants, d.TenantsGone)
-	r.Held, _ = merge(base.Held, heldKey, d.Held, d.HeldGone)
+	r.Applied, _ = merge(base.Applied, heldKey, d.Held, d.HeldGone)
 	return Digest(r)
 }
 
@@ -128,7 +128,7 @@
 		}
 		if err != nil {
 			w.refused[Reason(err)]++
-			return fleet.ReportAnswer{Whole: true}, true, nil
+			return fleet.ReportAnswer{SendComplete: true}, true, nil
 		}
 		baseSeq = d.BaseSeq
 	} else {
@@ -137,20 +137,20 @@
 		}
 		r = Normalize(r)
 	}
-	if r.Incarnation < w.has.Incarnation || r.Incarnation == w.has.Incarnation && r.Seq < w.has.Seq {
+	if r.Incarnation < w.has.Incarnation || r.Incarnation == w.has.Incarnation && r.Sequence < w.has.Sequence {
 		return ans, false, nil // the judge refuses older ones
 	}
 	if made := w.made[name(r)]; Digest(made) != Digest(r) {
 		return ans, false, fmt.Errorf("the leader takes a report that the node never made: %s: %s", name(r), same(made, r))
 	}
-	if r.Seq < w.acked[r.Incarnation] {
-		return ans, false, fmt.Errorf("the leader has report %d, older than %d, which it acknowledged", r.Seq, w.acked[r.Incarnation])
+	if r.Sequence < w.acked[r.Incarnation] {
+		return ans, false, fmt.Errorf("the leader has report %d, older than %d, which it acknowledged", r.Sequence, w.acked[r.Incarnation])
 	}
 	w.has = r
 	w.taken[map[bool]string{true: "difference", false: "whole"}[m.difference != nil]]++
 	if !w.old && !w.out {
-		ans.AckSeq = w.leader.Keep(r, baseSeq)
-		w.acked[r.Incarnation] = ans.AckSeq
+		ans.AckSequence = w.leader.Keep(r, baseSeq)
+		w.acked[r.Incarnation] = ans.AckSequence
 	}
 	return ans, true, nil
 }
@@ -180,14 +180,14 @@
 			return nil
 		}
 		switch {
-		case !ok && m.difference != nil, ans.Whole:
+		case !ok && m.difference != nil, ans.SendComplete:
 			if try > 0 {
 				return errors.New("a whole report wished for twice")
 			}
 			w.sender.Forget()
 			continue
 		case ok:
-			w.sender.Acknowledged(r, ans.AckSeq)
+			w.sender.Acknowledged(r, ans.AckSequence)
 		}
 		return nil
 	}
@@ -205,7 +205,7 @@
 			w.sender = Sender{}
 		case 2: // the node is started again
 			w.node.Incarnation++
-			w.node.Seq = 0
+			w.node.Sequence = 0
 		case 3: // the session ends, or is held again
 			if w.out = !w.out; w.out {
 				w.leader.Retain(func(fleet.Member) bool { return false })
@@ -239,8 +239,8 @@
 		if name(w.has) != name(r) {
 			return fmt.Errorf("the leader has %s, the node is at %s", name(w.has), name(r))
 		}
-		if w.sender.base.Seq != r.Seq || w.sender.known && w.leader.Nodes() != 1 {
-			return fmt.Errorf("report %d is not acknowledged (%d differences before)", r.Seq, before)
+		if w.sender.base.Sequence != r.Sequence || w.sender.known && w.leader.Nodes() != 1 {
+			return fmt.Errorf("report %d is not acknowledged (%d differences before)", r.Sequence, before)
 		}
 	}
 	return nil
--- a/internal/fleet/reportdelta/reportdelta.go
+++ b/internal/fleet/reportdelta/reportdelta.go
@@ -25,16 +25,16 @@
 // Difference is a report as what changed since an earlier one of the same run: POST /fleet/v1/report/difference. Lists
 // are in the order of their keys, each key at most once.
 type Difference struct {
-	Head        fleet.Report      `json:"head"`     // the report without its services and its rows; its services are the base's
-	BaseSeq     uint64            `json:"base_seq"` // seq of the report that this follows
-	Digest      string            `json:"digest"`   // Digest of the whole report
-	Zones       []fleet.ZoneCount `json:"zones,omitempty"`
-	ZonesGone   []string          `json:"zones_gone,omitempty"`
-	Tenants     []fleet.TenantAck `json:"tenants,omitempty"`
-	TenantsGone []string          `json:"tenants_gone,omitempty"`
-	Loads       []Load            `json:"loads,omitempty"`
-	Held        []fleet.Held      `json:"held,omitempty"`
-	HeldGone    []string          `json:"held_gone,omitempty"`
+	Head        fleet.Report         `json:"head"`     // the report without its services and its rows; its services are the base's
+	BaseSeq     uint64               `json:"base_seq"` // seq of the report that this follows
+	Digest      string               `json:"digest"`   // Digest of the whole report
+	Zones       []fleet.ZoneEvidence `json:"zones,omitempty"`
+	ZonesGone   []string             `json:"zones_gone,omitempty"`
+	Tenants     []fleet.TenantAck    `json:"tenants,omitempty"`
+	TenantsGone []string             `json:"tenants_gone,omitempty"`
+	Loads       []Load               `json:"loads,omitempty"`
+	Held        []fleet.AppliedItem  `json:"held,omitempty"`
+	HeldGone    []string             `json:"held_gone,omitempty"`
 }
 
 // Load is a tenant's row of which nothing but the load and the share changed.
@@ -51,16 +51,16 @@
 func Normalize(r fleet.Report) fleet.Report {
 	r.Zones = sorted(r.Zones, zoneKey)
 	r.Tenants = sorted(r.Tenants, tenantKey)
-	r.Held = slices.Clone(sorted(r.Held, heldKey))
-	for i := range r.Held {
-		r.Held[i].Body = compact(r.Held[i].Body)
+	r.Applied = slices.Clone(sorted(r.Applied, heldKey))
+	for i := range r.Applied {
+		r.Applied[i].Body = compact(r.Applied[i].Body)
 	}
 	return r
 }
 
-func zoneKey(z *fleet.ZoneCount) string   { return z.Zone }
-func tenantKey(t *fleet.TenantAck) string { return t.Name }
-func heldKey(h *fleet.Held) string        { return h.Key }
+func zoneKey(z *fleet.ZoneEvidence) string { return z.Zone }
+func tenantKey(t *fleet.TenantAck) string  { return t.Name }
+func heldKey(h *fleet.AppliedItem) string  { return h.Key }
 
 // sorted gives rows by key: the slice itself where it is in order.
 func sorted[T any](rows []T, key func(*T) string) []T {
@@ -78,12 +78,12 @@
 	if base.Member != next.Member || !slices.Equal(base.Services, next.Services) {
 		return Difference{}, errRun
 	}
-	d := Difference{Head: next, BaseSeq: base.Seq, Digest: Digest(next)}
-	d.Head.Services, d.Head.Zones, d.Head.Tenants, d.Head.Held = nil, nil, nil, nil
-	equal := func(a, b *fleet.ZoneCount, _ int) bool { return *a == *b }
+	d := Difference{Head: next, BaseSeq: base.Sequence, Digest: Digest(next)}
+	d.Head.Services, d.Head.Zones, d.Head.Tenants, d.Head.Applied = nil, nil, nil, nil
+	equal := func(a, b *fleet.ZoneEvidence, _ int) bool { return *a == *b }
 	d.Zones, d.ZonesGone = changes(base.Zones, next.Zones, zoneKey, equal)
 	d.Tenants, d.TenantsGone = changes(base.Tenants, next.Tenants, tenantKey, d.sameButLoad)
-	d.Held, d.HeldGone = changes(base.Held, next.Held, heldKey, sameFact)
+	d.Held, d.HeldGone = changes(base.Applied, next.Applied, heldKey, sameFact)
 	return d, nil
 }
 
@@ -106,8 +106,8 @@
 	return t
 }
 
-func sameFact(a, b *fleet.Held, _ int) bool {
-	return a.Key == b.Key && a.Digest == b.Digest && a.By == b.By && a.SinceMS == b.SinceMS && bytes.Equal(a.Body, b.Body)
+func sameFact(a, b *fleet.AppliedItem, _ int) bool {
+	return a.Key == b.Key && a.Digest == b.Digest && a.ChangedBy == b.ChangedBy && a.SinceMS == b.SinceMS && bytes.Equal(a.Body, b.Body)
 }
 
 // changes gives the rows of next that base has not, or not the same, and the keys that base alone has.
@@ -135,8 +135,8 @@
 
 // Apply makes the whole report again. base is not changed.
 func Apply(base fleet.Report, d Difference) (fleet.Report, error) {
-	if base.Member != d.Head.Member || base.Seq != d.BaseSeq || d.Head.Seq <= base.Seq {
-		return fleet.Report{}, fmt.Errorf("%w: report %d of incarnation %d after %d", ErrBase, d.Head.Seq, d.Head.Incarnation, d.BaseSeq)
+	if base.Member != d.Head.Member || base.Sequence != d.BaseSeq || d.Head.Sequence <= base.Sequence {
+		return fleet.Report{}, fmt.Errorf("%w: report %d of incarnation %d after %d", ErrBase, d.Head.Sequence, d.Head.Incarnation, d.BaseSeq)
 	}
 	r := d.Head
 	r.Services = base.Services
@@ -147,7 +147,7 @@
 	var zonesErr, tenantsErr, heldErr error
 	r.Zones, zonesErr = merge(base.Zones, zoneKey, d.Zones, d.ZonesGone)
 	r.Tenants, tenantsErr = merge(tenants, tenantKey, d.Tenants, d.TenantsGone)
-	r.Held, heldErr = merge(base.Held, heldKey, d.Held, d.HeldGone)
+	r.Applied, heldErr = merge(base.Applied, heldKey, d.Held, d.HeldGone)
 	if err := cmp.Or(zonesErr, tenantsErr, heldErr); err != nil {
 		return fleet.Report{}, err
 	}
--- a/internal/fleet/reportdelta/reportdelta_test.go
+++ b/internal/fleet/reportdelta/reportdelta_test.go
@@ -18,9 +18,9 @@
 
 // node makes the reports of a node with so many tenants, of which the first active ones have load.
 func node(tenants, active int, seq uint64) fleet.Report {
-	r := fleet.Report{Member: fleet.Member{Node: "ghala-17", Zone: "ghala", Incarnation: 1_764_652_571_000_000_000}, Seq: seq,
-		Revision: 4711, Ready: true, WindowMS: 1000 + int64(seq%7), List: 12, Root: "0123456789abcdef", ListRoot: "fedcba9876543210",
-		Held: []fleet.Held{{Key: fleet.KeySettings, Digest: "00000000000000aa", By: "the configuration file", SinceMS: 1_764_652_571_000}}}
+	r := fleet.Report{Member: fleet.Member{Node: "ghala-17", Zone: "ghala", Incarnation: 1_764_652_571_000_000_000}, Sequence: seq,
+		Revision: 4711, Ready: true, WindowMS: 1000 + int64(seq%7), List: 12, AppliedRoot: "0123456789abcdef", ListRoot: "fedcba9876543210",
+		Applied: []fleet.AppliedItem{{Key: fleet.KeySettings, Digest: "00000000000000aa", ChangedBy: "the configuration file", SinceMS: 1_764_652_571_000}}}
 	for i := range tenants {
 		t := fleet.TenantAck{Name: fmt.Sprintf("tenant-%05d", i), UID: uint64(1000 + i), Committed: 3, Digest: fmt.Sprintf("%016x", i*7919), Rate: 0.2}
 		if i < active {
@@ -60,7 +60,7 @@
 // Every member of a report, its rows' too, is in the digest: one that is forgotten here would be lost unseen.
 func TestDigestCoversEveryMember(t *testing.T) {
 	full := func() fleet.Report {
-		return fleet.Report{Services: []string{"a"}, Zones: []fleet.ZoneCount{{}}, Tenants: []fleet.TenantAck{{}}, Held: []fleet.Held{{}}}
+		return fleet.Report{Services: []string{"a"}, Zones: []fleet.ZoneEvidence{{}}, Tenants: []fleet.TenantAck{{}}, Applied: []fleet.AppliedItem{{}}}
 	}
 	want := Digest(full())
 	seen := 0
@@ -113,7 +113,7 @@
 	}
 	next.Tenants = append(next.Tenants[:7:7], next.Tenants[8:]...)
 	next.Tenants[0].Staged = 4
-	next.Held = append(next.Held, fleet.Held{Key: "~3*", Digest: "00000000000000bb", Body: json.RawMessage(`{"a":"<&>"}`)})
+	next.Applied = append(next.Applied, fleet.AppliedItem{Key: "~3*", Digest: "00000000000000bb", Body: json.RawMessage(`{"a":"<&>"}`)})
 	d = send(t, mustDiff(t, base, next))
 	if len(d.Tenants) != 1 || len(d.Loads) != 4 || len(d.TenantsGone) != 1 || len(d.Held) != 1 {
 		t.Errorf("%d rows, %d loads, %d gone, %d facts", len(d.Tenants), len(d.Loads), len(d.TenantsGone), len(d.Held))
@@ -159,7 +159,7 @@
 		{"more than a report can hold", first, with(fromFirst, func(d *Difference) {
 			d.Tenants = nil
 			for i := range 300 {
-				d.Tenants = append(d.Tenants, fleet.TenantAck{Name: fmt.Sprintf("z%03d", i), Refused: strings.Repeat("x", 1024)})
+				d.Tenants = append(d.Tenants, fleet.TenantAck{Name: fmt.Sprintf("z%03d", i), RejectReason: strings.Repeat("x", 1024)})
 			}
 		}), fleet.ErrInvalid},
 	} {
@@ -200,7 +200,7 @@
 		`{` + head + `,"held":[{"key":""}]}`:                   "held[0]",
 		`{` + head + `,"head":{"tenants":[{"name":"a"}]}}`:     "head: has services or rows",
 		`{` + head + `,"head":{"services":["a"]}}`:             "head: has services or rows",
-		strings.Repeat(" ", fleet.ReportLimit+1):               "bytes, at most",
+		strings.Repeat(" ", fleet.MaxReportBytes+1):            "bytes, at most",
 		"{\"digest\":\"\xff\"}":                                "UTF-8",
 	} {
 		_, err := Decode([]byte(body))
@@ -223,14 +223,14 @@
 
 // What a leader wants of a node's facts comes through differences as through whole reports, and goes again from them.
 func TestWantedFactsComeThroughDifferences(t *testing.T) {
-	facts := []fleet.Held{{Key: "settings", Digest: "00000000000000aa", Body: json.RawMessage(`{ "nodes": 3 }`)},
+	facts := []fleet.AppliedItem{{Key: "settings", Digest: "00000000000000aa", Body: json.RawMessage(`{ "nodes": 3 }`)},
 		{Key: "tenant/a", Digest: "00000000000000ab", Body: json.RawMessage(`{"uid": 1}`)},
 		{Key: "tenant/b", Digest: "00000000000000ac", Body: json.RawMessage(`{"uid":2}`)}, {Key: "server/1", Digest: "00000000000000ad"}}
 	var sender Sender
 	var leader Bases
 	for seq, want := range [][]string{nil, {"~*"}, {"tenant/b", "=*"}, {"settings", "~*"}, nil} {
 		r := node(3, 1, uint64(seq+1))
-		drift.Fill(&r, facts, want)
+		drift.FillReport(&r, facts, want)
 		raw, _ := json.Marshal(r)
 		whole, err := fleet.DecodeReport(raw)
 		if err != nil {
@@ -249,8 +249,8 @@
 		} else if seq > 0 {
 			t.Fatal("sent whole")
 		}
-		if diff := same(Normalize(whole), got); diff != "" || len(want) > 0 && len(got.Held) < 2 {
-			t.Errorf("seq %d: %d facts: %s", seq, len(got.Held), diff)
+		if diff := same(Normalize(whole), got); diff != "" || len(want) > 0 && len(got.Applied) < 2 {
+			t.Errorf("seq %d: %d facts: %s", seq, len(got.Applied), diff)
 		}
 		sender.Acknowledged(sent, leader.Keep(got, baseSeq))
 	}
--- a/internal/fleet/scope.go
+++ b/internal/fleet/scope.go
@@ -7,8 +7,8 @@
 
 // Limits on a scope.
 const (
-	ServiceNameLimit = 64  // bytes of a service's name
-	ScopeLimit       = 128 // services of one node
+	MaxServiceNameBytes = 64  // bytes of a service's name
+	MaxScopeServices    = 128 // services of one node
 )
 
 // Serves says whether a node whose scope is services holds the tenants of service. A node without a scope holds every
@@ -30,12 +30,12 @@
 
 // ValidScope checks the services that a node names: sorted, each once, within the limits. The error wraps ErrInvalid.
 func ValidScope(services []string) error {
-	if len(services) > ScopeLimit {
-		return fmt.Errorf("%w: services: %d, at most %d", ErrInvalid, len(services), ScopeLimit)
+	if len(services) > MaxScopeServices {
+		return fmt.Errorf("%w: services: %d, at most %d", ErrInvalid, len(services), MaxScopeServices)
 	}
 	for i, service := range services {
-		if service == "" || len(service) > ServiceNameLimit {
-			return fmt.Errorf("%w: services: name %.70q: 1 to %d bytes", ErrInvalid, service, ServiceNameLimit)
+		if service == "" || len(service) > MaxServiceNameBytes {
+			return fmt.Errorf("%w: services: name %.70q: 1 to %d bytes", ErrInvalid, service, MaxServiceNameBytes)
 		}
 		if i > 0 && services[i-1] >= service {
 			return fmt.Errorf("%w: services: %q is not in order, or named twice", ErrInvalid, service)
--- a/internal/fleet/scope_test.go
+++ b/internal/fleet/scope_test.go
@@ -30,7 +30,7 @@
 			t.Errorf("%q: %v", good, err)
 		}
 	}
-	for _, bad := range [][]string{{""}, {"b", "a"}, {"a", "a"}, {strings.Repeat("x", ServiceNameLimit+1)}, make([]string, ScopeLimit+1)} {
+	for _, bad := range [][]string{{""}, {"b", "a"}, {"a", "a"}, {strings.Repeat("x", MaxServiceNameBytes+1)}, make([]string, MaxScopeServices+1)} {
 		if err := ValidScope(bad); !errors.Is(err, ErrInvalid) {
 			t.Errorf("%.80q: %v, want ErrInvalid", bad, err)
 		}
--- a/internal/fleet/session/scope.go
+++ b/internal/fleet/session/scope.go
@@ -7,15 +7,15 @@
 	"meadowsill/internal/fleet"
 )
 
-// servicesMost bounds the services whose epochs are remembered one by one.
-const servicesMost = 4096
+// maxServiceEpochs bounds the services whose epochs are remembered one by one.
+const maxServiceEpochs = 4096
 
 // Scopes is what the state keeps once a run with a scope has joined. Without one there is none, and the epoch of every
 // scope is the fleet's.
 type Scopes struct {
 	Services map[string][]string `json:"services,omitempty"` // of the present members that have a scope, by node
 	Epochs   map[string]uint64   `json:"epochs,omitempty"`   // by service: the last change of a member whose scope names it
-	Everyone uint64              `json:"everyone,omitempty"` // the last change of a member without a scope, which serves every service
+	Unscoped uint64              `json:"everyone,omitempty"` // the last change of a member without a scope, which serves every service
 }
 
 // ScopeEpoch is the epoch of a service's scope: the fleet's at the last join, leave or lapse of a member that serves it. The
@@ -24,7 +24,7 @@
 	if service == "" || s.Scopes == nil {
 		return s.Epoch
 	}
-	return max(s.Scopes.Everyone, s.Scopes.Epochs[service])
+	return max(s.Scopes.Unscoped, s.Scopes.Epochs[service])
 }
 
 // Services are those of a present member's scope; none: it serves every service.
@@ -50,11 +50,11 @@
 	return nil
 }
 
-// moveEpochs notes that the present epoch began with a change of members with these scopes.
-func (s *State) moveEpochs(changed ...[]string) {
+// advanceEpochs notes that the present epoch began with a change of members with these scopes.
+func (s *State) advanceEpochs(changed ...[]string) {
 	for _, services := range changed {
 		if len(services) > 0 && s.Scopes == nil {
-			s.Scopes = &Scopes{Everyone: s.Epoch - 1}
+			s.Scopes = &Scopes{Unscoped: s.Epoch - 1}
 		}
 	}
 	if s.Scopes == nil {
@@ -62,7 +62,7 @@
 	}
 	for _, services := range changed {
 		if len(services) == 0 {
-			s.Scopes.Everyone = s.Epoch
+			s.Scopes.Unscoped = s.Epoch
 		}
 		for _, service := range services {
 			if s.Scopes.Epochs == nil {
@@ -71,13 +71,13 @@
 			s.Scopes.Epochs[service] = s.Epoch
 		}
 	}
-	if len(s.Scopes.Epochs) > servicesMost { // an epoch only moves forward: at worst a command is decided anew
-		s.Scopes.Epochs, s.Scopes.Everyone = nil, s.Epoch
+	if len(s.Scopes.Epochs) > maxServiceEpochs { // an epoch only moves forward: at worst a command is decided anew
+		s.Scopes.Epochs, s.Scopes.Unscoped = nil, s.Epoch
 	}
 }
 
-// setServices keeps the scope of a member that has joined; of one without, and of one that has gone, nothing is kept.
-func (s *State) setServices(node string, services []string) {
+// rememberServices keeps the scope of a member that has joined; of one without, and of one that has gone, nothing is kept.
+func (s *State) rememberServices(node string, services []string) {
 	switch {
 	case s.Scopes == nil:
 	case len(services) == 0:
--- a/internal/fleet/session/scope_test.go
+++ b/internal/fleet/session/scope_test.go
@@ -39,8 +39,8 @@
 		{Command{Op: Leave, Member: member("c", 1)}, 2, 4},
 		{Command{Op: Join, Member: member("d", 1), Services: []string{"billing", "search"}}, 5, 5},
 		{Command{Op: Join, Member: member("b", 2), Services: []string{"search"}}, 6, 6}, // it leaves one scope and joins another
-		{Command{Op: Lapse, Member: member("b", 2)}, 6, 7},
-		{Command{Op: Lapse, Member: member("a", 1)}, 8, 8},
+		{Command{Op: Expire, Member: member("b", 2)}, 6, 7},
+		{Command{Op: Expire, Member: member("a", 1)}, 8, 8},
 		{Command{Op: Join, Member: member("e", 1), Services: []string{"mail"}}, 8, 8},
 	}
 	for i, step := range steps {
@@ -66,7 +66,7 @@
 		t.Repeat(map[string]func(*rapid.T){
 			"change": func(t *rapid.T) {
 				node := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "node")
-				c := Command{Op: rapid.SampledFrom([]string{Join, Leave, Lapse}).Draw(t, "op"), Member: s.Members[node]}
+				c := Command{Op: rapid.SampledFrom([]string{Join, Leave, Expire}).Draw(t, "op"), Member: s.Members[node]}
 				if c.Op == Join {
 					incarnation++
 					c.Member = member(node, incarnation)
@@ -115,9 +115,9 @@
 		"another scope":  {Member: member("a", 1), Services: []string{"search"}},
 		"none any more":  {Member: member("a", 1)},
 		"not in order":   {Member: member("b", 1), Services: []string{"b", "a"}},
-		"too many":       {Member: member("b", 1), Services: make([]string, fleet.ScopeLimit+1)},
+		"too many":       {Member: member("b", 1), Services: make([]string, fleet.MaxScopeServices+1)},
 		"empty":          {Member: member("b", 1), Services: []string{""}},
-		"too long":       {Member: member("b", 1), Services: []string{strings.Repeat("x", fleet.ServiceNameLimit+1)}},
+		"too long":       {Member: member("b", 1), Services: []string{strings.Repeat("x", fleet.MaxServiceNameBytes+1)}},
 		"named twice":    {Member: member("b", 1), Services: []string{"a", "a"}},
 		"a newer run's":  {Member: member("a", 2), Services: []string{"b", "a"}},
 		"with no member": {Services: []string{"billing"}},
@@ -140,7 +140,7 @@
 func TestStateWithoutScopes(t *testing.T) {
 	const old = `{"epoch":3,"members":{"a":{"node":"a","zone":"z","incarnation":1}},"highest":{"a":{"incarnation":1},"b":{"incarnation":1}}}`
 	var s State
-	mustApply(t, &s, Command{Op: Join, Member: member("a", 1)}, Command{Op: Join, Member: member("b", 1)}, Command{Op: Lapse, Member: member("b", 1)})
+	mustApply(t, &s, Command{Op: Join, Member: member("a", 1)}, Command{Op: Join, Member: member("b", 1)}, Command{Op: Expire, Member: member("b", 1)})
 	if raw, _ := json.Marshal(s); string(raw) != old {
 		t.Errorf("%s, want %s", raw, old)
 	}
@@ -159,10 +159,10 @@
 	var s State
 	mustApply(t, &s, Command{Op: Join, Member: member("a", 1), Services: []string{"billing"}})
 	last := s.ScopeEpoch("billing")
-	for i := range 2 * servicesMost / fleet.ScopeLimit {
+	for i := range 2 * maxServiceEpochs / fleet.MaxScopeServices {
 		var services []string
-		for j := range fleet.ScopeLimit {
-			services = append(services, fmt.Sprintf("s%05d", i*fleet.ScopeLimit+j))
+		for j := range fleet.MaxScopeServices {
+			services = append(services, fmt.Sprintf("s%05d", i*fleet.MaxScopeServices+j))
 		}
 		mustApply(t, &s, Command{Op: Join, Member: member("b", uint64(i+1)), Services: services})
 		if epoch := s.ScopeEpoch("billing"); epoch < last {
@@ -170,7 +170,7 @@
 		} else {
 			last = epoch
 		}
-		if n := len(s.Scopes.Epochs); n > servicesMost {
+		if n := len(s.Scopes.Epochs); n > maxServiceEpochs {
 			t.Fatalf("%d epochs are kept", n)
 		}
 	}
--- a/internal/fleet/session/session.go
+++ b/internal/fleet/session/session.go
@@ -15,35 +15,35 @@
 
 // Errors of a join, besides fleet.ErrFenced. They change nothing.
 var (
-	ErrFull    = errors.New("no slot is free")       // as many nodes are present as the settings' slots
+	ErrNoSlot  = errors.New("no slot is free")       // as many nodes are present as the settings' slots
 	ErrPending = errors.New("the session is ending") // its lapse is proposed: ask again
 )
 
-// MaxNames bounds the names that are remembered; a join under a further one is refused.
-const MaxNames = 4096
+// MaxRememberedNames bounds the names that are remembered; a join under a further one is refused.
+const MaxRememberedNames = 4096
 
-// NameLimit bounds the length of a node's and a zone's name, in bytes.
-const NameLimit = 128
+// MaxNameBytes bounds the length of a node's and a zone's name, in bytes.
+const MaxNameBytes = 128
 
-// Seen is the newest run that was present under a name.
-type Seen struct {
+// NewestRun is the newest run that was present under a name.
+type NewestRun struct {
 	Incarnation uint64 `json:"incarnation"`
-	Left        bool   `json:"left,omitempty"` // it said goodbye, or a larger one came: it may not come back
+	Ended       bool   `json:"left,omitempty"` // it said goodbye, or a larger one came: it may not come back
 }
 
 // State is the replicated part: who is present. The zero State is empty and ready.
 type State struct {
-	Epoch   uint64                  `json:"epoch"`             // of the set of present members; rises by one with each change of it
-	Members map[string]fleet.Member `json:"members,omitempty"` // present, by node
-	Highest map[string]Seen         `json:"highest,omitempty"` // by node
-	Scopes  *Scopes                 `json:"scopes,omitempty"`  // nil: no run with a scope ever joined
+	Epoch      uint64                  `json:"epoch"`             // of the set of present members; rises by one with each change of it
+	Members    map[string]fleet.Member `json:"members,omitempty"` // present, by node
+	NewestRuns map[string]NewestRun    `json:"highest,omitempty"` // by node
+	Scopes     *Scopes                 `json:"scopes,omitempty"`  // nil: no run with a scope ever joined
 }
 
 // Ops of a command.
 const (
-	Join  = "join"  // a run reports for the first time, or again after its lease lapsed
-	Leave = "leave" // it said goodbye
-	Lapse = "lapse" // its lease is over by the leader's clock
+	Join   = "join"  // a run reports for the first time, or again after its lease lapsed
+	Leave  = "leave" // it said goodbye
+	Expire = "lapse" // its lease is over by the leader's clock
 )
 
 // Command is one change of who is present. Slots is the most nodes that may be, from the leader's settings, so that
@@ -58,14 +58,14 @@
 // Check says whether m may be present: nil where it is present or may join, fleet.ErrFenced for an older run,
 // fleet.ErrInvalid for a name that can't be.
 func (s *State) Check(m fleet.Member) error {
-	if m.Node == "" || len(m.Node) > NameLimit || m.Zone == "" || len(m.Zone) > NameLimit {
-		return fmt.Errorf("%w: node and zone: names of 1 to %d bytes", fleet.ErrInvalid, NameLimit)
+	if m.Node == "" || len(m.Node) > MaxNameBytes || m.Zone == "" || len(m.Zone) > MaxNameBytes {
+		return fmt.Errorf("%w: node and zone: names of 1 to %d bytes", fleet.ErrInvalid, MaxNameBytes)
 	}
 	if m.Incarnation == 0 {
 		return fmt.Errorf("%w: incarnation: above 0", fleet.ErrInvalid)
 	}
-	h, known := s.Highest[m.Node]
-	if known && (m.Incarnation < h.Incarnation || m.Incarnation == h.Incarnation && h.Left) {
+	h, known := s.NewestRuns[m.Node]
+	if known && (m.Incarnation < h.Incarnation || m.Incarnation == h.Incarnation && h.Ended) {
 		return fmt.Errorf("%w: %s: %d, seen %d", fleet.ErrFenced, m.Node, m.Incarnation, h.Incarnation)
 	}
 	if p, ok := s.Members[m.Node]; ok && p.Incarnation == m.Incarnation && p.Zone != m.Zone {
@@ -92,14 +92,14 @@
 		if !s.Present(c.Member) {
 			return false, nil
 		}
-		s.end(c.Member)
-		s.Highest[c.Member.Node] = Seen{Incarnation: c.Member.Incarnation, Left: true}
+		s.removeMember(c.Member)
+		s.NewestRuns[c.Member.Node] = NewestRun{Incarnation: c.Member.Incarnation, Ended: true}
 		return true, nil
-	case Lapse:
+	case Expire:
 		if !s.Present(c.Member) {
 			return false, nil // it has gone, or a new run is there
 		}
-		s.end(c.Member)
+		s.removeMember(c.Member)
 		return true, nil
 	}
 	return false, fmt.Errorf("%w: session op %q", fleet.ErrInvalid, c.Op)
@@ -117,33 +117,33 @@
 		return false, nil
 	}
 	_, again := s.Members[m.Node]
-	_, known := s.Highest[m.Node]
-	if !again && c.Slots > 0 && len(s.Members) >= c.Slots || !known && len(s.Highest) >= MaxNames {
-		return false, fmt.Errorf("%w for %s: %d are present", ErrFull, m.Node, len(s.Members))
+	_, known := s.NewestRuns[m.Node]
+	if !again && c.Slots > 0 && len(s.Members) >= c.Slots || !known && len(s.NewestRuns) >= MaxRememberedNames {
+		return false, fmt.Errorf("%w for %s: %d are present", ErrNoSlot, m.Node, len(s.Members))
 	}
 	if s.Members == nil {
 		s.Members = map[string]fleet.Member{}
 	}
-	if s.Highest == nil {
-		s.Highest = map[string]Seen{}
+	if s.NewestRuns == nil {
+		s.NewestRuns = map[string]NewestRun{}
 	}
 	s.Epoch++
 	if again { // a former run ends
-		s.moveEpochs(s.Services(m.Node), c.Services)
+		s.advanceEpochs(s.Services(m.Node), c.Services)
 	} else {
-		s.moveEpochs(c.Services)
+		s.advanceEpochs(c.Services)
 	}
-	s.Members[m.Node], s.Highest[m.Node] = m, Seen{Incarnation: m.Incarnation}
-	s.setServices(m.Node, c.Services)
+	s.Members[m.Node], s.NewestRuns[m.Node] = m, NewestRun{Incarnation: m.Incarnation}
+	s.rememberServices(m.Node, c.Services)
 	return true, nil
 }
 
-// end takes a present member away.
-func (s *State) end(m fleet.Member) {
+// removeMember takes a present member away.
+func (s *State) removeMember(m fleet.Member) {
 	s.Epoch++
-	s.moveEpochs(s.Services(m.Node))
+	s.advanceEpochs(s.Services(m.Node))
 	delete(s.Members, m.Node)
-	s.setServices(m.Node, nil)
+	s.rememberServices(m.Node, nil)
 }
 
 // List is the present members, by node.
--- a/internal/fleet/session/session_test.go
+++ b/internal/fleet/session/session_test.go
@@ -38,7 +38,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		m := fleet.Member{Node: "n", Zone: "z", Incarnation: 7}
 		agent := drawClock(t, "agent")
-		var holder Holder
+		var holder AgentLease
 		var state State
 		var real time.Duration
 		type leader struct {
@@ -55,16 +55,16 @@
 		var air []*flight
 		tick := func() {
 			l := leaders[len(leaders)-1]
-			proposed = append(proposed, l.leases.Lapsed(l.clock.at(real), &state)...)
+			proposed = append(proposed, l.leases.Expired(l.clock.at(real), &state)...)
 		}
 		settle := func(apply bool) {
 			for _, p := range proposed {
 				if apply {
-					if ok, _ := state.Apply(Command{Op: Lapse, Member: p}); ok {
+					if ok, _ := state.Apply(Command{Op: Expire, Member: p}); ok {
 						lapses++
 					}
 				}
-				leaders[len(leaders)-1].leases.Settled(p)
+				leaders[len(leaders)-1].leases.Resolved(p)
 			}
 			proposed = nil
 		}
@@ -92,7 +92,7 @@
 			"hear": func(t *rapid.T) {
 				for _, f := range air {
 					if f.left == 2 && rapid.Bool().Draw(t, "this") {
-						holder.Renewed(f.t0, ttl)
+						holder.Renew(f.t0, ttl)
 						renewals++
 					}
 				}
@@ -101,7 +101,7 @@
 				l := leaders[len(leaders)-1]
 				state.Apply(Command{Op: Join, Member: m})
 				if t0 := agent.at(real); l.leases.Renew(l.clock.at(real), m) == nil {
-					holder.Renewed(t0, ttl)
+					holder.Renew(t0, ttl)
 					renewals++
 				}
 			},
@@ -122,7 +122,7 @@
 				newLeader()
 			},
 			"": func(t *rapid.T) {
-				if left := holder.Left(agent.at(real)); left > 0 && !state.Present(m) {
+				if left := holder.Remaining(agent.at(real)); left > 0 && !state.Present(m) {
 					t.Fatalf("at %v the agent counts %v more and the node is not present", real, left)
 				}
 			},
@@ -135,7 +135,7 @@
 
 // The page's arithmetic: the slowest agent is out before the fastest leader can say so, with 0.02 of ttl to spare.
 func TestHoldPart(t *testing.T) {
-	if spare := 1/1.01 - HoldPart/0.99; spare < 0.02 || math.IsNaN(spare) {
+	if spare := 1/1.01 - AgentLeasePart/0.99; spare < 0.02 || math.IsNaN(spare) {
 		t.Errorf("%.4f of ttl to spare", spare)
 	}
 }
@@ -151,7 +151,7 @@
 		m    fleet.Member
 		want error
 	}{
-		{fleet.Member{Node: "c", Zone: "x", Incarnation: 1}, ErrFull},
+		{fleet.Member{Node: "c", Zone: "x", Incarnation: 1}, ErrNoSlot},
 		{fleet.Member{Node: "", Zone: "x", Incarnation: 1}, fleet.ErrInvalid},
 		{fleet.Member{Node: "c", Zone: "", Incarnation: 1}, fleet.ErrInvalid},
 		{fleet.Member{Node: "c", Zone: "x"}, fleet.ErrInvalid},
--- a/internal/fleet/session/table_test.go
+++ b/internal/fleet/session/table_test.go
@@ -19,7 +19,7 @@
 // name gives the event and condition as the page's table has them, from the state before it.
 func (e event) name(s *State) (event, condition string) {
 	_, present := s.Members["n"]
-	h, known := s.Highest["n"]
+	h, known := s.NewestRuns["n"]
 	switch older := known && e.incarnation < h.Incarnation; {
 	case e.lapse && older:
 		return "lapse", "of an incarnation that has a successor"
@@ -29,7 +29,7 @@
 		return "report", "smaller incarnation"
 	case older:
 		return "report", "incarnation below the highest seen"
-	case h.Left && e.incarnation == h.Incarnation:
+	case h.Ended && e.incarnation == h.Incarnation:
 		return "report", "the highest seen, which left"
 	case present && e.incarnation > h.Incarnation && e.leaving:
 		return "report", "larger incarnation, leaving"
@@ -63,14 +63,14 @@
 		c.Op = Leave
 	}
 	if e.lapse {
-		c.Op = Lapse
+		c.Op = Expire
 	}
 	epoch, was, wasPresent := s.Epoch, s.Members["n"], s.Present(m)
 	changed, err := s.Apply(c)
 	switch {
 	case errors.Is(err, fleet.ErrFenced):
 		return "refused: older incarnation"
-	case errors.Is(err, ErrFull):
+	case errors.Is(err, ErrNoSlot):
 		return "refused: no slot is free"
 	case errors.Is(err, fleet.ErrInvalid):
 		return "refused: invalid"
@@ -101,7 +101,7 @@
 	run := func(inc uint64, op string) Command {
 		return Command{Op: op, Member: fleet.Member{Node: "n", Zone: "z", Incarnation: inc}}
 	}
-	for _, before := range [][]Command{{}, {run(5, Join)}, {run(5, Join), run(5, Lapse)}, {run(5, Join), run(5, Leave)}} {
+	for _, before := range [][]Command{{}, {run(5, Join)}, {run(5, Join), run(5, Expire)}, {run(5, Join), run(5, Leave)}} {
 		for bits := range 16 {
 			for inc := uint64(4); inc <= 6; inc++ {
 				e := event{lapse: bits&1 != 0, leaving: bits&2 != 0, full: bits&4 != 0, otherScope: bits&8 != 0, incarnation: inc}
--- a/internal/fleet/sim/leader.go
+++ b/internal/fleet/sim/leader.go
@@ -15,7 +15,7 @@
 	rev        uint64
 	directives map[string]zones.Entry
 	tenants    map[string]fleet.Tenant
-	shares     map[string]fleet.Shares // by node
+	shares     map[string]fleet.QuotaLease // by node
 }
 
 // within is what a node of these services holds of it.
@@ -41,8 +41,8 @@
 	term      int // of the leader; 0 while there is none
 	terms     int
 	clock     clock
-	judge     *zones.Judge
-	tjudge    *tenants.Judge
+	judge     *zones.Controller
+	tjudge    *tenants.Controller
 	leadSince time.Duration            // by its clock
 	leases    map[string]time.Duration // until, by its clock
 }
@@ -52,9 +52,9 @@
 	c.terms++
 	c.term, c.clock = c.terms, newClock(c.s.rng)
 	c.leadSince, c.leases = c.clock.read(c.s.now), map[string]time.Duration{}
-	c.judge = zones.NewJudge(c.s.set)
+	c.judge = zones.NewController(c.s.set)
 	c.judge.Lead(c.leadSince)
-	c.tjudge = tenants.NewJudge(tenants.Config{Slots: c.s.plan.Nodes, TTL: ttl})
+	c.tjudge = tenants.NewController(tenants.Config{Slots: c.s.plan.Nodes, TTL: ttl})
 	c.tjudge.Lead(c.leadSince)
 	c.tick(c.term)
 }
@@ -66,7 +66,7 @@
 	s, now := c.s, c.clock.read(c.s.now)
 	for _, m := range c.sessions.List() {
 		if now >= max(c.leases[m.Node], c.leadSince+ttl) {
-			c.sessions.Apply(session.Command{Op: session.Lapse, Member: m})
+			c.sessions.Apply(session.Command{Op: session.Expire, Member: m})
 		}
 	}
 	for _, cmd := range c.tjudge.Step(now, &c.tenants, c.present()) {
@@ -118,12 +118,12 @@
 
 // publish sends the newest intent to every node's agent.
 func (c *control) publish() {
-	it := &intent{c.rev, maps.Clone(c.state.Directives), map[string]fleet.Tenant{}, map[string]fleet.Shares{}}
+	it := &intent{c.rev, maps.Clone(c.state.Directives), map[string]fleet.Tenant{}, map[string]fleet.QuotaLease{}}
 	for name, e := range c.tenants.Tenants {
 		it.tenants[name] = e.Tenant
 	}
 	for name, l := range c.tenants.Runs {
-		it.shares[name] = fleet.Shares{Epoch: l.Division, Incarnation: l.Incarnation, Slots: c.tenants.Slots, Rates: maps.Clone(l.Rates)}
+		it.shares[name] = fleet.QuotaLease{Epoch: l.Division, Incarnation: l.Incarnation, Slots: c.tenants.Slots, Rates: maps.Clone(l.Rates)}
 	}
 	c.intent = it
 	for i := range c.s.nodes {
@@ -136,21 +136,21 @@
 	if c.term == 0 {
 		return
 	}
-	if r.Incarnation < c.sessions.Highest[r.Node].Incarnation {
+	if r.Incarnation < c.sessions.NewestRuns[r.Node].Incarnation {
 		return // 409 older incarnation
 	}
 	now := c.clock.read(c.s.now)
 	if !c.sessions.Present(r.Member) {
-		share, _ := c.tenants.Item(fleet.KeyShare + "/" + r.Node) // or that it is gone
-		if !c.s.hooks.rejoin && (!tenants.CaughtUp(&c.tenants, r) || r.Revision < max(share.Rev, c.tenants.Compacted())) {
+		share, _ := c.tenants.Item(fleet.KeyLease + "/" + r.Node) // or that it is gone
+		if !c.s.hooks.rejoin && (!tenants.CaughtUp(&c.tenants, r) || r.Revision < max(share.Revision, c.tenants.Compacted())) {
 			return // it is answered as out, and says that it is not ready
 		}
 		c.sessions.Apply(session.Command{Op: session.Join, Member: r.Member, Services: r.Services})
 		delete(c.leases, r.Node)
 	}
 	c.leases[r.Node] = max(c.leases[r.Node], now+ttl)
-	c.judge.Observe(now, fleet.NodeView{Member: r.Member, At: now, Report: r})
-	c.tjudge.Observe(now, fleet.NodeView{Member: r.Member, At: now, Report: r})
+	c.judge.Observe(now, fleet.NodeView{Member: r.Member, ReceivedAt: now, Report: r})
+	c.tjudge.Observe(now, fleet.NodeView{Member: r.Member, ReceivedAt: now, Report: r})
 	if c.s.hooks.observe != nil {
 		c.s.hooks.observe(c, now, r)
 	}
--- a/internal/fleet/sim/module.go
+++ b/internal/fleet/sim/module.go
@@ -30,7 +30,7 @@
 // decides starts a module for a node's run.
 func (n *node) decides() {
 	set := policy.Settings{Nodes: n.s.plan.Nodes, NodeIndex: n.i, Zone: n.s.zones[n.zone], Zones: n.s.zones, MaxAttempts: 3, MayCancel: true,
-		MinTick: time.Millisecond, MaxPollInterval: time.Hour, ConnectTimeout: lostTime, SlowStartMinCapacity: n.s.set.ColdFrom, SlowStartWindow: n.s.set.ColdTime,
+		MinTick: time.Millisecond, MaxPollInterval: time.Hour, ConnectTimeout: lostTime, SlowStartMinCapacity: n.s.set.SlowStartMinCapacity, SlowStartWindow: n.s.set.SlowStartWindow,
 		OverloadFactor: 1, OverloadDuration: coldSpan, SendsRetryAfter: true, MaxRetryAfter: time.Second, Fleet: true,
 		Classes: []policy.Class{{Name: "browse", PriorityWeight: 1, LatencyObjective: time.Second, Deadline: patience, Idempotency: policy.Idempotent}}}
 	d := &module{n: n, run: n.run, m: policy.New(set, int64(n.s.plan.Seed)*1000+int64(n.i)), open: map[policy.RequestID]int{},
@@ -121,12 +121,12 @@
 		update := policy.ZoneDirective{Zone: y, Revision: n.held.rev, IntentRevision: n.held.rev, Serving: true, Share: 1, Floor: 1, Age: age}
 		e, every := n.held.directives[n.keys[z][0]]
 		own, has := n.held.directives[n.keys[z][1]]
-		if has && (!every || fleet.Narrower(e.Directive, own.Directive)) {
+		if has && (!every || fleet.IsNarrower(e.Directive, own.Directive)) {
 			e = own
 		}
 		if every || has {
-			h := fleet.ZoneBody(e.Rev, e.Directive, n.name)
-			update = policy.ZoneDirective{Zone: y, Revision: e.Rev, IntentRevision: n.held.rev, Share: h.Share, Floor: h.Floor, Rate: h.Rate, Trial: h.Trial,
+			h := fleet.AppliedZoneOf(e.Revision, e.Directive, n.name)
+			update = policy.ZoneDirective{Zone: y, Revision: e.Revision, IntentRevision: n.held.rev, Share: h.Share, Floor: h.Floor, Rate: h.Rate, Trial: h.Trial,
 				Age: age, ValidFor: time.Duration(h.ValidMS) * time.Millisecond}
 		} else if !d.directed[y] {
 			continue
@@ -148,7 +148,7 @@
 	}
 	for _, y := range slices.Sorted(maps.Keys(by)) {
 		z := by[y]
-		r.Zones = append(r.Zones, fleet.ZoneCount{Zone: y, Attempts: z.Attempts, Lost: z.Lost, Servers: z.Servers, LostServers: z.LostServers,
-			OK: z.Answered, Listed: z.Listed, Sent: z.Started, Rate: z.Rate})
+		r.Zones = append(r.Zones, fleet.ZoneEvidence{Zone: y, Attempts: z.Attempts, Lost: z.Lost, Servers: z.Servers, LostServers: z.LostServers,
+			Answered: z.Answered, Listed: z.Listed, Started: z.Started, Rate: z.Rate})
 	}
 }
--- a/internal/fleet/sim/node.go
+++ b/internal/fleet/sim/node.go
@@ -39,7 +39,7 @@
 
 	module  *module // nil: the node's own simple way of sending
 	owed    float64
-	counts  []fleet.ZoneCount
+	counts  []fleet.ZoneEvidence
 	touched []map[int][2]int // by zone and server: attempts, lost
 	since   time.Duration    // by its clock: the window's begin
 	losing  []losing         // attempts that will turn out lost
@@ -89,7 +89,7 @@
 }
 
 func (n *node) clear() {
-	n.counts = make([]fleet.ZoneCount, n.s.plan.Zones)
+	n.counts = make([]fleet.ZoneEvidence, n.s.plan.Zones)
 	n.touched = make([]map[int][2]int, n.s.plan.Zones)
 }
 
@@ -150,7 +150,7 @@
 	now := n.clock.read(n.s.now)
 	r := fleet.Report{Member: n.member(), Services: n.services(), Revision: n.held.rev, Ready: true, WindowMS: (now - n.since).Milliseconds()}
 	n.seq++
-	r.Seq = n.seq
+	r.Sequence = n.seq
 	if n.module != nil {
 		n.module.window(&r)
 	}
@@ -194,7 +194,7 @@
 		if f.Kind == Liar && f.on(n.s.now) && f.node(n.i) {
 			for z := range r.Zones {
 				if c := &r.Zones[z]; z == f.Zone || f.P > 0.5 {
-					*c = fleet.ZoneCount{Zone: c.Zone, Listed: c.Listed, Attempts: 1000, Lost: 1000, Servers: c.Listed, LostServers: c.Listed, Sent: 1000}
+					*c = fleet.ZoneEvidence{Zone: c.Zone, Listed: c.Listed, Attempts: 1000, Lost: 1000, Servers: c.Listed, LostServers: c.Listed, Started: 1000}
 				}
 			}
 		}
@@ -206,15 +206,15 @@
 }
 
 // portion is what the node may do at a zone, and whether by a directive.
-func (n *node) portion(zone int) zones.Portion {
+func (n *node) portion(zone int) zones.NodeShare {
 	if len(n.held.directives) == 0 {
-		return zones.Portion{Share: 1}
+		return zones.NodeShare{Share: 1}
 	}
-	past := n.clock.read(n.s.now)-n.confirmed > n.s.set.Valid && !n.s.hooks.ageless
-	p := zones.Portion{Share: 1}
+	past := n.clock.read(n.s.now)-n.confirmed > n.s.set.DirectiveLifetime && !n.s.hooks.ageless
+	p := zones.NodeShare{Share: 1}
 	for _, key := range n.keys[zone] {
 		if e, ok := n.held.directives[key]; ok {
-			p = zones.Merge(zones.Part(e.Directive, n.name, past), p)
+			p = zones.MergeShares(zones.NodeShareOf(e.Directive, n.name, past), p)
 		}
 	}
 	p.Rate *= n.s.hooks.greed
@@ -231,7 +231,7 @@
 		n.ended(l.zone, l.id, false)
 		return true
 	})
-	shares := make([]zones.Portion, s.plan.Zones)
+	shares := make([]zones.NodeShare, s.plan.Zones)
 	for z := range shares {
 		shares[z] = n.portion(z)
 		s.stopped(n, z, shares[z].Share == 0)
@@ -250,7 +250,7 @@
 			if attempt > 0 {
 				s.res.Further++
 			}
-			n.counts[zone].Sent++
+			n.counts[zone].Started++
 			if s.ask(n, zone, id) {
 				s.res.Answered++
 				n.ended(zone, id, true)
@@ -265,7 +265,7 @@
 
 // choose picks a server: of a zone on trial first, else by the zones' shares; none that lost two attempts running of
 // late, none whose budget is spent.
-func (n *node) choose(shares []zones.Portion, now time.Duration, attempt int) (zone, id int, ok bool) {
+func (n *node) choose(shares []zones.NodeShare, now time.Duration, attempt int) (zone, id int, ok bool) {
 	s := n.s
 	total := 0.0
 	for z, p := range shares {
@@ -321,7 +321,7 @@
 	key := [2]int{zone, id}
 	b := n.bad[key]
 	if answered {
-		c.OK++
+		c.Answered++
 		delete(n.bad, key)
 	} else {
 		c.Lost++
--- a/internal/fleet/sim/rules.go
+++ b/internal/fleet/sim/rules.go
@@ -41,24 +41,24 @@
 			if old.Share < 1 || old.Step != len(bounds.Steps) {
 				s.breach("Z4", "%s served again at step %d", key, old.Step)
 			}
-		case old.Phase == fleet.Left && e.Phase == fleet.Probation:
-			hold := min(bounds.HoldOff<<min(old.Relapse, 10), bounds.HoldOffMax)
+		case old.Phase == fleet.Evacuated && e.Phase == fleet.Probation:
+			hold := min(bounds.InitialBackoff<<min(old.Relapses, 10), bounds.MaxBackoff)
 			if known && s.now-entered < hold*98/100 {
-				s.breach("Z4", "%s tried %v after it was left, relapse %d", key, s.now-entered, old.Relapse)
+				s.breach("Z4", "%s tried %v after it was left, relapse %d", key, s.now-entered, old.Relapses)
 			}
-		case old.Phase == fleet.Returning && e.Phase == fleet.Returning && e.Step > old.Step:
-			if e.Step != old.Step+1 || known && s.now-entered < bounds.StepTime*98/100 {
+		case old.Phase == fleet.Recovering && e.Phase == fleet.Recovering && e.Step > old.Step:
+			if e.Step != old.Step+1 || known && s.now-entered < bounds.MinStepTime*98/100 {
 				s.breach("Z4", "%s from step %d to %d after %v", key, old.Step, e.Step, s.now-entered)
 			}
 		}
-		if e.Phase == fleet.Left {
+		if e.Phase == fleet.Evacuated {
 			delete(s.lowest, key)
 			s.enough(key)
 		}
-		if e.Phase == fleet.Returning {
+		if e.Phase == fleet.Recovering {
 			low, ok := s.lowest[key]
 			if !ok {
-				s.first[key], low = e.Rev, e.Share
+				s.first[key], low = e.Revision, e.Share
 			}
 			s.lowest[key] = math.Min(low, e.Share)
 		}
@@ -83,7 +83,7 @@
 			}
 			stay += share
 		}
-		if stay < bounds.Panic*float64(len(s.zones))-1e-9 {
+		if stay < bounds.MinServersPart*float64(len(s.zones))-1e-9 {
 			s.breach("Z2", "%s left: %g of %d zones stay for nodes of %s", key, stay, len(s.zones), x)
 		}
 	}
@@ -96,12 +96,12 @@
 			s.breach("session", "%s holds its session, and the control plane has lapsed it", n.name)
 		}
 	}
-	if now-n.confirmed > bounds.Valid+tickTime {
+	if now-n.confirmed > bounds.DirectiveLifetime+tickTime {
 		for z := range s.zones {
 			for _, key := range n.keys[z] {
 				e, ok := n.held.directives[key]
 				low, returning := s.lowest[key]
-				if ok && returning && e.Phase == fleet.Returning && e.Rev >= s.first[key] && n.portion(z).Share > low+1e-9 {
+				if ok && returning && e.Phase == fleet.Recovering && e.Revision >= s.first[key] && n.portion(z).Share > low+1e-9 {
 					s.breach("Z5", "%s has not heard for %v and has %g of %s, which had %g", n.name, now-n.confirmed, n.portion(z).Share, key, low)
 				}
 			}
--- a/internal/fleet/sim/servers.go
+++ b/internal/fleet/sim/servers.go
@@ -17,7 +17,7 @@
 
 // allowed is what a server of a rate bears in coldSpan, so long after its start.
 func (s *Sim) allowed(age time.Duration) float64 {
-	part := math.Min(1, s.set.ColdFrom+(1-s.set.ColdFrom)*age.Seconds()/s.set.ColdTime.Seconds())
+	part := math.Min(1, s.set.SlowStartMinCapacity+(1-s.set.SlowStartMinCapacity)*age.Seconds()/s.set.SlowStartWindow.Seconds())
 	n := part * s.capacity * coldSpan.Seconds()
 	return n + 3*math.Sqrt(n) + 3
 }
@@ -38,7 +38,7 @@
 	if p == 1 || s.rng.Float64() < p || s.now < sv.fallen {
 		return false
 	}
-	if age := s.now - sv.started; sv.started >= 0 && age < s.set.ColdTime {
+	if age := s.now - sv.started; sv.started >= 0 && age < s.set.SlowStartWindow {
 		for len(sv.arrived) > 0 && sv.arrived[0] <= s.now-coldSpan {
 			sv.arrived = sv.arrived[1:]
 		}
@@ -48,7 +48,7 @@
 			if !s.alone(zone) {
 				s.breach("cold", "server %d of zone %s got %d in a second, %v after its start", id, s.zones[zone], len(sv.arrived), age)
 			}
-			sv.fallen, sv.arrived = s.now+s.set.ColdTime, nil
+			sv.fallen, sv.arrived = s.now+s.set.SlowStartWindow, nil
 			s.trouble[zone] = sv.fallen
 			return false
 		}
--- a/internal/fleet/sim/sim.go
+++ b/internal/fleet/sim/sim.go
@@ -86,7 +86,7 @@
 	s := &Sim{plan: p, set: zones.Default(p.Nodes), rng: rand.New(rand.NewPCG(p.Seed, 2)), holdPart: holdPart, left: map[string]bool{},
 		entered: map[string]time.Duration{}, lowest: map[string]float64{}, first: map[string]uint64{}, trouble: make([]time.Duration, p.Zones), committed: map[string]bool{}}
 	s.hooks.greed = 1
-	s.set.ColdTime = 10 * time.Second // servers that are cold for long, and hardly more than what is asked of them
+	s.set.SlowStartWindow = 10 * time.Second // servers that are cold for long, and hardly more than what is asked of them
 	s.capacity = 1.3 * demand * float64(p.Nodes) / float64(p.Zones*p.Servers)
 	for z := range p.Zones {
 		s.zones = append(s.zones, fmt.Sprintf("z%d", z))
--- a/internal/fleet/sim/sim_test.go
+++ b/internal/fleet/sim/sim_test.go
@@ -77,15 +77,15 @@
 					if !s.lying(r.Node) {
 						continue
 					}
-					r.Member, r.Seq = n.member(), uint64(s.events)+1e9
-					c.judge.Observe(now, fleet.NodeView{Member: r.Member, At: now, Report: r})
+					r.Member, r.Sequence = n.member(), uint64(s.events)+1e9
+					c.judge.Observe(now, fleet.NodeView{Member: r.Member, ReceivedAt: now, Report: r})
 				}
 			}
 		}},
-		{"no panic threshold, and room for anything", "Z2", 26, func(s *Sim) { s.set.Panic, s.set.Headroom = 0, 1e3 }},
+		{"no panic threshold, and room for anything", "Z2", 26, func(s *Sim) { s.set.MinServersPart, s.set.CapacityFactor = 0, 1e3 }},
 		{"nodes take thrice their part", "Z3", 0, func(s *Sim) { s.hooks.greed = 3 }},
-		{"no hold-off", "Z4", 0, func(s *Sim) { s.set.HoldOff = 100 * time.Millisecond }},
-		{"a step begins before the last was seen", "Z4", 0, func(s *Sim) { s.set.StepTime, s.set.StepNeed, s.set.ColdTime = 0, 0, 0 }},
+		{"no hold-off", "Z4", 0, func(s *Sim) { s.set.InitialBackoff = 100 * time.Millisecond }},
+		{"a step begins before the last was seen", "Z4", 0, func(s *Sim) { s.set.MinStepTime, s.set.MinStepAnswers, s.set.SlowStartWindow = 0, 0, 0 }},
 		{"the floor is the newest share", "Z5", 15, entry(func(e *zones.Entry) {
 			if e.Step > 1 {
 				e.Floor = e.Share
--- a/internal/fleet/sim/tenants.go
+++ b/internal/fleet/sim/tenants.go
@@ -126,7 +126,7 @@
 			a.Committed, a.Digest = t.Committed.Number, t.Committed.Digest
 		}
 		if g := t.Staged; g != nil && n.refuses(name, t.UID, g.Digest) {
-			a.Refused = "routes[0]: matches no server"
+			a.RejectReason = "routes[0]: matches no server"
 		} else if g != nil {
 			a.Staged, a.Digest = g.Number, g.Digest
 		}
@@ -189,7 +189,7 @@
 				continue
 			}
 			quota = math.Max(quota, g.Spec.Quota.Rate)
-			sum += fleet.FloorPart * g.Spec.Quota.Rate / float64(s.plan.Nodes)
+			sum += fleet.GuaranteedPart * g.Spec.Quota.Rate / float64(s.plan.Nodes)
 			now := n.clock.read(s.now)
 			if sh := n.held.shares[n.name]; now < n.until && sh.Incarnation == n.inc && n.held.tenants[name].UID == e.UID {
 				sum += sh.Rates[name]
--- a/internal/fleet/tenants/bench_test.go
+++ b/internal/fleet/tenants/bench_test.go
@@ -13,7 +13,7 @@
 const benchNodes = 100
 
 // benchDivision is a fleet of n committed tenants whose quotas are not yet divided, with a report of each node.
-func benchDivision(b *testing.B, n int) (*State, *Judge, []fleet.Member) {
+func benchDivision(b *testing.B, n int) (*State, *Controller, []fleet.Member) {
 	state, rev := &State{}, uint64(0)
 	next := func() uint64 { rev++; return rev }
 	for i := range n {
@@ -24,18 +24,18 @@
 		}
 		entry := state.Tenants[name]
 		for _, op := range []string{Commit, Applied} {
-			command := Command{Op: op, Name: name, Generation: 1, UID: entry.UID, IfRev: entry.Rev, Epoch: 1}
+			command := Command{Op: op, Name: name, Generation: 1, UID: entry.UID, IfRevision: entry.Revision, Epoch: 1}
 			if _, err := state.Apply(command, firstEpoch, next); err != nil {
 				b.Fatal(err)
 			}
 		}
 	}
-	judge := NewJudge(Config{Slots: benchNodes, TTL: 6 * time.Second})
+	judge := NewController(Config{Slots: benchNodes, TTL: 6 * time.Second})
 	var present []fleet.Member
 	for i := range benchNodes {
 		member := fleet.Member{Node: fmt.Sprintf("n%04d", i), Incarnation: 1}
 		present = append(present, member)
-		report := fleet.Report{Member: member, Seq: 1, Revision: rev}
+		report := fleet.Report{Member: member, Sequence: 1, Revision: rev}
 		for name, entry := range state.Tenants {
 			report.Tenants = append(report.Tenants, fleet.TenantAck{Name: name, UID: entry.UID, Committed: 1,
 				Digest: entry.Committed.Digest, Offered: float64((i + len(name)) % 7)})
--- a/internal/fleet/tenants/items.go
+++ b/internal/fleet/tenants/items.go
@@ -11,12 +11,12 @@
 
 // Phases of a tenant (docs/fleet.md, "Tenants").
 const (
-	PhaseNone     = "none"
-	PhaseSettled  = "settled"
-	PhaseStaging  = "staging"
-	PhaseApplying = "applying"
-	PhaseRemoving = "removing"
-	PhaseUnquoted = "unquoted"
+	PhaseNone           = "none"
+	PhaseSettled        = "settled"
+	PhaseStaging        = "staging"
+	PhaseApplying       = "applying"
+	PhaseRemoving       = "removing"
+	PhaseQuotaWithdrawn = "unquoted"
 )
 
 // Phase gives where a tenant is in its rollout or removal.
@@ -24,8 +24,8 @@
 	switch e := s.Tenants[name]; {
 	case e == nil:
 		return PhaseNone
-	case e.QuotaGone:
-		return PhaseUnquoted
+	case e.QuotaWithdrawn:
+		return PhaseQuotaWithdrawn
 	case e.Removing:
 		return PhaseRemoving
 	case e.Staged != nil:
@@ -42,7 +42,7 @@
 	if e := s.Tenants[name]; e != nil {
 		return e.Tenant, nil
 	}
-	return fleet.Tenant{}, s.unknown(name)
+	return fleet.Tenant{}, s.notFound(name)
 }
 
 // Items gives every item, by key, in order: tenants and shares, and as Gone those whose tombstone is kept. A reader
@@ -59,19 +59,19 @@
 func (s *State) Item(key string) (fleet.Item, bool) {
 	if name, ok := strings.CutPrefix(key, keyTenant); ok && s.Tenants[name] != nil {
 		e := s.Tenants[name]
-		return item(key, e.Rev, e.Tenant), true
+		return item(key, e.Revision, e.Tenant), true
 	}
-	if node, ok := strings.CutPrefix(key, keyShare); ok && s.Runs[node] != nil {
+	if node, ok := strings.CutPrefix(key, keyLease); ok && s.Runs[node] != nil {
 		l := s.Runs[node]
 		rates := l.Rates
 		if rates == nil { // as after a restore: the item's bytes are the same on every replica
 			rates = map[string]float64{}
 		}
-		return item(key, l.Rev, fleet.Shares{Epoch: l.Division, Incarnation: l.Incarnation, Slots: s.Slots, Rates: rates}), true
+		return item(key, l.Revision, fleet.QuotaLease{Epoch: l.Division, Incarnation: l.Incarnation, Slots: s.Slots, Rates: rates}), true
 	}
 	for _, t := range s.Tombstones {
 		if t.Key == key {
-			return fleet.Item{Key: key, Rev: t.Rev, Gone: true}, true
+			return fleet.Item{Key: key, Revision: t.Revision, Removed: true}, true
 		}
 	}
 	return fleet.Item{}, false
@@ -79,7 +79,7 @@
 
 func item(key string, rev uint64, body any) fleet.Item {
 	raw, _ := json.Marshal(body) // finite numbers: Validate and divide see to it
-	return fleet.Item{Key: key, Rev: rev, Body: raw}
+	return fleet.Item{Key: key, Revision: rev, Body: raw}
 }
 
 func (s *State) items(node string) []fleet.Item {
@@ -88,7 +88,7 @@
 		keys = append(keys, keyTenant+name)
 	}
 	for n := range s.Runs {
-		keys = append(keys, keyShare+n)
+		keys = append(keys, keyLease+n)
 	}
 	for _, t := range s.Tombstones {
 		keys = append(keys, t.Key)
@@ -96,7 +96,7 @@
 	slices.Sort(keys)
 	var out []fleet.Item
 	for _, k := range keys {
-		if n, share := strings.CutPrefix(k, keyShare); share && node != "" && node != n {
+		if n, share := strings.CutPrefix(k, keyLease); share && node != "" && node != n {
 			continue
 		}
 		it, _ := s.Item(k)
@@ -105,12 +105,12 @@
 	return out
 }
 
-// unknown is the error of a name that has no tenant, with why the last rollout under it was rolled back.
-func (s *State) unknown(name string) error {
+// notFound is the error of a name that has no tenant, with why the last rollout under it was rolled back.
+func (s *State) notFound(name string) error {
 	for _, t := range s.Tombstones {
 		if t.Key == keyTenant+name && t.RolledBack != "" {
-			return fmt.Errorf("%w: tenant %q: rolled back: %s", fleet.ErrUnknown, name, t.RolledBack)
+			return fmt.Errorf("%w: tenant %q: rolled back: %s", fleet.ErrNotFound, name, t.RolledBack)
 		}
 	}
-	return fmt.Errorf("%w: tenant %q", fleet.ErrUnknown, name)
+	return fmt.Errorf("%w: tenant %q", fleet.ErrNotFound, name)
 }
--- a/internal/fleet/tenants/judge.go
+++ b/internal/fleet/tenants/judge.go
@@ -8,20 +8,20 @@
 	"meadowsill/internal/fleet"
 )
 
-// Judge is the leader's soft part: it sees what nodes report and says which commands the state is ready for. It
+// Controller is the leader's soft part: it sees what nodes report and says which commands the state is ready for. It
 // loses everything when its leadership ends; what it decides is refused by the state where it is out of date.
-type Judge struct {
-	cfg       Config
-	leadSince fleet.Time
-	views     map[string]*view // by node
-	begun     map[string]begun // by tenant: the step that its rollout or removal is at
-	lend      lender
+type Controller struct {
+	config      Config
+	leaderSince fleet.Time
+	reports     map[string]*nodeReport // by node
+	steps       map[string]stepStart   // by tenant: the step that its rollout or removal is at
+	divider     quotaDivider
 }
 
-// view is a node's newest report, by tenant.
-type view struct {
+// nodeReport is a node's newest report, by tenant.
+type nodeReport struct {
 	fleet.NodeView
-	reports map[string]tenantReport
+	tenants map[string]tenantReport
 }
 
 // tenantReport is what a node last reported of a tenant, and what it was offered of late, requests/s.
@@ -30,53 +30,53 @@
 	load float64
 }
 
-type begun struct {
-	uid, rev uint64
-	at       fleet.Time // when this leader first saw it
+type stepStart struct {
+	uid, revision uint64
+	seenAt        fleet.Time // when this leader first saw it
 }
 
-// NewJudge makes a judge whose leadership began at 0.
-func NewJudge(cfg Config) *Judge {
-	j := &Judge{cfg: cfg}
+// NewController makes a judge whose leadership began at 0.
+func NewController(cfg Config) *Controller {
+	j := &Controller{config: cfg}
 	j.Lead(0)
 	return j
 }
 
 // Lead begins a leadership: nothing seen before counts.
-func (j *Judge) Lead(now fleet.Time) {
-	j.leadSince, j.views, j.begun, j.lend = now, map[string]*view{}, map[string]begun{}, newLender()
+func (j *Controller) Lead(now fleet.Time) {
+	j.leaderSince, j.reports, j.steps, j.divider = now, map[string]*nodeReport{}, map[string]stepStart{}, newQuotaDivider()
 }
 
 // Observe takes a present node's newest report. Those of older incarnations, and older ones of a run, are left out.
-func (j *Judge) Observe(now fleet.Time, v fleet.NodeView) {
-	old := j.views[v.Node]
-	if old != nil && (v.Incarnation < old.Incarnation || v.Incarnation == old.Incarnation && v.Report.Seq < old.Report.Seq) {
+func (j *Controller) Observe(now fleet.Time, v fleet.NodeView) {
+	old := j.reports[v.Node]
+	if old != nil && (v.Incarnation < old.Incarnation || v.Incarnation == old.Incarnation && v.Report.Sequence < old.Report.Sequence) {
 		return
 	}
 	part := 1.0
 	if old == nil || old.Incarnation != v.Incarnation {
-		old = &view{reports: make(map[string]tenantReport, len(v.Report.Tenants))}
-		j.views[v.Node] = old
+		old = &nodeReport{tenants: make(map[string]tenantReport, len(v.Report.Tenants))}
+		j.reports[v.Node] = old
 	} else {
-		part = 1 - math.Exp(-float64(max(0, v.At-old.At))/float64(smoothing))
+		part = 1 - math.Exp(-float64(max(0, v.ReceivedAt-old.ReceivedAt))/float64(loadTau))
 	}
 	old.NodeView = v
 	for i := range v.Report.Tenants {
 		a := &v.Report.Tenants[i]
 		x := a.Offered
-		if !(x >= 0 && x <= rateLimit) {
+		if !(x >= 0 && x <= maxRate) {
 			x = 0
 		}
-		r, known := old.reports[a.Name]
+		r, known := old.tenants[a.Name]
 		if known {
 			x = r.load + part*(x-r.load)
 		}
-		old.reports[a.Name] = tenantReport{ack: a, load: x}
+		old.tenants[a.Name] = tenantReport{ack: a, load: x}
 	}
-	if len(old.reports) > len(v.Report.Tenants) { // some are no more
-		for name := range old.reports {
+	if len(old.tenants) > len(v.Report.Tenants) { // some are no more
+		for name := range old.tenants {
 			if !slices.ContainsFunc(v.Report.Tenants, func(a fleet.TenantAck) bool { return a.Name == name }) {
-				delete(old.reports, name)
+				delete(old.tenants, name)
 			}
 		}
 	}
@@ -86,24 +86,24 @@
 // only the present members of its scope count. It is called about every 100 ms; a command that it gives again before the first was applied is refused by
 // the state and does no harm. Over 200 tenants and 50 (300) nodes a step takes 0.1 (0.2) ms, one a second that divides 4 (25) ms,
 // and a report observed 0.1 ms: BenchmarkStep.
-func (j *Judge) Step(now fleet.Time, s *State, p Present) []Command {
-	r := newRoster(p)
-	for n := range j.views {
+func (j *Controller) Step(now fleet.Time, s *State, p Present) []Command {
+	r := newPresentByScope(p)
+	for n := range j.reports {
 		if _, ok := slices.BinarySearchFunc(r.Members, fleet.Member{Node: n}, byNode); !ok {
-			delete(j.views, n)
+			delete(j.reports, n)
 		}
 	}
-	for name := range j.begun {
+	for name := range j.steps {
 		if phase := s.Phase(name); phase == PhaseSettled || phase == PhaseNone {
-			delete(j.begun, name)
+			delete(j.steps, name)
 		}
 	}
 	var out []Command
 	for _, name := range sortedKeys(s.Tenants) {
 		e := s.Tenants[name]
-		if c, ok := j.rollout(now, s, e, name, r); ok {
+		if c, ok := j.nextStep(now, s, e, name, r); ok {
 			service := e.Service()
-			c.Name, c.UID, c.IfRev, c.Epoch, c.Scoped = name, e.UID, e.Rev, r.Epoch(service), service != ""
+			c.Name, c.UID, c.IfRevision, c.Epoch, c.Scoped = name, e.UID, e.Revision, r.Epoch(service), service != ""
 			if c.Op == Commit || c.Op == Applied {
 				c.Runs = r.of(service).runs
 			}
@@ -111,101 +111,101 @@
 		}
 	}
 	if d := j.divide(now, s, r); d != nil {
-		out = append(out, Command{Op: Divide, IfRev: s.Divided, Epoch: r.Epoch(""), Division: d})
+		out = append(out, Command{Op: Divide, IfRevision: s.DividedRevision, Epoch: r.Epoch(""), Division: d})
 	}
 	return out
 }
 
-// rollout says what a tenant is ready for.
-func (j *Judge) rollout(now fleet.Time, s *State, e *Entry, name string, r *roster) (Command, bool) {
+// nextStep says what a tenant is ready for.
+func (j *Controller) nextStep(now fleet.Time, s *State, e *Entry, name string, r *presentByScope) (Command, bool) {
 	phase := s.Phase(name)
 	if phase == PhaseSettled {
 		return Command{}, false
 	}
 	present := r.of(e.Service())
-	if b := j.begun[name]; b.uid != e.UID || b.rev != e.Rev {
-		j.begun[name] = begun{uid: e.UID, rev: e.Rev, at: now}
+	if b := j.steps[name]; b.uid != e.UID || b.revision != e.Revision {
+		j.steps[name] = stepStart{uid: e.UID, revision: e.Revision, seenAt: now}
 	}
 	switch phase {
 	case PhaseStaging:
-		return j.staging(now, s, e, name, present.members)
+		return j.stagingStep(now, s, e, name, present.members)
 	case PhaseApplying:
-		return Command{Op: Applied, Generation: e.Committed.Number}, present.all(func(m fleet.Member) bool { return j.applied(e, name, m) })
+		return Command{Op: Applied, Generation: e.Committed.Number}, present.all(func(m fleet.Member) bool { return j.hasApplied(e, name, m) })
 	case PhaseRemoving:
 		return Command{Op: Drained}, present.all(func(m fleet.Member) bool {
-			a, held := j.ack(e, name, m)
-			return j.heard(e, m) && (!held || a.Open == 0)
+			a, held := j.tenantReport(e, name, m)
+			return j.hasRevision(e, m) && (!held || a.Open == 0)
 		})
-	case PhaseUnquoted:
-		return Command{Op: Unquoted}, present.all(func(m fleet.Member) bool { return j.heard(e, m) })
+	case PhaseQuotaWithdrawn:
+		return Command{Op: QuotaWithdrawn}, present.all(func(m fleet.Member) bool { return j.hasRevision(e, m) })
 	}
 	return Command{}, false
 }
 
-func (j *Judge) staging(now fleet.Time, s *State, e *Entry, name string, present []fleet.Member) (Command, bool) {
+func (j *Controller) stagingStep(now fleet.Time, s *State, e *Entry, name string, present []fleet.Member) (Command, bool) {
 	back := Command{Op: Rollback, Generation: e.Staged.Number}
 	for _, m := range present {
 		ok, refused, why := j.hasStaged(e, name, m)
 		if refused {
-			back.Node, back.Reason = m.Node, trim(why)
+			back.Node, back.Reason = m.Node, shortenReason(why)
 			return back, true
 		}
 		if !ok && back.Node == "" {
-			back.Node, back.Reason = m.Node, reasonTimeout+": "+why
+			back.Node, back.Reason = m.Node, reasonNotStaged+": "+why
 		}
 	}
 	if back.Node == "" {
-		if s.CommitRoom(name) {
+		if s.CanCommit(name) {
 			return Command{Op: Commit, Generation: e.Staged.Number}, true
 		}
-		back.Node, back.Reason = s.holder(name), reasonTimeout+": may still hold a share of the larger quota"
+		back.Node, back.Reason = s.leaseHolder(name), reasonNotStaged+": may still hold a share of the larger quota"
 	}
-	return back, now-j.begun[name].at >= StageTimeout
+	return back, now-j.steps[name].seenAt >= StageTimeout
 }
 
 // hasStaged says whether a node has validated and staged what is intended, by its own report with its module's digest;
 // refused, that it can't; why, as text.
-func (j *Judge) hasStaged(e *Entry, name string, m fleet.Member) (ok, refused bool, why string) {
-	if !j.heard(e, m) {
+func (j *Controller) hasStaged(e *Entry, name string, m fleet.Member) (ok, refused bool, why string) {
+	if !j.hasRevision(e, m) {
 		return false, false, "has not heard of it"
 	}
-	a, held := j.ack(e, name, m)
+	a, held := j.tenantReport(e, name, m)
 	switch {
 	case !held:
 		return false, false, "does not hold the tenant"
-	case a.Refused != "":
-		return false, true, a.Refused
+	case a.RejectReason != "":
+		return false, true, a.RejectReason
 	case a.Staged != e.Staged.Number:
 		return false, false, fmt.Sprintf("has staged generation %d", a.Staged)
 	case a.Digest != e.Staged.Digest:
-		return false, false, "holds digest " + trim(a.Digest) + " and not " + e.Staged.Digest
+		return false, false, "holds digest " + shortenReason(a.Digest) + " and not " + e.Staged.Digest
 	}
 	return true, false, ""
 }
 
-// heard says whether a present run's module holds intent as new as the tenant's item.
-func (j *Judge) heard(e *Entry, m fleet.Member) bool {
-	v := j.views[m.Node]
-	return v != nil && v.Incarnation == m.Incarnation && v.Report.Revision >= e.Rev
+// hasRevision says whether a present run's module holds intent as new as the tenant's item.
+func (j *Controller) hasRevision(e *Entry, m fleet.Member) bool {
+	v := j.reports[m.Node]
+	return v != nil && v.Incarnation == m.Incarnation && v.Report.Revision >= e.Revision
 }
 
-// ack is a present run's report on this tenant, and on none that had its name before.
-func (j *Judge) ack(e *Entry, name string, m fleet.Member) (fleet.TenantAck, bool) {
-	v := j.views[m.Node]
+// tenantReport is a present run's report on this tenant, and on none that had its name before.
+func (j *Controller) tenantReport(e *Entry, name string, m fleet.Member) (fleet.TenantAck, bool) {
+	v := j.reports[m.Node]
 	if v == nil || v.Incarnation != m.Incarnation {
 		return fleet.TenantAck{}, false
 	}
-	r, ok := v.reports[name]
+	r, ok := v.tenants[name]
 	if !ok || r.ack.UID != e.UID {
 		return fleet.TenantAck{}, false
 	}
 	return *r.ack, true
 }
 
-func (j *Judge) applied(e *Entry, name string, m fleet.Member) bool {
-	a, ok := j.ack(e, name, m)
-	return ok && j.heard(e, m) && a.Committed == e.Committed.Number && a.Digest == e.Committed.Digest
+func (j *Controller) hasApplied(e *Entry, name string, m fleet.Member) bool {
+	a, ok := j.tenantReport(e, name, m)
+	return ok && j.hasRevision(e, m) && a.Committed == e.Committed.Number && a.Digest == e.Committed.Digest
 }
 
-// trim keeps a node's text short enough for the log, and on one line.
-func trim(s string) string { return oneLine(s[:min(len(s), 200)]) }
+// shortenReason keeps a node's text short enough for the log, and on one line.
+func shortenReason(s string) string { return oneLine(s[:min(len(s), 200)]) }
--- a/internal/fleet/tenants/lend.go
+++ b/internal/fleet/tenants/lend.go
@@ -9,76 +9,76 @@
 	"meadowsill/internal/fleet"
 )
 
-// lender is the judge's part that divides quotas: what it aims at, and which leases are over.
-type lender struct {
-	began  bool
-	looked fleet.Time         // when a division was last thought of
-	aims   map[string]aim     // by tenant
-	prev   map[string]uint64  // present runs at the last step
-	seen   map[Run]fleet.Time // and since when each was, in this leadership
-	epoch  uint64             // and its epoch
-	vanish map[Run]fleet.Time // when a leased run was first seen not to be present
-	over   map[Run]bool       // leased runs whose sessions have lapsed for certain
+// quotaDivider is the judge's part that divides quotas: what it aims at, and which leases are over.
+type quotaDivider struct {
+	started       bool
+	dividedAt     fleet.Time         // when a division was last thought of
+	targets       map[string]target  // by tenant
+	presentBefore map[string]uint64  // present runs at the last step
+	presentSince  map[Run]fleet.Time // and since when each was, in this leadership
+	epoch         uint64             // and its epoch
+	vanishedAt    map[Run]fleet.Time // when a leased run was first seen not to be present
+	expired       map[Run]bool       // leased runs whose sessions have lapsed for certain
 }
 
-// aim is what a tenant's division moves to, and for what pool and service it was made. All are dropped when the runs change.
-type aim struct {
-	pool    float64
-	service string
-	rates   []float64 // by run present in the scope, in order
+// target is what a tenant's division moves to, and for what pool and service it was made. All are dropped when the runs change.
+type target struct {
+	leasable float64
+	service  string
+	rates    []float64 // by run present in the scope, in order
 }
 
-func newLender() lender {
-	return lender{aims: map[string]aim{}, seen: map[Run]fleet.Time{}, vanish: map[Run]fleet.Time{}, over: map[Run]bool{}}
+func newQuotaDivider() quotaDivider {
+	return quotaDivider{targets: map[string]target{}, presentSince: map[Run]fleet.Time{}, vanishedAt: map[Run]fleet.Time{}, expired: map[Run]bool{}}
 }
 
-// sessions notes which leased runs are over. A run that lapsed is over: it counted itself out before the leader did.
+// trackLeases notes which leased runs are over. A run that lapsed is over: it counted itself out before the leader did.
 // One that a larger incarnation ended may hold its lease for another TTL; so may any that vanished while this judge
 // can't tell how: it did not lead yet, or the epoch moved more often than the present runs did.
-func (j *Judge) sessions(now fleet.Time, s *State, epoch uint64, present []fleet.Member) {
-	l := &j.lend
+func (j *Controller) trackLeases(now fleet.Time, s *State, epoch uint64, present []fleet.Member) {
+	l := &j.divider
 	cur := make(map[string]uint64, len(present))
 	moves := uint64(0)
 	for _, m := range present {
 		cur[m.Node] = m.Incarnation
-		if l.prev[m.Node] != m.Incarnation {
+		if l.presentBefore[m.Node] != m.Incarnation {
 			moves++
 		}
 	}
-	for n := range l.prev {
+	for n := range l.presentBefore {
 		if _, ok := cur[n]; !ok {
 			moves++
 		}
 	}
 	if moves > 0 || epoch != l.epoch { // a run that is back may have another scope
-		clear(l.aims)
+		clear(l.targets)
 	}
-	for r := range l.seen {
+	for r := range l.presentSince {
 		if cur[r.Node] != r.Incarnation {
-			delete(l.seen, r)
+			delete(l.presentSince, r)
 		}
 	}
 	for n, inc := range cur {
-		if _, ok := l.seen[Run{n, inc}]; !ok {
-			l.seen[Run{n, inc}] = now
+		if _, ok := l.presentSince[Run{n, inc}]; !ok {
+			l.presentSince[Run{n, inc}] = now
 		}
 	}
-	allSeen := l.prev != nil && epoch-l.epoch == moves
+	allSeen := l.presentBefore != nil && epoch-l.epoch == moves
 	leased := map[Run]bool{}
 	look := func(r Run) {
 		leased[r] = true
 		inc, there := cur[r.Node]
 		if there && inc == r.Incarnation { // it may be back
-			delete(l.vanish, r)
-			delete(l.over, r)
+			delete(l.vanishedAt, r)
+			delete(l.expired, r)
 			return
 		}
-		if _, ok := l.vanish[r]; !ok {
-			l.vanish[r] = now
-			l.over[r] = allSeen && !there && l.prev[r.Node] == r.Incarnation
+		if _, ok := l.vanishedAt[r]; !ok {
+			l.vanishedAt[r] = now
+			l.expired[r] = allSeen && !there && l.presentBefore[r.Node] == r.Incarnation
 		}
-		if now-l.vanish[r] >= j.cfg.TTL {
-			l.over[r] = true
+		if now-l.vanishedAt[r] >= j.config.TTL {
+			l.expired[r] = true
 		}
 	}
 	for n, le := range s.Runs {
@@ -87,31 +87,31 @@
 	for _, g := range s.OrphanedLeases {
 		look(g.Run)
 	}
-	for r := range l.vanish {
+	for r := range l.vanishedAt {
 		if !leased[r] {
-			delete(l.vanish, r)
-			delete(l.over, r)
+			delete(l.vanishedAt, r)
+			delete(l.expired, r)
 		}
 	}
-	l.prev, l.epoch = cur, epoch
+	l.presentBefore, l.epoch = cur, epoch
 }
 
 // divide decides one division, or none: it looks once in DivideEvery, and changes only what is to change.
-func (j *Judge) divide(now fleet.Time, s *State, r *roster) *Division {
+func (j *Controller) divide(now fleet.Time, s *State, r *presentByScope) *Division {
 	present := r.Members
-	j.sessions(now, s, r.Epoch(""), present)
-	l := &j.lend
-	if j.cfg.Slots <= 0 || l.began && now-l.looked < DivideEvery {
+	j.trackLeases(now, s, r.Epoch(""), present)
+	l := &j.divider
+	if j.config.Slots <= 0 || l.started && now-l.dividedAt < DivideInterval {
 		return nil
 	}
-	l.began, l.looked = true, now
-	d := &Division{Slots: j.cfg.Slots}
-	for r, over := range l.over {
+	l.started, l.dividedAt = true, now
+	d := &Division{Slots: j.config.Slots}
+	for r, over := range l.expired {
 		if over {
-			d.Over = append(d.Over, r)
+			d.Expired = append(d.Expired, r)
 		}
 	}
-	slices.SortFunc(d.Over, func(a, b Run) int {
+	slices.SortFunc(d.Expired, func(a, b Run) int {
 		return cmp.Or(strings.Compare(a.Node, b.Node), cmp.Compare(a.Incarnation, b.Incarnation))
 	})
 	grants := make([]Grant, len(present))
@@ -120,55 +120,55 @@
 		grants[i] = Grant{Run: Run{m.Node, m.Incarnation}}
 		le := s.Runs[m.Node]
 		fresh[i] = le == nil || le.Incarnation != m.Incarnation
-		v := j.views[m.Node]
+		v := j.reports[m.Node]
 		if v == nil || v.Incarnation != m.Incarnation || fresh[i] {
 			continue
 		}
-		h := Held{Run: grants[i].Run, Revision: v.Report.Revision, Sole: now-l.seen[grants[i].Run] >= j.cfg.TTL}
-		if s.frees(h, le) {
-			d.Held = append(d.Held, h)
+		h := Confirmation{Run: grants[i].Run, Revision: v.Report.Revision, SoleRun: now-l.presentSince[grants[i].Run] >= j.config.TTL}
+		if s.freesQuota(h, le) {
+			d.Confirmed = append(d.Confirmed, h)
 		}
 	}
-	next := s.draft(&Division{Slots: j.cfg.Slots, Held: d.Held, Over: d.Over, Grants: grants})
+	next := s.draftLeases(&Division{Slots: j.config.Slots, Confirmed: d.Confirmed, Expired: d.Expired, Grants: grants})
 	runs := make([]presentRun, len(present))
 	for i, m := range present {
 		runs[i] = presentRun{lease: next.Runs[m.Node], grant: &grants[i]}
-		if v := j.views[m.Node]; v != nil && v.Incarnation == m.Incarnation {
-			runs[i].reports = v.reports
+		if v := j.reports[m.Node]; v != nil && v.Incarnation == m.Incarnation {
+			runs[i].reports = v.tenants
 		}
 	}
-	most := next.mosts()
+	most := next.maxLeasedByTenant()
 	for _, name := range next.names(most) {
 		service := ""
 		if e := next.Tenants[name]; e != nil {
 			service = e.Service()
 		}
-		j.grant(next, name, service, most[name], r.of(service).pick(runs))
+		j.grantTenant(next, name, service, most[name], r.of(service).pick(runs))
 	}
 	for i, m := range present {
-		runs[i].withdraw(next, r.Services[m.Node])
+		runs[i].withdrawOutOfScope(next, r.Services[m.Node])
 	}
 	d.Grants = slices.DeleteFunc(grants, func(g Grant) bool {
 		le := s.Runs[g.Node]
 		return len(g.Rates) == 0 && le != nil && le.Incarnation == g.Incarnation
 	})
-	if len(d.Grants) == 0 && len(d.Over) == 0 && len(d.Held) == 0 {
+	if len(d.Grants) == 0 && len(d.Expired) == 0 && len(d.Confirmed) == 0 {
 		return nil
 	}
 	return d
 }
 
-// frees says whether what a run holds frees anything.
-func (s *State) frees(h Held, le *Lease) bool {
-	if h.Revision >= le.Rev {
-		for name, m := range le.Most {
+// freesQuota says whether what a run holds frees anything.
+func (s *State) freesQuota(h Confirmation, le *Lease) bool {
+	if h.Revision >= le.Revision {
+		for name, m := range le.MaxRates {
 			if m > le.Rates[name] {
 				return true
 			}
 		}
 	}
 	for _, e := range s.Tenants {
-		if _, ok := e.Behind[h.Node]; ok && h.Sole && h.Revision >= e.Rev {
+		if _, ok := e.OutdatedRates[h.Node]; ok && h.SoleRun && h.Revision >= e.Revision {
 			return true
 		}
 	}
@@ -194,35 +194,35 @@
 	grant   *Grant
 }
 
-// set has the division lease a rate to the run.
-func (p presentRun) set(name string, rate float64) {
+// setRate has the division lease a rate to the run.
+func (p presentRun) setRate(name string, rate float64) {
 	if p.grant.Rates == nil {
 		p.grant.Rates = map[string]float64{}
 	}
 	p.grant.Rates[name] = rate
 }
 
-// withdraw takes from a run of these services what it is leased of tenants outside of them: its scope was another before,
+// withdrawOutOfScope takes from a run of these services what it is leased of tenants outside of them: its scope was another before,
 // or the tenant's name was.
-func (p presentRun) withdraw(next *State, services []string) {
+func (p presentRun) withdrawOutOfScope(next *State, services []string) {
 	for name := range p.lease.Rates {
 		if e := next.Tenants[name]; e != nil && !fleet.Serves(services, e.Service()) {
-			p.set(name, 0)
+			p.setRate(name, 0)
 		}
 	}
 }
 
-// grant moves one tenant's parts to its aim as far as may be now: down at once, up out of what no run may hold.
-func (j *Judge) grant(next *State, name, service string, most float64, runs []presentRun) {
-	pool := next.Pool(name)
+// grantTenant moves one tenant's parts to its aim as far as may be now: down at once, up out of what no run may hold.
+func (j *Controller) grantTenant(next *State, name, service string, most float64, runs []presentRun) {
+	pool := next.Leasable(name)
 	if pool == 0 && most == 0 {
 		return
 	}
-	want := j.aimAt(next, name, service, pool, runs)
+	want := j.targetRates(next, name, service, pool, runs)
 	held := make([]float64, len(runs))
 	need := 0.0
 	for i, st := range runs {
-		held[i] = st.lease.Most[name]
+		held[i] = st.lease.MaxRates[name]
 		need += max(0, want[i]-held[i])
 	}
 	part := 0.0
@@ -231,19 +231,19 @@
 	}
 	for i, st := range runs {
 		to := min(want[i], held[i])
-		to = round(to + part*max(0, want[i]-to))
+		to = roundDown(to + part*max(0, want[i]-to))
 		if to != st.lease.Rates[name] {
-			st.set(name, to)
+			st.setRate(name, to)
 		}
 	}
 }
 
-// aimAt gives the part of the pool of each run present in the scope. It stays as it was while the pool and the runs are the same and
+// targetRates gives the part of the pool of each run present in the scope. It stays as it was while the pool and the runs are the same and
 // either every run has room, or no run's part would move by more than the hysteresis.
-func (j *Judge) aimAt(next *State, name, service string, pool float64, runs []presentRun) []float64 {
+func (j *Controller) targetRates(next *State, name, service string, pool float64, runs []presentRun) []float64 {
 	floor := 0.0
 	if e := next.Tenants[name]; e != nil && e.Committed != nil {
-		floor = fleet.FloorPart * e.Committed.Spec.Quota.Rate / float64(next.Slots)
+		floor = fleet.GuaranteedPart * e.Committed.Spec.Quota.Rate / float64(next.Slots)
 	}
 	loads := make([]float64, len(runs))
 	for i, st := range runs {
@@ -253,9 +253,9 @@
 			loads[i] = st.lease.Rates[name] // nothing heard: as it is
 		}
 	}
-	old, ok := j.lend.aims[name]
+	old, ok := j.divider.targets[name]
 	if ok = ok && old.service == service; !ok { // a new leader goes on from what is leased, where that is nearly all
-		old = aim{pool: pool, service: service, rates: make([]float64, len(runs))}
+		old = target{leasable: pool, service: service, rates: make([]float64, len(runs))}
 		sum := 0.0
 		for i, st := range runs {
 			old.rates[i] = st.lease.Rates[name]
@@ -263,24 +263,24 @@
 		}
 		ok = sum <= pool && sum > pool*(1-hysteresis/10)
 	}
-	want := fill(pool, loads)
-	if ok && old.pool == pool {
+	want := divideByLoad(pool, loads)
+	if ok && old.leasable == pool {
 		near, room := true, true
 		for i := range want {
 			near = near && math.Abs(want[i]-old.rates[i]) <= hysteresis*max(old.rates[i], pool/float64(len(runs)))
-			room = room && loads[i] <= roomy*old.rates[i]
+			room = room && loads[i] <= maxLoadPart*old.rates[i]
 		}
 		if near || room {
 			want = old.rates
 		}
 	}
-	j.lend.aims[name] = aim{pool: pool, service: service, rates: want}
+	j.divider.targets[name] = target{leasable: pool, service: service, rates: want}
 	return want
 }
 
-// fill divides a pool: where it is enough everybody gets its load and the rest evenly, else all in proportion to
+// divideByLoad divides a pool: where it is enough everybody gets its load and the rest evenly, else all in proportion to
 // their loads. One run's report counts for no more than the pool.
-func fill(pool float64, loads []float64) []float64 {
+func divideByLoad(pool float64, loads []float64) []float64 {
 	out := make([]float64, len(loads))
 	sum := 0.0
 	for i, l := range loads {
@@ -297,8 +297,8 @@
 	return out
 }
 
-// round takes a rate down to four digits, so that small moves change nothing; it leaves what it gave as it is.
-func round(v float64) float64 {
+// roundDown takes a rate down to four digits, so that small moves change nothing; it leaves what it gave as it is.
+func roundDown(v float64) float64 {
 	if v <= 0 {
 		return 0
 	}
--- a/internal/fleet/tenants/lend_test.go
+++ b/internal/fleet/tenants/lend_test.go
@@ -12,7 +12,7 @@
 // city is a fleet without faults: every node hears and reports within a step.
 type city struct {
 	s               *State
-	j               *Judge
+	j               *Controller
 	now             fleet.Time
 	rev             uint64
 	present         []fleet.Member
@@ -21,7 +21,7 @@
 }
 
 func newCity(nodes, slots int, load func(int, string) float64) *city {
-	c := &city{s: &State{}, j: NewJudge(Config{Slots: slots, TTL: 6 * time.Second}), load: load}
+	c := &city{s: &State{}, j: NewController(Config{Slots: slots, TTL: 6 * time.Second}), load: load}
 	for i := range nodes {
 		c.present = append(c.present, fleet.Member{Node: fmt.Sprintf("n%03d", i), Incarnation: 1})
 	}
@@ -49,7 +49,7 @@
 
 func (c *city) report() {
 	for i, m := range c.present {
-		r := fleet.Report{Member: m, Seq: uint64(c.now), Revision: c.rev}
+		r := fleet.Report{Member: m, Sequence: uint64(c.now), Revision: c.rev}
 		for name, e := range c.s.Tenants {
 			a := fleet.TenantAck{Name: name, UID: e.UID, Offered: c.load(i, name)}
 			if e.Committed != nil {
@@ -60,7 +60,7 @@
 			}
 			r.Tenants = append(r.Tenants, a)
 		}
-		c.j.Observe(c.now, fleet.NodeView{Member: m, At: c.now, Report: r})
+		c.j.Observe(c.now, fleet.NodeView{Member: m, ReceivedAt: c.now, Report: r})
 	}
 }
 
@@ -82,7 +82,7 @@
 }
 
 func (c *city) share(node int, name string) float64 {
-	return c.s.Runs[c.present[node].Node].Rates[name] + fleet.FloorPart*c.s.Tenants[name].Committed.Spec.Quota.Rate/float64(c.s.Slots)
+	return c.s.Runs[c.present[node].Node].Rates[name] + fleet.GuaranteedPart*c.s.Tenants[name].Committed.Spec.Quota.Rate/float64(c.s.Slots)
 }
 
 // TestUnusedShareFollowsDemand moves a brand's whole load from one node to another, and back.
@@ -132,14 +132,14 @@
 	for c.s.Tenants["lulu"].Committed.Number == 1 && c.now < began+10*time.Second {
 		c.run(t, 100*time.Millisecond)
 	}
-	if most := c.s.most("lulu"); most > 30.001 {
+	if most := c.s.maxLeased("lulu"); most > 30.001 {
 		t.Errorf("committed 50 with %g leased next to floors of 20", most)
 	}
 	if d := c.now - began; d > 3*time.Second {
 		t.Errorf("committed %v after it was put", d)
 	}
 	c.run(t, 5*time.Second)
-	if most := c.s.most("lulu"); most < 39.9 || most > 40.001 {
+	if most := c.s.maxLeased("lulu"); most < 39.9 || most > 40.001 {
 		t.Errorf("%g leased of the smaller quota, want 40", most)
 	}
 }
@@ -179,7 +179,7 @@
 		})
 		b.Run(fmt.Sprintf("divide/%d", nodes), func(b *testing.B) {
 			for b.Loop() {
-				c.now += DivideEvery
+				c.now += DivideInterval
 				c.j.Step(c.now, c.s, c.whole())
 			}
 		})
--- a/internal/fleet/tenants/page_test.go
+++ b/internal/fleet/tenants/page_test.go
@@ -17,7 +17,7 @@
 // not, the two serve it, and a third node serves another service and never says anything.
 type fixture struct {
 	s        *State
-	j        *Judge
+	j        *Controller
 	rev      uint64
 	service  string
 	sessions session.State
@@ -27,7 +27,7 @@
 }
 
 func newFixture(service string) *fixture {
-	f := &fixture{s: &State{}, j: NewJudge(Config{Slots: 3, TTL: 6 * time.Second}), service: service,
+	f := &fixture{s: &State{}, j: NewController(Config{Slots: 3, TTL: 6 * time.Second}), service: service,
 		answers: []fleet.Member{{Node: "n1", Zone: "z", Incarnation: 1}, {Node: "n2", Zone: "z", Incarnation: 2}}}
 	if service != "" {
 		f.join("n0", "other")
@@ -82,7 +82,7 @@
 func (f *fixture) answer(change func(node string, a *fleet.TenantAck)) {
 	f.seq++
 	for _, m := range f.answers {
-		r := fleet.Report{Member: m, Services: f.scope(), Seq: f.seq, Revision: f.rev}
+		r := fleet.Report{Member: m, Services: f.scope(), Sequence: f.seq, Revision: f.rev}
 		for name, e := range f.s.Tenants {
 			a := fleet.TenantAck{Name: name, UID: e.UID}
 			if e.Committed != nil {
@@ -96,7 +96,7 @@
 			}
 			r.Tenants = append(r.Tenants, a)
 		}
-		f.j.Observe(f.now, fleet.NodeView{Member: m, At: f.now, Report: r})
+		f.j.Observe(f.now, fleet.NodeView{Member: m, ReceivedAt: f.now, Report: r})
 	}
 }
 
@@ -137,9 +137,9 @@
 	switch phase {
 	case PhaseStaging:
 		do(f.put(50, f.committed()))
-	case PhaseRemoving, PhaseUnquoted:
+	case PhaseRemoving, PhaseQuotaWithdrawn:
 		do(f.apply(Command{Op: Delete, Name: "lulu", Generation: 1}))
-		if phase == PhaseUnquoted {
+		if phase == PhaseQuotaWithdrawn {
 			next()
 		}
 	}
@@ -180,7 +180,7 @@
 	},
 	"*/not by all present nodes": func(f *fixture) error {
 		f.answer(nil)
-		f.j.views["n2"].Report.Revision--
+		f.j.reports["n2"].Report.Revision--
 		return f.step(false)
 	},
 	"*/the epoch has changed":      func(f *fixture) error { return f.moved(func() { f.join("n3") }) },
@@ -192,19 +192,19 @@
 		})
 	},
 	"staged/leases over the smaller quota may still be held": func(f *fixture) error {
-		f.s.Slots, f.s.Runs = 3, map[string]*Lease{"n1": {Incarnation: 1, Most: map[string]float64{"lulu": 70}}}
+		f.s.Slots, f.s.Runs = 3, map[string]*Lease{"n1": {Incarnation: 1, MaxRates: map[string]float64{"lulu": 70}}}
 		f.answer(nil)
 		if cs := f.j.Step(f.now, f.s, f.present()); slices.ContainsFunc(cs, func(c Command) bool { return c.Op == Commit }) {
 			return errors.New("the judge commits")
 		}
 		e := f.s.Tenants["lulu"]
-		return f.apply(Command{Op: Commit, Name: "lulu", UID: e.UID, IfRev: e.Rev, Generation: e.Staged.Number,
+		return f.apply(Command{Op: Commit, Name: "lulu", UID: e.UID, IfRevision: e.Revision, Generation: e.Staged.Number,
 			Epoch: f.sessions.ScopeEpoch(f.service), Scoped: f.service != ""})
 	},
 	"refused/by one present node": func(f *fixture) error {
 		f.answer(func(n string, a *fleet.TenantAck) {
 			if n == "n2" {
-				a.Refused = "routes[0]: matches no server"
+				a.RejectReason = "routes[0]: matches no server"
 			}
 		})
 		return f.step(false)
@@ -228,7 +228,7 @@
 		err := f.step(false)
 		early := f.j.Late(f.now+ApplyTimeout-1, f.s, f.present())
 		f.now += ApplyTimeout
-		if late := f.j.Late(f.now, f.s, f.present()); len(early) > 0 || !slices.Equal(late, []Late{{"n2", "lulu", 1, 0}}) {
+		if late := f.j.Late(f.now, f.s, f.present()); len(early) > 0 || !slices.Equal(late, []LateNode{{"n2", "lulu", 1, 0}}) {
 			return fmt.Errorf("late: %v, before %v", late, early)
 		}
 		if st, _ := f.j.Status(f.now, f.s, "lulu", f.present()); len(st) != 2 || st[1].Reason != reasonLate || st[0].Reason != "" {
@@ -281,7 +281,7 @@
 
 func (f *fixture) effect(t *testing.T, effect string, err error, before uint64) {
 	want, refused := strings.CutPrefix(effect, "refused: ")
-	kinds := map[string]error{"conflict": fleet.ErrConflict, "not found": fleet.ErrUnknown, "names": fleet.ErrInvalid, "stale": ErrStale}
+	kinds := map[string]error{"conflict": fleet.ErrConflict, "not found": fleet.ErrNotFound, "names": fleet.ErrInvalid, "stale": ErrStale}
 	if !refused {
 		if err != nil {
 			t.Errorf("error %v", err)
@@ -308,7 +308,7 @@
 			return e.Staged == nil && e.Committed.Number == 1 && strings.Contains(e.RolledBack, "node n2: ")
 		},
 		"rolled back, the": func() bool { return strings.Contains(why.Error(), "node n2: ") },
-		"quota and routes": func() bool { return e.QuotaGone },
+		"quota and routes": func() bool { return e.QuotaWithdrawn },
 		"namespace": func() bool {
 			old := f.s.Tombstones[0].UID
 			return f.put(60, 0) == nil && f.s.Tenants["lulu"].UID > old && f.s.Tenants["lulu"].Committed == nil
@@ -324,8 +324,8 @@
 // everyTransition gives every command to every phase: what changes the phase must be a row.
 func everyTransition(t *testing.T, rows []statetable.Row, service string) {
 	events := map[string][]string{Put: {"put"}, Delete: {"delete"}, Commit: {"staged"}, Rollback: {"refused", "timeout"},
-		Applied: {"applied"}, Drained: {"drained"}, Unquoted: {"applied"}, Divide: nil}
-	for _, phase := range []string{PhaseNone, PhaseSettled, PhaseStaging, PhaseApplying, PhaseRemoving, PhaseUnquoted} {
+		Applied: {"applied"}, Drained: {"drained"}, QuotaWithdrawn: {"applied"}, Divide: nil}
+	for _, phase := range []string{PhaseNone, PhaseSettled, PhaseStaging, PhaseApplying, PhaseRemoving, PhaseQuotaWithdrawn} {
 		for _, old := range []bool{false, true} {
 			for op := range events {
 				f := newFixture(service)
@@ -333,7 +333,7 @@
 				c := Command{Op: op, Name: "lulu", Generation: f.committed(), Epoch: f.sessions.ScopeEpoch(service), Scoped: service != "",
 					Node: "n1", Reason: "r", Spec: &fleet.Spec{Name: "lulu", Service: service, Quota: fleet.Quota{Rate: 3}}, Division: &Division{Slots: 3}}
 				if e := f.s.Tenants["lulu"]; e != nil {
-					c.UID, c.IfRev = e.UID, e.Rev
+					c.UID, c.IfRevision = e.UID, e.Revision
 					if e.Staged != nil && op != Put && op != Delete {
 						c.Generation = e.Staged.Number
 					}
--- a/internal/fleet/tenants/parse.go
+++ b/internal/fleet/tenants/parse.go
@@ -14,13 +14,13 @@
 	"meadowsill/internal/fleet"
 )
 
-// depthLimit is how deep a JSON body may be nested; the schema needs 3.
-const depthLimit = 8
+// maxDepth is how deep a JSON body may be nested; the schema needs 3.
+const maxDepth = 8
 
 // ParseTOML reads a tenant file and validates it whole. Errors are *FieldError with the field and its line.
 func ParseTOML(data []byte) (fleet.Spec, error) {
-	if len(data) > fleet.TenantLimit {
-		return fleet.Spec{}, fault("", "is over %d bytes", fleet.TenantLimit)
+	if len(data) > fleet.MaxTenantBytes {
+		return fleet.Spec{}, fieldError("", "is over %d bytes", fleet.MaxTenantBytes)
 	}
 	var tree map[string]any
 	if _, err := toml.Decode(string(data), &tree); err != nil {
@@ -28,7 +28,7 @@
 		if errors.As(err, &pe) {
 			return fleet.Spec{}, &FieldError{Field: pe.LastKey, Line: pe.Position.Line, Problem: pe.Message}
 		}
-		return fleet.Spec{}, fault("", "%s", err)
+		return fleet.Spec{}, fieldError("", "%s", err)
 	}
 	spec, err := fromTree(tree)
 	var fe *FieldError
@@ -56,16 +56,16 @@
 	}
 	for _, k := range sortedKeys(body) {
 		if k != "generation" && k != "spec" {
-			return 0, fleet.Spec{}, fault(k, "is not known")
+			return 0, fleet.Spec{}, fieldError(k, "is not known")
 		}
 	}
 	g, ok := body["generation"].(float64)
 	if !ok || g < 0 || g != math.Trunc(g) || g > 1<<53 {
-		return 0, fleet.Spec{}, fault("generation", "must be a whole number, 0 for a new tenant")
+		return 0, fleet.Spec{}, fieldError("generation", "must be a whole number, 0 for a new tenant")
 	}
 	inner, ok := body["spec"].(map[string]any)
 	if !ok {
-		return 0, fleet.Spec{}, fault("spec", "must be an object")
+		return 0, fleet.Spec{}, fieldError("spec", "must be an object")
 	}
 	spec, err = fromTree(inner)
 	var fe *FieldError
@@ -77,8 +77,8 @@
 
 // decodeJSON reads one JSON object, its numbers as float64.
 func decodeJSON(data []byte) (map[string]any, error) {
-	if len(data) > fleet.TenantLimit {
-		return nil, fault("", "is over %d bytes", fleet.TenantLimit)
+	if len(data) > fleet.MaxTenantBytes {
+		return nil, fieldError("", "is over %d bytes", fleet.MaxTenantBytes)
 	}
 	dec := json.NewDecoder(bytes.NewReader(data))
 	dec.UseNumber()
@@ -87,23 +87,23 @@
 		return nil, err
 	}
 	if _, err := dec.Token(); err != io.EOF {
-		return nil, fault("", "goes on after its end")
+		return nil, fieldError("", "goes on after its end")
 	}
 	tree, ok := v.(map[string]any)
 	if !ok {
-		return nil, fault("", "must be an object")
+		return nil, fieldError("", "must be an object")
 	}
 	return tree, nil
 }
 
 // readJSON reads one value token by token, so that a key given twice is an error and not the last one's.
 func readJSON(dec *json.Decoder, at string, depth int) (any, error) {
-	if depth > depthLimit {
-		return nil, fault(at, "is nested too deep")
+	if depth > maxDepth {
+		return nil, fieldError(at, "is nested too deep")
 	}
 	tok, err := dec.Token()
 	if err != nil {
-		return nil, fault(at, "is no JSON: %s", strings.TrimPrefix(err.Error(), "json: "))
+		return nil, fieldError(at, "is no JSON: %s", strings.TrimPrefix(err.Error(), "json: "))
 	}
 	switch t := tok.(type) {
 	case json.Delim:
@@ -123,10 +123,10 @@
 			k, err := dec.Token()
 			key, ok := k.(string)
 			if err != nil || !ok {
-				return nil, fault(at, "is no JSON: a key must be a string")
+				return nil, fieldError(at, "is no JSON: a key must be a string")
 			}
 			if _, twice := m[key]; twice {
-				return nil, fault(join(at, key), "is given twice")
+				return nil, fieldError(join(at, key), "is given twice")
 			}
 			v, err := readJSON(dec, join(at, key), depth+1)
 			if err != nil {
@@ -138,7 +138,7 @@
 	case json.Number:
 		f, err := t.Float64()
 		if err != nil {
-			return nil, fault(at, "must be a finite number")
+			return nil, fieldError(at, "must be a finite number")
 		}
 		return f, nil
 	}
@@ -147,7 +147,7 @@
 
 func closeJSON(dec *json.Decoder, at string) error {
 	if _, err := dec.Token(); err != nil {
-		return fault(at, "is no JSON: it has no end")
+		return fieldError(at, "is no JSON: it has no end")
 	}
 	return nil
 }
@@ -164,7 +164,7 @@
 
 func (t *tree) fail(field, format string, args ...any) {
 	if t.err == nil {
-		t.err = fault(field, format, args...)
+		t.err = fieldError(field, format, args...)
 	}
 }
 
--- a/internal/fleet/tenants/schema.go
+++ b/internal/fleet/tenants/schema.go
@@ -20,7 +20,7 @@
 	patternLimit = 128 // bytes of an id pattern
 	classLimit   = 32  // classes named
 	routeLimit   = 64  // routes
-	rateLimit    = 1e7 // requests/s, and requests of a burst
+	maxRate      = 1e7 // requests/s, and requests of a burst
 	weightLimit  = 1e6
 )
 
@@ -60,7 +60,7 @@
 // Unwrap makes errors.Is(err, fleet.ErrInvalid) true.
 func (e *FieldError) Unwrap() error { return fleet.ErrInvalid }
 
-func fault(field, format string, args ...any) error {
+func fieldError(field, format string, args ...any) error {
 	return &FieldError{Field: field, Problem: fmt.Sprintf(format, args...)}
 }
 
@@ -87,14 +87,14 @@
 func checkName(field, v string) error {
 	switch {
 	case v == "":
-		return fault(field, "is missing")
+		return fieldError(field, "is missing")
 	case len(v) > nameLimit:
-		return fault(field, "is longer than %d bytes", nameLimit)
+		return fieldError(field, "is longer than %d bytes", nameLimit)
 	}
 	for i, r := range v {
 		plain := r < unicode.MaxASCII && (unicode.IsLetter(r) || unicode.IsDigit(r))
 		if !plain && (i == 0 || !strings.ContainsRune("._-", r)) {
-			return fault(field, "%q has other than letters, digits, '.', '_' and '-', or begins with none of the first two", v)
+			return fieldError(field, "%q has other than letters, digits, '.', '_' and '-', or begins with none of the first two", v)
 		}
 	}
 	return nil
@@ -102,7 +102,7 @@
 
 func checkNamespace(n fleet.Namespace) error {
 	if len(n.Classes) > classLimit {
-		return fault("namespace.classes", "names more than %d classes", classLimit)
+		return fieldError("namespace.classes", "names more than %d classes", classLimit)
 	}
 	for i, c := range n.Classes {
 		field := fmt.Sprintf("namespace.classes[%d]", i)
@@ -110,7 +110,7 @@
 			return err
 		}
 		if slices.Contains(n.Classes[:i], c) {
-			return fault(field, "%q is named twice", c)
+			return fieldError(field, "%q is named twice", c)
 		}
 	}
 	return nil
@@ -120,40 +120,40 @@
 func checkNumber(field string, v, most float64, above bool) error {
 	switch {
 	case math.IsNaN(v) || math.IsInf(v, 0):
-		return fault(field, "must be a finite number")
+		return fieldError(field, "must be a finite number")
 	case above && v <= 0:
-		return fault(field, "must be above 0")
+		return fieldError(field, "must be above 0")
 	case v < 0:
-		return fault(field, "must not be negative")
+		return fieldError(field, "must not be negative")
 	case v > most:
-		return fault(field, "must not be above %g", most)
+		return fieldError(field, "must not be above %g", most)
 	}
 	return nil
 }
 
 func checkQuota(q fleet.Quota, classes []string) error {
-	if err := checkNumber("quota.rate", q.Rate, rateLimit, true); err != nil {
+	if err := checkNumber("quota.rate", q.Rate, maxRate, true); err != nil {
 		return err
 	}
-	if err := checkNumber("quota.burst", q.Burst, rateLimit, false); err != nil {
+	if err := checkNumber("quota.burst", q.Burst, maxRate, false); err != nil {
 		return err
 	}
 	if len(q.Classes) > classLimit {
-		return fault("quota.classes", "names more than %d classes", classLimit)
+		return fieldError("quota.classes", "names more than %d classes", classLimit)
 	}
 	for _, c := range sortedKeys(q.Classes) {
 		field := "quota.classes." + c
 		if err := checkName(field, c); err != nil {
 			return err
 		}
-		if err := checkNumber(field, q.Classes[c], rateLimit, false); err != nil {
+		if err := checkNumber(field, q.Classes[c], maxRate, false); err != nil {
 			return err
 		}
 		if q.Classes[c] > q.Rate {
-			return fault(field, "%g is above quota.rate, %g", q.Classes[c], q.Rate)
+			return fieldError(field, "%g is above quota.rate, %g", q.Classes[c], q.Rate)
 		}
 		if len(classes) > 0 && !slices.Contains(classes, c) {
-			return fault(field, "is not among namespace.classes")
+			return fieldError(field, "is not among namespace.classes")
 		}
 	}
 	return nil
@@ -161,7 +161,7 @@
 
 func checkRoutes(s fleet.Spec) error {
 	if len(s.Routes) > routeLimit {
-		return fault("routes", "are more than %d", routeLimit)
+		return fieldError("routes", "are more than %d", routeLimit)
 	}
 	for i, r := range s.Routes {
 		at := func(f string) string { return fmt.Sprintf("routes[%d].%s", i, f) }
@@ -176,26 +176,26 @@
 			}
 		}
 		if len(r.ID) > patternLimit {
-			return fault(at("id"), "is longer than %d bytes", patternLimit)
+			return fieldError(at("id"), "is longer than %d bytes", patternLimit)
 		}
 		if _, err := path.Match(r.ID, ""); err != nil || strings.ContainsFunc(r.ID, unicode.IsControl) {
-			return fault(at("id"), "%q is no pattern", r.ID)
+			return fieldError(at("id"), "%q is no pattern", r.ID)
 		}
 		if err := checkNumber(at("weight"), r.Weight, weightLimit, true); err != nil {
 			return err
 		}
 		for k, o := range s.Routes[:i] {
 			if o.Zone == r.Zone && o.Kind == r.Kind && o.ID == r.ID {
-				return fault(fmt.Sprintf("routes[%d]", i), "names the same servers as routes[%d]", k)
+				return fieldError(fmt.Sprintf("routes[%d]", i), "names the same servers as routes[%d]", k)
 			}
 		}
 	}
 	switch {
 	case s.Fallback == "any" || s.Fallback == "refuse":
 	case s.Fallback != "":
-		return fault("fallback", "%q is neither \"any\" nor \"refuse\"", s.Fallback)
+		return fieldError("fallback", "%q is neither \"any\" nor \"refuse\"", s.Fallback)
 	case len(s.Routes) > 0:
-		return fault("fallback", "is missing: routes need one, \"any\" or \"refuse\"")
+		return fieldError("fallback", "is missing: routes need one, \"any\" or \"refuse\"")
 	}
 	return nil
 }
--- a/internal/fleet/tenants/schema_test.go
+++ b/internal/fleet/tenants/schema_test.go
@@ -80,7 +80,7 @@
 		{`"app-[0-9]*"`, `"app-["`, `invalid: line 14: routes[1].id: "app-[" is no pattern`},
 		{`id = "app-[0-9]*"`, `zone = "ghala"`, "invalid: line 13: routes[1]: names the same servers as routes[0]"},
 		{`zone = "ghala"`, `zone = "` + strings.Repeat("z", 65) + `"`, "invalid: line 11: routes[0].zone: is longer than 64"},
-		{`name = "amouage"`, "#" + strings.Repeat("x", fleet.TenantLimit), "invalid: is over 65536 bytes"},
+		{`name = "amouage"`, "#" + strings.Repeat("x", fleet.MaxTenantBytes), "invalid: is over 65536 bytes"},
 	} {
 		text := strings.Replace(goodTOML, f.old, f.new, 1)
 		_, err := ParseTOML([]byte(text))
--- a/internal/fleet/tenants/scope.go
+++ b/internal/fleet/tenants/scope.go
@@ -78,48 +78,48 @@
 	}
 }
 
-// roster is who is present in each scope, worked out once a step and only for the scopes asked for.
-type roster struct {
+// presentByScope is who is present in each scope, worked out once a step and only for the scopes asked for.
+type presentByScope struct {
 	Present
-	whole   group
-	every   []int            // positions of the members without a scope
-	scoped  map[string][]int // positions of the members whose scope names a service
-	byScope map[string]*group
+	all       scopeMembers
+	unscoped  []int            // positions of the members without a scope
+	byService map[string][]int // positions of the members whose scope names a service
+	byScope   map[string]*scopeMembers
 }
 
-// group is the present members of one scope, by node.
-type group struct {
+// scopeMembers is the present members of one scope, by node.
+type scopeMembers struct {
 	members   []fleet.Member
 	runs      []Run
 	positions []int // among all present members
 }
 
-func newRoster(p Present) *roster {
+func newPresentByScope(p Present) *presentByScope {
 	p.Members = slices.Clone(p.Members)
 	slices.SortFunc(p.Members, byNode)
-	r := &roster{Present: p, scoped: map[string][]int{}, byScope: map[string]*group{}}
+	r := &presentByScope{Present: p, byService: map[string][]int{}, byScope: map[string]*scopeMembers{}}
 	for i, m := range p.Members {
-		r.whole.add(m, i)
+		r.all.add(m, i)
 		services := p.Services[m.Node]
 		if len(services) == 0 {
-			r.every = append(r.every, i)
+			r.unscoped = append(r.unscoped, i)
 		}
 		for _, service := range services {
-			r.scoped[service] = append(r.scoped[service], i)
+			r.byService[service] = append(r.byService[service], i)
 		}
 	}
 	return r
 }
 
 // of gives the members that serve a service; of no service, all.
-func (r *roster) of(service string) *group {
-	if service == "" || len(r.every) == len(r.Members) {
-		return &r.whole
+func (r *presentByScope) of(service string) *scopeMembers {
+	if service == "" || len(r.unscoped) == len(r.Members) {
+		return &r.all
 	}
 	g := r.byScope[service]
 	if g == nil {
-		g = &group{}
-		positions := slices.Concat(r.every, r.scoped[service])
+		g = &scopeMembers{}
+		positions := slices.Concat(r.unscoped, r.byService[service])
 		slices.Sort(positions)
 		for _, i := range positions {
 			g.add(r.Members[i], i)
@@ -129,7 +129,7 @@
 	return g
 }
 
-func (g *group) add(m fleet.Member, position int) {
+func (g *scopeMembers) add(m fleet.Member, position int) {
 	g.members = append(g.members, m)
 	g.runs = append(g.runs, Run{m.Node, m.Incarnation})
 	g.positions = append(g.positions, position)
@@ -138,7 +138,7 @@
 func byNode(a, b fleet.Member) int { return strings.Compare(a.Node, b.Node) }
 
 // pick gives the runs of the group's members, out of those of all present members.
-func (g *group) pick(runs []presentRun) []presentRun {
+func (g *scopeMembers) pick(runs []presentRun) []presentRun {
 	if len(g.positions) == len(runs) {
 		return runs
 	}
@@ -150,6 +150,6 @@
 }
 
 // all says whether ok holds for every member.
-func (g *group) all(ok func(fleet.Member) bool) bool {
+func (g *scopeMembers) all(ok func(fleet.Member) bool) bool {
 	return !slices.ContainsFunc(g.members, func(m fleet.Member) bool { return !ok(m) })
 }
--- a/internal/fleet/tenants/simulation/act.go
+++ b/internal/fleet/tenants/simulation/act.go
@@ -71,7 +71,7 @@
 			m.fail("%s rests in %s", name, p)
 			return
 		}
-		if pool, most := m.s.Pool(name), most(m.s, name); most < 0.95*pool && m.anyone(e) || pool < 0.79*e.Committed.Spec.Quota.Rate {
+		if pool, most := m.s.Leasable(name), most(m.s, name); most < 0.95*pool && m.anyone(e) || pool < 0.79*e.Committed.Spec.Quota.Rate {
 			m.fail("%s rests with %g leased of %g, quota %g", name, most, pool, e.Committed.Spec.Quota.Rate)
 		}
 		for _, r := range m.runs {
@@ -107,10 +107,10 @@
 func most(s *tenants.State, name string) float64 {
 	sum := 0.0
 	for _, l := range s.Runs {
-		sum += l.Most[name]
+		sum += l.MaxRates[name]
 	}
 	for _, g := range s.OrphanedLeases {
-		sum += g.Most[name]
+		sum += g.MaxRates[name]
 	}
 	return sum
 }
--- a/internal/fleet/tenants/simulation/model.go
+++ b/internal/fleet/tenants/simulation/model.go
@@ -24,7 +24,7 @@
 	now       fleet.Time
 	s, twin   *tenants.State // the twin replica is given the same commands
 	rev       uint64
-	j         *tenants.Judge
+	j         *tenants.Controller
 	sessions  session.State
 	renewed   map[string]fleet.Time // when the leader last renewed a session, by node
 	runs      []*run
@@ -62,7 +62,7 @@
 type copyOf struct {
 	rev     uint64
 	tenants map[string]fleet.Tenant
-	share   fleet.Shares
+	share   fleet.QuotaLease
 }
 
 const (
@@ -76,7 +76,7 @@
 func newModel(pick func(int) int, fault string) *model {
 	m := &model{pick: pick, fault: fault, s: &tenants.State{}, twin: &tenants.State{}, renewed: map[string]fleet.Time{},
 		committed: map[uint64]map[uint64]string{}, staging: map[string]fleet.Time{}, answers: map[string]copyOf{},
-		j: tenants.NewJudge(tenants.Config{Slots: modelSlots, TTL: modelTTL}), nodes: []string{"n1", "n2", "n3", "n4"}}
+		j: tenants.NewController(tenants.Config{Slots: modelSlots, TTL: modelTTL}), nodes: []string{"n1", "n2", "n3", "n4"}}
 	for _, n := range m.nodes {
 		m.start(n, copyOf{})
 	}
@@ -111,12 +111,12 @@
 	}
 	if c.Op == tenants.Divide && m.fault == "held" {
 		for n, l := range m.s.Runs {
-			c.Division.Held = append(c.Division.Held, tenants.Held{Run: tenants.Run{Node: n, Incarnation: l.Incarnation}, Revision: m.rev})
+			c.Division.Confirmed = append(c.Division.Confirmed, tenants.Confirmation{Run: tenants.Run{Node: n, Incarnation: l.Incarnation}, Revision: m.rev})
 		}
 	}
 	if c.Op == tenants.Divide && m.fault == "over" {
 		for _, g := range m.s.OrphanedLeases {
-			c.Division.Over = append(c.Division.Over, g.Run)
+			c.Division.Expired = append(c.Division.Expired, g.Run)
 		}
 	}
 	before := m.s.Phase(c.Name)
@@ -169,7 +169,7 @@
 	}
 	for _, n := range m.nodes {
 		if member, ok := m.sessions.Members[n]; ok && m.now-max(m.renewed[n], m.leadSince) >= modelTTL {
-			m.sessions.Apply(session.Command{Op: session.Lapse, Member: member})
+			m.sessions.Apply(session.Command{Op: session.Expire, Member: member})
 		}
 	}
 	for _, r := range m.runs {
@@ -207,7 +207,7 @@
 	c := copyOf{rev: m.rev, tenants: map[string]fleet.Tenant{}}
 	for _, it := range m.s.ItemsFor(node) {
 		switch {
-		case it.Gone:
+		case it.Removed:
 		case it.Key == "share/"+node:
 			json.Unmarshal(it.Body, &c.share)
 		default:
@@ -242,7 +242,7 @@
 
 func (r *run) report(m *model) fleet.Report {
 	r.seq++
-	rep := fleet.Report{Member: r.member(), Services: r.services, Seq: r.seq, Revision: r.held.rev}
+	rep := fleet.Report{Member: r.member(), Services: r.services, Sequence: r.seq, Revision: r.held.rev}
 	for name, t := range r.held.tenants {
 		a := fleet.TenantAck{Name: name, UID: t.UID, Offered: r.load}
 		if t.Committed != nil {
@@ -253,7 +253,7 @@
 			case r.staged[g.Digest] || m.fault == "liar":
 				a.Staged, a.Digest = g.Number, g.Digest
 			case r.deny[g.Digest]:
-				a.Refused = "routes[0]: matches no server"
+				a.RejectReason = "routes[0]: matches no server"
 			}
 		}
 		rep.Tenants = append(rep.Tenants, a)
@@ -266,7 +266,7 @@
 	if r.cut {
 		return
 	}
-	if rep.Incarnation < m.sessions.Highest[r.name].Incarnation {
+	if rep.Incarnation < m.sessions.NewestRuns[r.name].Incarnation {
 		m.after(m.pick(4), func() {
 			if r.zombie {
 				r.dead = true
@@ -279,14 +279,14 @@
 	}
 	if !m.sessions.Present(rep.Member) {
 		share, _ := m.s.Item("share/" + r.name)
-		if (!tenants.CaughtUp(m.s, rep) || rep.Revision < share.Rev) && m.fault != "ready" {
+		if (!tenants.CaughtUp(m.s, rep) || rep.Revision < share.Revision) && m.fault != "ready" {
 			m.after(m.pick(4), func() { r.ready = r.ready && (r.cut || r.inc != rep.Incarnation) })
 			return
 		}
 		m.sessions.Apply(session.Command{Op: session.Join, Member: rep.Member, Services: rep.Services})
 	}
 	m.renewed[r.name] = m.now
-	m.j.Observe(m.now, fleet.NodeView{Member: rep.Member, At: m.now, Report: rep})
+	m.j.Observe(m.now, fleet.NodeView{Member: rep.Member, ReceivedAt: m.now, Report: rep})
 	m.after(m.pick(4), func() {
 		if r.inc == rep.Incarnation && !r.cut {
 			r.lease, r.ready = max(r.lease, sent+modelTTL*98/100), true
@@ -329,7 +329,7 @@
 				continue
 			}
 			if r.held.share.Slots > 0 {
-				floors[r.name] = max(floors[r.name], fleet.FloorPart*g.Spec.Quota.Rate/float64(r.held.share.Slots))
+				floors[r.name] = max(floors[r.name], fleet.GuaranteedPart*g.Spec.Quota.Rate/float64(r.held.share.Slots))
 			}
 			if (m.now < r.lease || m.fault == "lease") && (r.held.share.Incarnation == r.inc || m.fault == "run") {
 				leased += r.held.share.Rates[name]
@@ -351,7 +351,7 @@
 		if rate := e.Committed.Spec.Quota.Rate; leased > 0 && sum > rate*(1+1e-6) {
 			m.fail("T3: shares of %s come to %g of %g", name, sum, rate)
 		}
-		key := fmt.Sprint(name, e.Rev)
+		key := fmt.Sprint(name, e.Revision)
 		if e.Staged == nil {
 			continue
 		}
--- a/internal/fleet/tenants/state.go
+++ b/internal/fleet/tenants/state.go
@@ -11,16 +11,16 @@
 // State is the replicated part: every replica's is the same, as commands carry no time and sums are taken in a
 // fixed order. It marshals to JSON and back whole. Apply alone changes it. The zero State is ready for use.
 type State struct {
-	Tenants        map[string]*Entry `json:"tenants,omitempty"`  // by name
-	Runs           map[string]*Lease `json:"runs,omitempty"`     // the newest run of each node, by node
-	OrphanedLeases []OrphanedLease   `json:"ghosts,omitempty"`   // runs that have a successor and may still hold their leases
-	Known          map[string]uint64 `json:"known,omitempty"`    // nodes that were counted, by the count's number
-	Counts         uint64            `json:"counts,omitempty"`   // counts of nodes so far
-	Slots          int               `json:"slots,omitempty"`    // the fleet's whole number of nodes
-	Division       uint64            `json:"division,omitempty"` // rises with every division
-	Divided        uint64            `json:"divided,omitempty"`  // revision of the newest division
-	Tombstones     []Tombstone       `json:"tombs,omitempty"`    // oldest first
-	Floor          uint64            `json:"floor,omitempty"`    // changes up to here may have lost their tombstone
+	Tenants         map[string]*Entry `json:"tenants,omitempty"`  // by name
+	Runs            map[string]*Lease `json:"runs,omitempty"`     // the newest run of each node, by node
+	OrphanedLeases  []OrphanedLease   `json:"ghosts,omitempty"`   // runs that have a successor and may still hold their leases
+	CountedNodes    map[string]uint64 `json:"known,omitempty"`    // nodes that were counted, by the count's number
+	NodeCounts      uint64            `json:"counts,omitempty"`   // counts of nodes so far
+	Slots           int               `json:"slots,omitempty"`    // the fleet's whole number of nodes
+	Division        uint64            `json:"division,omitempty"` // rises with every division
+	DividedRevision uint64            `json:"divided,omitempty"`  // revision of the newest division
+	Tombstones      []Tombstone       `json:"tombs,omitempty"`    // oldest first
+	Floor           uint64            `json:"floor,omitempty"`    // changes up to here may have lost their tombstone
 
 	index serviceIndex // of Tenants
 }
@@ -28,30 +28,30 @@
 // Entry is one tenant: its item's body, the item's revision, and the nodes that may still hold a larger quota.
 type Entry struct {
 	fleet.Tenant
-	Rev      uint64             `json:"rev"`
-	Applying bool               `json:"applying,omitempty"` // committed, and not yet applied on all that were present
-	Behind   map[string]float64 `json:"behind,omitempty"`   // by node: the largest rate, above the present, that its floor may come of
+	Revision      uint64             `json:"rev"`
+	Applying      bool               `json:"applying,omitempty"` // committed, and not yet applied on all that were present
+	OutdatedRates map[string]float64 `json:"behind,omitempty"`   // by node: the largest rate, above the present, that its floor may come of
 }
 
 // Lease is the leased parts of one run: as published, and the most that it may hold by what it has heard.
 type Lease struct {
 	Incarnation uint64             `json:"incarnation"`
-	Rev         uint64             `json:"rev"`
+	Revision    uint64             `json:"rev"`
 	Division    uint64             `json:"division"` // that Rates are of
 	Rates       map[string]float64 `json:"rates,omitempty"`
-	Most        map[string]float64 `json:"most,omitempty"` // at least Rates
+	MaxRates    map[string]float64 `json:"most,omitempty"` // at least Rates
 }
 
 // OrphanedLease is a run that has a successor and may hold what it was leased until the judge knows its lease to be over.
 type OrphanedLease struct {
 	Run
-	Most map[string]float64 `json:"most"`
+	MaxRates map[string]float64 `json:"most"`
 }
 
 // Tombstone remembers that an item is gone, and for a tenant why its last rollout was rolled back.
 type Tombstone struct {
 	Key        string `json:"key"`
-	Rev        uint64 `json:"rev"`
+	Revision   uint64 `json:"rev"`
 	UID        uint64 `json:"uid,omitempty"`
 	RolledBack string `json:"rolled_back,omitempty"`
 }
@@ -62,25 +62,25 @@
 func (s *State) Apply(c Command, epoch EpochOf, rev func() uint64) (changed []string, err error) {
 	switch c.Op {
 	case Put:
-		return s.put(c, rev)
+		return s.propose(c, rev)
 	case Delete:
-		return s.remove(c, rev)
+		return s.beginRemoval(c, rev)
 	case Divide:
-		if d := c.Division; d != nil && len(d.Over) > 0 && c.Epoch != epoch("") { // one of them may be back
+		if d := c.Division; d != nil && len(d.Expired) > 0 && c.Epoch != epoch("") { // one of them may be back
 			return nil, fmt.Errorf("%w: division at epoch %d, it is %d", ErrStale, c.Epoch, epoch(""))
 		}
-		return s.divide(c, rev)
-	case Commit, Rollback, Applied, Drained, Unquoted:
+		return s.applyDivision(c, rev)
+	case Commit, Rollback, Applied, Drained, QuotaWithdrawn:
 		e := s.Tenants[c.Name]
 		switch {
 		case e == nil || e.UID != c.UID:
 			return nil, fmt.Errorf("%w: %s of tenant %q: it is no more", ErrStale, c.Op, c.Name)
-		case e.Rev != c.IfRev:
-			return nil, fmt.Errorf("%w: %s of tenant %q at revision %d, it is at %d", ErrStale, c.Op, c.Name, c.IfRev, e.Rev)
+		case e.Revision != c.IfRevision:
+			return nil, fmt.Errorf("%w: %s of tenant %q at revision %d, it is at %d", ErrStale, c.Op, c.Name, c.IfRevision, e.Revision)
 		case c.Epoch != c.epochNow(e, epoch) && c.Op != Rollback:
 			return nil, fmt.Errorf("%w: %s of tenant %q at epoch %d, it is %d", ErrStale, c.Op, c.Name, c.Epoch, c.epochNow(e, epoch))
 		}
-		return s.rollout(e, c, rev)
+		return s.applyStep(e, c, rev)
 	}
 	return nil, fmt.Errorf("%w: op %q is not known", fleet.ErrInvalid, c.Op)
 }
@@ -94,8 +94,8 @@
 	return epoch("")
 }
 
-// conflict names the present generation, as the API's 409 does.
-func conflict(name string, e *Entry, why string) error {
+// conflictError names the present generation, as the API's 409 does.
+func conflictError(name string, e *Entry, why string) error {
 	g := uint64(0)
 	if e != nil && e.Committed != nil {
 		g = e.Committed.Number
@@ -103,29 +103,29 @@
 	return fmt.Errorf("%w: tenant %q is at generation %d%s", fleet.ErrConflict, name, g, why)
 }
 
-func (s *State) put(c Command, rev func() uint64) ([]string, error) {
+func (s *State) propose(c Command, rev func() uint64) ([]string, error) {
 	if c.Spec == nil {
-		return nil, fault("spec", "is missing")
+		return nil, fieldError("spec", "is missing")
 	}
 	if err := Validate(*c.Spec); err != nil {
 		return nil, err
 	}
 	if c.Spec.Name != c.Name {
-		return nil, fault("name", "%q is not the tenant named, %q", c.Spec.Name, c.Name)
+		return nil, fieldError("name", "%q is not the tenant named, %q", c.Spec.Name, c.Name)
 	}
 	e := s.Tenants[c.Name]
 	switch {
 	case e == nil && c.Generation != 0:
-		return nil, conflict(c.Name, nil, ": there is none")
+		return nil, conflictError(c.Name, nil, ": there is none")
 	case e == nil:
 	case e.Removing:
-		return nil, conflict(c.Name, e, ": it is being removed")
+		return nil, conflictError(c.Name, e, ": it is being removed")
 	case e.Service() != c.Spec.Service:
-		return nil, fault("service", "%q, and the tenant's is %q: remove the tenant and name it again", c.Spec.Service, e.Service())
+		return nil, fieldError("service", "%q, and the tenant's is %q: remove the tenant and name it again", c.Spec.Service, e.Service())
 	case e.Staged != nil || e.Applying:
-		return nil, conflict(c.Name, e, ": a rollout is on")
+		return nil, conflictError(c.Name, e, ": a rollout is on")
 	case e.Committed.Number != c.Generation:
-		return nil, conflict(c.Name, e, "")
+		return nil, conflictError(c.Name, e, "")
 	}
 	r := rev()
 	if e == nil {
@@ -138,28 +138,28 @@
 		s.dropTombstone(keyTenant + c.Name)
 	}
 	e.Staged = &fleet.Generation{Number: c.Generation + 1, Spec: *c.Spec, Digest: Digest(*c.Spec)}
-	e.RolledBack, e.Rev = "", r
+	e.RolledBack, e.Revision = "", r
 	return []string{keyTenant + c.Name}, nil
 }
 
-func (s *State) remove(c Command, rev func() uint64) ([]string, error) {
+func (s *State) beginRemoval(c Command, rev func() uint64) ([]string, error) {
 	e := s.Tenants[c.Name]
 	switch {
 	case e == nil:
-		return nil, fmt.Errorf("%w: tenant %q", fleet.ErrUnknown, c.Name)
+		return nil, fmt.Errorf("%w: tenant %q", fleet.ErrNotFound, c.Name)
 	case e.Removing:
-		return nil, conflict(c.Name, e, ": it is being removed")
+		return nil, conflictError(c.Name, e, ": it is being removed")
 	case e.Staged != nil || e.Applying:
-		return nil, conflict(c.Name, e, ": a rollout is on")
+		return nil, conflictError(c.Name, e, ": a rollout is on")
 	case e.Committed.Number != c.Generation:
-		return nil, conflict(c.Name, e, "")
+		return nil, conflictError(c.Name, e, "")
 	}
-	e.Removing, e.Rev = true, rev()
+	e.Removing, e.Revision = true, rev()
 	return []string{keyTenant + c.Name}, nil
 }
 
-// rollout carries out the judge's commands on a tenant that is as the judge saw it.
-func (s *State) rollout(e *Entry, c Command, rev func() uint64) ([]string, error) {
+// applyStep carries out the judge's commands on a tenant that is as the judge saw it.
+func (s *State) applyStep(e *Entry, c Command, rev func() uint64) ([]string, error) {
 	wrong := func() ([]string, error) {
 		return nil, fmt.Errorf("%w: %s of tenant %q, generation %d: not where the tenant is", ErrStale, c.Op, c.Name, c.Generation)
 	}
@@ -168,11 +168,11 @@
 		if e.Staged == nil || e.Staged.Number != c.Generation {
 			return wrong()
 		}
-		if !s.CommitRoom(c.Name) {
+		if !s.CanCommit(c.Name) {
 			return nil, fmt.Errorf("%w: commit of tenant %q: leases of the larger quota may still be held", ErrStale, c.Name)
 		}
-		s.know(c.Runs)
-		s.keepBehind(e, e.Staged.Spec.Quota.Rate)
+		s.countNodes(c.Runs)
+		s.keepOutdatedRates(e, e.Staged.Spec.Quota.Rate)
 		e.Committed, e.Staged, e.Applying = e.Staged, nil, true
 	case Rollback:
 		if e.Staged == nil || e.Staged.Number != c.Generation {
@@ -187,44 +187,44 @@
 		if !e.Applying || e.Committed.Number != c.Generation {
 			return wrong()
 		}
-		s.know(c.Runs)
+		s.countNodes(c.Runs)
 		e.Applying = false
 		return nil, nil // the item is as it was
 	case Drained:
-		if !e.Removing || e.QuotaGone {
+		if !e.Removing || e.QuotaWithdrawn {
 			return wrong()
 		}
-		e.QuotaGone = true
-	case Unquoted:
-		if !e.QuotaGone {
+		e.QuotaWithdrawn = true
+	case QuotaWithdrawn:
+		if !e.QuotaWithdrawn {
 			return wrong()
 		}
 		return s.dropTenant(c.Name, e.Service(), e, rev()), nil
 	}
-	e.Rev = rev()
+	e.Revision = rev()
 	return []string{keyTenant + c.Name}, nil
 }
 
-// know notes that nodes were counted. Of more than twice the slots those last counted longest ago are forgotten,
+// countNodes notes that nodes were counted. Of more than twice the slots those last counted longest ago are forgotten,
 // their larger floors with them.
-func (s *State) know(runs []Run) {
-	if s.Known == nil {
-		s.Known = map[string]uint64{}
+func (s *State) countNodes(runs []Run) {
+	if s.CountedNodes == nil {
+		s.CountedNodes = map[string]uint64{}
 	}
-	s.Counts++
+	s.NodeCounts++
 	for _, r := range runs {
-		s.Known[r.Node] = s.Counts
+		s.CountedNodes[r.Node] = s.NodeCounts
 	}
 	most := 2 * max(s.Slots, len(runs))
-	if s.Slots == 0 || len(s.Known) <= most {
+	if s.Slots == 0 || len(s.CountedNodes) <= most {
 		return
 	}
-	names := sortedKeys(s.Known)
-	slices.SortStableFunc(names, func(a, b string) int { return cmp.Compare(s.Known[a], s.Known[b]) })
+	names := sortedKeys(s.CountedNodes)
+	slices.SortStableFunc(names, func(a, b string) int { return cmp.Compare(s.CountedNodes[a], s.CountedNodes[b]) })
 	for _, n := range names[:len(names)-most] {
-		delete(s.Known, n)
+		delete(s.CountedNodes, n)
 		for _, e := range s.Tenants {
-			delete(e.Behind, n)
+			delete(e.OutdatedRates, n)
 		}
 	}
 }
@@ -234,15 +234,15 @@
 func (s *State) dropTenant(name, service string, e *Entry, rev uint64) []string {
 	delete(s.Tenants, name)
 	s.index.remove(service, name)
-	s.addTombstone(Tombstone{Key: keyTenant + name, Rev: rev, UID: e.UID, RolledBack: e.RolledBack})
+	s.addTombstone(Tombstone{Key: keyTenant + name, Revision: rev, UID: e.UID, RolledBack: e.RolledBack})
 	return []string{keyTenant + name}
 }
 
 func (s *State) addTombstone(t Tombstone) {
 	s.dropTombstone(t.Key)
 	s.Tombstones = append(s.Tombstones, t)
-	if n := len(s.Tombstones) - tombstonesKept; n > 0 {
-		s.Floor = s.Tombstones[n-1].Rev
+	if n := len(s.Tombstones) - maxTombstones; n > 0 {
+		s.Floor = s.Tombstones[n-1].Revision
 		s.Tombstones = append([]Tombstone(nil), s.Tombstones[n:]...)
 	}
 }
--- a/internal/fleet/tenants/status.go
+++ b/internal/fleet/tenants/status.go
@@ -11,28 +11,28 @@
 	NodeSilent   = "silent"   // no report since this leader began to lead
 	NodeBehind   = "behind"   // does not hold what is intended
 	NodeStaged   = "staged"   // has validated the staged generation
-	NodeRefused  = "refused"  // can't stage it
+	NodeRejected = "refused"  // can't stage it
 	NodeApplied  = "applied"  // serves by the committed generation
 	NodeDraining = "draining" // takes no new requests; some are open
 	NodeRemoved  = "removed"  // takes no new requests; none is open
 )
 
 // Status gives the phase with a tenant of each node present in its scope, by node; fleet.ErrUnknown wrapped for a name that has none.
-func (j *Judge) Status(now fleet.Time, s *State, name string, p Present) ([]NodeStatus, error) {
+func (j *Controller) Status(now fleet.Time, s *State, name string, p Present) ([]NodeStatus, error) {
 	e := s.Tenants[name]
 	if e == nil {
-		return nil, s.unknown(name)
+		return nil, s.notFound(name)
 	}
-	present := newRoster(p).of(e.Service()).members
+	present := newPresentByScope(p).of(e.Service()).members
 	out := make([]NodeStatus, 0, len(present))
 	for _, m := range present {
 		st := NodeStatus{Node: m.Node, Phase: NodeSilent, AgeMS: -1}
-		if v := j.views[m.Node]; v != nil && v.Incarnation == m.Incarnation {
-			st.AgeMS = (now - v.At).Milliseconds()
-			a, held := j.ack(e, name, m)
+		if v := j.reports[m.Node]; v != nil && v.Incarnation == m.Incarnation {
+			st.AgeMS = (now - v.ReceivedAt).Milliseconds()
+			a, held := j.tenantReport(e, name, m)
 			st.Generation, st.Staged = a.Committed, a.Staged
 			st.Phase, st.Reason = j.nodePhase(e, name, m, a, held)
-			if b := j.begun[name]; st.Phase == NodeBehind && b.rev == e.Rev && now-b.at >= ApplyTimeout && j.late(s, e, name, m) {
+			if b := j.steps[name]; st.Phase == NodeBehind && b.revision == e.Revision && now-b.seenAt >= ApplyTimeout && j.isLate(s, e, name, m) {
 				st.Reason = reasonLate
 			}
 		}
@@ -41,9 +41,9 @@
 	return out, nil
 }
 
-func (j *Judge) nodePhase(e *Entry, name string, m fleet.Member, a fleet.TenantAck, held bool) (phase, reason string) {
+func (j *Controller) nodePhase(e *Entry, name string, m fleet.Member, a fleet.TenantAck, held bool) (phase, reason string) {
 	switch {
-	case !j.heard(e, m):
+	case !j.hasRevision(e, m):
 		return NodeBehind, ""
 	case e.Removing && held && a.Open > 0:
 		return NodeDraining, ""
@@ -52,44 +52,44 @@
 	case e.Staged != nil:
 		ok, refused, why := j.hasStaged(e, name, m)
 		if refused {
-			return NodeRefused, why
+			return NodeRejected, why
 		}
 		if ok {
 			return NodeStaged, ""
 		}
 		return NodeBehind, why
-	case j.applied(e, name, m):
+	case j.hasApplied(e, name, m):
 		return NodeApplied, ""
 	}
 	return NodeBehind, ""
 }
 
-// Late is a node present in a tenant's scope that holds up a step of a rollout or removal, past ApplyTimeout.
-type Late struct {
-	Node, Tenant string
-	Want, Has    uint64 // generations committed: intended, and by the node's report
+// LateNode is a node present in a tenant's scope that holds up a step of a rollout or removal, past ApplyTimeout.
+type LateNode struct {
+	Node, Tenant                 string
+	WantedGeneration, Generation uint64 // generations committed: intended, and by the node's report
 }
 
 // Late names those that hold up what is committed, by tenant and node: it is never taken back, and so nothing but them
 // stands in its way. A node that still has requests of a removed tenant open is not among them.
-func (j *Judge) Late(now fleet.Time, s *State, p Present) (out []Late) {
-	var r *roster // made for the first that is past its bound
-	for _, name := range sortedKeys(j.begun) {
+func (j *Controller) Late(now fleet.Time, s *State, p Present) (out []LateNode) {
+	var r *presentByScope // made for the first that is past its bound
+	for _, name := range sortedKeys(j.steps) {
 		e := s.Tenants[name]
-		if b := j.begun[name]; e == nil || b.rev != e.Rev || now-b.at < ApplyTimeout {
+		if b := j.steps[name]; e == nil || b.revision != e.Revision || now-b.seenAt < ApplyTimeout {
 			continue
 		}
 		if r == nil {
-			r = newRoster(p)
+			r = newPresentByScope(p)
 		}
 		for _, m := range r.of(e.Service()).members {
-			if j.late(s, e, name, m) {
-				l := Late{Node: m.Node, Tenant: name}
+			if j.isLate(s, e, name, m) {
+				l := LateNode{Node: m.Node, Tenant: name}
 				if e.Committed != nil {
-					l.Want = e.Committed.Number
+					l.WantedGeneration = e.Committed.Number
 				}
-				if a, ok := j.ack(e, name, m); ok {
-					l.Has = a.Committed
+				if a, ok := j.tenantReport(e, name, m); ok {
+					l.Generation = a.Committed
 				}
 				out = append(out, l)
 			}
@@ -98,24 +98,24 @@
 	return out
 }
 
-// late says whether a node has yet to take the step that a tenant is at.
-func (j *Judge) late(s *State, e *Entry, name string, m fleet.Member) bool {
+// isLate says whether a node has yet to take the step that a tenant is at.
+func (j *Controller) isLate(s *State, e *Entry, name string, m fleet.Member) bool {
 	switch s.Phase(name) {
 	case PhaseApplying:
-		return !j.applied(e, name, m)
-	case PhaseRemoving, PhaseUnquoted:
-		return !j.heard(e, m)
+		return !j.hasApplied(e, name, m)
+	case PhaseRemoving, PhaseQuotaWithdrawn:
+		return !j.hasRevision(e, m)
 	}
 	return false
 }
 
-// Follows says whether a node that reports so holds up nothing: it has applied all that is committed in its scope.
-func Follows(s *State, r fleet.Report) bool {
+// HasFollowed says whether a node that reports so holds up nothing: it has applied all that is committed in its scope.
+func HasFollowed(s *State, r fleet.Report) bool {
 	for name, e := range s.InScope(r.Services) {
-		if !e.Applying && !e.Removing && !e.QuotaGone {
+		if !e.Applying && !e.Removing && !e.QuotaWithdrawn {
 			continue
 		}
-		if r.Revision < e.Rev {
+		if r.Revision < e.Revision {
 			return false
 		}
 		if e.Applying && !slices.ContainsFunc(r.Tenants, func(a fleet.TenantAck) bool {
@@ -141,7 +141,7 @@
 		}
 	}
 	for name, e := range s.InScope(r.Services) {
-		if e.Committed == nil || e.QuotaGone {
+		if e.Committed == nil || e.QuotaWithdrawn {
 			continue
 		}
 		g, a := e.Committed.Number, acks[name]
--- a/internal/fleet/tenants/tenants.go
+++ b/internal/fleet/tenants/tenants.go
@@ -12,17 +12,17 @@
 
 // Bounds of a rollout and of a division, by the leader's clock.
 const (
-	StageTimeout   = 10 * time.Second // a present node that has not staged by then rolls the rollout back
-	ApplyTimeout   = 10 * time.Second // a present node that has not applied by then is late, and named
-	DivideEvery    = time.Second      // at most one division in this time
-	smoothing      = 2 * time.Second  // time constant of a node's offered load
-	tombstonesKept = 1000             // names and nodes gone that are remembered
-	hysteresis     = 0.15             // a run's part moves only by more than this part of it
-	roomy          = 0.8              // and not while every run's load is within this part of its part
-	keyTenant      = "tenant/"
-	keyShare       = "share/"
-	reasonTimeout  = "not staged in time"
-	reasonLate     = "not applied in time"
+	StageTimeout    = 10 * time.Second // a present node that has not staged by then rolls the rollout back
+	ApplyTimeout    = 10 * time.Second // a present node that has not applied by then is late, and named
+	DivideInterval  = time.Second      // at most one division in this time
+	loadTau         = 2 * time.Second  // time constant of a node's offered load
+	maxTombstones   = 1000             // names and nodes gone that are remembered
+	hysteresis      = 0.15             // a run's part moves only by more than this part of it
+	maxLoadPart     = 0.8              // and not while every run's load is within this part of its part
+	keyTenant       = "tenant/"
+	keyLease        = "share/"
+	reasonNotStaged = "not staged in time"
+	reasonLate      = "not applied in time"
 )
 
 // ErrStale refuses a command of the judge that was decided from what has changed since: the item's revision, the
@@ -31,14 +31,14 @@
 
 // Ops of a Command. Put and Delete are operators'; the others the judge's.
 const (
-	Put      = "put"      // propose Spec over Generation (0: the name is free)
-	Delete   = "delete"   // remove the tenant at Generation: no new requests
-	Commit   = "commit"   // staged on all of Runs, those present in the scope at Epoch
-	Rollback = "rollback" // Node refused, or did not stage in time, for Reason
-	Applied  = "applied"  // all of Runs serve by the committed generation: its predecessor is retired
-	Drained  = "drained"  // removal: no node present in the scope has requests of it open; its quota goes
-	Unquoted = "unquoted" // removal: all nodes present in the scope hold that its quota is gone; its namespace goes
-	Divide   = "divide"   // change leased parts of quotas: Division
+	Put            = "put"      // propose Spec over Generation (0: the name is free)
+	Delete         = "delete"   // remove the tenant at Generation: no new requests
+	Commit         = "commit"   // staged on all of Runs, those present in the scope at Epoch
+	Rollback       = "rollback" // Node refused, or did not stage in time, for Reason
+	Applied        = "applied"  // all of Runs serve by the committed generation: its predecessor is retired
+	Drained        = "drained"  // removal: no node present in the scope has requests of it open; its quota goes
+	QuotaWithdrawn = "unquoted" // removal: all nodes present in the scope hold that its quota is gone; its namespace goes
+	Divide         = "divide"   // change leased parts of quotas: Division
 )
 
 // Command is one change of State, as it stands in raft's log. It carries no time.
@@ -48,7 +48,7 @@
 	Generation uint64      `json:"generation,omitempty"` // put, delete: that was read; the judge's: that is meant
 	Spec       *fleet.Spec `json:"spec,omitempty"`       // put
 	UID        uint64      `json:"uid,omitempty"`        // the judge's: of the tenant meant
-	IfRev      uint64      `json:"if_rev,omitempty"`     // the judge's: revision of the item that it decided from
+	IfRevision uint64      `json:"if_rev,omitempty"`     // the judge's: revision of the item that it decided from
 	Epoch      uint64      `json:"epoch,omitempty"`      // the judge's: session epoch that Runs were counted at
 	Scoped     bool        `json:"scoped,omitempty"`     // Epoch is that of the tenant's scope, and not the fleet's
 	Runs       []Run       `json:"runs,omitempty"`       // commit, applied: the present runs of the tenant's scope
@@ -60,10 +60,10 @@
 // Division changes leased parts. The state leaves out the raises of a tenant whose runs might hold more after them
 // than the quota leaves next to its floors, whoever decided it.
 type Division struct {
-	Slots  int     `json:"slots"`            // the fleet's whole number of nodes; fixed by the first division
-	Held   []Held  `json:"held,omitempty"`   // what present runs have confirmed
-	Over   []Run   `json:"over,omitempty"`   // runs whose leases are over for certain
-	Grants []Grant `json:"grants,omitempty"` // changed parts
+	Slots     int            `json:"slots"`            // the fleet's whole number of nodes; fixed by the first division
+	Confirmed []Confirmation `json:"held,omitempty"`   // what present runs have confirmed
+	Expired   []Run          `json:"over,omitempty"`   // runs whose leases are over for certain
+	Grants    []Grant        `json:"grants,omitempty"` // changed parts
 }
 
 // Run is one run of one node's process.
@@ -72,12 +72,12 @@
 	Incarnation uint64 `json:"incarnation"`
 }
 
-// Held says that a run's module holds intent up to Revision. Sole says that it was present for a whole TTL, so that no run
+// Confirmation says that a run's module holds intent up to Revision. Sole says that it was present for a whole TTL, so that no run
 // before it can have a lease: its node's larger floors are no more.
-type Held struct {
+type Confirmation struct {
 	Run
 	Revision uint64 `json:"revision"`
-	Sole     bool   `json:"sole,omitempty"`
+	SoleRun  bool   `json:"sole,omitempty"`
 }
 
 // Grant sets a run's leased parts of the tenants named, requests/s; 0 takes one away; tenants not named stay.
--- a/internal/fleet/zones/evidence.go
+++ b/internal/fleet/zones/evidence.go
@@ -11,205 +11,207 @@
 
 // Limits on what one report is believed to count.
 const (
-	mostZones = 256
-	mostCount = 1 << 20
-	clampTo   = 8 // a node counts for no more than so many times the median node
+	maxZones        = 256
+	maxCount        = 1 << 20
+	maxMedianFactor = 8 // a node counts for no more than so many times the median node
 )
 
-// window is one report's counts. From is the intent that the node held when the window began.
-type window struct {
-	at, length fleet.Time
-	from       uint64
-	zones      map[string]fleet.ZoneCount
+// reportWindow is one report's counts. From is the intent that the node held when the window began.
+type reportWindow struct {
+	receivedAt, length fleet.Time
+	revision           uint64
+	zones              map[string]fleet.ZoneEvidence
 }
 
-// seen is what is known of one node's run.
-type seen struct {
+// nodeRun is what is known of one node's run.
+type nodeRun struct {
 	fleet.Member
-	seq, rev uint64
-	ready    bool
-	at       fleet.Time
-	windows  []window // the newest last
-	counts   map[string]count
-	until    fleet.Time // counts hold until then, unless a window comes
+	sequence, revision uint64
+	ready              bool
+	receivedAt         fleet.Time
+	windows            []reportWindow // the newest last
+	counts             map[string]zoneCount
+	countsUntil        fleet.Time // counts hold until then, unless a window comes
 }
 
-// take keeps a report; it tells whether it was newer than what is known.
-func (j *Judge) take(now fleet.Time, v fleet.NodeView) (*seen, bool) {
+// recordReport keeps a report; it tells whether it was newer than what is known.
+func (j *Controller) recordReport(now fleet.Time, v fleet.NodeView) (*nodeRun, bool) {
 	n := j.nodes[v.Node]
-	at := min(v.At, now)
-	if n != nil && (v.Incarnation < n.Incarnation || v.Incarnation == n.Incarnation && v.Report.Seq <= n.seq) {
+	at := min(v.ReceivedAt, now)
+	if n != nil && (v.Incarnation < n.Incarnation || v.Incarnation == n.Incarnation && v.Report.Sequence <= n.sequence) {
 		return n, false
 	}
-	if v.Node == "" || now-at > j.set.Stale {
+	if v.Node == "" || now-at > j.settings.EvidenceLifetime {
 		return n, false
 	}
 	if n == nil || v.Incarnation > n.Incarnation {
-		n = &seen{Member: v.Member}
+		n = &nodeRun{Member: v.Member}
 		j.nodes[v.Node] = n
 	}
-	w := window{at: at, length: fleet.Time(v.Report.WindowMS) * 1e6, from: n.rev}
-	n.seq, n.rev, n.ready, n.at, n.Zone = v.Report.Seq, v.Report.Revision, v.Report.Ready, at, v.Zone
-	if w.length > 0 && w.length <= j.set.Stale && len(v.Report.Zones) <= mostZones {
-		w.zones = map[string]fleet.ZoneCount{}
+	w := reportWindow{receivedAt: at, length: fleet.Time(v.Report.WindowMS) * 1e6, revision: n.revision}
+	n.sequence, n.revision, n.ready, n.receivedAt, n.Zone = v.Report.Sequence, v.Report.Revision, v.Report.Ready, at, v.Zone
+	if w.length > 0 && w.length <= j.settings.EvidenceLifetime && len(v.Report.Zones) <= maxZones {
+		w.zones = map[string]fleet.ZoneEvidence{}
 		for _, c := range v.Report.Zones {
-			if _, twice := w.zones[c.Zone]; !twice && honest(c) {
+			if _, twice := w.zones[c.Zone]; !twice && isPlausible(c) {
 				w.zones[c.Zone] = c
 			}
 		}
 		n.windows = append(n.windows, w)
 		n.counts = nil
 	}
-	n.windows = slices.DeleteFunc(n.windows, func(w window) bool { return now-w.at > j.set.Stale })
+	n.windows = slices.DeleteFunc(n.windows, func(w reportWindow) bool { return now-w.receivedAt > j.settings.EvidenceLifetime })
 	return n, true
 }
 
-// honest tells whether a count could be a node's: no more of a part than of the whole.
-func honest(c fleet.ZoneCount) bool {
+// isPlausible tells whether a count could be a node's: no more of a part than of the whole.
+func isPlausible(c fleet.ZoneEvidence) bool {
 	return c.Zone != "" && len(c.Zone) <= 64 && !strings.ContainsAny(c.Zone, "@/") &&
-		c.Lost >= 0 && c.OK >= 0 && c.Lost <= mostCount && c.OK <= mostCount && c.Attempts <= mostCount &&
-		c.Lost+c.OK <= c.Attempts && c.LostServers >= 0 && c.LostServers <= c.Servers && c.LostServers <= c.Lost &&
-		c.Servers <= c.Attempts && c.Listed >= 0 && c.Listed <= mostCount && c.Sent >= 0 && c.Sent <= mostCount
+		c.Lost >= 0 && c.Answered >= 0 && c.Lost <= maxCount && c.Answered <= maxCount && c.Attempts <= maxCount &&
+		c.Lost+c.Answered <= c.Attempts && c.LostServers >= 0 && c.LostServers <= c.Servers && c.LostServers <= c.Lost &&
+		c.Servers <= c.Attempts && c.Listed >= 0 && c.Listed <= maxCount && c.Started >= 0 && c.Started <= maxCount
 }
 
 // vote is what a node's evidence says of a zone.
 type vote int8
 
 const (
-	none vote = iota
-	fails
-	mixed
-	well
+	noVote vote = iota
+	voteFailing
+	voteMixed
+	voteHealthy
 )
 
-// sight is what one counted node saw of late, by zone.
-type sight struct {
+// nodeView is what one counted node saw of late, by zone.
+type nodeView struct {
 	fleet.Member
-	rev   uint64
-	ready bool
-	fault bool // it sees every zone fail that it tried: its vote is not counted
-	zones map[string]count
+	revision uint64
+	ready    bool
+	faulty   bool // it sees every zone fail that it tried: its vote is not counted
+	zones    map[string]zoneCount
 }
 
-// count is a node's evidence on a zone over the newest windows of Look.
-type count struct {
-	attempts, lost, ok, lostServers, listed int
-	rate                                    float64 // answers/s
-	vote                                    vote
-	answered                                bool // the newest of its windows with attempts had an answer
+// zoneCount is a node's evidence on a zone over the newest windows of Look.
+type zoneCount struct {
+	attempts, lost, answered, lostServers, listed int
+	rate                                          float64 // answers/s
+	vote                                          vote
+	newestAnswered                                bool // the newest of its windows with attempts had an answer
 }
 
-// view is what the leader sees now: the present nodes with fresh reports, by name.
-type view struct {
-	now     fleet.Time
-	sights  []sight
-	present map[string]int // nodes by zone
-	nodes   int            // present
-	zones   []string       // that anyone counted, in order
+// fleetView is what the leader sees now: the present nodes with fresh reports, by name.
+type fleetView struct {
+	now           fleet.Time
+	nodes         []nodeView
+	presentByZone map[string]int // nodes by zone
+	presentCount  int            // present
+	zones         []string       // that anyone counted, in order
 }
 
-// fit tells whether enough of the present nodes are heard to judge at all.
-func (v view) fit() bool { return v.nodes > 0 && 2*len(v.sights) >= v.nodes }
+// hasQuorum tells whether enough of the present nodes are heard to judge at all.
+func (v fleetView) hasQuorum() bool { return v.presentCount > 0 && 2*len(v.nodes) >= v.presentCount }
 
-func (j *Judge) look(now fleet.Time, present []fleet.Member) view {
-	v := view{now: now, present: map[string]int{}, nodes: len(present)}
+func (j *Controller) currentView(now fleet.Time, present []fleet.Member) fleetView {
+	v := fleetView{now: now, presentByZone: map[string]int{}, presentCount: len(present)}
 	zones, names := map[string]bool{}, map[string]bool{}
 	for _, m := range present {
-		v.present[m.Zone]++
+		v.presentByZone[m.Zone]++
 		names[m.Node] = true
 		n := j.nodes[m.Node]
-		if n == nil || n.Incarnation != m.Incarnation || now-n.at > j.set.Stale {
+		if n == nil || n.Incarnation != m.Incarnation || now-n.receivedAt > j.settings.EvidenceLifetime {
 			continue
 		}
-		if n.counts == nil || now > n.until {
-			n.sum(now, &j.set)
+		if n.counts == nil || now > n.countsUntil {
+			n.sumWindows(now, &j.settings)
 		}
 		for z := range n.counts {
 			zones[z] = true
 		}
-		v.sights = append(v.sights, sight{Member: m, rev: n.rev, ready: n.ready, zones: n.counts, fault: faulty(n.counts)})
+		v.nodes = append(v.nodes, nodeView{Member: m, revision: n.revision, ready: n.ready, zones: n.counts, faulty: isFaultyNode(n.counts)})
 	}
-	maps.DeleteFunc(j.nodes, func(name string, n *seen) bool { return !names[name] && now-n.at > j.set.Stale })
-	slices.SortFunc(v.sights, func(a, b sight) int { return cmp.Compare(a.Node, b.Node) })
+	maps.DeleteFunc(j.nodes, func(name string, n *nodeRun) bool {
+		return !names[name] && now-n.receivedAt > j.settings.EvidenceLifetime
+	})
+	slices.SortFunc(v.nodes, func(a, b nodeView) int { return cmp.Compare(a.Node, b.Node) })
 	v.zones = slices.Sorted(maps.Keys(zones))
 	return v
 }
 
-// sum counts all that the windows have which are not stale.
-func (n *seen) sum(now fleet.Time, set *Settings) {
-	n.counts, n.until = map[string]count{}, now+set.Stale
+// sumWindows counts all that the windows have which are not stale.
+func (n *nodeRun) sumWindows(now fleet.Time, set *Settings) {
+	n.counts, n.countsUntil = map[string]zoneCount{}, now+set.EvidenceLifetime
 	for _, w := range n.windows {
-		if now-w.at > set.Stale {
+		if now-w.receivedAt > set.EvidenceLifetime {
 			continue
 		}
-		n.until = min(n.until, w.at+set.Stale)
+		n.countsUntil = min(n.countsUntil, w.receivedAt+set.EvidenceLifetime)
 		for z := range w.zones {
 			if _, ok := n.counts[z]; !ok {
-				n.counts[z] = set.count(now, n, z, 0)
+				n.counts[z] = set.countWindows(now, n, z, 0)
 			}
 		}
 	}
 }
 
-// count adds up a node's newest windows on a zone, back over Look, of those that began at revision from or later.
+// countWindows adds up a node's newest windows on a zone, back over Look, of those that began at revision from or later.
 // The vote is of the newest of them that are enough for one.
-func (set *Settings) count(now fleet.Time, n *seen, zone string, from uint64) (c count) {
+func (set *Settings) countWindows(now fleet.Time, n *nodeRun, zone string, from uint64) (c zoneCount) {
 	var length fleet.Time
 	servers, most := 0, 0
-	for i := len(n.windows) - 1; i >= 0 && length < set.Look; i-- {
+	for i := len(n.windows) - 1; i >= 0 && length < set.EvidenceWindow; i-- {
 		w := n.windows[i]
-		if now-w.at > set.Stale || w.from < from {
+		if now-w.receivedAt > set.EvidenceLifetime || w.revision < from {
 			break
 		}
 		length += w.length
 		z := w.zones[zone]
 		if c.attempts == 0 {
-			c.answered = z.OK > 0
+			c.newestAnswered = z.Answered > 0
 		}
-		c.attempts, c.lost, c.ok, c.lostServers = c.attempts+z.Attempts, c.lost+z.Lost, c.ok+z.OK, c.lostServers+z.LostServers
+		c.attempts, c.lost, c.answered, c.lostServers = c.attempts+z.Attempts, c.lost+z.Lost, c.answered+z.Answered, c.lostServers+z.LostServers
 		servers, most = servers+z.Servers, max(most, z.Servers)
 		if c.listed == 0 {
 			c.listed = z.Listed
 		}
-		if c.vote == none && (most >= 2 || servers >= 3 || c.listed == 1 && servers > 0) {
+		if c.vote == noVote && (most >= 2 || servers >= 3 || c.listed == 1 && servers > 0) {
 			switch part := float64(c.lostServers) / float64(servers); {
-			case part >= set.FailPart:
-				c.vote = fails
+			case part >= set.FailingServersPart:
+				c.vote = voteFailing
 			case part < 0.5:
-				c.vote = well
+				c.vote = voteHealthy
 			default:
-				c.vote = mixed
+				c.vote = voteMixed
 			}
 		}
 	}
 	if length > 0 {
-		c.rate = float64(c.ok) / length.Seconds()
+		c.rate = float64(c.answered) / length.Seconds()
 	}
 	return c
 }
 
-// faulty tells whether every zone that a node tried fails: then the node is the fault.
-func faulty(zones map[string]count) bool {
+// isFaultyNode tells whether every zone that a node tried fails: then the node is the fault.
+func isFaultyNode(zones map[string]zoneCount) bool {
 	fail, ok := 0, 0
 	for _, c := range zones {
 		switch {
-		case c.vote == fails:
+		case c.vote == voteFailing:
 			fail++
 		default:
-			ok += c.ok
+			ok += c.answered
 		}
 	}
 	return fail > 0 && ok == 0
 }
 
-// clamp gives what each value counts for: no more than a few times the median of those above 0.
-func clamp(values []float64) []float64 {
+// clampToMedian gives what each value counts for: no more than a few times the median of those above 0.
+func clampToMedian(values []float64) []float64 {
 	above := slices.DeleteFunc(slices.Clone(values), func(x float64) bool { return x <= 0 })
 	if len(above) == 0 {
 		return values
 	}
 	slices.Sort(above)
-	most := clampTo * above[(len(above)-1)/2]
+	most := maxMedianFactor * above[(len(above)-1)/2]
 	out := slices.Clone(values)
 	for i, x := range out {
 		out[i] = min(x, most)
@@ -218,9 +220,9 @@
 }
 
 // median of what counted nodes say is listed of a zone; 0 where nobody lists any.
-func (v view) listed(zone string) int {
+func (v fleetView) medianListed(zone string) int {
 	var all []int
-	for _, s := range v.sights {
+	for _, s := range v.nodes {
 		if n := s.zones[zone].listed; n > 0 {
 			all = append(all, n)
 		}
--- a/internal/fleet/zones/golden_test.go
+++ b/internal/fleet/zones/golden_test.go
@@ -15,5 +15,5 @@
 
 // The evidence that GET /fleet/v1/zones shows.
 func TestFindingOnTheWire(t *testing.T) {
-	golden.JSON[zones.Finding](t, "finding")
+	golden.JSON[zones.Evidence](t, "finding")
 }
--- a/internal/fleet/zones/judge.go
+++ b/internal/fleet/zones/judge.go
@@ -10,76 +10,76 @@
 )
 
 const (
-	maxGap  = 500 * time.Millisecond // between two steps; after a longer one findings must hold anew
-	retryIn = 500 * time.Millisecond // a command that was not applied is given again
+	maxStepGap         = 500 * time.Millisecond // between two steps; after a longer one findings must hold anew
+	proposalRetryDelay = 500 * time.Millisecond // a command that was not applied is given again
 )
 
-// Judge is the leader's soft knowledge: what nodes reported of late, findings that must hold, hold-offs that run. It is
+// Controller is the leader's soft knowledge: what nodes reported of late, findings that must hold, hold-offs that run. It is
 // not safe for concurrent use. Times are the leader's monotonic clock.
-type Judge struct {
-	set       Settings
-	leadSince fleet.Time
-	stepped   fleet.Time
-	nodes     map[string]*seen
-	zones     map[string]*carried
-	total     []sample // of all zones
-	found     map[string]Finding
-	backs     map[string]*comeback // by key: directives in force
-	calm      map[string]since     // by key: zones served again
-	given     map[string]giving    // by key: what a change was last given on
-	slots     int                  // what budgets are divided by now
+type Controller struct {
+	settings    Settings
+	leaderSince fleet.Time
+	steppedAt   fleet.Time
+	nodes       map[string]*nodeRun
+	loads       map[string]*zoneLoad
+	totalRates  []rateSample // of all zones
+	evidence    map[string]Evidence
+	recoveries  map[string]*recovery    // by key: directives in force
+	recovered   map[string]seenRevision // by key: zones served again
+	proposed    map[string]proposal     // by key: what a change was last given on
+	budgetSlots int                     // what budgets are divided by now
 }
 
-// since is a revision and when it was first seen.
-type since struct {
-	rev uint64
-	at  fleet.Time
+// seenRevision is a revision and when it was first seen.
+type seenRevision struct {
+	revision uint64
+	at       fleet.Time
 }
 
-// giving is what a change was decided from, and when.
-type giving struct {
-	item, state uint64
-	at          fleet.Time
+// proposal is what a change was decided from, and when.
+type proposal struct {
+	itemRevision, stateRevision uint64
+	at                          fleet.Time
 }
 
-// Finding is what a zone is judged by now, for operators.
-type Finding struct {
-	Key   string     `json:"key"`
-	Event string     `json:"event"`
-	Since fleet.Time `json:"since"`          // by the leader's clock
-	Held  string     `json:"held,omitempty"` // why nothing is done about it: "hold", "panic", "room"
-	Nodes int        `json:"nodes"`          // that see it so
-	Votes int        `json:"words"`          // nodes that have a vote on the zone
-	Lost  float64    `json:"lost"`           // share of the fleet's attempts lost
-	hold  fleet.Time // how long it must hold
+// Evidence is what a zone is judged by now, for operators.
+type Evidence struct {
+	Key          string     `json:"key"`
+	Event        string     `json:"event"`
+	Since        fleet.Time `json:"since"`          // by the leader's clock
+	Blocked      string     `json:"held,omitempty"` // why nothing is done about it: "hold", "panic", "room"
+	Nodes        int        `json:"nodes"`          // that see it so
+	Votes        int        `json:"words"`          // nodes that have a vote on the zone
+	Lost         float64    `json:"lost"`           // share of the fleet's attempts lost
+	requiredTime fleet.Time // how long it must hold
 }
 
-// NewJudge makes a judge whose leadership began at 0 and has seen nothing.
-func NewJudge(set Settings) *Judge {
-	j := &Judge{set: set}
+// NewController makes a judge whose leadership began at 0 and has seen nothing.
+func NewController(set Settings) *Controller {
+	j := &Controller{settings: set}
 	j.Lead(0)
 	return j
 }
 
 // Lead forgets all: this process leads from now on, by evidence that comes from now on.
-func (j *Judge) Lead(now fleet.Time) {
-	*j = Judge{set: j.set, leadSince: now, stepped: now, nodes: map[string]*seen{}, zones: map[string]*carried{},
-		found: map[string]Finding{}, backs: map[string]*comeback{}, calm: map[string]since{}, given: map[string]giving{}}
+func (j *Controller) Lead(now fleet.Time) {
+	*j = Controller{settings: j.settings, leaderSince: now, steppedAt: now, nodes: map[string]*nodeRun{}, loads: map[string]*zoneLoad{},
+		evidence: map[string]Evidence{}, recoveries: map[string]*recovery{}, recovered: map[string]seenRevision{}, proposed: map[string]proposal{}}
 }
 
 // Observe takes a present node's newest report. One that is not newer than the last of its incarnation, or of an older
 // incarnation, changes nothing; a count that no honest node can have is dropped.
-func (j *Judge) Observe(now fleet.Time, v fleet.NodeView) {
-	n, newer := j.take(now, v)
+func (j *Controller) Observe(now fleet.Time, v fleet.NodeView) {
+	n, newer := j.recordReport(now, v)
 	if !newer || len(n.windows) == 0 {
 		return
 	}
 	w := n.windows[len(n.windows)-1]
-	if w.at != n.at {
+	if w.receivedAt != n.receivedAt {
 		return // the report had no counts
 	}
-	for key, b := range j.backs {
-		if y, x, _ := ParseKey(key); w.from >= b.rev && (x == "" || x == n.Zone) {
+	for key, b := range j.recoveries {
+		if y, x, _ := ParseKey(key); w.revision >= b.revision && (x == "" || x == n.Zone) {
 			b.add(n, w.zones[y])
 		}
 	}
@@ -87,180 +87,183 @@
 
 // Step judges, and gives the commands to apply in their order; call it each 100 ms. It changes nothing of s. A command
 // that was not applied is given again.
-func (j *Judge) Step(now fleet.Time, s *State, present []fleet.Member) []Command {
-	v := j.look(now, present)
-	j.slots = max(j.set.Slots, v.nodes)
-	j.note(v)
-	j.follow(now, s)
-	j.found = j.find(v, s)
-	j.stepped = now
-	if !v.fit() || now-j.leadSince < j.set.Look {
-		for key, f := range j.found {
-			f.Held = "hold"
-			j.found[key] = f
+func (j *Controller) Step(now fleet.Time, s *State, present []fleet.Member) []Command {
+	v := j.currentView(now, present)
+	j.budgetSlots = max(j.settings.Slots, v.presentCount)
+	j.recordLoads(v)
+	j.followDirectives(now, s)
+	j.evidence = j.findEvidence(v, s)
+	j.steppedAt = now
+	if !v.hasQuorum() || now-j.leaderSince < j.settings.EvidenceWindow {
+		for key, f := range j.evidence {
+			f.Blocked = "hold"
+			j.evidence[key] = f
 		}
 		return nil
 	}
-	p := plan(maps.Clone(s.Directives))
+	p := plannedDirectives(maps.Clone(s.Directives))
 	if p == nil {
-		p = plan{}
+		p = plannedDirectives{}
 	}
 	var out []Command
-	if leave := j.leave(v, s, p); len(leave) > 0 {
-		out = append(out, Command{IfState: s.Rev, Items: leave})
+	if leave := j.evacuations(v, s, p); len(leave) > 0 {
+		out = append(out, Command{IfStateRevision: s.Revision, Items: leave})
 	}
-	for _, key := range slices.Sorted(maps.Keys(j.backs)) {
-		if c, ok := j.goOn(v, s, key); ok && j.give(now, s, c) {
-			out = append(out, Command{IfState: s.Rev, Items: []Change{c}})
+	for _, key := range slices.Sorted(maps.Keys(j.recoveries)) {
+		if c, ok := j.nextRecoveryChange(v, s, key); ok && j.mayPropose(now, s, c) {
+			out = append(out, Command{IfStateRevision: s.Revision, Items: []Change{c}})
 		}
 	}
-	for _, key := range slices.Sorted(maps.Keys(j.calm)) {
-		c := Change{Key: key, IfRev: j.calm[key].rev, Event: Quiet, Gone: true}
-		if now-j.calm[key].at >= j.set.Calm && j.give(now, s, c) {
-			out = append(out, Command{IfState: s.Rev, Items: []Change{c}})
+	for _, key := range slices.Sorted(maps.Keys(j.recovered)) {
+		c := Change{Key: key, IfRevision: j.recovered[key].revision, Event: TimeElapsed, Removed: true}
+		if now-j.recovered[key].at >= j.settings.RelapseMemory && j.mayPropose(now, s, c) {
+			out = append(out, Command{IfStateRevision: s.Revision, Items: []Change{c}})
 		}
 	}
 	return out
 }
 
-// Findings gives what the last Step found, by key.
-func (j *Judge) Findings() []Finding {
-	out := make([]Finding, 0, len(j.found))
-	for _, key := range slices.Sorted(maps.Keys(j.found)) {
-		out = append(out, j.found[key])
+// Evidence gives what the last Step found, by key.
+func (j *Controller) Evidence() []Evidence {
+	out := make([]Evidence, 0, len(j.evidence))
+	for _, key := range slices.Sorted(maps.Keys(j.evidence)) {
+		out = append(out, j.evidence[key])
 	}
 	return out
 }
 
-// give tells whether a change is to be given now: not while the same was given a moment ago.
-func (j *Judge) give(now fleet.Time, s *State, c Change) bool {
-	if g, ok := j.given[c.Key]; ok && g.item == c.IfRev && g.state == s.Rev && now-g.at < retryIn {
+// mayPropose tells whether a change is to be given now: not while the same was given a moment ago.
+func (j *Controller) mayPropose(now fleet.Time, s *State, c Change) bool {
+	if g, ok := j.proposed[c.Key]; ok && g.itemRevision == c.IfRevision && g.stateRevision == s.Revision && now-g.at < proposalRetryDelay {
 		return false
 	}
-	j.given[c.Key] = giving{c.IfRev, s.Rev, now}
+	j.proposed[c.Key] = proposal{c.IfRevision, s.Revision, now}
 	return true
 }
 
-// follow notes which directives are in force, and since when this judge has seen them.
-func (j *Judge) follow(now fleet.Time, s *State) {
-	maps.DeleteFunc(j.backs, func(key string, _ *comeback) bool { _, ok := s.Directives[key]; return !ok })
+// followDirectives notes which directives are in force, and since when this judge has seen them.
+func (j *Controller) followDirectives(now fleet.Time, s *State) {
+	maps.DeleteFunc(j.recoveries, func(key string, _ *recovery) bool { _, ok := s.Directives[key]; return !ok })
 	for key, e := range s.Directives {
-		b := j.backs[key]
+		b := j.recoveries[key]
 		if b == nil {
-			b = &comeback{}
-			j.backs[key] = b
+			b = &recovery{}
+			j.recoveries[key] = b
 		}
-		if b.rev != e.Rev {
-			b.begin(now, e)
+		if b.revision != e.Revision {
+			b.restart(now, e)
 		}
 	}
-	maps.DeleteFunc(j.calm, func(key string, c since) bool { p, ok := s.Past[key]; return !ok || p.Rev != c.rev })
-	for key, p := range s.Past {
-		if _, ok := j.calm[key]; !ok {
-			j.calm[key] = since{p.Rev, now}
+	maps.DeleteFunc(j.recovered, func(key string, c seenRevision) bool {
+		p, ok := s.PastRelapses[key]
+		return !ok || p.Revision != c.revision
+	})
+	for key, p := range s.PastRelapses {
+		if _, ok := j.recovered[key]; !ok {
+			j.recovered[key] = seenRevision{p.Revision, now}
 		}
 	}
 }
 
-// leave gives the changes by which zones are left, or left further: all in one command, as the room for each depends
+// evacuations gives the changes by which zones are left, or left further: all in one command, as the room for each depends
 // on the others. What it decides goes into p.
-func (j *Judge) leave(v view, s *State, p plan) (out []Change) {
-	held := func(f Finding, why string) {
-		f.Held = why
-		j.found[f.Key] = f
+func (j *Controller) evacuations(v fleetView, s *State, p plannedDirectives) (out []Change) {
+	held := func(f Evidence, why string) {
+		f.Blocked = why
+		j.evidence[f.Key] = f
 	}
 	lost := false
-	for _, f := range j.Findings() {
+	for _, f := range j.Evidence() {
 		e, had := s.Directives[f.Key]
-		if had && e.Phase != fleet.Left {
+		if had && e.Phase != fleet.Evacuated {
 			continue
 		}
-		if !f.holds(v.now) {
+		if !f.isEstablished(v.now) {
 			held(f, "hold")
 			continue
 		}
-		c, why := j.change(v, s, p, f)
+		c, why := j.evacuation(v, s, p, f)
 		if why != "" {
 			held(f, why)
 			continue
 		}
-		if j.give(v.now, s, c) {
+		if j.mayPropose(v.now, s, c) {
 			p[f.Key] = c.Entry
 			out = append(out, c)
 			lost = lost || f.Event == Lost && !had
 		}
 	}
 	if lost {
-		out = append(out, j.regions(v, s, p)...)
+		out = append(out, j.regionEvacuations(v, s, p)...)
 	}
 	return out
 }
 
-// change gives what a finding that holds makes of its zone, or why nothing.
-func (j *Judge) change(v view, s *State, p plan, f Finding) (c Change, why string) {
+// evacuation gives what a finding that holds makes of its zone, or why nothing.
+func (j *Controller) evacuation(v fleetView, s *State, p plannedDirectives, f Evidence) (c Change, why string) {
 	y, x, _ := ParseKey(f.Key)
 	e, had := s.Directives[f.Key]
-	if !had && x != "" && p.share(y, "") == 0 {
+	if !had && x != "" && p.servedShare(y, "") == 0 {
 		return c, "left"
 	}
-	if had && j.fresh(f.Key, v.now) {
+	if had && j.isLoadMoving(f.Key, v.now) {
 		return c, "hold" // the load is still moving
 	}
-	part, demand := j.part(v, p, y, x)
+	part, demand := j.evacuablePart(v, p, y, x)
 	share := 1 - part
 	if had {
 		share = e.Share - part
 	}
 	share = math.Max(0, math.Ceil(10*share-1e-6)/10)
 	if f.Event == Gray {
-		share = math.Max(share, grayShare(f.Lost))
-		if from := p.share(y, x); math.Abs(share-from) < j.set.GrayStep-1e-6 {
+		share = math.Max(share, grayTrafficShare(f.Lost))
+		if from := p.servedShare(y, x); math.Abs(share-from) < j.settings.MinShareChange-1e-6 {
 			return c, "share"
 		}
-	} else if had && e.Share-share < j.set.GrayStep-1e-6 && !(share == 0 && e.Share > 0) {
+	} else if had && e.Share-share < j.settings.MinShareChange-1e-6 && !(share == 0 && e.Share > 0) {
 		return c, "room"
 	}
 	if share >= 1 {
 		return c, "room"
 	}
-	if !j.stays(v, p, y, x, share) {
+	if !j.keepsEnoughServers(v, p, y, x, share) {
 		return c, "panic"
 	}
-	c = Change{Key: f.Key, IfRev: e.Rev, Event: f.Event, Entry: e}
+	c = Change{Key: f.Key, IfRevision: e.Revision, Event: f.Event, Entry: e}
 	if !had {
-		c.Entry = Entry{Proved: j.proved(y, v.now), Listed: j.listed(p, y, v.now), Demand: demand}
-		if past, ok := s.Past[f.Key]; ok {
-			c.IfRev = past.Rev
-			c.Entry.Relapse = past.Relapse
+		c.Entry = Entry{ProvedRate: j.provedRate(y, v.now), ListedServers: j.listedServers(p, y, v.now), Demand: demand}
+		if past, ok := s.PastRelapses[f.Key]; ok {
+			c.IfRevision = past.Revision
+			c.Entry.Relapses = past.Relapses
 			if f.Event != Region {
-				c.Entry.Relapse = min(past.Relapse+1, j.set.maxRelapse())
+				c.Entry.Relapses = min(past.Relapses+1, j.settings.maxRelapse())
 			}
 		}
 	}
-	j.left(&c.Entry, share, f.Event)
+	j.setEvacuated(&c.Entry, share, f.Event)
 	return c, ""
 }
 
-// left makes an entry one of a zone that is left, but for share.
-func (j *Judge) left(e *Entry, share float64, reason string) {
-	d := fleet.Directive{Phase: fleet.Left, Share: share, Floor: share, ValidMS: j.set.Valid.Milliseconds(), Reason: reason,
-		HoldMS: max(e.HoldMS, j.set.hold(e.Relapse).Milliseconds()), Relapse: e.Relapse}
+// setEvacuated makes an entry one of a zone that is left, but for share.
+func (j *Controller) setEvacuated(e *Entry, share float64, reason string) {
+	d := fleet.Directive{Phase: fleet.Evacuated, Share: share, Floor: share, ValidMS: j.settings.DirectiveLifetime.Milliseconds(), Reason: reason,
+		BackoffMS: max(e.BackoffMS, j.settings.backoff(e.Relapses).Milliseconds()), Relapses: e.Relapses}
 	if share > 0 && (reason == Lost || reason == Region) { // its servers may come back cold
-		d.Budget, d.Slots = j.budget(e.Proved, j.set.ColdFrom, true), j.slots
+		d.Budget, d.Slots = j.serverBudget(e.ProvedRate, j.settings.SlowStartMinCapacity, true), j.budgetSlots
 	}
-	e.Directive, e.Base, e.Tried = d, share, false
+	e.Directive, e.BaseShare, e.TrialAnswered = d, share, false
 }
 
-// regions gives the changes by which the rest of a region is left, most of whose zones are.
-func (j *Judge) regions(v view, s *State, p plan) (out []Change) {
+// regionEvacuations gives the changes by which the rest of a region is left, most of whose zones are.
+func (j *Controller) regionEvacuations(v fleetView, s *State, p plannedDirectives) (out []Change) {
 	zones := map[string][]string{}
-	for y, r := range j.set.Region {
+	for y, r := range j.settings.Region {
 		zones[r] = append(zones[r], y)
 	}
 	for _, r := range slices.Sorted(maps.Keys(zones)) {
 		gone := 0
 		for _, y := range zones[r] {
-			if e, ok := p[Key(y, "")]; ok && (e.Phase == fleet.Left || e.Phase == fleet.Probation) && (e.Reason == Lost || e.Reason == Region) {
+			if e, ok := p[Key(y, "")]; ok && (e.Phase == fleet.Evacuated || e.Phase == fleet.Probation) && (e.Reason == Lost || e.Reason == Region) {
 				gone++
 			}
 		}
@@ -270,8 +273,8 @@
 			if _, had := p[key]; had || 2*gone <= len(zones[r]) {
 				continue
 			}
-			c, why := j.change(v, s, p, Finding{Key: key, Event: Region})
-			if why == "" && j.give(v.now, s, c) {
+			c, why := j.evacuation(v, s, p, Evidence{Key: key, Event: Region})
+			if why == "" && j.mayPropose(v.now, s, c) {
 				p[key] = c.Entry
 				out = append(out, c)
 			}
@@ -280,14 +283,14 @@
 	return out
 }
 
-// budget is what one server may get in a second from the whole fleet at a step of the return.
-func (j *Judge) budget(proved, share float64, cold bool) float64 {
+// serverBudget is what one server may get in a second from the whole fleet at a step of the return.
+func (j *Controller) serverBudget(proved, share float64, cold bool) float64 {
 	if proved <= 0 {
-		return j.set.MinBudget
+		return j.settings.MinServerBudget
 	}
-	b := math.Max(share*proved, math.Min(j.set.MinBudget, j.set.ColdFrom*proved))
+	b := math.Max(share*proved, math.Min(j.settings.MinServerBudget, j.settings.SlowStartMinCapacity*proved))
 	if cold {
-		b = math.Min(b, j.set.ColdFrom*proved)
+		b = math.Min(b, j.settings.SlowStartMinCapacity*proved)
 	}
 	return b
 }
