--- a/internal/fleet/zones/room.go
+++ b/internal/fleet/zones/room.go
@@ -8,67 +8,67 @@
 )
 
 const (
-	bucketTime = 10 * 1e9 // fleet.Time
-	buckets    = 60       // of the 10 min for which a proved rate counts
-	demandTime = 3 * 1e9  // demand is the most of so long: from before a loss is seen
-	listedTime = 10 * 1e9 // servers that left the list of late were there when it was lost
-	fullFrom   = 0.05     // share of attempts refused: the zone is full
+	bucketDuration   = 10 * 1e9 // fleet.Time
+	bucketCount      = 60       // of the 10 min for which a proved rate counts
+	demandWindow     = 3 * 1e9  // demand is the most of so long: from before a loss is seen
+	listedWindow     = 10 * 1e9 // servers that left the list of late were there when it was lost
+	fullRejectedPart = 0.05     // share of attempts refused: the zone is full
 )
 
-// sample is what a zone carried at one step.
-type sample struct {
-	at     fleet.Time
-	ok     float64 // answers/s
-	listed int
+// rateSample is what a zone carried at one step.
+type rateSample struct {
+	at       fleet.Time
+	answered float64 // answers/s
+	listed   int
 }
 
-// bucket is the most that one server gave in 10 s, and whether the zone was full.
-type bucket struct {
-	n    int64
-	best float64
-	full bool
+// rateBucket is the most that one server gave in 10 s, and whether the zone was full.
+type rateBucket struct {
+	number  int64
+	maxRate float64
+	wasFull bool
 }
 
-// carried is what is known of a zone's rates.
-type carried struct {
-	hist    []sample // the newest last
-	buckets [buckets]bucket
+// zoneLoad is what is known of a zone's rates.
+type zoneLoad struct {
+	history []rateSample // the newest last
+	buckets [bucketCount]rateBucket
 }
 
-// note keeps what the zones carry now.
-func (j *Judge) note(v view) {
+// recordLoads keeps what the zones carry now.
+func (j *Controller) recordLoads(v fleetView) {
 	total := 0.0
 	for _, y := range v.zones {
-		z := j.zones[y]
+		z := j.loads[y]
 		if z == nil {
-			z = &carried{}
-			j.zones[y] = z
+			z = &zoneLoad{}
+			j.loads[y] = z
 		}
 		var rates, refused []float64
 		attempts := 0
-		for _, s := range v.sights {
+		for _, s := range v.nodes {
 			c := s.zones[y]
 			rates = append(rates, c.rate)
-			refused = append(refused, float64(c.attempts-c.ok-c.lost))
+			refused = append(refused, float64(c.attempts-c.answered-c.lost))
 			attempts += c.attempts
 		}
-		now := sample{at: v.now, listed: v.listed(y), ok: sum(clamp(rates))}
-		z.hist = trim(append(z.hist, now), v.now)
-		total += now.ok
-		b := &z.buckets[int64(v.now/bucketTime)%buckets]
-		if n := int64(v.now / bucketTime); b.n != n {
-			*b = bucket{n: n}
+		now := rateSample{at: v.now, listed: v.medianListed(y), answered: sum(clampToMedian(rates))}
+		z.history = recentSamples(append(z.history, now), v.now)
+		total += now.answered
+		b := &z.buckets[int64(v.now/bucketDuration)%bucketCount]
+		if n := int64(v.now / bucketDuration); b.number != n {
+			*b = rateBucket{number: n}
 		}
-		if listed := z.listed(v.now); listed > 0 {
-			b.best = math.Max(b.best, now.ok/float64(listed))
+		if listed := z.maxListed(v.now); listed > 0 {
+			b.maxRate = math.Max(b.maxRate, now.answered/float64(listed))
 		}
-		b.full = b.full || attempts >= 20 && sum(clamp(refused)) > fullFrom*float64(attempts)
+		b.wasFull = b.wasFull || attempts >= 20 && sum(clampToMedian(refused)) > fullRejectedPart*float64(attempts)
 	}
-	j.total = trim(append(j.total, sample{at: v.now, ok: total}), v.now)
+	j.totalRates = recentSamples(append(j.totalRates, rateSample{at: v.now, answered: total}), v.now)
 }
 
-func trim(h []sample, now fleet.Time) []sample {
-	return slices.DeleteFunc(h, func(s sample) bool { return now-s.at > listedTime })
+func recentSamples(h []rateSample, now fleet.Time) []rateSample {
+	return slices.DeleteFunc(h, func(s rateSample) bool { return now-s.at > listedWindow })
 }
 
 func sum(values []float64) (t float64) {
@@ -78,56 +78,56 @@
 	return t
 }
 
-// most answers/s of the last 3 s.
-func most(h []sample, now fleet.Time) (ok float64) {
+// maxRecentRate answers/s of the last 3 s.
+func maxRecentRate(h []rateSample, now fleet.Time) (ok float64) {
 	for _, s := range h {
-		if now-s.at <= demandTime {
-			ok = math.Max(ok, s.ok)
+		if now-s.at <= demandWindow {
+			ok = math.Max(ok, s.answered)
 		}
 	}
 	return ok
 }
 
-// listed is the most servers of the last 10 s.
-func (z *carried) listed(now fleet.Time) (n int) {
-	for _, s := range z.hist {
-		if now-s.at <= listedTime {
+// maxListed is the most servers of the last 10 s.
+func (z *zoneLoad) maxListed(now fleet.Time) (n int) {
+	for _, s := range z.history {
+		if now-s.at <= listedWindow {
 			n = max(n, s.listed)
 		}
 	}
 	return n
 }
 
-// proved is the most that a server gave in the last 10 min, and whether the zone was full in them.
-func (z *carried) proved(now fleet.Time) (rate float64, full bool) {
+// provedRate is the most that a server gave in the last 10 min, and whether the zone was full in them.
+func (z *zoneLoad) provedRate(now fleet.Time) (rate float64, full bool) {
 	for _, b := range z.buckets {
-		if int64(now/bucketTime)-b.n < buckets {
-			rate, full = math.Max(rate, b.best), full || b.full
+		if int64(now/bucketDuration)-b.number < bucketCount {
+			rate, full = math.Max(rate, b.maxRate), full || b.wasFull
 		}
 	}
 	return rate, full
 }
 
-// proved is what one of zone y's servers has given; where nothing is known, what one of the others has.
-func (j *Judge) proved(y string, now fleet.Time) (rate float64) {
-	if z := j.zones[y]; z != nil {
-		if rate, _ = z.proved(now); rate > 0 {
+// provedRate is what one of zone y's servers has given; where nothing is known, what one of the others has.
+func (j *Controller) provedRate(y string, now fleet.Time) (rate float64) {
+	if z := j.loads[y]; z != nil {
+		if rate, _ = z.provedRate(now); rate > 0 {
 			return rate
 		}
 	}
-	for _, z := range j.zones {
-		if r, _ := z.proved(now); r > 0 && (rate == 0 || r < rate) {
+	for _, z := range j.loads {
+		if r, _ := z.provedRate(now); r > 0 && (rate == 0 || r < rate) {
 			rate = r
 		}
 	}
 	return rate
 }
 
-// plan is the directives as they will be with what this step decides.
-type plan map[string]Entry
+// plannedDirectives is the directives as they will be with what this step decides.
+type plannedDirectives map[string]Entry
 
-// share that nodes of zone x may send of zone y's ordinary attempts.
-func (p plan) share(y, x string) float64 {
+// servedShare that nodes of zone x may send of zone y's ordinary attempts.
+func (p plannedDirectives) servedShare(y, x string) float64 {
 	s := 1.0
 	if e, ok := p[Key(y, "")]; ok {
 		s = e.Share
@@ -138,109 +138,109 @@
 	return s
 }
 
-// least is what is left of zone y by one directive, whatever becomes of a return that is on.
-func (p plan) least(y, x string) float64 {
+// baseShare is what is left of zone y by one directive, whatever becomes of a return that is on.
+func (p plannedDirectives) baseShare(y, x string) float64 {
 	if e, ok := p[Key(y, x)]; ok {
-		return e.Base
+		return e.BaseShare
 	}
 	return 1
 }
 
-// listed is how many servers zone y has: as it was when it was left, or of late.
-func (j *Judge) listed(p plan, y string, now fleet.Time) (n int) {
-	if z := j.zones[y]; z != nil {
-		n = z.listed(now)
+// listedServers is how many servers zone y has: as it was when it was left, or of late.
+func (j *Controller) listedServers(p plannedDirectives, y string, now fleet.Time) (n int) {
+	if z := j.loads[y]; z != nil {
+		n = z.maxListed(now)
 	}
 	if e, ok := p[Key(y, "")]; ok {
-		n = max(n, e.Listed)
+		n = max(n, e.ListedServers)
 	}
 	return n
 }
 
-// stays tells whether, with share of zone y as nodes of x see it (x "": all), enough servers stay for everyone.
-func (j *Judge) stays(v view, p plan, y, x string, share float64) bool {
+// keepsEnoughServers tells whether, with share of zone y as nodes of x see it (x "": all), enough servers stay for everyone.
+func (j *Controller) keepsEnoughServers(v fleetView, p plannedDirectives, y, x string, share float64) bool {
 	observers := []string{x}
 	if x == "" {
-		for z := range v.present {
+		for z := range v.presentByZone {
 			observers = append(observers, z)
 		}
 	}
 	for _, o := range observers {
 		total, stay := 0.0, 0.0
-		for _, z := range j.known() {
-			n := float64(j.listed(p, z, v.now))
+		for _, z := range j.knownZones() {
+			n := float64(j.listedServers(p, z, v.now))
 			total += n
-			s := math.Min(p.least(z, ""), p.least(z, o))
+			s := math.Min(p.baseShare(z, ""), p.baseShare(z, o))
 			if z == y {
 				s = math.Min(s, share)
 			}
 			stay += n * s
 		}
-		if total == 0 || stay < j.set.Panic*total {
+		if total == 0 || stay < j.settings.MinServersPart*total {
 			return false
 		}
 	}
 	return true
 }
 
-// part gives how much of zone y the nodes of x (x "": all) may leave: what the others bear more than they carry, of
+// evacuablePart gives how much of zone y the nodes of x (x "": all) may leave: what the others bear more than they carry, of
 // the demand that would move. For a zone that is left in part, it is what more may be left.
-func (j *Judge) part(v view, p plan, y, x string) (part, demand float64) {
-	y0 := j.zones[y]
+func (j *Controller) evacuablePart(v fleetView, p plannedDirectives, y, x string) (part, demand float64) {
+	y0 := j.loads[y]
 	if y0 == nil {
 		return 0, 0
 	}
-	demand = most(y0.hist, v.now)
+	demand = maxRecentRate(y0.history, v.now)
 	now, moves := demand, demand
-	if x != "" && v.nodes > 0 {
-		moves *= float64(v.present[x]) / float64(v.nodes)
+	if x != "" && v.presentCount > 0 {
+		moves *= float64(v.presentByZone[x]) / float64(v.presentCount)
 	}
 	if e, ok := p[Key(y, x)]; ok { // what it carried has moved already, but for its share
 		now, moves = 0, e.Demand
-		if last := y0.hist[len(y0.hist)-1]; last.at == v.now {
-			now = last.ok
+		if last := y0.history[len(y0.history)-1]; last.at == v.now {
+			now = last.answered
 		}
 	}
 	bear, carry, moving := 0.0, 0.0, 0.0
-	for _, z := range j.known() {
+	for _, z := range j.knownZones() {
 		if z == y {
 			continue
 		}
-		if e, left := p[Key(z, "")]; left && e.Phase == fleet.Left && (e.Rev == 0 || j.fresh(Key(z, ""), v.now)) {
+		if e, left := p[Key(z, "")]; left && e.Phase == fleet.Evacuated && (e.Revision == 0 || j.isLoadMoving(Key(z, ""), v.now)) {
 			moving += e.Demand * (1 - e.Share)
 		}
-		if j.found[Key(z, "")].Event == Lost {
+		if j.evidence[Key(z, "")].Event == Lost {
 			continue // it bears nothing
 		}
-		carry += most(j.zones[z].hist, v.now)
-		rate, full := j.zones[z].proved(v.now)
+		carry += maxRecentRate(j.loads[z].history, v.now)
+		rate, full := j.loads[z].provedRate(v.now)
 		if rate == 0 {
-			rate = j.proved(z, v.now)
+			rate = j.provedRate(z, v.now)
 		}
 		if !full {
-			rate *= j.set.Headroom
+			rate *= j.settings.CapacityFactor
 		}
-		bear += rate * float64(j.listed(p, z, v.now)) * p.share(z, x)
+		bear += rate * float64(j.listedServers(p, z, v.now)) * p.servedShare(z, x)
 	}
 	if moves <= 0 {
 		return 1, moves
 	}
 	// Load that nodes have moved by themselves is in what the others carry, though not in the total but for y; load of
 	// zones that are lost too is the other way round. The less of the two is what they carry.
-	room := bear*j.set.RoomPart - math.Min(carry+moving, math.Max(0, most(j.total, v.now)-now))
+	room := bear*j.settings.UsableCapacityPart - math.Min(carry+moving, math.Max(0, maxRecentRate(j.totalRates, v.now)-now))
 	return math.Max(0, math.Min(1, room/moves)), moves
 }
 
-// fresh tells whether a directive is so new that the load may still be moving.
-func (j *Judge) fresh(key string, now fleet.Time) bool {
-	b := j.backs[key]
-	return b != nil && now-b.begun < demandTime
+// isLoadMoving tells whether a directive is so new that the load may still be moving.
+func (j *Controller) isLoadMoving(key string, now fleet.Time) bool {
+	b := j.recoveries[key]
+	return b != nil && now-b.startedAt < demandWindow
 }
 
-// known zones, in order.
-func (j *Judge) known() []string {
-	out := make([]string, 0, len(j.zones))
-	for y := range j.zones {
+// knownZones zones, in order.
+func (j *Controller) knownZones() []string {
+	out := make([]string, 0, len(j.loads))
+	for y := range j.loads {
 		out = append(out, y)
 	}
 	slices.Sort(out)
--- a/internal/fleet/zones/simulation/judge_test.go
+++ b/internal/fleet/zones/simulation/judge_test.go
@@ -34,12 +34,12 @@
 			w.run(2*time.Minute, nil)
 			n := 0
 			for _, s := range w.steps {
-				if s.to == fleet.Left {
+				if s.to == fleet.Evacuated {
 					n++
 				}
 			}
-			if n < 2 || n > 10 || w.s.Directives["zone/a"].HoldMS < 16000 {
-				t.Errorf("left %d times in 40 losses, hold-off now %d ms", n, w.s.Directives["zone/a"].HoldMS)
+			if n < 2 || n > 10 || w.s.Directives["zone/a"].BackoffMS < 16000 {
+				t.Errorf("left %d times in 40 losses, hold-off now %d ms", n, w.s.Directives["zone/a"].BackoffMS)
 			}
 		},
 		"lost while a third of the nodes restart": func(t *testing.T) {
@@ -48,7 +48,7 @@
 				n.down = i%3 == 0
 			}
 			w.kill("a")
-			w.until("left", 2*sec, func() bool { return w.phase("zone/a") == fleet.Left })
+			w.until("left", 2*sec, func() bool { return w.phase("zone/a") == fleet.Evacuated })
 			for _, n := range w.nodes {
 				if n.down {
 					n.down, n.seq, n.holds = false, 0, map[string]held{}
@@ -56,7 +56,7 @@
 				}
 			}
 			w.run(sec, nil)
-			if w.phase("zone/a") != fleet.Left {
+			if w.phase("zone/a") != fleet.Evacuated {
 				t.Errorf("%v", w.steps)
 			}
 		},
@@ -80,8 +80,8 @@
 			w.heal()
 			w.untilPhase(fleet.Serving)
 			for _, s := range w.steps {
-				if s.after.Budget > s.after.Proved {
-					t.Errorf("%v: a server gets %g, it gave %g", s, s.after.Budget, s.after.Proved)
+				if s.after.Budget > s.after.ProvedRate {
+					t.Errorf("%v: a server gets %g, it gave %g", s, s.after.Budget, s.after.ProvedRate)
 				}
 			}
 		},
@@ -106,7 +106,7 @@
 			w.j.Lead(w.now)
 			n := len(w.steps)
 			w.untilPhase(fleet.Serving)
-			if got := w.steps[n]; got.at-w.steps[n-1].at < w.set.ColdTime {
+			if got := w.steps[n]; got.at-w.steps[n-1].at < w.set.SlowStartWindow {
 				t.Errorf("it went on before the cold time, which it does not know, was over: %v", w.steps)
 			}
 		},
@@ -134,18 +134,18 @@
 
 // TestPart: a node's portion of a directive, and of two on one zone.
 func TestPart(t *testing.T) {
-	probation := fleet.Directive{Phase: fleet.Probation, Budget: 6, Slots: 3, Trial: []string{"x", "y", "z"}}
-	if got := Part(probation, "x", false); got != (Portion{Rate: 2, Trial: true}) {
+	probation := fleet.Directive{Phase: fleet.Probation, Budget: 6, Slots: 3, TrialNodes: []string{"x", "y", "z"}}
+	if got := NodeShareOf(probation, "x", false); got != (NodeShare{Rate: 2, Trial: true}) {
 		t.Errorf("trial: %+v", got)
 	}
-	if Part(probation, "other", false).Trial || Part(probation, "x", true).Trial {
+	if NodeShareOf(probation, "other", false).Trial || NodeShareOf(probation, "x", true).Trial {
 		t.Error("others try, or past the validity")
 	}
-	d := fleet.Directive{Phase: fleet.Returning, Share: 0.5, Floor: 0.1, Budget: 50, Slots: 10, Step: 3}
-	if p := Part(d, "x", true); p.Share != 0.1 || p.Rate != 1 {
+	d := fleet.Directive{Phase: fleet.Recovering, Share: 0.5, Floor: 0.1, Budget: 50, Slots: 10, Step: 3}
+	if p := NodeShareOf(d, "x", true); p.Share != 0.1 || p.Rate != 1 {
 		t.Errorf("past its validity: %+v", p)
 	}
-	if got := Merge(Portion{Share: 0, Rate: 2, Trial: true}, Portion{Share: 1}); got != (Portion{Rate: 2, Trial: true}) {
+	if got := MergeShares(NodeShare{Share: 0, Rate: 2, Trial: true}, NodeShare{Share: 1}); got != (NodeShare{Rate: 2, Trial: true}) {
 		t.Errorf("merged: %+v", got)
 	}
 }
--- a/internal/fleet/zones/simulation/page_test.go
+++ b/internal/fleet/zones/simulation/page_test.go
@@ -22,7 +22,7 @@
 	}
 	var said []Transition
 	for _, r := range rows {
-		said = append(said, Transition{From: r.State, Event: r.Event, Condition: r.Condition, To: r.Next, Back: strings.Contains(r.Effect, "relapse + 1")})
+		said = append(said, Transition{From: r.State, Event: r.Event, Condition: r.Condition, To: r.Next, CountsRelapse: strings.Contains(r.Effect, "relapse + 1")})
 		t.Run(r.String(), func(t *testing.T) {
 			run, ok := scenes[r.State+" "+r.Event+" "+r.Condition]
 			if !ok {
@@ -36,8 +36,8 @@
 				return
 			}
 			got := w.steps[from]
-			back := got.after.Relapse > got.before.Relapse
-			if got.key != key || got.from != r.State || got.event != r.Event || got.to != r.Next || back != said[len(said)-1].Back {
+			back := got.after.Relapses > got.before.Relapses
+			if got.key != key || got.from != r.State || got.event != r.Event || got.to != r.Next || back != said[len(said)-1].CountsRelapse {
 				t.Fatalf("got %v, want %s", got, r)
 			}
 		})
@@ -49,32 +49,32 @@
 
 // TestOnlyTheTable: Apply takes no transition that no row has.
 func TestOnlyTheTable(t *testing.T) {
-	phases := []string{fleet.Serving, fleet.Left, fleet.Probation, fleet.Returning}
+	phases := []string{fleet.Serving, fleet.Evacuated, fleet.Probation, fleet.Recovering}
 	entry := map[string]Entry{}
 	for _, p := range phases[1:] {
-		e := Entry{Directive: fleet.Directive{Phase: p, ValidMS: 5000, HoldMS: 2000, Budget: 1, Slots: 9}}
-		if p == fleet.Returning {
+		e := Entry{Directive: fleet.Directive{Phase: p, ValidMS: 5000, BackoffMS: 2000, Budget: 1, Slots: 9}}
+		if p == fleet.Recovering {
 			e.Step, e.Share = 4, 1
 		}
 		entry[p] = e
 	}
 	for _, from := range phases {
-		for _, event := range []string{Lost, CutOff, Gray, Region, Quiet, Answers, "none"} {
+		for _, event := range []string{Lost, CutOff, Gray, Region, TimeElapsed, Answered, "none"} {
 			for _, to := range phases {
-				s := State{Rev: 1, Directives: map[string]Entry{}, Past: map[string]Past{}}
+				s := State{Revision: 1, Directives: map[string]Entry{}, PastRelapses: map[string]PastRelapse{}}
 				if e, ok := entry[from]; ok {
-					e.Rev = 1
+					e.Revision = 1
 					s.Directives["zone/a"] = e
 				} else {
-					s.Past["zone/a"] = Past{Rev: 1}
+					s.PastRelapses["zone/a"] = PastRelapse{Revision: 1}
 				}
-				c := Change{Key: "zone/a", IfRev: 1, Event: event, Gone: to == fleet.Serving, Entry: entry[to]}
-				_, err := s.Apply(Command{IfState: 1, Items: []Change{c}}, func() uint64 { return 2 })
+				c := Change{Key: "zone/a", IfRevision: 1, Event: event, Removed: to == fleet.Serving, Entry: entry[to]}
+				_, err := s.Apply(Command{IfStateRevision: 1, Items: []Change{c}}, func() uint64 { return 2 })
 				row := slices.ContainsFunc(Table(), func(x Transition) bool { return x.From == from && x.Event == event && x.To == to })
-				if err == nil && !row || err != nil && !errors.Is(err, ErrIllegal) {
+				if err == nil && !row || err != nil && !errors.Is(err, ErrIllegalTransition) {
 					t.Errorf("%s, %s -> %s: %v, in the table: %v", from, event, to, err, row)
 				}
-				if err != nil && s.Rev != 1 {
+				if err != nil && s.Revision != 1 {
 					t.Errorf("%s, %s -> %s: refused, and changed", from, event, to)
 				}
 			}
@@ -115,7 +115,7 @@
 func gone(t *testing.T) *world {
 	w := started(t)
 	w.kill("a")
-	w.untilPhase(fleet.Left)
+	w.untilPhase(fleet.Evacuated)
 	return w
 }
 
@@ -139,11 +139,11 @@
 	w := started(t)
 	key := Key("a", observer)
 	w.lose = loses("a", p, observer)
-	w.until("left", 5*sec, func() bool { return w.phase(key) == fleet.Left })
+	w.until("left", 5*sec, func() bool { return w.phase(key) == fleet.Evacuated })
 	w.heal()
 	w.until("return", 90*sec, func() bool { return w.phase(key) == fleet.Serving })
 	w.lose = loses("a", p, observer)
-	w.until("left", 5*sec, func() bool { return w.phase(key) == fleet.Left })
+	w.until("left", 5*sec, func() bool { return w.phase(key) == fleet.Evacuated })
 	return w.last()
 }
 
@@ -168,7 +168,7 @@
 			w.rate *= 2.4
 			w.run(4*sec, nil)
 			w.kill("a")
-			w.untilPhase(fleet.Left)
+			w.untilPhase(fleet.Evacuated)
 			if e := w.s.Directives["zone/a"]; e.Share <= 0 || e.Share >= 1 || e.Budget <= 0 {
 				t.Errorf("%+v", e)
 			}
@@ -182,7 +182,7 @@
 			w.run(12*sec, nil)
 			w.kill("a")
 			w.run(4*sec, nil)
-			if f := w.j.Findings(); len(f) != 1 || f[0].Event != Lost || f[0].Held != "panic" {
+			if f := w.j.Evidence(); len(f) != 1 || f[0].Event != Lost || f[0].Blocked != "panic" {
 				t.Errorf("%+v", f)
 			}
 			return w, "zone/a", -1
@@ -190,7 +190,7 @@
 		"serving cut-off of observers X": func(t *testing.T) (*world, string, int) {
 			w := started(t)
 			w.lose = loses("a", 1, "b")
-			w.until("left", 5*sec, func() bool { return w.phase("zone/a@b") == fleet.Left })
+			w.until("left", 5*sec, func() bool { return w.phase("zone/a@b") == fleet.Evacuated })
 			if w.phase("zone/a") != fleet.Serving || w.portion(w.nodes[0], "a").Share != 1 {
 				t.Error("others than b's nodes left too")
 			}
@@ -200,7 +200,7 @@
 		"serving gray share p lost": func(t *testing.T) (*world, string, int) {
 			w := started(t)
 			w.lose = loses("a", 0.3, "")
-			w.untilPhase(fleet.Left)
+			w.untilPhase(fleet.Evacuated)
 			if e := w.s.Directives["zone/a"]; e.Share < 0.5 || e.Share > 0.8 || e.Floor != e.Share {
 				t.Errorf("%+v", e)
 			}
@@ -210,10 +210,10 @@
 		"serving region most of its region's zones are lost": func(t *testing.T) (*world, string, int) {
 			w := newWorld(t, 7, 4, "a", "b", "c", "d", "e", "f", "g")
 			w.set.Region = map[string]string{"a": "1", "b": "1", "c": "1", "d": "2", "e": "2", "f": "2", "g": "2"}
-			w.j = NewJudge(w.set)
+			w.j = NewController(w.set)
 			w.run(5*sec, nil)
 			w.kill("a", "b")
-			w.until("left", 5*sec, func() bool { return w.phase("zone/c") == fleet.Left })
+			w.until("left", 5*sec, func() bool { return w.phase("zone/c") == fleet.Evacuated })
 			n := len(w.steps) - 1
 			if w.steps[n].at != w.steps[n-1].at || w.steps[n-1].event != Lost || w.s.Directives["zone/c"].Share != 0 {
 				t.Errorf("not one command: %v", w.steps)
@@ -226,8 +226,8 @@
 			w.untilPhase(fleet.Serving)
 			n := len(w.steps)
 			w.until("calm", 70*sec, func() bool { return len(w.steps) > n })
-			if w.s.Past["zone/a"].Relapse != 0 {
-				t.Errorf("%+v", w.s.Past)
+			if w.s.PastRelapses["zone/a"].Relapses != 0 {
+				t.Errorf("%+v", w.s.PastRelapses)
 			}
 			return w, "zone/a", n
 		},
@@ -260,7 +260,7 @@
 			w.rate *= 0.9
 			w.run(4*sec, nil)
 			w.lose = loses("a", 1, "b")
-			w.until("left", 5*sec, func() bool { return w.phase("zone/a@b") == fleet.Left })
+			w.until("left", 5*sec, func() bool { return w.phase("zone/a@b") == fleet.Evacuated })
 			n := len(w.steps)
 			w.rate /= 4 // the others carry less
 			w.until("less", 20*sec, func() bool { return len(w.steps) > n })
@@ -285,10 +285,10 @@
 			w.untilPhase(fleet.Probation)
 			e := w.s.Directives["zone/a"]
 			zones := map[byte]bool{}
-			for _, n := range e.Trial {
+			for _, n := range e.TrialNodes {
 				zones[n[0]] = true
 			}
-			if len(e.Trial) != 3 || len(zones) != 3 || e.Floor != 0 || e.Share != 0 || e.Budget <= 0 {
+			if len(e.TrialNodes) != 3 || len(zones) != 3 || e.Floor != 0 || e.Share != 0 || e.Budget <= 0 {
 				t.Errorf("%+v", e)
 			}
 			return w.last()
@@ -297,20 +297,20 @@
 			w, _, _ := scenes["serving gray share p lost"](t)
 			w.heal()
 			at := w.now
-			w.untilPhase(fleet.Returning)
-			if e := w.s.Directives["zone/a"]; w.now-at < 2*sec || e.Share != 1 || e.Step != 4 || e.Floor != e.Base {
+			w.untilPhase(fleet.Recovering)
+			if e := w.s.Directives["zone/a"]; w.now-at < 2*sec || e.Share != 1 || e.Step != 4 || e.Floor != e.BaseShare {
 				t.Errorf("%+v", e)
 			}
 			return w.last()
 		},
 		"probation answers enough, under 0.1 lost": func(t *testing.T) (*world, string, int) {
 			w := back(t, 0)
-			w.until("answers", 20*sec, func() bool { return w.s.Directives["zone/a"].Tried })
+			w.until("answers", 20*sec, func() bool { return w.s.Directives["zone/a"].TrialAnswered })
 			return w.last()
 		},
 		"probation quiet the trial that had its answers is over": func(t *testing.T) (*world, string, int) {
 			w := back(t, 1)
-			if e := w.s.Directives["zone/a"]; e.Share != 0.1 || e.Floor != 0 || e.Trial != nil {
+			if e := w.s.Directives["zone/a"]; e.Share != 0.1 || e.Floor != 0 || e.TrialNodes != nil {
 				t.Errorf("%+v", e)
 			}
 			return w.last()
@@ -318,8 +318,8 @@
 		"probation lost ": func(t *testing.T) (*world, string, int) {
 			w := gone(t)
 			w.untilPhase(fleet.Probation)
-			w.untilPhase(fleet.Left)
-			if e := w.s.Directives["zone/a"]; e.HoldMS != 4000 {
+			w.untilPhase(fleet.Evacuated)
+			if e := w.s.Directives["zone/a"]; e.BackoffMS != 4000 {
 				t.Errorf("%+v", e)
 			}
 			return w.last()
@@ -328,11 +328,11 @@
 			w := gone(t)
 			w.heal()
 			w.untilPhase(fleet.Probation)
-			n, trial := len(w.steps), w.s.Directives["zone/a"].Trial
+			n, trial := len(w.steps), w.s.Directives["zone/a"].TrialNodes
 			w.hears = func(x *wnode) (fleet.Time, bool) { return 0, !slices.Contains(trial, x.Node) } // they never hear of it
 			for _, x := range w.nodes {
 				delete(x.holds, "zone/a")
-				x.holds["zone/a"] = held{e: Entry{Directive: fleet.Directive{Phase: fleet.Left, ValidMS: 1e6}}, at: w.now}
+				x.holds["zone/a"] = held{e: Entry{Directive: fleet.Directive{Phase: fleet.Evacuated, ValidMS: 1e6}}, at: w.now}
 			}
 			w.until("end", 4*sec, func() bool { return len(w.steps) > n })
 			return w, "zone/a", n
@@ -341,8 +341,8 @@
 			w, _, n := scenes["probation quiet 3 s without answers enough"](t)
 			end := w.now
 			w.until("other trial", 10*sec, func() bool { return len(w.steps) > n+1 })
-			if got := w.steps[n+1]; w.now-end < w.set.Valid || slices.ContainsFunc(got.after.Trial, func(x string) bool {
-				return slices.Contains(w.steps[n].before.Trial, x)
+			if got := w.steps[n+1]; w.now-end < w.set.DirectiveLifetime || slices.ContainsFunc(got.after.TrialNodes, func(x string) bool {
+				return slices.Contains(w.steps[n].before.TrialNodes, x)
 			}) {
 				t.Errorf("%v after: %+v", w.now-end, got.after.Directive)
 			}
@@ -364,13 +364,13 @@
 		"returning lost step 1, or a quorum sees it fail": func(t *testing.T) (*world, string, int) {
 			w := back(t, 1)
 			w.kill("a")
-			w.untilPhase(fleet.Left)
+			w.untilPhase(fleet.Evacuated)
 			n := len(w.steps) - 1
 			w.heal()
 			w.untilStep(4)
 			w.run(sec, nil)
 			w.kill("a")
-			w.until("left", 5*sec, func() bool { return w.phase("zone/a") == fleet.Left || w.s.Directives["zone/a"].Step < 4 })
+			w.until("left", 5*sec, func() bool { return w.phase("zone/a") == fleet.Evacuated || w.s.Directives["zone/a"].Step < 4 })
 			return w, "zone/a", n
 		},
 		"returning lost a later step, in part": func(t *testing.T) (*world, string, int) {
@@ -378,7 +378,7 @@
 			w.lose = loses("a", 0.5, "")
 			n := len(w.steps)
 			w.until("step back", 5*sec, func() bool { return len(w.steps) > n })
-			if e := w.steps[n].after; e.Step != 2 || e.Floor != 0 || e.Relapse != 1 {
+			if e := w.steps[n].after; e.Step != 2 || e.Floor != 0 || e.Relapses != 1 {
 				t.Errorf("%+v", e)
 			}
 			return w, "zone/a", n
--- a/internal/fleet/zones/simulation/property_test.go
+++ b/internal/fleet/zones/simulation/property_test.go
@@ -45,7 +45,7 @@
 // TestMutants: each planted fault is found by the rule that it breaks.
 func TestMutants(t *testing.T) {
 	set := func(f func(*Settings)) func(*world) {
-		return func(w *world) { f(&w.set); w.j = NewJudge(w.set) }
+		return func(w *world) { f(&w.set); w.j = NewController(w.set) }
 	}
 	change := func(f func(*Change)) func(*world) {
 		return func(w *world) {
@@ -69,20 +69,20 @@
 				twist(n, v)
 				for _, x := range w.nodes {
 					copied := *v
-					copied.Member, copied.Report.Seq = x.Member, 1e6*uint64(w.now/tick)+uint64(n.pick)
+					copied.Member, copied.Report.Sequence = x.Member, 1e6*uint64(w.now/tick)+uint64(n.pick)
 					w.j.Observe(w.now, copied)
 				}
 			}
 		}},
 		{"one zone's vote is enough", "Z1", 51, func(w *world) {
 			w.set.Region = map[string]string{"a": "r"} // the others are no observers
-			w.set.FailPart = 0.01
-			w.j = NewJudge(w.set)
+			w.set.FailingServersPart = 0.01
+			w.j = NewController(w.set)
 		}},
-		{"no panic threshold, and room for anything", "Z2", 32, set(func(s *Settings) { s.Panic, s.Headroom = 0, 1000 })},
+		{"no panic threshold, and room for anything", "Z2", 32, set(func(s *Settings) { s.MinServersPart, s.CapacityFactor = 0, 1000 })},
 		{"a part is a half of the budget", "Z3", 0, change(func(c *Change) { c.Entry.Slots = min(c.Entry.Slots, 2) })},
-		{"no hold-off", "Z4", 0, set(func(s *Settings) { s.HoldOff = 100 * time.Millisecond })},
-		{"steps without waiting", "Z4", 0, set(func(s *Settings) { s.StepTime, s.StepNeed, s.ColdTime = 0, 0, 0 })},
+		{"no hold-off", "Z4", 0, set(func(s *Settings) { s.InitialBackoff = 100 * time.Millisecond })},
+		{"steps without waiting", "Z4", 0, set(func(s *Settings) { s.MinStepTime, s.MinStepAnswers, s.SlowStartWindow = 0, 0, 0 })},
 		{"the floor is the newest share", "Z5", 68, change(func(c *Change) {
 			if c.Entry.Step > 1 {
 				c.Entry.Floor = c.Entry.Share
--- a/internal/fleet/zones/simulation/rules.go
+++ b/internal/fleet/zones/simulation/rules.go
@@ -51,12 +51,12 @@
 				if !ok {
 					continue
 				}
-				past := w.now-h.at > want.Valid
-				p := zones.Part(h.e.Directive, n.Node, past)
+				past := w.now-h.at > want.DirectiveLifetime
+				p := zones.NodeShareOf(h.e.Directive, n.Node, past)
 				if key == zones.Key(y, "") && h.e.Budget > 0 && (p.Share > 0 || p.Trial) {
 					most, sum = math.Max(most, h.e.Budget), sum+p.Rate
 				}
-				if low, ok := r.min[key]; ok && past && h.e.Phase == fleet.Returning && h.e.Rev >= r.first[key] && p.Share > low+1e-9 {
+				if low, ok := r.min[key]; ok && past && h.e.Phase == fleet.Recovering && h.e.Revision >= r.first[key] && p.Share > low+1e-9 {
 					w.t.Fatalf("Z5: %s past its validity has %g of %s, which had %g", n.Node, p.Share, key, low)
 				}
 			}
@@ -78,13 +78,13 @@
 				stay[i] += float64(n) * share(w.s.Directives, z, o)
 			}
 		}
-		if st.to == fleet.Left && stay[0] < want.Panic*total[0]-1e-9 && stay[1] < want.Panic*total[1]-1e-9 {
+		if st.to == fleet.Evacuated && stay[0] < want.MinServersPart*total[0]-1e-9 && stay[1] < want.MinServersPart*total[1]-1e-9 {
 			w.t.Fatalf("Z2: %g of %g servers stay for nodes of %q: %v", stay[0], total[0], o, st)
 		}
 	}
 	at, had := r.up[st.key]
 	switch {
-	case st.from == fleet.Serving && st.to == fleet.Left && st.event != zones.Region: // Z1
+	case st.from == fleet.Serving && st.to == fleet.Evacuated && st.event != zones.Region: // Z1
 		seen, ok := r.truth[y]
 		if x != "" {
 			seen, ok = r.truth[st.key]
@@ -96,7 +96,7 @@
 		moved, stay, since := 0.0, 0.0, w.now // Z2: no more is left at once than the zones that live had proved to bear
 		for _, z := range w.zones {
 			share := share(w.s.Directives, z, "")
-			if w.phase(zones.Key(z, "")) == fleet.Left {
+			if w.phase(zones.Key(z, "")) == fleet.Evacuated {
 				moved += 1 - share
 				if at, ok := r.up[zones.Key(z, "")]; ok && z != y {
 					since = min(since, at)
@@ -109,38 +109,38 @@
 		if x == "" && st.event == zones.Lost && moved > 1.4*stay && w.now-since < time.Second && (r.s.Liar < 0 || r.s.Lie != 3) {
 			w.t.Fatalf("Z2: %g zones moved to %g", moved, stay)
 		}
-	case st.from == fleet.Left && st.to == fleet.Probation: // Z4
-		if had && w.now-at < min(want.HoldOff<<st.before.Relapse, want.HoldOffMax) {
-			w.t.Fatalf("Z4: probation %v after it was left, relapse %d", w.now-at, st.before.Relapse)
+	case st.from == fleet.Evacuated && st.to == fleet.Probation: // Z4
+		if had && w.now-at < min(want.InitialBackoff<<st.before.Relapses, want.MaxBackoff) {
+			w.t.Fatalf("Z4: probation %v after it was left, relapse %d", w.now-at, st.before.Relapses)
 		}
-	case st.event == zones.Answers && st.from != fleet.Left:
+	case st.event == zones.Answered && st.from != fleet.Evacuated:
 		nodes, sum := 0, 0
 		for _, n := range w.nodes {
 			if got := n.answers[y] - r.answers[st.key][n.Node]; got > 0 {
 				nodes, sum = nodes+1, sum+got
 			}
 		}
-		if st.from == fleet.Returning && had && w.now-at < want.StepTime {
+		if st.from == fleet.Recovering && had && w.now-at < want.MinStepTime {
 			w.t.Fatalf("Z4: a step of %v", w.now-at)
 		}
-		need := want.StepNeed
+		need := want.MinStepAnswers
 		if st.from == fleet.Probation {
-			need = want.TrialNeed
+			need = want.MinTrialAnswers
 		}
-		if had && r.s.Liar < 0 && (sum < need || nodes < 2 && x == "" && len(st.before.Trial) != 1) {
+		if had && r.s.Liar < 0 && (sum < need || nodes < 2 && x == "" && len(st.before.TrialNodes) != 1) {
 			w.t.Fatalf("Z4: a step with %d answers of %d nodes: %v", sum, nodes, st)
 		}
-		if st.to == fleet.Returning && st.from == fleet.Returning && st.after.Step != st.before.Step+1 || st.from == fleet.Probation && st.after.Step != 0 {
+		if st.to == fleet.Recovering && st.from == fleet.Recovering && st.after.Step != st.before.Step+1 || st.from == fleet.Probation && st.after.Step != 0 {
 			w.t.Fatalf("Z4: out of order: %v", st)
 		}
 	}
-	if st.to == fleet.Left {
+	if st.to == fleet.Evacuated {
 		delete(r.min, st.key)
 	}
-	if st.to == fleet.Returning {
+	if st.to == fleet.Recovering {
 		low, ok := r.min[st.key]
 		if !ok {
-			r.first[st.key] = st.after.Rev
+			r.first[st.key] = st.after.Revision
 		}
 		if !ok || st.after.Share < low {
 			r.min[st.key] = st.after.Share
--- a/internal/fleet/zones/simulation/schedule.go
+++ b/internal/fleet/zones/simulation/schedule.go
@@ -146,13 +146,13 @@
 		c := &v.Report.Zones[i]
 		switch {
 		case kind == 0 && i == 0, kind == 1:
-			c.Lost, c.OK, c.LostServers = c.Attempts, 0, c.Servers
+			c.Lost, c.Answered, c.LostServers = c.Attempts, 0, c.Servers
 		case kind == 2 && i == 0:
-			*c = fleet.ZoneCount{Zone: c.Zone, Attempts: 1e6, Lost: 1e6, Servers: 9, LostServers: 9, Listed: 1}
+			*c = fleet.ZoneEvidence{Zone: c.Zone, Attempts: 1e6, Lost: 1e6, Servers: 9, LostServers: 9, Listed: 1}
 		case kind == 3:
-			*c = fleet.ZoneCount{Zone: c.Zone, Attempts: 1e6, OK: 1e6, Servers: 9, Listed: 9000}
+			*c = fleet.ZoneEvidence{Zone: c.Zone, Attempts: 1e6, Answered: 1e6, Servers: 9, Listed: 9000}
 		case kind == 4:
-			*c = fleet.ZoneCount{Zone: c.Zone + "/@", Attempts: -5, Lost: 7, Servers: 1 << 40, Rate: math.NaN()}
+			*c = fleet.ZoneEvidence{Zone: c.Zone + "/@", Attempts: -5, Lost: 7, Servers: 1 << 40, Rate: math.NaN()}
 		}
 	}
 }
--- a/internal/fleet/zones/simulation/world.go
+++ b/internal/fleet/zones/simulation/world.go
@@ -24,7 +24,7 @@
 type world struct {
 	t     interface{ Fatalf(string, ...any) }
 	set   zones.Settings
-	j     *zones.Judge
+	j     *zones.Controller
 	s     zones.State
 	now   fleet.Time
 	rev   uint64
@@ -62,7 +62,7 @@
 	holds   map[string]held
 	rev     uint64
 	carry   map[string]float64
-	zones   map[string]*fleet.ZoneCount
+	zones   map[string]*fleet.ZoneEvidence
 	servers map[string]map[int][2]int // attempts, lost
 	last    fleet.Time
 	pick    int
@@ -77,7 +77,7 @@
 func newWorld(t interface{ Fatalf(string, ...any) }, seed uint64, perZone int, names ...string) *world {
 	w := &world{t: t, set: zones.Default(perZone * len(names)), rng: rand.New(rand.NewPCG(seed, 1)), zones: names, rate: 4,
 		lose: func(*wnode, string) float64 { return 0 }, full: map[string]bool{}, listed: map[string]int{}, bad: map[string]int{}}
-	w.j = zones.NewJudge(w.set)
+	w.j = zones.NewController(w.set)
 	for _, z := range names {
 		w.listed[z] = perWS
 		for i := range perZone {
@@ -96,7 +96,7 @@
 }
 
 func (n *wnode) clear() {
-	n.zones, n.servers = map[string]*fleet.ZoneCount{}, map[string]map[int][2]int{}
+	n.zones, n.servers = map[string]*fleet.ZoneEvidence{}, map[string]map[int][2]int{}
 }
 
 func (w *world) present() (out []fleet.Member) {
@@ -109,12 +109,12 @@
 }
 
 // portion is what a node may do at a zone by what it holds.
-func (w *world) portion(n *wnode, y string) zones.Portion {
-	p := zones.Portion{Share: 1}
+func (w *world) portion(n *wnode, y string) zones.NodeShare {
+	p := zones.NodeShare{Share: 1}
 	for _, key := range []string{zones.Key(y, ""), zones.Key(y, n.Zone)} {
 		if h, ok := n.holds[key]; ok {
 			past := w.now-h.at > fleet.Time(h.e.ValidMS)*time.Millisecond
-			p = zones.Merge(zones.Part(h.e.Directive, n.Node, past), p)
+			p = zones.MergeShares(zones.NodeShareOf(h.e.Directive, n.Node, past), p)
 		}
 	}
 	return p
@@ -157,7 +157,7 @@
 	past := map[string]bool{}
 	for _, ch := range c.Items {
 		old[ch.Key] = w.s.Directives[ch.Key]
-		_, past[ch.Key] = w.s.Past[ch.Key]
+		_, past[ch.Key] = w.s.PastRelapses[ch.Key]
 	}
 	if _, err := w.s.Apply(c, func() uint64 { w.rev++; return w.rev }); err != nil {
 		if !errors.Is(err, zones.ErrChanged) {
@@ -171,7 +171,7 @@
 		if st.before.Phase != "" {
 			st.from = st.before.Phase
 		}
-		if ch.Gone {
+		if ch.Removed {
 			st.to = fleet.Serving
 		}
 		w.steps = append(w.steps, st)
@@ -210,7 +210,7 @@
 		p := w.portion(n, y)
 		c := n.zones[y]
 		if c == nil {
-			c = &fleet.ZoneCount{Zone: y}
+			c = &fleet.ZoneEvidence{Zone: y}
 			n.zones[y] = c
 			n.servers[y] = map[int][2]int{}
 		}
@@ -230,7 +230,7 @@
 			}
 			sv := n.servers[y][id]
 			sv[0]++
-			c.Sent++
+			c.Started++
 			c.Attempts++
 			switch {
 			case id < w.bad[y] || w.rng.Float64() < w.lose(n, y):
@@ -238,7 +238,7 @@
 				sv[1]++
 			case w.full[y] && w.rng.IntN(2) == 0: // refused: neither lost nor an answer
 			default:
-				c.OK++
+				c.Answered++
 				n.answers[y]++
 			}
 			n.servers[y][id] = sv
@@ -252,7 +252,7 @@
 	}
 	n.next = w.now + 250*time.Millisecond
 	n.seq++
-	r := fleet.Report{Member: n.Member, Seq: n.seq, Revision: n.rev, Ready: true, WindowMS: (w.now - n.last).Milliseconds()}
+	r := fleet.Report{Member: n.Member, Sequence: n.seq, Revision: n.rev, Ready: true, WindowMS: (w.now - n.last).Milliseconds()}
 	for _, y := range w.zones {
 		c := n.zones[y]
 		for _, sv := range n.servers[y] {
@@ -268,7 +268,7 @@
 	if w.drop != nil && w.drop(n) {
 		return
 	}
-	v := fleet.NodeView{Member: n.Member, At: w.now, Report: r}
+	v := fleet.NodeView{Member: n.Member, ReceivedAt: w.now, Report: r}
 	if w.twist != nil {
 		w.twist(n, &v)
 	}
@@ -293,12 +293,12 @@
 		t.Helper()
 	}
 	if !w.run(d, done) {
-		w.t.Fatalf("%v: no %s; steps %v; findings %+v", w.now, what, w.steps, w.j.Findings())
+		w.t.Fatalf("%v: no %s; steps %v; findings %+v", w.now, what, w.steps, w.j.Evidence())
 	}
 }
 
 func (s step) String() string {
-	return fmt.Sprintf("\n  %v %s %s %s->%s share %g step %d relapse %d", s.at, s.key, s.event, s.from, s.to, s.after.Share, s.after.Step, s.after.Relapse)
+	return fmt.Sprintf("\n  %v %s %s %s->%s share %g step %d relapse %d", s.at, s.key, s.event, s.from, s.to, s.after.Share, s.after.Step, s.after.Relapses)
 }
 
 func (w *world) phase(key string) string {
--- a/internal/fleet/zones/state.go
+++ b/internal/fleet/zones/state.go
@@ -13,49 +13,49 @@
 
 // Errors of Apply. Each leaves the state as it was.
 var (
-	ErrChanged = errors.New("zone changed since the decision") // the compare of a compare-and-set failed
-	ErrIllegal = errors.New("no such transition")              // wraps what is wrong with it
+	ErrChanged           = errors.New("zone changed since the decision") // the compare of a compare-and-set failed
+	ErrIllegalTransition = errors.New("no such transition")              // wraps what is wrong with it
 )
 
 // State is the replicated part: the directives in force, and the relapses of zones that are served again. It knows no
 // time. Its JSON is its snapshot. The zero State is empty and ready for use.
 type State struct {
-	Rev        uint64           `json:"rev"`                  // of its last change, 0: none yet
-	Directives map[string]Entry `json:"directives,omitempty"` // by key: "zone/Y" or "zone/Y@X"
-	Past       map[string]Past  `json:"past,omitempty"`       // by key: served again, hold-offs not yet forgotten
+	Revision     uint64                 `json:"rev"`                  // of its last change, 0: none yet
+	Directives   map[string]Entry       `json:"directives,omitempty"` // by key: "zone/Y" or "zone/Y@X"
+	PastRelapses map[string]PastRelapse `json:"past,omitempty"`       // by key: served again, hold-offs not yet forgotten
 }
 
 // Entry is a directive in force and what its return needs to know of the zone as it was when it was left.
 type Entry struct {
-	Rev uint64 `json:"rev"`
+	Revision uint64 `json:"rev"`
 	fleet.Directive
-	Proved float64 `json:"proved"` // answers/s that one of its servers had given; 0: not known
-	Listed int     `json:"listed"` // its servers
-	Demand float64 `json:"demand"` // answers/s of all of it, for the observers that left it
-	Base   float64 `json:"base"`   // share served all along
-	Tried  bool    `json:"tried"`  // a trial has had its answers: the return begins once it is over
+	ProvedRate    float64 `json:"proved"` // answers/s that one of its servers had given; 0: not known
+	ListedServers int     `json:"listed"` // its servers
+	Demand        float64 `json:"demand"` // answers/s of all of it, for the observers that left it
+	BaseShare     float64 `json:"base"`   // share served all along
+	TrialAnswered bool    `json:"tried"`  // a trial has had its answers: the return begins once it is over
 }
 
-// Past is what is kept of a zone that is served again. Rev is the revision of its last change.
-type Past struct {
-	Rev     uint64 `json:"rev"`
-	Relapse int    `json:"relapse"`
+// PastRelapse is what is kept of a zone that is served again. Rev is the revision of its last change.
+type PastRelapse struct {
+	Revision uint64 `json:"rev"`
+	Relapses int    `json:"relapse"`
 }
 
 // Command is one change, taken whole or not at all. IfState is the State's Rev that it was decided from; it is compared
 // where a zone without a directive gets one, as the room for it depends on all the others.
 type Command struct {
-	IfState uint64   `json:"if_state"`
-	Items   []Change `json:"items"`
+	IfStateRevision uint64   `json:"if_state"`
+	Items           []Change `json:"items"`
 }
 
 // Change is the change of one item: Entry becomes its new content (Rev is given by Apply), or goes.
 type Change struct {
-	Key   string `json:"key"`
-	IfRev uint64 `json:"if_rev"` // revision of the entry, or of the past, that it was decided from; 0: there was none
-	Event string `json:"event"`
-	Gone  bool   `json:"gone,omitempty"` // the zone is served as ever; with quiet: a relapse is forgotten
-	Entry Entry  `json:"entry"`
+	Key        string `json:"key"`
+	IfRevision uint64 `json:"if_rev"` // revision of the entry, or of the past, that it was decided from; 0: there was none
+	Event      string `json:"event"`
+	Removed    bool   `json:"gone,omitempty"` // the zone is served as ever; with quiet: a relapse is forgotten
+	Entry      Entry  `json:"entry"`
 }
 
 // Key is the item's key for zone y as the nodes of zone x are to see it; x "" is every node.
@@ -79,12 +79,12 @@
 // ErrIllegal.
 func (s *State) Apply(c Command, rev func() uint64) (changed []string, err error) {
 	if len(c.Items) == 0 {
-		return nil, fmt.Errorf("%w: an empty command", ErrIllegal)
+		return nil, fmt.Errorf("%w: an empty command", ErrIllegalTransition)
 	}
 	seen := map[string]bool{}
 	for _, ch := range c.Items {
 		if seen[ch.Key] {
-			return nil, fmt.Errorf("%w: %s: twice in one command", ErrIllegal, ch.Key)
+			return nil, fmt.Errorf("%w: %s: twice in one command", ErrIllegalTransition, ch.Key)
 		}
 		seen[ch.Key] = true
 		if err := s.check(c, ch); err != nil {
@@ -94,27 +94,27 @@
 	if s.Directives == nil {
 		s.Directives = map[string]Entry{}
 	}
-	if s.Past == nil {
-		s.Past = map[string]Past{}
+	if s.PastRelapses == nil {
+		s.PastRelapses = map[string]PastRelapse{}
 	}
-	s.Rev = rev()
+	s.Revision = rev()
 	for _, ch := range c.Items {
 		old, had := s.Directives[ch.Key]
 		switch {
-		case had && ch.Gone:
+		case had && ch.Removed:
 			delete(s.Directives, ch.Key)
-			s.Past[ch.Key] = Past{Rev: s.Rev, Relapse: old.Relapse}
-		case ch.Gone:
-			if p := s.Past[ch.Key]; p.Relapse > 0 {
-				s.Past[ch.Key] = Past{Rev: s.Rev, Relapse: p.Relapse - 1}
+			s.PastRelapses[ch.Key] = PastRelapse{Revision: s.Revision, Relapses: old.Relapses}
+		case ch.Removed:
+			if p := s.PastRelapses[ch.Key]; p.Relapses > 0 {
+				s.PastRelapses[ch.Key] = PastRelapse{Revision: s.Revision, Relapses: p.Relapses - 1}
 			} else {
-				delete(s.Past, ch.Key)
+				delete(s.PastRelapses, ch.Key)
 			}
 			continue
 		default:
-			delete(s.Past, ch.Key)
-			ch.Entry.Rev = s.Rev
-			ch.Entry.Trial = slices.Clone(ch.Entry.Trial)
+			delete(s.PastRelapses, ch.Key)
+			ch.Entry.Revision = s.Revision
+			ch.Entry.TrialNodes = slices.Clone(ch.Entry.TrialNodes)
 			s.Directives[ch.Key] = ch.Entry
 		}
 		changed = append(changed, ch.Key)
@@ -126,29 +126,29 @@
 // check tells what is wrong with a change.
 func (s *State) check(c Command, ch Change) error {
 	if _, _, ok := ParseKey(ch.Key); !ok {
-		return fmt.Errorf("%w: not a zone's key", ErrIllegal)
+		return fmt.Errorf("%w: not a zone's key", ErrIllegalTransition)
 	}
 	old, had := s.Directives[ch.Key]
-	past, returned := s.Past[ch.Key]
-	if had && ch.IfRev != old.Rev || !had && ch.IfRev != past.Rev || !had && c.IfState != s.Rev {
+	past, returned := s.PastRelapses[ch.Key]
+	if had && ch.IfRevision != old.Revision || !had && ch.IfRevision != past.Revision || !had && c.IfStateRevision != s.Revision {
 		return ErrChanged
 	}
 	from, to, e := fleet.Serving, ch.Entry.Phase, ch.Entry
 	if had {
 		from = old.Phase
 	}
-	if ch.Gone {
+	if ch.Removed {
 		to = fleet.Serving
 	}
-	back := !ch.Gone && (had && e.Relapse > old.Relapse || !had && returned && e.Relapse > past.Relapse)
+	back := !ch.Removed && (had && e.Relapses > old.Relapses || !had && returned && e.Relapses > past.Relapses)
 	at := func(why string) error {
-		return fmt.Errorf("%w: %s, %s -> %s: %s", ErrIllegal, from, ch.Event, to, why)
+		return fmt.Errorf("%w: %s, %s -> %s: %s", ErrIllegalTransition, from, ch.Event, to, why)
 	}
 	// Where the most relapses are counted already, one more changes nothing.
-	if !legal(from, ch.Event, to, back) && !(to != fleet.Serving && !back && legal(from, ch.Event, to, true)) {
+	if !isLegal(from, ch.Event, to, back) && !(to != fleet.Serving && !back && isLegal(from, ch.Event, to, true)) {
 		return at("not in the table")
 	}
-	if ch.Gone {
+	if ch.Removed {
 		if had && (old.Step < 1 || old.Share != 1) || !had && !returned {
 			return at("not after the last step")
 		}
@@ -157,36 +157,36 @@
 	if to == fleet.Serving {
 		return at("serving has no directive")
 	}
-	if why := wrong(e); why != "" {
+	if why := entryFlaw(e); why != "" {
 		return at(why)
 	}
-	if why := outOfOrder(old, had, ch); why != "" {
+	if why := sequenceFlaw(old, had, ch); why != "" {
 		return at(why)
 	}
 	return nil
 }
 
-// wrong tells what no directive may be.
-func wrong(e Entry) string {
+// entryFlaw tells what no directive may be.
+func entryFlaw(e Entry) string {
 	switch {
 	case !(e.Floor >= 0) || !(e.Share <= 1) || !(e.Floor <= e.Share):
 		return "floor and share are not 0 <= floor <= share <= 1"
 	case !(e.Budget >= 0) || e.Budget > 1e12 || e.Budget > 0 && e.Slots < 1:
 		return "a budget without slots"
-	case e.ValidMS < 1 || e.HoldMS < 0 || e.Relapse < 0 || !(e.Base >= 0) || e.Listed < 0 || !(e.Proved >= 0) || !(e.Demand >= 0):
+	case e.ValidMS < 1 || e.BackoffMS < 0 || e.Relapses < 0 || !(e.BaseShare >= 0) || e.ListedServers < 0 || !(e.ProvedRate >= 0) || !(e.Demand >= 0):
 		return "a negative number"
-	case e.Phase != fleet.Returning && (e.Step != 0 || e.Share != e.Base || e.Floor != e.Base):
+	case e.Phase != fleet.Recovering && (e.Step != 0 || e.Share != e.BaseShare || e.Floor != e.BaseShare):
 		return "share or step before the return"
-	case e.Phase == fleet.Returning && (e.Step < 1 || e.Share <= e.Base):
+	case e.Phase == fleet.Recovering && (e.Step < 1 || e.Share <= e.BaseShare):
 		return "a return without a step"
-	case e.Phase != fleet.Probation && (len(e.Trial) > 0 || e.Tried) || e.Phase == fleet.Probation && (e.Share != 0 || e.Budget <= 0):
+	case e.Phase != fleet.Probation && (len(e.TrialNodes) > 0 || e.TrialAnswered) || e.Phase == fleet.Probation && (e.Share != 0 || e.Budget <= 0):
 		return "a trial out of place"
 	}
 	return ""
 }
 
-// outOfOrder tells what may not follow on the old entry.
-func outOfOrder(old Entry, had bool, ch Change) string {
+// sequenceFlaw tells what may not follow on the old entry.
+func sequenceFlaw(old Entry, had bool, ch Change) string {
 	e := ch.Entry
 	if !had {
 		if e.Share >= 1 {
@@ -195,29 +195,29 @@
 		return ""
 	}
 	switch {
-	case e.Relapse < old.Relapse || e.Relapse > old.Relapse+1 || e.HoldMS < old.HoldMS:
+	case e.Relapses < old.Relapses || e.Relapses > old.Relapses+1 || e.BackoffMS < old.BackoffMS:
 		return "relapses or hold-off out of order"
-	case e.Phase != fleet.Left && e.Base != old.Base || e.Proved != old.Proved || e.Listed != old.Listed || e.Demand != old.Demand:
+	case e.Phase != fleet.Evacuated && e.BaseShare != old.BaseShare || e.ProvedRate != old.ProvedRate || e.ListedServers != old.ListedServers || e.Demand != old.Demand:
 		return "what was known of the zone has changed"
-	case old.Phase == fleet.Left && e.Phase == fleet.Left && e.Share == old.Share:
+	case old.Phase == fleet.Evacuated && e.Phase == fleet.Evacuated && e.Share == old.Share:
 		return "nothing changes"
-	case old.Phase == fleet.Left && e.Phase == fleet.Left && ch.Event != Gray && e.Share > old.Share:
+	case old.Phase == fleet.Evacuated && e.Phase == fleet.Evacuated && ch.Event != Gray && e.Share > old.Share:
 		return "a lost zone gets more"
-	case old.Phase == fleet.Left && e.Phase == fleet.Probation && old.Share != 0:
+	case old.Phase == fleet.Evacuated && e.Phase == fleet.Probation && old.Share != 0:
 		return "a part is served: it needs no probation"
-	case old.Phase == fleet.Left && e.Phase == fleet.Returning && (old.Share == 0 || e.Share <= old.Share):
+	case old.Phase == fleet.Evacuated && e.Phase == fleet.Recovering && (old.Share == 0 || e.Share <= old.Share):
 		return "a return without a probation"
-	case old.Phase == fleet.Probation && e.Phase == fleet.Probation && len(old.Trial) > 0 && len(e.Trial) > 0:
+	case old.Phase == fleet.Probation && e.Phase == fleet.Probation && len(old.TrialNodes) > 0 && len(e.TrialNodes) > 0:
 		return "a trial before the former one is over"
-	case old.Phase == fleet.Probation && e.Phase == fleet.Returning && (e.Step != 1 || !old.Tried || len(old.Trial) > 0):
+	case old.Phase == fleet.Probation && e.Phase == fleet.Recovering && (e.Step != 1 || !old.TrialAnswered || len(old.TrialNodes) > 0):
 		return "the first step is 1, once a trial with its answers is over"
-	case old.Phase == fleet.Probation && e.Phase == fleet.Probation && (old.Tried || e.Tried != (ch.Event == Answers) || e.Tried && len(old.Trial) == 0):
+	case old.Phase == fleet.Probation && e.Phase == fleet.Probation && (old.TrialAnswered || e.TrialAnswered != (ch.Event == Answered) || e.TrialAnswered && len(old.TrialNodes) == 0):
 		return "a trial that had its answers, or none that has"
-	case old.Phase == fleet.Returning && e.Phase == fleet.Returning && ch.Event == Answers && (e.Step != old.Step+1 || e.Share <= old.Share):
+	case old.Phase == fleet.Recovering && e.Phase == fleet.Recovering && ch.Event == Answered && (e.Step != old.Step+1 || e.Share <= old.Share):
 		return "not the next step"
-	case old.Phase == fleet.Returning && e.Phase == fleet.Returning && ch.Event == Lost && (e.Step != old.Step-1 || e.Share >= old.Share):
+	case old.Phase == fleet.Recovering && e.Phase == fleet.Recovering && ch.Event == Lost && (e.Step != old.Step-1 || e.Share >= old.Share):
 		return "not the step before"
-	case e.Phase == fleet.Returning && e.Step == 1 && e.Floor > e.Base:
+	case e.Phase == fleet.Recovering && e.Step == 1 && e.Floor > e.BaseShare:
 		return "a floor before a step is proved"
 	}
 	return ""
@@ -240,8 +240,8 @@
 		return fleet.Item{}, false
 	}
 	body, _ := json.Marshal(e.Directive) // numbers are finite: Apply has checked them
-	return fleet.Item{Key: key, Rev: e.Rev, Body: body}, true
+	return fleet.Item{Key: key, Revision: e.Revision, Body: body}, true
 }
 
 // Hold is the hold-off of a directive.
-func (e Entry) hold() fleet.Time { return fleet.Time(e.HoldMS) * 1e6 }
+func (e Entry) backoff() fleet.Time { return fleet.Time(e.BackoffMS) * 1e6 }
--- a/internal/fleet/zones/thin_test.go
+++ b/internal/fleet/zones/thin_test.go
@@ -27,7 +27,7 @@
 		t.Run(name, func(t *testing.T) {
 			set, s := Default(30), &State{}
 			set.Region = map[string]string{"z0": "a", "z1": "b", "z2": "c"}
-			j, rev := NewJudge(set), uint64(0)
+			j, rev := NewController(set), uint64(0)
 			var present []fleet.Member
 			for n := range 30 {
 				present = append(present, fleet.Member{Node: fmt.Sprint("n", n), Zone: fmt.Sprint("z", n%3), Incarnation: 1})
@@ -35,18 +35,18 @@
 			for step := range 40 {
 				now := fleet.Time(step) * 100 * time.Millisecond
 				for n, m := range present {
-					r := fleet.Report{Member: m, Seq: uint64(step + 1), WindowMS: 100, Ready: true, Zones: []fleet.ZoneCount{
-						{Zone: "z1", Attempts: 4, Servers: 3, OK: 4, Listed: 10}, {Zone: "z2", Attempts: 4, Servers: 3, OK: 4, Listed: 10}}}
-					if z := (fleet.ZoneCount{Zone: "z0", Attempts: 1, Servers: 1, OK: 1, Listed: 10}); c.tries(n) && step%5 == n%5 {
+					r := fleet.Report{Member: m, Sequence: uint64(step + 1), WindowMS: 100, Ready: true, Zones: []fleet.ZoneEvidence{
+						{Zone: "z1", Attempts: 4, Servers: 3, Answered: 4, Listed: 10}, {Zone: "z2", Attempts: 4, Servers: 3, Answered: 4, Listed: 10}}}
+					if z := (fleet.ZoneEvidence{Zone: "z0", Attempts: 1, Servers: 1, Answered: 1, Listed: 10}); c.tries(n) && step%5 == n%5 {
 						if step > 15 && c.loses(n) {
-							z = fleet.ZoneCount{Zone: "z0", Attempts: 1, Lost: 1, Servers: 1, LostServers: 1, Listed: 10}
+							z = fleet.ZoneEvidence{Zone: "z0", Attempts: 1, Lost: 1, Servers: 1, LostServers: 1, Listed: 10}
 						}
 						if n == 7 && z.Lost > 0 && name == "a liar has ten more" {
 							z.Attempts, z.Lost = 1000, 1000
 						}
 						r.Zones = append(r.Zones, z)
 					}
-					j.Observe(now, fleet.NodeView{Member: m, At: now, Report: r})
+					j.Observe(now, fleet.NodeView{Member: m, ReceivedAt: now, Report: r})
 				}
 				for _, c := range j.Step(now, s, present) {
 					if _, err := s.Apply(c, func() uint64 { rev++; return rev }); err != nil {
@@ -55,7 +55,7 @@
 				}
 			}
 			if e, ok := s.Directives["zone/z0"]; (ok && e.Share == 0) != c.left {
-				t.Errorf("left: %v, want %v: %+v, %+v", ok, c.left, e.Directive, j.Findings())
+				t.Errorf("left: %v, want %v: %+v, %+v", ok, c.left, e.Directive, j.Evidence())
 			}
 		})
 	}
--- a/internal/lab/control.go
+++ b/internal/lab/control.go
@@ -53,7 +53,7 @@
 		return err
 	}
 	defer resp.Body.Close()
-	raw, err := io.ReadAll(io.LimitReader(resp.Body, messages.IntentLimit))
+	raw, err := io.ReadAll(io.LimitReader(resp.Body, messages.MaxIntentBytes))
 	if err == nil && resp.StatusCode != http.StatusOK {
 		err = fmt.Errorf("%s: %s", path, strings.TrimSpace(string(raw)))
 	}
@@ -78,16 +78,16 @@
 		held := map[string]bool{}
 		for _, it := range in.Items {
 			held[it.Key] = true
-			if seen[it.Key] == it.Rev {
+			if seen[it.Key] == it.Revision {
 				continue
 			}
-			seen[it.Key] = it.Rev
+			seen[it.Key] = it.Revision
 			f.recordIntent(it, now)
 		}
 		for key := range seen { // a whole answer leaves out what has gone
 			if in.Full && !held[key] {
 				delete(seen, key)
-				f.recordIntent(messages.Item{Key: key, Rev: in.Revision, Gone: true}, now)
+				f.recordIntent(messages.Item{Key: key, Revision: in.Revision, Removed: true}, now)
 			}
 		}
 		since = in.Revision
@@ -96,19 +96,19 @@
 
 // recordIntent records one item of intent.
 func (f *fleet) recordIntent(it messages.Item, now time.Duration) {
-	t := invariants.Told{Key: it.Key, Rev: it.Rev, At: now, Gone: it.Gone}
+	t := invariants.Told{Key: it.Key, Rev: it.Revision, At: now, Gone: it.Removed}
 	switch {
-	case strings.HasPrefix(it.Key, "zone/") && !it.Gone:
+	case strings.HasPrefix(it.Key, "zone/") && !it.Removed:
 		var d messages.Directive
 		if err := json.Unmarshal(it.Body, &d); err != nil {
 			f.opt.Log.Error("directive", "key", it.Key, "err", err)
 			return
 		}
 		t.Phase, t.Share, t.Budget = d.Phase, d.Share, d.Budget
-		for _, name := range d.Trial {
+		for _, name := range d.TrialNodes {
 			t.Trial = append(t.Trial, f.index(name))
 		}
-	case strings.HasPrefix(it.Key, "tenant/") && !it.Gone:
+	case strings.HasPrefix(it.Key, "tenant/") && !it.Removed:
 		var d messages.Tenant
 		if err := json.Unmarshal(it.Body, &d); err != nil {
 			f.opt.Log.Error("tenant", "key", it.Key, "err", err)
@@ -117,7 +117,7 @@
 		if t.Committed, t.Removing = d.Committed != nil, d.Removing; d.Committed != nil {
 			t.Rate, t.Burst = d.Committed.Spec.Quota.Rate, d.Committed.Spec.Quota.Burst
 		}
-	case it.Gone:
+	case it.Removed:
 	default:
 		return // shares
 	}
@@ -177,7 +177,7 @@
 func (f *fleet) putTenant(ctx context.Context, lead int, e Event) (string, error) {
 	var have messages.Tenant
 	path := "/fleet/v1/tenants/" + e.Tenant
-	if err := f.ask(ctx, lead, path, &have); err != nil && !strings.Contains(err.Error(), messages.ErrUnknown.Error()) {
+	if err := f.ask(ctx, lead, path, &have); err != nil && !strings.Contains(err.Error(), messages.ErrNotFound.Error()) {
 		return "", err
 	}
 	generation := uint64(0)
--- a/internal/lab/simulated/experiment.go
+++ b/internal/lab/simulated/experiment.go
@@ -80,7 +80,7 @@
 		n.With(func() { n.Every, n.Counts = 250*time.Millisecond, n.World("zb", &r.lost) })
 		r.nodes = append(r.nodes, n)
 	}
-	if err := r.all("every session held", func(n *Node) bool { return n.Look().HeldMS > 0 }); err != nil {
+	if err := r.all("every session held", func(n *Node) bool { return n.Look().LeaseMS > 0 }); err != nil {
 		return nil, err
 	}
 	for _, step := range []func(Plan) error{r.rollouts, r.steady, r.drifts, r.losses, r.tenants} {
@@ -184,12 +184,12 @@
 }
 
 // otherRate has a node hold another rate of the tenant than the one it received.
-func otherRate(facts []fleet.Held) []fleet.Held {
+func otherRate(facts []fleet.AppliedItem) []fleet.AppliedItem {
 	for i, h := range facts {
-		var b fleet.HeldTenant
+		var b fleet.AppliedTenant
 		if h.Key == "tenant/brand" && json.Unmarshal(h.Body, &b) == nil && b.Committed != nil {
 			b.Committed.Rate = 999
-			facts[i], _, _ = drift.Hold(h.Key, b)
+			facts[i], _, _ = drift.AppliedItemOf(h.Key, b)
 		}
 	}
 	return facts
@@ -227,7 +227,7 @@
 			heard := false
 			n.With(func() {
 				n.Seen = func(it fleet.Item, d fleet.Directive) {
-					if it.Key == key && !it.Gone && d.Share == 0 && !heard {
+					if it.Key == key && !it.Removed && d.Share == 0 && !heard {
 						heard = true
 						mu.Lock()
 						took = append(took, time.Since(start))
--- a/internal/lab/simulated/node.go
+++ b/internal/lab/simulated/node.go
@@ -26,14 +26,14 @@
 
 // Behaviour is how a simulated node differs from a correct one, and what it shows of itself. It is read and changed within Node.With.
 type Behaviour struct {
-	Counts func() []fleet.ZoneCount          // of the next report; nil for none
-	Seen   func(fleet.Item, fleet.Directive) // hears every item of a zone
-	Refuse string                            // why it can't stage anything; empty: it can
-	Slow   bool                              // stages nothing new
-	Keep   bool                              // goes on serving what it serves
-	Silent bool                              // posts no reports
-	Odd    func([]fleet.Held) []fleet.Held   // replaces what it holds
-	Every  time.Duration                     // between two reports; 0: 150 ms
+	Counts func() []fleet.ZoneEvidence                   // of the next report; nil for none
+	Seen   func(fleet.Item, fleet.Directive)             // hears every item of a zone
+	Refuse string                                        // why it can't stage anything; empty: it can
+	Slow   bool                                          // stages nothing new
+	Keep   bool                                          // goes on serving what it serves
+	Silent bool                                          // posts no reports
+	Odd    func([]fleet.AppliedItem) []fleet.AppliedItem // replaces what it holds
+	Every  time.Duration                                 // between two reports; 0: 150 ms
 
 	Services []string // its scope, sorted; the agent has it from its next start on
 
@@ -278,7 +278,7 @@
 			json.Unmarshal(it.Body, &d)
 			n.Seen(it, d)
 		}
-		if it.Gone {
+		if it.Removed {
 			delete(n.Held, it.Key)
 			continue
 		}
--- a/internal/lab/simulated/report.go
+++ b/internal/lab/simulated/report.go
@@ -38,7 +38,7 @@
 func (n *Node) report() fleet.Report {
 	n.seq++
 	n.apply()
-	r := fleet.Report{Member: fleet.Member{Node: n.Name, Zone: n.Zone, Incarnation: n.incarnation}, Services: n.Services, Seq: n.seq, Revision: n.revision,
+	r := fleet.Report{Member: fleet.Member{Node: n.Name, Zone: n.Zone, Incarnation: n.incarnation}, Services: n.Services, Sequence: n.seq, Revision: n.revision,
 		Ready: true, WindowMS: 100}
 	if n.Counts != nil {
 		r.Zones = n.Counts()
@@ -55,7 +55,7 @@
 		switch {
 		case t.Staged == nil || n.Slow:
 		case n.Refuse != "":
-			ack.Refused = n.Refuse
+			ack.RejectReason = n.Refuse
 		default:
 			ack.Staged, ack.Digest = t.Staged.Number, t.Staged.Digest
 		}
@@ -69,7 +69,7 @@
 	if n.Odd != nil {
 		facts = n.Odd(facts)
 	}
-	drift.Fill(&r, facts, n.want)
+	drift.FillReport(&r, facts, n.want)
 	n.want = nil
 	slices.SortFunc(r.Tenants, func(a, b fleet.TenantAck) int { return bytes.Compare([]byte(a.Name), []byte(b.Name)) })
 	return r
@@ -95,7 +95,7 @@
 		n.answer = fmt.Sprintf("%d %s", resp.StatusCode, text)
 		var ans fleet.ReportAnswer
 		if resp.StatusCode == http.StatusOK && json.Unmarshal(text, &ans) == nil {
-			n.want, n.Out = ans.Want, ans.Out
+			n.want, n.Out = ans.WantedKeys, ans.NotReady
 		}
 		n.mu.Unlock()
 	}
@@ -103,9 +103,9 @@
 
 // World makes a node's counts of zones za, zb and zc as a node would: it keeps to the directives, and attempts at zone are lost while
 // lost says so.
-func (n *Node) World(zone string, lost *atomic.Bool) func() []fleet.ZoneCount {
-	return func() []fleet.ZoneCount {
-		var out []fleet.ZoneCount
+func (n *Node) World(zone string, lost *atomic.Bool) func() []fleet.ZoneEvidence {
+	return func() []fleet.ZoneEvidence {
+		var out []fleet.ZoneEvidence
 		for _, z := range []string{"za", "zb", "zc"} {
 			tries := 8
 			if d, ok := n.directiveLocked("zone/" + z); ok {
@@ -113,18 +113,18 @@
 				switch {
 				case d.Share > 0:
 					tries = max(tries, 1)
-				case d.Phase == fleet.Probation && slices.Contains(d.Trial, n.Name):
+				case d.Phase == fleet.Probation && slices.Contains(d.TrialNodes, n.Name):
 					tries = 2
 				}
 			}
-			c := fleet.ZoneCount{Zone: z, Attempts: tries, Servers: min(tries, 4), OK: tries, Listed: 4, Sent: tries, Rate: 20}
+			c := fleet.ZoneEvidence{Zone: z, Attempts: tries, Servers: min(tries, 4), Answered: tries, Listed: 4, Started: tries, Rate: 20}
 			if z == zone && lost.Load() {
-				c.Lost, c.LostServers, c.OK = c.Attempts, c.Servers, 0
+				c.Lost, c.LostServers, c.Answered = c.Attempts, c.Servers, 0
 			}
 			if tries > 0 {
 				out = append(out, c)
 			} else {
-				out = append(out, fleet.ZoneCount{Zone: z, Listed: 4})
+				out = append(out, fleet.ZoneEvidence{Zone: z, Listed: 4})
 			}
 		}
 		return out
--- a/internal/node/fleet.go
+++ b/internal/node/fleet.go
@@ -147,7 +147,7 @@
 		wait = 0
 	}
 	path := fmt.Sprintf("/fleet/v1/intent?since=%d&timeout_ms=%d&node=%s", m.Revision, wait.Milliseconds(), url.QueryEscape(f.member.Node))
-	body, err := f.call(ctx, http.MethodGet, path, nil, wait+intentSlack, fleet.IntentLimit)
+	body, err := f.call(ctx, http.MethodGet, path, nil, wait+intentSlack, fleet.MaxIntentBytes)
 	if err != nil {
 		return fleet.Intent{}, time.Time{}, err
 	}
@@ -225,14 +225,14 @@
 			f.fault(ctx, "report", err)
 			continue
 		}
-		want = answer.Want
+		want = answer.WantedKeys
 		f.heed(answer, o.Synced)
 	}
 }
 
 // heed takes the fleet's word on whether the node may be in front. after: the report was made with all told.
 func (f *fleetLink) heed(a fleet.ReportAnswer, after bool) {
-	if !a.Out {
+	if !a.NotReady {
 		if f.out.Swap(0) != 0 {
 			f.log.Info("fleet: back in front")
 		}
@@ -242,8 +242,8 @@
 		return
 	}
 	ttl := outLast
-	if a.TTLMS > 0 {
-		ttl = min(agentclient.Millis(a.TTLMS), outMost)
+	if a.LeaseTTLMS > 0 {
+		ttl = min(agentclient.Millis(a.LeaseTTLMS), outMost)
 	}
 	if f.out.Swap(time.Now().Add(ttl).UnixNano()) == 0 {
 		f.log.Warn("fleet: out of the front", "ttl", ttl)
@@ -286,21 +286,21 @@
 	r := o.Report(f.member, f.seq, want)
 	r.Services = f.Services
 	if f.left = leaving; leaving {
-		r.Leaving, r.Ready = true, false
+		r.Draining, r.Ready = true, false
 	}
 	text, err := json.Marshal(r)
 	if err != nil {
 		return a, err
 	}
-	body, err := f.call(ctx, http.MethodPost, "/fleet/v1/report", text, reportWait, fleet.ReportLimit)
+	body, err := f.call(ctx, http.MethodPost, "/fleet/v1/report", text, reportWait, fleet.MaxReportBytes)
 	if err != nil {
 		return a, err
 	}
 	if err := json.Unmarshal(body, &a); err != nil {
 		return fleet.ReportAnswer{}, err
 	}
-	if a.TTLMS < 0 || len(a.Want) > wantMost {
-		return fleet.ReportAnswer{}, fmt.Errorf("the answer to a report: ttl_ms %d, %d wants", a.TTLMS, len(a.Want))
+	if a.LeaseTTLMS < 0 || len(a.WantedKeys) > wantMost {
+		return fleet.ReportAnswer{}, fmt.Errorf("the answer to a report: ttl_ms %d, %d wants", a.LeaseTTLMS, len(a.WantedKeys))
 	}
 	return a, nil
 }
--- a/internal/node/fleet_scope_test.go
+++ b/internal/node/fleet_scope_test.go
@@ -33,7 +33,7 @@
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.Method == http.MethodPost {
 			io.Copy(io.Discard, r.Body)
-			json.NewEncoder(w).Encode(fleet.ReportAnswer{TTLMS: 6000, Revision: state.Revision})
+			json.NewEncoder(w).Encode(fleet.ReportAnswer{LeaseTTLMS: 6000, Revision: state.Revision})
 			return
 		}
 		out := state
--- a/internal/node/fleet_test.go
+++ b/internal/node/fleet_test.go
@@ -88,7 +88,7 @@
 
 func item(key string, rev uint64, body any) fleet.Item {
 	b, _ := json.Marshal(body)
-	return fleet.Item{Key: key, Rev: rev, Body: b}
+	return fleet.Item{Key: key, Revision: rev, Body: b}
 }
 
 func tenant(uid, generation uint64, name string) fleet.Tenant {
@@ -118,21 +118,23 @@
 	var got atomic.Int64
 	addr := backend(t, answering(func(*http.Request, []byte) string { got.Add(1); return ok("x") }))
 	a := newAgent(t)
-	a.says(func() { a.intent, a.answer = fleet.Intent{Full: true}, fleet.ReportAnswer{Out: true, TTLMS: 60_000} })
+	a.says(func() {
+		a.intent, a.answer = fleet.Intent{Full: true}, fleet.ReportAnswer{NotReady: true, LeaseTTLMS: 60_000}
+	})
 	n := fleetNode(t, a, time.Hour, addr)
 	a.reported(t, "before anything is told", func(r fleet.Report) bool { return !r.Ready && r.Revision == 0 })
 	n.waitReady(t, 503)
 
 	a.says(func() {
-		a.intent = fleet.Intent{Revision: 9, Full: true, CaughtUp: true, HeldMS: 5000, Items: []fleet.Item{
-			item("tenant/a", 8, tenant(3, 2, "a")), item("share/n 0", 9, fleet.Shares{Epoch: 1, Slots: 3, Rates: map[string]float64{"a": 500}})}}
+		a.intent = fleet.Intent{Revision: 9, Full: true, CaughtUp: true, LeaseMS: 5000, Items: []fleet.Item{
+			item("tenant/a", 8, tenant(3, 2, "a")), item("share/n 0", 9, fleet.QuotaLease{Epoch: 1, Slots: 3, Rates: map[string]float64{"a": 500}})}}
 	})
 	a.reported(t, "of the tenant", func(r fleet.Report) bool { return r.Revision == 9 && !r.Ready })
 	n.waitReady(t, 503) // the leader has not said yet that it has caught up
-	a.says(func() { a.answer = fleet.ReportAnswer{TTLMS: 6000, Want: []string{"tenant/a", "=*"}} })
+	a.says(func() { a.answer = fleet.ReportAnswer{LeaseTTLMS: 6000, WantedKeys: []string{"tenant/a", "=*"}} })
 	n.waitReady(t, 200)
 	r := a.reported(t, "with what was wanted", func(r fleet.Report) bool {
-		for _, h := range r.Held {
+		for _, h := range r.Applied {
 			if h.Key == "tenant/a" && len(h.Body) > 0 {
 				return true
 			}
@@ -154,7 +156,7 @@
 		a.says(func() {
 			for _, r := range a.reports {
 				for _, w := range r.Zones {
-					served = served || w.Zone == "z" && w.OK > 0 && w.Listed == 1
+					served = served || w.Zone == "z" && w.Answered > 0 && w.Listed == 1
 				}
 			}
 		})
@@ -163,7 +165,7 @@
 		t.Error("no report of the answer")
 	}
 
-	a.says(func() { a.answer = fleet.ReportAnswer{Out: true, TTLMS: 500} })
+	a.says(func() { a.answer = fleet.ReportAnswer{NotReady: true, LeaseTTLMS: 500} })
 	n.waitReady(t, 503)
 	a.says(func() { a.bad = func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(503) } })
 	n.waitReady(t, 200) // its word has lapsed
@@ -176,8 +178,8 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for i, r := range a.reports {
-		if last := i == len(a.reports)-1; r.Leaving != last || i > 0 && r.Seq <= a.reports[i-1].Seq {
-			t.Errorf("report %d of %d: leaving %v, seq %d", i, len(a.reports), r.Leaving, r.Seq)
+		if last := i == len(a.reports)-1; r.Draining != last || i > 0 && r.Sequence <= a.reports[i-1].Sequence {
+			t.Errorf("report %d of %d: leaving %v, seq %d", i, len(a.reports), r.Draining, r.Sequence)
 		}
 	}
 }
@@ -202,7 +204,7 @@
 		"negative":   text(`{"revision":9,"full":true,"age_ms":-1,"ttl_ms":-1}`),
 		"older":      text(`{"revision":7,"full":true,"ttl_ms":-1}`),
 		"bad item":   text(`{"revision":9,"full":true,"items":[{"key":"zone/z","rev":9,"body":{"phase":"left","share":7}}],"ttl_ms":-1}`),
-		"oversized":  func(w http.ResponseWriter, _ *http.Request) { w.Write(make([]byte, fleet.IntentLimit+1)) },
+		"oversized":  func(w http.ResponseWriter, _ *http.Request) { w.Write(make([]byte, fleet.MaxIntentBytes+1)) },
 		"error":      func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(500); w.Write(good) },
 		"redirect":   func(w http.ResponseWriter, r *http.Request) { http.Redirect(w, r, other.URL, http.StatusFound) },
 		"closes":     func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) },
@@ -321,7 +323,7 @@
 		`{"agent":7}`: "agent", `{"agent":"127.0.0.1:7","report_ms":0}`: "report_ms", `{"agent":"127.0.0.1:7","report_ms":1e9}`: "report_ms",
 		`{"agent":"127.0.0.1:7","catch_up_ms":-1}`: "catch_up_ms", `{"agent":"127.0.0.1:7","services":"billing"}`: "services",
 		`{"agent":"127.0.0.1:7","services":[""]}`: "services", `{"agent":"127.0.0.1:7","services":["b","a","b"]}`: "services",
-		`{"agent":"127.0.0.1:7","services":["` + strings.Repeat("x", fleet.ServiceNameLimit+1) + `"]}`: "services"} {
+		`{"agent":"127.0.0.1:7","services":["` + strings.Repeat("x", fleet.MaxServiceNameBytes+1) + `"]}`: "services"} {
 		if _, err := loadText(t, with(block), nil); err == nil || !strings.Contains(err.Error(), "fleet") || !strings.Contains(err.Error(), says) ||
 			strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s: error %v", block, err)
--- a/internal/registry/replica/fleetapi.go
+++ b/internal/registry/replica/fleetapi.go
@@ -32,7 +32,7 @@
 }
 
 // whileLeading runs f with the judge and the state, or answers that this replica does not lead.
-func (l *leadership) whileLeading(w http.ResponseWriter, f func(j *control.Judge, s *control.State)) bool {
+func (l *leadership) whileLeading(w http.ResponseWriter, f func(j *control.Controller, s *control.State)) bool {
 	if l.rep.raft.State() != raft.Leader {
 		l.rep.notLeader(w)
 		return false
@@ -54,7 +54,7 @@
 	Key       string          `json:"key"`
 	Rev       uint64          `json:"rev,omitempty"`
 	Directive json.RawMessage `json:"directive,omitempty"`
-	Finding   *zones.Finding  `json:"finding,omitempty"`
+	Finding   *zones.Evidence `json:"finding,omitempty"`
 }
 
 func (l *leadership) zones(w http.ResponseWriter, _ *http.Request) {
@@ -63,14 +63,14 @@
 		Present  []fleet.Member `json:"present"`
 		Zones    []zoneView     `json:"zones"`
 	}
-	ok := l.whileLeading(w, func(j *control.Judge, s *control.State) {
-		out.Revision, out.Present, out.Zones = s.Rev, s.Session.List(), []zoneView{}
+	ok := l.whileLeading(w, func(j *control.Controller, s *control.State) {
+		out.Revision, out.Present, out.Zones = s.Revision, s.Session.List(), []zoneView{}
 		at := map[string]int{}
 		for _, it := range s.Zones.Items() {
 			at[it.Key] = len(out.Zones)
-			out.Zones = append(out.Zones, zoneView{Key: it.Key, Rev: it.Rev, Directive: it.Body})
+			out.Zones = append(out.Zones, zoneView{Key: it.Key, Rev: it.Revision, Directive: it.Body})
 		}
-		for _, f := range j.Findings() {
+		for _, f := range j.ZoneEvidence() {
 			i, ok := at[f.Key]
 			if !ok {
 				i = len(out.Zones)
@@ -91,7 +91,7 @@
 		Tenants  map[string]fleet.Tenant `json:"tenants"`
 	}{Tenants: map[string]fleet.Tenant{}}
 	l.rep.fsm.mu.Lock()
-	out.Revision = l.rep.fsm.fleet.Rev
+	out.Revision = l.rep.fsm.fleet.Revision
 	for name, e := range l.rep.fsm.fleet.Tenants.Tenants {
 		out.Tenants[name] = e.Tenant
 	}
@@ -117,7 +117,7 @@
 
 // putTenant proposes a tenant's next generation.
 func (l *leadership) putTenant(w http.ResponseWriter, r *http.Request) {
-	raw, ok := l.body(w, r, "tenant", fleet.TenantLimit)
+	raw, ok := l.body(w, r, "tenant", fleet.MaxTenantBytes)
 	if !ok {
 		return
 	}
@@ -175,12 +175,12 @@
 		Nodes      []tenants.NodeStatus `json:"nodes"`
 	}
 	var err error
-	ok := l.whileLeading(w, func(j *control.Judge, s *control.State) {
+	ok := l.whileLeading(w, func(j *control.Controller, s *control.State) {
 		out.Name, out.Phase = name, s.Tenants.Phase(name)
 		if e := s.Tenants.Tenants[name]; e != nil {
 			out.RolledBack = e.RolledBack
 		}
-		out.Nodes, err = j.Status(l.now(), s, name)
+		out.Nodes, err = j.TenantStatus(l.now(), s, name)
 	})
 	if !ok {
 		return
--- a/internal/registry/replica/fleetdifference.go
+++ b/internal/registry/replica/fleetdifference.go
@@ -16,7 +16,7 @@
 		l.rep.notLeader(w)
 		return
 	}
-	raw, ok := l.body(w, r, "difference", fleet.ReportLimit)
+	raw, ok := l.body(w, r, "difference", fleet.MaxReportBytes)
 	if !ok {
 		return
 	}
@@ -30,7 +30,7 @@
 	if err != nil {
 		l.m.differencesRefused.WithLabelValues(reportdelta.Reason(err)).Inc()
 		l.rep.cfg.Log.Debug("difference not taken", "node", d.Head.Node, "incarnation", d.Head.Incarnation, "err", err)
-		show(w, fleet.ReportAnswer{Whole: true})
+		show(w, fleet.ReportAnswer{SendComplete: true})
 		return
 	}
 	l.m.kinds.WithLabelValues("difference").Inc()
--- a/internal/registry/replica/fleetdrift.go
+++ b/internal/registry/replica/fleetdrift.go
@@ -29,7 +29,7 @@
 	}
 	f := l.rep.fsm
 	f.mu.Lock()
-	if watch.Watching && watch.Since >= f.fleet.Drift.Rev && watch.Wait > 0 {
+	if watch.Watching && watch.Since >= f.fleet.Drift.Revision && watch.Wait > 0 {
 		changed := f.driftChanged
 		f.mu.Unlock()
 		registry.Await(r.Context(), changed, watch.Wait)
@@ -39,16 +39,16 @@
 	out := struct {
 		Revision uint64 `json:"revision"`
 		drift.Summary
-		Verdicts []drift.Verdict `json:"verdicts"`
-		Log      []drift.Entry   `json:"log"`
-	}{Verdicts: []drift.Verdict{}, Log: []drift.Entry{}}
-	ok := l.whileLeading(w, func(j *control.Judge, s *control.State) {
-		out.Revision, out.Summary = s.Drift.Rev, j.Drift(l.now(), s)
+		Verdicts []drift.Verdict  `json:"verdicts"`
+		Log      []drift.LogEntry `json:"log"`
+	}{Verdicts: []drift.Verdict{}, Log: []drift.LogEntry{}}
+	ok := l.whileLeading(w, func(j *control.Controller, s *control.State) {
+		out.Revision, out.Summary = s.Drift.Revision, j.DriftSummary(l.now(), s)
 		for _, v := range j.Verdicts(l.now(), time.Now().UnixMilli(), s) {
 			if node := q.Get("node"); node != "" && node != v.Node {
 				continue
 			}
-			if state := q.Get("state"); state != "" && state != v.State || watch.Watching && v.Rev <= watch.Since {
+			if state := q.Get("state"); state != "" && state != v.State || watch.Watching && v.Revision <= watch.Since {
 				continue
 			}
 			out.Verdicts = append(out.Verdicts, v)
--- a/internal/registry/replica/fleetmetrics.go
+++ b/internal/registry/replica/fleetmetrics.go
@@ -67,13 +67,13 @@
 }
 
 // tally counts what a command of drift found and ended.
-func (m *fleetMetrics) tally(all []drift.Tally) {
+func (m *fleetMetrics) tally(all []drift.VerdictCounts) {
 	for _, t := range all {
-		for kind, n := range t.Found {
+		for kind, n := range t.NewDifferences {
 			m.found.WithLabelValues(t.State, kindOf(kind)).Add(float64(n))
 		}
-		if t.Ended != "" {
-			m.lasted.WithLabelValues(t.Ended).Observe(float64(t.ForMS) / 1000)
+		if t.EndedState != "" {
+			m.lasted.WithLabelValues(t.EndedState).Observe(float64(t.LastedMS) / 1000)
 		}
 	}
 }
--- a/internal/registry/replica/fleetreport.go
+++ b/internal/registry/replica/fleetreport.go
@@ -44,7 +44,7 @@
 	switch {
 	case errors.Is(err, fleet.ErrInvalid), errors.Is(err, control.ErrOlder):
 		return http.StatusBadRequest
-	case errors.Is(err, fleet.ErrUnknown):
+	case errors.Is(err, fleet.ErrNotFound):
 		return http.StatusNotFound
 	case errors.Is(err, fleet.ErrConflict), errors.Is(err, fleet.ErrFenced), errors.Is(err, control.ErrStale),
 		errors.Is(err, tenants.ErrStale), errors.Is(err, zones.ErrChanged):
@@ -59,7 +59,7 @@
 		l.rep.notLeader(w)
 		return
 	}
-	raw, ok := l.body(w, r, "report", fleet.ReportLimit)
+	raw, ok := l.body(w, r, "report", fleet.MaxReportBytes)
 	if !ok {
 		return
 	}
@@ -85,7 +85,7 @@
 			l.rep.notCommitted(w, err)
 			return
 		}
-		if errors.Is(a.err, session.ErrFull) {
+		if errors.Is(a.err, session.ErrNoSlot) {
 			if skipped, ok := l.quiet.ok(); ok {
 				l.rep.cfg.Log.Error("no slot is free", "node", rep.Node, "zone", rep.Zone, "slots", l.set.Slots, "more", skipped)
 			}
@@ -112,7 +112,7 @@
 		l.m.reports.WithLabelValues("refused").Inc()
 		http.Error(w, err.Error(), code(err))
 	default:
-		l.m.reports.WithLabelValues(map[bool]string{false: "held", true: "out"}[ans.TTLMS == 0]).Inc()
+		l.m.reports.WithLabelValues(map[bool]string{false: "held", true: "out"}[ans.LeaseTTLMS == 0]).Inc()
 		w.Header().Set("Content-Type", "application/json")
 		json.NewEncoder(w).Encode(ans)
 	}
@@ -145,7 +145,7 @@
 	defer l.rep.fsm.mu.Unlock()
 	ans, err := l.judge.Report(l.now(), at, l.rep.fsm.fleet, rep)
 	if err == nil && l.rep.fsm.fleet.Session.Present(rep.Member) {
-		ans.AckSeq = l.bases.Keep(rep, baseSeq)
+		ans.AckSequence = l.bases.Keep(rep, baseSeq)
 	}
 	return ans, err
 }
--- a/internal/registry/replica/fsm.go
+++ b/internal/registry/replica/fsm.go
@@ -22,9 +22,9 @@
 	mu           sync.Mutex
 	state        *registry.State
 	fleet        *control.State
-	driftChanged chan struct{}  // closed at each change of a verdict
-	listed       []drift.Listed // the list as drift compares it
-	listedOf     *registry.View // that listed was made from
+	driftChanged chan struct{}        // closed at each change of a verdict
+	listed       []drift.ListedServer // the list as drift compares it
+	listedOf     *registry.View       // that listed was made from
 
 	list     atomic.Pointer[publishedList]
 	intent   atomic.Pointer[control.View]
@@ -84,7 +84,7 @@
 	f.mu.Unlock()
 	f.intent.Store(view)
 	f.watchers.wake(ch.Scopes)
-	return applied{changed: ch.Rev != 0, rev: ch.Rev, err: err}
+	return applied{changed: ch.Revision != 0, rev: ch.Revision, err: err}
 }
 
 // publishList puts a view before the list's readers, and wakes its watchers where it has changed for them; compaction alone
@@ -104,7 +104,7 @@
 
 // servers is the list as drift compares it, or nil where nothing has ever registered: then the nodes have theirs from elsewhere.
 // It is made anew only where the list has changed, and must not be changed. The caller holds mu.
-func (f *fsm) servers() []drift.Listed {
+func (f *fsm) servers() []drift.ListedServer {
 	view := f.state.View()
 	if view.Len() == 0 && view.Floor == 0 {
 		return nil
@@ -115,11 +115,11 @@
 	return f.listed
 }
 
-func listed(view *registry.View) []drift.Listed {
-	out := make([]drift.Listed, 0, view.Len())
+func listed(view *registry.View) []drift.ListedServer {
+	out := make([]drift.ListedServer, 0, view.Len())
 	for e, rev := range view.Each() {
-		out = append(out, drift.Listed{ID: e.ID, Rev: rev, Gone: e.State == "gone",
-			Body: fleet.HeldServer{Zone: e.Zone, Kind: e.Kind, Cell: e.Cell, State: e.State, Size: e.Weight}})
+		out = append(out, drift.ListedServer{ID: e.ID, Revision: rev, Removed: e.State == "gone",
+			Body: fleet.AppliedServer{Zone: e.Zone, Kind: e.Kind, Cell: e.Cell, State: e.State, Weight: e.Weight}})
 	}
 	return out
 }
--- a/internal/registry/replica/leadership.go
+++ b/internal/registry/replica/leadership.go
@@ -27,10 +27,10 @@
 	zero  time.Time // of the leader's clock
 	quiet quiet     // of complaints on bad bodies
 
-	mu    sync.Mutex        // taken before the fsm's
-	judge *control.Judge    // nil: this replica does not lead
-	term  uint64            // that the judge is of
-	bases reportdelta.Bases // of differences; forgotten with the judge
+	mu    sync.Mutex          // taken before the fsm's
+	judge *control.Controller // nil: this replica does not lead
+	term  uint64              // that the judge is of
+	bases reportdelta.Bases   // of differences; forgotten with the judge
 	// of drift's log of repairs: the last entry that was logged; and when nodes were last counted
 	logged  uint64
 	counted fleet.Time
@@ -100,7 +100,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.rep.fsm.mu.Lock()
-	l.judge, l.term, l.logged = control.NewJudge(l.set, l.now(), l.rep.fsm.fleet), term, 0
+	l.judge, l.term, l.logged = control.NewController(l.set, l.now(), l.rep.fsm.fleet), term, 0
 	l.rep.fsm.mu.Unlock()
 	l.bases = reportdelta.Bases{}
 	l.m.leading.Set(1)
@@ -131,18 +131,18 @@
 	l.rep.fsm.mu.Lock()
 	now := l.now()
 	cmds := judge.Step(now, l.rep.fsm.fleet, l.rep.fsm.servers())
-	tallies := make([][]drift.Tally, len(cmds))
+	tallies := make([][]drift.VerdictCounts, len(cmds))
 	for i, c := range cmds {
 		if c.Drift != nil {
 			c.Drift.AtMS = time.Now().UnixMilli()
-			tallies[i] = c.Drift.Tally(&l.rep.fsm.fleet.Drift)
+			tallies[i] = c.Drift.VerdictCounts(&l.rep.fsm.fleet.Drift)
 		}
 	}
 	l.note(judge, now)
 	l.bases.Retain(l.rep.fsm.fleet.Session.Present)
 	l.m.bases.Set(float64(l.bases.Nodes()))
 	l.m.sessions.Set(float64(len(l.rep.fsm.fleet.Session.Members)))
-	l.m.revision.Set(float64(l.rep.fsm.fleet.Rev))
+	l.m.revision.Set(float64(l.rep.fsm.fleet.Revision))
 	l.rep.fsm.mu.Unlock()
 	l.mu.Unlock()
 	l.m.step.Observe(time.Since(start).Seconds())
@@ -165,7 +165,7 @@
 			l.m.tally(tallies[i])
 		}
 		l.mu.Lock()
-		judge.Settled(c)
+		judge.Resolved(c)
 		l.mu.Unlock()
 	}
 	if lost {
@@ -174,22 +174,22 @@
 }
 
 // note logs the repairs that were begun, and counts what drifts once a second. The caller holds both locks.
-func (l *leadership) note(judge *control.Judge, now fleet.Time) {
+func (l *leadership) note(judge *control.Controller, now fleet.Time) {
 	for _, e := range judge.Repairs(l.logged) {
-		l.logged = e.Seq
-		l.m.repairs.WithLabelValues(e.Act).Inc()
-		l.rep.cfg.Log.Warn("drift", "act", e.Act, "node", e.Node, "reason", e.Why, "keys", e.Keys)
+		l.logged = e.Sequence
+		l.m.repairs.WithLabelValues(e.Action).Inc()
+		l.rep.cfg.Log.Warn("drift", "act", e.Action, "node", e.Node, "reason", e.Reason, "keys", e.Keys)
 	}
 	if now-l.counted < time.Second {
 		return
 	}
 	l.counted = now
-	sum := judge.Drift(now, l.rep.fsm.fleet)
+	sum := judge.DriftSummary(now, l.rep.fsm.fleet)
 	l.m.drift.Reset()
 	for state, n := range sum.States {
 		l.m.drift.WithLabelValues(state).Set(float64(n))
 	}
-	l.m.suspect.Set(map[bool]float64{true: 1}[sum.Suspect])
+	l.m.suspect.Set(map[bool]float64{true: 1}[sum.SelfSuspecting])
 }
 
 // outcome counts and logs what a command of the judge came to.
@@ -211,7 +211,7 @@
 		log.Info("session", "op", c.Session.Op, "node", c.Session.Member.Node, "zone", c.Session.Member.Zone, "incarnation", c.Session.Member.Incarnation, "revision", a.rev)
 	case c.Zones != nil:
 		for _, it := range c.Zones.Items {
-			log.Info("directive", "zone", it.Key, "event", it.Event, "phase", it.Entry.Phase, "share", it.Entry.Share, "step", it.Entry.Step, "gone", it.Gone, "revision", a.rev)
+			log.Info("directive", "zone", it.Key, "event", it.Event, "phase", it.Entry.Phase, "share", it.Entry.Share, "step", it.Entry.Step, "gone", it.Removed, "revision", a.rev)
 		}
 	case c.Tenants != nil && c.Tenants.Name != "":
 		log.Info("tenant", "op", c.Tenants.Op, "tenant", c.Tenants.Name, "generation", c.Tenants.Generation, "node", c.Tenants.Node, "reason", c.Tenants.Reason, "revision", a.rev)
--- a/internal/registry/replica/replica_test.go
+++ b/internal/registry/replica/replica_test.go
@@ -41,7 +41,7 @@
 	}
 	list = f.list.Load().changed
 	m := fleet.Member{Node: "n", Zone: "z", Incarnation: 1}
-	join := control.Command{Session: &session.Command{Op: session.Join, Member: m}, Guard: f.fleet.Guard("n", nil)}
+	join := control.Command{Session: &session.Command{Op: session.Join, Member: m}, ScopeDigest: f.fleet.ScopeDigest("n", nil)}
 	if a := f.Apply(log(join)).(applied); a.rev != 2 || woken(list) || woken(intent) {
 		t.Fatalf("a join: %+v", a)
 	}
--- a/internal/registry/replica/watchers_test.go
+++ b/internal/registry/replica/watchers_test.go
@@ -42,7 +42,7 @@
 	t.Helper()
 	s := f.fleet
 	d := &tenants.Division{Slots: 8, Grants: []tenants.Grant{{Run: tenants.Run{Node: node, Incarnation: 1}}}}
-	a := f.Apply(log(control.Command{Tenants: &tenants.Command{Op: tenants.Divide, IfRev: s.Tenants.Divided, Epoch: s.Session.Epoch, Division: d}})).(applied)
+	a := f.Apply(log(control.Command{Tenants: &tenants.Command{Op: tenants.Divide, IfRevision: s.Tenants.DividedRevision, Epoch: s.Session.Epoch, Division: d}})).(applied)
 	if a.err != nil || !a.changed {
 		t.Fatalf("a share to %s: %+v", node, a)
 	}
@@ -245,7 +245,7 @@
 
 // A scope that can't be is refused with one line that names what is wrong.
 func TestBadScopeIsRefused(t *testing.T) {
-	many := make([]string, fleet.ScopeLimit+1)
+	many := make([]string, fleet.MaxScopeServices+1)
 	for i := range many {
 		many[i] = fmt.Sprintf("s%04d", i)
 	}
@@ -256,7 +256,7 @@
 	}{
 		{[]string{""}, "services"},
 		{[]string{"b", "a", "b"}, `"b"`},
-		{[]string{strings.Repeat("x", fleet.ServiceNameLimit+1)}, "64 bytes"},
+		{[]string{strings.Repeat("x", fleet.MaxServiceNameBytes+1)}, "64 bytes"},
 		{many, "at most 128"},
 	} {
 		answer := httptest.NewRecorder()
--- a/internal/scale/cores_test.go
+++ b/internal/scale/cores_test.go
@@ -36,7 +36,7 @@
 // intended is the fleet's state with n tenants over 16 services, every one committed, and the leader's judge.
 type intended struct {
 	state *control.State
-	judge *control.Judge
+	judge *control.Controller
 	now   fleet.Time
 	rev   uint64
 	load  Load
@@ -48,7 +48,7 @@
 		t.Fatal(err)
 	}
 	in := &intended{state: control.New(), load: Load{Tenants: n, Services: 16}}
-	in.judge = control.NewJudge(set, 0, in.state)
+	in.judge = control.NewController(set, 0, in.state)
 	for i := range n {
 		in.put(t, i, 0)
 	}
@@ -75,13 +75,13 @@
 	in.now += 100 * time.Millisecond
 	for _, c := range in.judge.Step(in.now, in.state, nil) {
 		in.apply(t, c)
-		in.judge.Settled(c)
+		in.judge.Resolved(c)
 	}
 }
 
 // report is that of a node which holds every tenant.
 func (in *intended) report() fleet.Report {
-	r := fleet.Report{Member: fleet.Member{Node: "h00000", Zone: "za", Incarnation: 1}, Seq: 1, Revision: in.state.Rev, Ready: true}
+	r := fleet.Report{Member: fleet.Member{Node: "h00000", Zone: "za", Incarnation: 1}, Sequence: 1, Revision: in.state.Revision, Ready: true}
 	for i := range in.load.Tenants {
 		r.Tenants = append(r.Tenants, fleet.TenantAck{Name: tenantName(i), UID: 1, Committed: 1, Digest: "0123456789abcdef"})
 	}
@@ -146,19 +146,19 @@
 	}},
 	{"bytes of the intent for one change, against tenants", 0.1, func(t *testing.T, n int) float64 {
 		in := intendedOf(t, n)
-		since := in.state.Rev
+		since := in.state.Revision
 		in.put(t, n/2, 1)
 		return jsonBytes(t, in.state.Read(since, "h00000"))
 	}},
 	{"items of the intent for one change, against tenants", 0.1, func(t *testing.T, n int) float64 {
 		in := intendedOf(t, n)
-		since := in.state.Rev
+		since := in.state.Revision
 		in.put(t, n/2, 1)
 		return float64(len(in.state.Read(since, "h00000").Items))
 	}},
 	{"allocations of the intent's read for one change, against tenants", 0.1, func(t *testing.T, n int) float64 {
 		in := intendedOf(t, n)
-		since := in.state.Rev
+		since := in.state.Revision
 		in.put(t, n/2, 1)
 		return allocations(func() { in.state.Read(since, "h00000") })
 	}},
@@ -232,7 +232,7 @@
 func BenchmarkIntentRead(b *testing.B) {
 	benchmark(b, func(n int) func() {
 		in := intendedOf(b, n)
-		since := in.state.Rev
+		since := in.state.Revision
 		in.put(b, n/2, 1)
 		return func() { in.state.Read(since, "h00000") }
 	})
--- a/internal/scale/hollow/config.go
+++ b/internal/scale/hollow/config.go
@@ -45,7 +45,7 @@
 	}{
 		{"first_node", c.FirstNode, mostNumber - mostNodes}, {"nodes", c.Nodes, mostNodes},
 		{"first_server", c.FirstServer, mostNumber - mostServers}, {"servers", c.Servers, mostServers},
-		{"services", c.Services, mostServices}, {"per_node", c.PerNode, fleet.ScopeLimit},
+		{"services", c.Services, mostServices}, {"per_node", c.PerNode, fleet.MaxScopeServices},
 		{"active_tenants", c.ActiveTenants, math.MaxInt32},
 	} {
 		if bounded.value < 0 || bounded.value > bounded.most {
--- a/internal/scale/hollow/node.go
+++ b/internal/scale/hollow/node.go
@@ -66,8 +66,8 @@
 	out      bool // the newest answer to a report said so
 	version  uint64
 	ready    map[policy.ServerID]bool
-	serving  map[string]served // by tenant
-	facts    []fleet.Held      // that the module holds; nil: to be read anew
+	serving  map[string]served   // by tenant
+	facts    []fleet.AppliedItem // that the module holds; nil: to be read anew
 }
 
 // served says by which generation a node serves a tenant, 0 for none, and since when.
@@ -179,9 +179,9 @@
 			n.fault(ctx, "report", err)
 			continue
 		}
-		want = answer.Want
+		want = answer.WantedKeys
 		n.mu.Lock()
-		n.out = answer.Out
+		n.out = answer.NotReady
 		n.mu.Unlock()
 	}
 }
@@ -212,14 +212,14 @@
 	r := observed.Report(n.member, n.sequence, want)
 	r.Services = n.services
 	if leaving {
-		r.Leaving, r.Ready = true, false
+		r.Draining, r.Ready = true, false
 	}
 	raw, err := json.Marshal(r)
 	if err != nil {
 		return answer, err
 	}
-	if len(raw) > fleet.ReportLimit {
-		return answer, fmt.Errorf("a report of %d bytes, at most %d", len(raw), fleet.ReportLimit)
+	if len(raw) > fleet.MaxReportBytes {
+		return answer, fmt.Errorf("a report of %d bytes, at most %d", len(raw), fleet.MaxReportBytes)
 	}
 	raw, err = call(ctx, n.agent, http.MethodPost, "/fleet/v1/report", raw)
 	if err == nil {
