--- a/internal/fleet/bench_test.go
+++ b/internal/fleet/bench_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// benchReport acknowledges n tenants. A report of some 2,300 is over ReportLimit.
+// benchReport acknowledges n tenants. A report of some 2,300 is over MaxReportBytes.
 func benchReport(n int) Report {
 	report := Report{Member: Member{Node: "n1", Zone: "za", Incarnation: 1}, Sequence: 1, Revision: uint64(n), Ready: true,
 		WindowMS: 1000, AppliedRoot: "0123456789abcdef", ListRoot: "0123456789abcdef"}
--- a/internal/fleet/control/bench_test.go
+++ b/internal/fleet/control/bench_test.go
@@ -11,7 +11,7 @@
 // benchmarkSizes are numbers of tenants.
 var benchmarkSizes = []int{1_000, 5_000, 20_000}
 
-// populated gives a state of n tenants, each at its first staged generation, spread over services "service-0" on.
+// populated returns a state of n tenants, each at its first staged generation, spread over services "service-0" on.
 func populated(tb testing.TB, n, services int) *State {
 	tb.Helper()
 	s := New()
--- a/internal/fleet/control/capacity_bench_test.go
+++ b/internal/fleet/control/capacity_bench_test.go
@@ -65,7 +65,7 @@
 	})
 }
 
-// BenchmarkCapacityReadWhole is a read of the whole intent.
+// BenchmarkCapacityReadWhole is a read of the complete intent.
 func BenchmarkCapacityReadWhole(b *testing.B) {
 	benchEach(b, func(b *testing.B, state *State) {
 		for b.Loop() {
@@ -110,7 +110,7 @@
 	})
 }
 
-// benchJudge is a leader's judge of up to 2,200 nodes.
+// benchJudge is a leader's controller of up to 2,200 nodes.
 func benchJudge(b *testing.B, state *State) *Controller {
 	set, err := ParseSettings("slots = 2200")
 	if err != nil {
--- a/internal/fleet/control/capacity_scope_bench_test.go
+++ b/internal/fleet/control/capacity_scope_bench_test.go
@@ -44,7 +44,7 @@
 	})
 }
 
-// BenchmarkCapacityReadScope is a whole read of the tenants of four services.
+// BenchmarkCapacityReadScope is a complete read of the tenants of four services.
 func BenchmarkCapacityReadScope(b *testing.B) {
 	benchScopes(b, func(b *testing.B, state *State, report fleet.Report) {
 		for b.Loop() {
--- a/internal/fleet/control/control_test.go
+++ b/internal/fleet/control/control_test.go
@@ -25,7 +25,7 @@
 `
 
 // Random schedules of reads, reports, restarts, silences, operators, failovers and snapshots: whoever reads only changes holds what
-// a whole read gives; a restored snapshot is the same state and goes on the same; present nodes serve at most two
+// a complete read gives; a restored snapshot is the same state and goes on the same; present nodes serve at most two
 // adjacent generations of a tenant (T2), and what runs are leased stays within the quota (T3).
 func TestFleetState(t *testing.T) {
 	rollouts, joins := 0, uint64(0)
@@ -61,7 +61,7 @@
 				rep.Draining = true
 				r.hear(rep)
 			},
-			"all": func(t *rapid.T) { // a quiet moment: all read and report, the leader judges
+			"all": func(t *rapid.T) { // a quiet moment: all read and report, the leader evaluates
 				for range 3 {
 					for _, n := range r.nodes {
 						n.read(r.state)
@@ -141,7 +141,7 @@
 }
 
 // A run that holds nothing is present, and out until it has caught up; one that was away is present again only with what is
-// committed now, and what is committed between its report and its join refuses the join.
+// committed now, and what is committed between its report and its join rejects the join.
 func TestJoinIsGuarded(t *testing.T) {
 	r := newTestFleet(t, 3)
 	all := func() {
@@ -239,7 +239,7 @@
 	}
 }
 
-// BenchmarkStep is one judgement of the leader, which comes ten times a second, together with the reports of all nodes, which come
+// BenchmarkStep is one evaluation of the leader, which comes ten times a second, together with the reports of all nodes, which come
 // one to four times a second each.
 func BenchmarkStep(b *testing.B) {
 	for _, size := range [][2]int{{50, 10}, {300, 10}, {300, 200}} {
--- a/internal/fleet/control/fixture_test.go
+++ b/internal/fleet/control/fixture_test.go
@@ -88,7 +88,7 @@
 	}
 }
 
-// keeps says whether an item is in the node's scope.
+// keeps reports whether an item is in the node's scope.
 func (n *node) keeps(it fleet.Item) bool {
 	t, ok := n.tenant(it.Key, it)
 	return !ok || fleet.Serves(n.services, t.Service())
@@ -133,7 +133,7 @@
 	return r.judge.Report(r.now, r.now, r.state, rep)
 }
 
-// step has the leader judge, and its commands applied.
+// step has the leader decide, and its commands applied.
 func (r *testFleet) step(d time.Duration) {
 	r.now += d
 	for _, c := range r.judge.Step(r.now, r.state, nil) {
@@ -142,7 +142,7 @@
 	}
 }
 
-// testStep is the time between two looks of the judge in these tests.
+// testStep is the time between two looks of the controller in these tests.
 const testStep = 100 * time.Millisecond
 
 // newScopedFleet has a node present for each scope, in order.
@@ -156,7 +156,7 @@
 	return f
 }
 
-// judged has nodes read and report, and gives the judge's commands without applying them.
+// evaluated has nodes read and report, and returns the controller's commands without applying them.
 func (f *testFleet) judged(t *testing.T, nodes ...*node) []Command {
 	t.Helper()
 	for _, n := range nodes {
@@ -169,7 +169,7 @@
 	return f.judge.Step(f.now, f.state, nil)
 }
 
-// turn has nodes read and report, and the judge's commands applied.
+// turn has nodes read and report, and the controller's commands applied.
 func (f *testFleet) turn(t *testing.T, nodes ...*node) {
 	t.Helper()
 	for _, c := range f.judged(t, nodes...) {
@@ -215,7 +215,7 @@
 	}
 }
 
-// untilDecided takes turns until the judge gives an op of a tenant, and gives that command, which is not applied.
+// untilDecided takes turns until the controller gives an op of a tenant, and gives that command, which is not applied.
 func (f *testFleet) untilDecided(t *testing.T, op string, nodes ...*node) Command {
 	t.Helper()
 	for range 100 {
--- a/internal/fleet/control/guard.go
+++ b/internal/fleet/control/guard.go
@@ -16,7 +16,7 @@
 }
 
 // ScopeDigest is a digest of all that a run of these services must hold before it may be present: the committed generations of its
-// scope, and its node's share. A join names it, so that it is refused where any of it has changed since the run was looked
+// scope, and its node's quota lease. A join names it, so that it is rejected where any of it has changed since the run was looked
 // at. It costs what the scope holds. Without services it is the digest that joins named before there were scopes.
 func (s *State) ScopeDigest(node string, services []string) uint64 {
 	var names []string
@@ -48,15 +48,15 @@
 	return append(line, '\n')
 }
 
-// MayJoin says whether a run that reports so may be present: one that holds nothing yet, so that it is counted before it
-// hears of any quota, or one that has caught up.
+// MayJoin reports whether a run that reports so may be present: one that holds nothing yet, so that it is counted before it
+// is notified of any quota, or one that has caught up.
 func (s *State) MayJoin(r fleet.Report) bool {
 	acked := slices.ContainsFunc(r.Tenants, func(a fleet.TenantAck) bool { return a.UID != 0 })
 	return r.Revision == 0 && !acked || s.CaughtUp(r)
 }
 
-// CaughtUp says whether a run that reports so may begin to serve: it holds what is committed in its scope and nothing outside
-// of it, and its node's share as it is now, so that a lease renewed never wakes an older share.
+// CaughtUp reports whether a run that reports so may begin to serve: it holds what is committed in its scope and nothing outside
+// of it, and its node's quota lease as it is now, so that a lease renewed never wakes an older share.
 func (s *State) CaughtUp(r fleet.Report) bool {
 	if r.Revision < s.Floor || r.Revision < s.leaseRevision(r.Node) {
 		return false
--- a/internal/fleet/control/items.go
+++ b/internal/fleet/control/items.go
@@ -26,7 +26,7 @@
 
 func nodeScope(node string) index.Scope { return index.Scope("node/" + node) }
 
-// ReaderScopes gives the scopes that a reader of the intent hears: with no services those of every service, with no node
+// ReaderScopes returns the scopes that a reader of the intent hears: with no services those of every service, with no node
 // the shares of every node.
 func ReaderScopes(node string, services ...string) []index.Scope {
 	scopes := []index.Scope{scopeEveryone}
@@ -42,7 +42,7 @@
 	return append(scopes, nodeScope(node))
 }
 
-// itemScopes gives the scopes that an item is in.
+// itemScopes returns the scopes that an item is in.
 func itemScopes(key, service string) []index.Scope {
 	if node, ok := strings.CutPrefix(key, leasePrefix); ok {
 		return []index.Scope{nodeScope(node), scopeAllNodes}
@@ -59,8 +59,8 @@
 	Service string
 }
 
-// Tombstone remembers that an item is gone, and for a tenant of which service it was: a name that is used again in another
-// service is gone for the nodes of the first. Builds before services wrote none: those tombstones count for every node.
+// Tombstone remembers that an item is removed, and for a tenant of which service it was: a name that is used again in another
+// service is removed for the nodes of the first. Builds before services wrote none: those tombstones count for every node.
 type Tombstone struct {
 	Key      string `json:"key"`
 	Revision uint64 `json:"rev"`
@@ -75,7 +75,7 @@
 type items struct {
 	index *index.Index[scopedItem]
 	view  *View        // nil: the items have changed since the last
-	all   []fleet.Item // of the view; nil: not asked for yet
+	all   []fleet.Item // of the view; nil: not requested yet
 }
 
 func newItems() items { return items{index: index.New[scopedItem]()} }
@@ -100,7 +100,7 @@
 	x.view, x.all = nil, nil
 }
 
-// newest gives the newest item or tombstone of a key.
+// newest returns the newest item or tombstone of a key.
 func (x *items) newest(key string) (scopedItem, bool) {
 	scopes := []index.Scope{scopeEveryone, scopeAllServices}
 	if strings.HasPrefix(key, leasePrefix) {
@@ -144,7 +144,7 @@
 	return e.Service()
 }
 
-// intended gives the item of a key as the cores have it, if there is one.
+// intended returns the item of a key as the cores have it, if there is one.
 func (s *State) intended(key string) (fleet.Item, bool) {
 	if it, ok := s.Zones.Item(key); ok {
 		return it, true
@@ -183,7 +183,7 @@
 	return tombstones
 }
 
-// All gives every item and the tombstones kept, by key; of a key that was in several services the newest alone. It must not
+// All returns every item and the tombstones kept, by key; of a key that was in several services the newest alone. It must not
 // be changed.
 func (s *State) All() []fleet.Item {
 	if s.items.all == nil {
@@ -192,13 +192,13 @@
 	return s.items.all
 }
 
-// Item gives the newest item of a key, or its tombstone.
+// Item returns the newest item of a key, or its tombstone.
 func (s *State) Item(key string) (fleet.Item, bool) {
 	it, ok := s.items.newest(key)
 	return it.Item, ok
 }
 
-// leaseRevision is the revision of a node's share, or of its tombstone; 0 for neither.
+// leaseRevision is the revision of a node's quota lease, or of its tombstone; 0 for neither.
 func (s *State) leaseRevision(node string) uint64 {
 	it, _ := s.items.newest(leasePrefix + node)
 	return it.Revision
--- a/internal/fleet/control/items_test.go
+++ b/internal/fleet/control/items_test.go
@@ -65,7 +65,7 @@
 	return nil
 }
 
-// rollback ends a rollout that is being staged; a tenant without a former generation is gone by it.
+// rollback ends a rollout that is being staged; a tenant without a former generation is removed by it.
 func (l *intentLog) rollback(name string) error {
 	e := l.state.Tenants.Tenants[name]
 	if e == nil || e.Staged == nil {
@@ -85,7 +85,7 @@
 	}
 }
 
-// lease gives a run of a node a share; end takes it away.
+// lease returns a run of a node a share; end takes it away.
 func (l *intentLog) lease(node string, end bool) error {
 	run := tenants.Run{Node: node, Incarnation: 1}
 	d := &tenants.Division{Slots: 8, Grants: []tenants.Grant{{Run: run}}}
@@ -161,7 +161,7 @@
 }
 
 // Over random schedules a read gives what a scan gives, in every scope and from every revision, restored or not; HasChanges
-// says truly whether there is anything; whoever reads changes holds what a whole read gives; and a view stays as it was.
+// says truly whether there is anything; whoever reads changes holds what a complete read gives; and a view stays as it was.
 func TestReadAgainstScan(t *testing.T) {
 	renames, checks := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/fleet/control/judge.go
+++ b/internal/fleet/control/judge.go
@@ -19,7 +19,7 @@
 	Zones zones.Settings
 }
 
-// Controller is the soft part of a leader: leases, and what the cores' judges saw. It is not safe for concurrent
+// Controller is the soft part of a leader: leases, and what the cores' controllers observed. It is not safe for concurrent
 // use. Times are the leader's monotonic clock.
 type Controller struct {
 	settings        Settings
@@ -34,7 +34,7 @@
 
 type reportID struct{ incarnation, sequence uint64 }
 
-// NewController makes the judge of a leader whose leadership begins at now. It is called once the leader has applied all that was
+// NewController makes the controller of a leader whose leadership begins at now. It is called once the leader has applied all that was
 // committed before it.
 func NewController(set Settings, now fleet.Time, s *State) *Controller {
 	j := &Controller{settings: set, leases: session.NewLeases(now, set.TTL), zones: zones.NewController(set.Zones),
@@ -79,7 +79,7 @@
 	return &Command{Session: join, ScopeDigest: s.ScopeDigest(r.Node, r.Services)}, false, nil
 }
 
-// blocksRollout says that a run is not to be present, as it held up a rollout, was taken out of the front for it, and has not
+// blocksRollout reports that a run is not to be present, as it held up a rollout, was taken out of the load balancer for it, and has not
 // followed since.
 func (j *Controller) blocksRollout(s *State, r fleet.Report) bool {
 	if inc, ok := j.rolloutBlockers[r.Node]; ok && (inc != r.Incarnation || tenants.HasFollowed(&s.Tenants, r)) {
@@ -99,7 +99,7 @@
 func (j *Controller) Report(now, at fleet.Time, s *State, r fleet.Report) (fleet.ReportAnswer, error) {
 	v := fleet.NodeView{Member: r.Member, ReceivedAt: at, Report: r}
 	if !s.Session.Present(r.Member) {
-		j.drift.Observe(now, v) // of a run that is too far behind, or says goodbye, too; what came before changes nothing
+		j.drift.Observe(now, v) // of a run that is too far behind, or leaves, too; what came before changes nothing
 		ans := NotReadyAnswer(s)
 		_, ans.WantedKeys, _, _ = j.drift.Answer(r.Node)
 		return ans, nil
@@ -121,7 +121,7 @@
 		j.newestReports[r.Node] = reportID{r.Incarnation, r.Sequence}
 		j.zones.Observe(now, v)
 		j.tenants.Observe(now, v)
-		j.drift.Observe(now, v) // refuses only what is refused above
+		j.drift.Observe(now, v) // rejects only what is rejected above
 	}
 	ans := fleet.ReportAnswer{LeaseTTLMS: j.settings.TTL.Milliseconds(), Revision: s.Revision}
 	ans.Resend, ans.WantedKeys, ans.Restart, ans.NotReady = j.drift.Answer(r.Node)
@@ -138,8 +138,8 @@
 	return ans, nil
 }
 
-// Step gives the commands that the state is ready for, in their order; call it each 100 ms. servers is the list of app
-// servers under the same revisions, nil where there is none. Settled must be given the outcome of each.
+// Step returns the commands that the state is ready for, in their order; call it each 100 ms. servers is the list of app
+// servers under the same revisions, nil where there is none. Resolved must be given the outcome of each.
 func (j *Controller) Step(now fleet.Time, s *State, servers []drift.ListedServer) []Command {
 	var out []Command
 	for _, m := range j.leases.Expired(now, &s.Session) {
@@ -184,14 +184,14 @@
 	return out
 }
 
-// Resolved says that a command's outcome is known: it was applied, refused, or will surely never be.
+// Resolved notes that a command's outcome is known: it was applied, rejected, or will surely never be.
 func (j *Controller) Resolved(c Command) {
 	if c.Session != nil && c.Session.Op == session.Expire {
 		j.leases.Resolved(c.Session.Member)
 	}
 }
 
-// ZoneEvidence is what zones are judged by now.
+// ZoneEvidence is what zones are evaluated by now.
 func (j *Controller) ZoneEvidence() []zones.Evidence { return j.zones.Evidence() }
 
 // TenantStatus is how far each node present in a tenant's scope is with it.
--- a/internal/fleet/control/late_test.go
+++ b/internal/fleet/control/late_test.go
@@ -11,7 +11,7 @@
 )
 
 // A node that reports and never follows a commit, as it is deaf or as it goes on by the old generation, is named after 10 s, sent what it lacks
-// again, taken out of the front and then not renewed: the rollout goes on without it, it is not back before it has followed, and
+// again, taken out of the load balancer and then not renewed: the rollout goes on without it, it is not back before it has followed, and
 // nothing else happens to the others.
 func TestLateNodeIsPassed(t *testing.T) {
 	for name, deaf := range map[string]bool{"deaf": true, "goes on by the old one": false} {
--- a/internal/fleet/control/scope_join_test.go
+++ b/internal/fleet/control/scope_join_test.go
@@ -15,7 +15,7 @@
 	"meadowsill/internal/fleet/tenants"
 )
 
-// A join is refused where its scope has changed since the run was looked at, and not where anything else has. A run that holds
+// A join is rejected where its scope has changed since the run was looked at, and not where anything else has. A run that holds
 // a tenant outside of its scope is not caught up.
 func TestGuardInScope(t *testing.T) {
 	f := newScopedFleet(t, []string{"billing"}, []string{"search"}, nil)
@@ -103,7 +103,7 @@
 	}
 }
 
-// A report with another scope than its session's, or a bad one, is refused with one line and changes nothing.
+// A report with another scope than its session's, or a bad one, is rejected with one line and changes nothing.
 func TestReportOfAnotherScope(t *testing.T) {
 	f := newScopedFleet(t, []string{"billing"})
 	before, _ := f.state.Snapshot()
@@ -129,7 +129,7 @@
 	}
 }
 
-// The log of a build without scopes gives the state, byte for byte, that it gave that build, refusals among it; its snapshot
+// The log of a build without scopes gives the state, byte for byte, that it gave that build, rejections among it; its snapshot
 // restores and goes on the same, and scopes may come after it. Both were written by commit f4d3cad.
 func TestLogAndSnapshotWithoutScopes(t *testing.T) {
 	want, err := os.ReadFile("testdata/unscoped-snapshot.json")
--- a/internal/fleet/control/scope_test.go
+++ b/internal/fleet/control/scope_test.go
@@ -12,7 +12,7 @@
 	"meadowsill/internal/fleet/tenants"
 )
 
-// A node that joins, leaves or lapses between the judge's count and the state's decision refuses it where it serves the tenant,
+// A node that joins, leaves or lapses between the controller's count and the state's decision rejects it where it serves the tenant,
 // and does not where it serves another service: at the commit, when all have applied it, and at both steps of the removal.
 func TestJoinInTheMiddleOfTheCount(t *testing.T) {
 	changes := map[string]func(*testFleet, *node) session.Command{
@@ -60,7 +60,7 @@
 	}
 }
 
-// A leader may go at each step of a scoped rollout and removal, with the command lost or applied: the next one goes on from the
+// A leader may go at each step of a scoped rollout and removal, with the command lost or applied: the next one continues from the
 // replicated state, commits only what all present nodes of the scope have staged, and waits for no node outside of it.
 func TestLeaderGoneAtEachStepOfAScopedRollout(t *testing.T) {
 	for _, applied := range []bool{false, true} {
@@ -75,7 +75,7 @@
 	}
 }
 
-// playRolloutWithLeaderGone plays two generations and a removal; the leader goes at the numbered command, if there are as many.
+// playRolloutWithLeaderGone runs two generations and a removal; the leader ends at the numbered command, if there are as many.
 func playRolloutWithLeaderGone(t *testing.T, at int, applied bool) (gone bool) {
 	f := newScopedFleet(t, []string{"billing"}, []string{"billing", "mail"}, []string{"search"})
 	serving, began, commands := f.nodes[:2], f.now, 0 // the third is silent from here on
@@ -186,7 +186,7 @@
 }
 
 // Nodes whose interests differ: each rollout counts those that serve its tenant, a node without a scope among them; a quota is
-// leased to these alone, and its floors and leases stay within it.
+// leased to these alone, and its guaranteed parts and leases stay within it.
 func TestInterestsThatDiffer(t *testing.T) {
 	f := newScopedFleet(t, []string{"billing"}, []string{"search"}, nil, []string{"billing", "search"})
 	holders := map[string][]string{"b": {"n0", "n2", "n3"}, "s": {"n1", "n2", "n3"}, "u": {"n0", "n1", "n2", "n3"}}
@@ -228,7 +228,7 @@
 }
 
 // A scope without a present node waits for nobody, as a fleet without one: what is put there is committed at once, and what is
-// removed is gone. A node that joins the scope later holds it before it is ready.
+// removed is removed. A node that joins the scope later holds it before it is ready.
 func TestScopeWithoutNodes(t *testing.T) {
 	f := newScopedFleet(t, []string{"search"})
 	f.mustPut(t, "billing", "a", 10)
--- a/internal/fleet/control/services_test.go
+++ b/internal/fleet/control/services_test.go
@@ -13,7 +13,7 @@
 	"meadowsill/internal/registry/index"
 )
 
-// keysOf gives what an answer says of each key: its revision, negative where it is gone.
+// keysOf returns what an answer says of each key: its revision, negative where it is removed.
 func keysOf(in fleet.Intent) map[string]int {
 	out := map[string]int{}
 	for _, it := range in.Items {
@@ -35,7 +35,7 @@
 	return l
 }
 
-// A name that is removed and named again in another service is gone for the nodes of the first, and there for those of
+// A name that is removed and named again in another service is removed for the nodes of the first, and there for those of
 // the second and of both, at whatever revision each reads.
 func TestNameAgainInAnotherService(t *testing.T) {
 	const created, removed, again = 1, 2, 3
@@ -75,7 +75,7 @@
 	}
 }
 
-// The old service hears of the removal also where the name comes back to it, goes on to a third, and in any order of reads.
+// The old service is notified of the removal also where the name comes back to it, goes on to a third, and in any order of reads.
 func TestNameWandersOverServices(t *testing.T) {
 	l := &intentLog{state: New()}
 	if err := l.put("a", "x"); err != nil {
--- a/internal/fleet/control/state.go
+++ b/internal/fleet/control/state.go
@@ -1,5 +1,5 @@
 // Package control composes the fleet's cores (docs/fleet.md): session, zones, tenants and drift. State is one state
-// machine for raft's log, under one revision that it shares with the list of app servers; Judge is the leader's soft
+// machine for raft's log, under one revision that it shares with the list of app servers; Controller is the leader's soft
 // part. It does no I/O, reads no clock and starts no goroutine.
 package control
 
@@ -17,16 +17,16 @@
 	"meadowsill/internal/registry/index"
 )
 
-// ErrStale refuses a command that was decided from what has changed since. It is decided anew.
+// ErrStale rejects a command that was decided from what has changed since. It is decided anew.
 var ErrStale = errors.New("decided from an older state")
 
-// maxTombstones is how many items that are gone are remembered; a watch from before them gets every item.
+// maxTombstones is how many items that are removed are remembered; a watch from before them gets every item.
 const maxTombstones = 1000
 
 // Command is one change of State, as it stands in raft's log (registry.Command.Fleet): one of the cores' commands.
 type Command struct {
 	Session     *session.Command `json:"session,omitempty"`
-	ScopeDigest uint64           `json:"guard,omitempty"` // with a join: State.Guard when the run was found to be caught up
+	ScopeDigest uint64           `json:"guard,omitempty"` // with a join: State.ScopeDigest when the run was found to be caught up
 	Zones       *zones.Command   `json:"zones,omitempty"`
 	Tenants     *tenants.Command `json:"tenants,omitempty"`
 	Drift       *drift.Command   `json:"drift,omitempty"`
@@ -53,10 +53,10 @@
 	items items // and the tombstones by scope; made from the above
 }
 
-// New gives an empty state.
+// New returns an empty state.
 func New() *State { return &State{items: newItems()} }
 
-// Empty says that no command has changed anything yet.
+// Empty reports that no command has changed anything yet.
 func (s *State) Empty() bool { return s.Revision == 0 && s.Session.Epoch == 0 && s.Drift.Revision == 0 }
 
 // Snapshot is the state as bytes.
--- a/internal/fleet/control/view.go
+++ b/internal/fleet/control/view.go
@@ -17,7 +17,7 @@
 	items    index.Snapshot[scopedItem]
 }
 
-// View gives the intent as it is now. It is the same one until an item changes, and costs the same however many there are.
+// View returns the intent as it is now. It is the same one until an item changes, and costs the same however many there are.
 func (s *State) View() *View {
 	if s.items.view == nil {
 		s.items.view = &View{Revision: s.Revision, Floor: s.Floor, items: s.items.index.Snapshot()}
@@ -38,7 +38,7 @@
 	return fleet.Intent{Revision: v.Revision, Full: full, Items: v.read(ReaderScopes(node, services...), full, since, false)}
 }
 
-// HasChanges says whether a reader that holds everything up to since has anything to take: a change in one of its scopes, or all,
+// HasChanges reports whether a reader that holds everything up to since has anything to take: a change in one of its scopes, or all,
 // where the changes after since can't be listed. A view without a revision has nothing for anybody.
 func (v *View) HasChanges(since uint64, node string, services ...string) bool {
 	if since == v.Revision {
@@ -57,7 +57,7 @@
 
 func (v *View) full(since uint64) bool { return since == 0 || since < v.Floor || since > v.Revision }
 
-// read gives the items of scopes by key: all of them, gone ones only with tombstones, or those changed after since. Of a key
+// read returns the items of scopes by key: all of them, removed ones only with tombstones, or those changed after since. Of a key
 // that several scopes have, as a tenant's name is used again in another service, it gives the newest.
 func (v *View) read(scopes []index.Scope, all bool, since uint64, tombstones bool) []fleet.Item {
 	out := []fleet.Item{}
--- a/internal/fleet/decode.go
+++ b/internal/fleet/decode.go
@@ -10,12 +10,12 @@
 	"unicode/utf8"
 )
 
-// Limits on what one body may hold; more is refused whole.
+// Limits on what one body may hold; more is rejected completely.
 const (
 	maxNameBytes = 128  // bytes of a name: node, zone, tenant, server id
 	maxTextBytes = 1024 // bytes of a reason
 	maxZones     = 256
-	maxItems     = 16 << 10 // tenants, facts, keys asked for, items
+	maxItems     = 16 << 10 // tenants, items, keys requested, items
 	maxCount     = 1 << 30  // of a count
 	maxRate      = 1e12     // of a rate, requests/s
 	maxMS        = 86_400_000
@@ -35,7 +35,7 @@
 	return r, nil
 }
 
-// DecodeNodeReport reads a report as DecodeReport does, and says whether it has members that this build does not know: a newer
+// DecodeNodeReport reads a report as DecodeReport does, and reports whether it has members that this build does not know: a newer
 // node made it.
 func DecodeNodeReport(b []byte) (r Report, newer bool, err error) {
 	if len(b) <= MaxReportBytes && utf8.Valid(b) {
@@ -74,7 +74,7 @@
 	if !utf8.Valid(b) {
 		return fmt.Errorf("%w: not UTF-8", ErrInvalid)
 	}
-	if err := json.Unmarshal(b, v); err != nil { // refuses what follows the value, too
+	if err := json.Unmarshal(b, v); err != nil { // rejects what follows the value, too
 		return fmt.Errorf("%w: %w", ErrInvalid, err)
 	}
 	return nil
@@ -85,7 +85,7 @@
 
 // checkNumber is a count or a rate that can be: nothing negative, not a number or beyond most.
 func checkNumber[T int | int64 | float64](field string, v T, most float64) error {
-	if f := float64(v); !(f >= 0 && f <= most) { // so NaN is refused
+	if f := float64(v); !(f >= 0 && f <= most) { // so NaN is rejected
 		return fieldError(field, v)
 	}
 	return nil
@@ -99,7 +99,7 @@
 	return nil
 }
 
-// firstError gives the first error.
+// firstError returns the first error.
 func firstError(errs ...error) error {
 	for _, err := range errs {
 		if err != nil {
--- a/internal/fleet/decode_test.go
+++ b/internal/fleet/decode_test.go
@@ -93,7 +93,7 @@
 	}
 }
 
-// What is taken is taken whole: written again it is read as the same; and nothing panics.
+// What is taken is applied completely: written again it is read as the same; and nothing panics.
 func FuzzDecodeReport(f *testing.F) {
 	f.Add([]byte(goodReport))
 	f.Add([]byte(`{"node":"n","zone":"z","incarnation":1,"held":[{"key":"~3*"}]}`))
--- a/internal/fleet/drift/behaviour.go
+++ b/internal/fleet/drift/behaviour.go
@@ -16,7 +16,7 @@
 )
 
 // checkBehaviour looks whether the counts of the node's new report fit what it holds. Only what the node held at the report
-// before already is asked of it: then the whole window lies after the node had it.
+// before already is required of it: then the whole window lies after the node had it.
 func (n *node) checkBehaviour(b *intentHistory) {
 	before := n.lastAnomalies
 	n.lastAnomalies = n.behaviourAnomalies(b)
@@ -103,7 +103,7 @@
 	return out
 }
 
-// most gives the largest share of a tenant that any version on record of the node's shares and the tenant allows,
+// most returns the largest share of a tenant that any version on record of the node's shares and the tenant allows,
 // and the number of slots; 0 where there is none. The division moves between reports, so only the largest counts.
 func (e *entry) most(tenant *entry, name string) (rate float64, slots int) {
 	var floor, leased float64
@@ -120,7 +120,7 @@
 	return floor + leased, slots
 }
 
-// takeLocalItems takes the report's local facts. It gives the settings' body where the report carries the one of its digest.
+// takeLocalItems takes the report's local items. It gives the settings' body where the report carries the one of its digest.
 func (n *node) takeLocalItems() (body []byte) {
 	n.overrides, n.settingsDigest, n.settingsOverride = nil, "", Override{}
 	for i := range n.report.Applied {
--- a/internal/fleet/drift/bench_test.go
+++ b/internal/fleet/drift/bench_test.go
@@ -7,7 +7,7 @@
 	"meadowsill/internal/fleet"
 )
 
-// benchFill makes a report's digests of n facts, as a node does for each report: each fact's canonical form, and the trees.
+// benchFill makes a report's digests of n items, as a node does for each report: each item's canonical form, and the trees.
 func benchFill(b *testing.B, n int, fact func(i int) (key string, value any)) {
 	for b.Loop() {
 		held := make([]fleet.AppliedItem, 0, n)
--- a/internal/fleet/drift/bounds.go
+++ b/internal/fleet/drift/bounds.go
@@ -7,7 +7,7 @@
 	MaxLag          time.Duration // an item outstanding for so long is stuck
 	ReportLifetime  time.Duration // without a report for so long a node is silent
 	MaxAheadTime    time.Duration // a revision above the leader's for so long is ahead
-	MaxStepGap      time.Duration // without a step for so long the judge itself was away
+	MaxStepGap      time.Duration // without a step for so long the detector itself was away
 	BaselineDelay   time.Duration // settings that most nodes hold for so long are the fleet's
 	ForgetAfter     time.Duration // a silent node without a session is forgotten
 	RefreshInterval time.Duration // counts of a verdict that lasts are written so often
@@ -18,9 +18,9 @@
 	ResendInterval                     time.Duration // over the fleet; as many as fit a second at once
 	DisruptiveInterval                 time.Duration // over the fleet: restarts, and nodes taken out
 	MaxTakenOutPart                    float64       // of the present nodes: most that are out at once, rounded down
-	SuspectSelfPart                    float64       // of the present nodes: with more drifting, the detector doubts itself
+	SuspectSelfPart                    float64       // of the present nodes: with more drifting, the detector suspects itself
 	SuspectSelfMinNodes                int           // and with no fewer than so many
-	TrustSelfPart                      float64       // under this share for DoubtHold, it trusts itself again
+	TrustSelfPart                      float64       // under this share for TrustSelfDelay, it trusts itself again
 	TrustSelfDelay                     time.Duration
 }
 
--- a/internal/fleet/drift/canonical.go
+++ b/internal/fleet/drift/canonical.go
@@ -1,6 +1,6 @@
 // Package drift compares what the control plane intended with what each node's decision module holds, names what
 // differs and plans its repair (docs/drift.md). It is a pure core: no I/O, no clock, no goroutine; the caller passes
-// its own monotonic time. State is the part that raft replicates, Judge the soft part at the leader, Local an
+// its own monotonic time. State is the part that raft replicates, Detector the soft part at the leader, LocalDetector an
 // agent's verdict on its own node.
 package drift
 
@@ -38,7 +38,7 @@
 	return out, err
 }
 
-// appendCanonical appends x and says whether x is a zero value.
+// appendCanonical appends x and reports whether x is a zero value.
 func appendCanonical(out []byte, x any) ([]byte, bool, error) {
 	switch x := x.(type) {
 	case nil:
@@ -115,13 +115,13 @@
 	return strconv.FormatFloat(f, 'g', -1, 64), nil
 }
 
-// emptyBody is the canonical body of a fact that is not held.
+// emptyBody is the canonical body of an item that is not held.
 const emptyBody = "{}"
 
 // Digest is xxhash64 in 16 hex digits.
 func Digest(b []byte) string { return hex(xxhash.Sum64(b)) }
 
-// AppliedItemOf makes a fact of a key and any value that marshals to the key's body. ok is false where it is not held: its
+// AppliedItemOf makes an item of a key and any value that marshals to the key's body. ok is false where it is not held: its
 // canonical body is empty.
 func AppliedItemOf(key string, v any) (h fleet.AppliedItem, ok bool, err error) {
 	b, err := Canonical(v)
--- a/internal/fleet/drift/differ.go
+++ b/internal/fleet/drift/differ.go
@@ -13,8 +13,8 @@
 // maxShownBytes is how many bytes of a value a difference shows.
 const maxShownBytes = 200
 
-// Differences names the fields in which two canonical bodies of a fact differ, in order, by their path
-// ("committed.routes[0].zone"). Where only one side has the fact, it is one difference without a field. Bodies that
+// Differences names the fields in which two canonical bodies of an item differ, in order, by their path
+// ("committed.routes[0].zone"). Where only one side has the item, it is one difference without a field. Bodies that
 // are not JSON differ as a whole.
 func Differences(key string, intended, applied json.RawMessage) []Difference {
 	a, aok := decodeBody(intended)
@@ -96,7 +96,7 @@
 	return string(b)
 }
 
-// bodyOf finds a fact among those in key order of their trees.
+// bodyOf finds an item among those in key order of their trees.
 func bodyOf(held []fleet.AppliedItem, key string) json.RawMessage {
 	for i := range held {
 		if held[i].Key == key {
--- a/internal/fleet/drift/exchange.go
+++ b/internal/fleet/drift/exchange.go
@@ -7,25 +7,25 @@
 	"meadowsill/internal/fleet"
 )
 
-// The first letter of a place in a tree, as Want and Held name it: the tree of zones, tenants and share; that of
-// the list. No key of a fact begins so.
+// The first letter of a place in a tree, as WantedKeys and Applied name it: the tree of zones, tenants and share; that of
+// the list. No key of an item begins so.
 const (
 	fleetTree = "~"
 	listTree  = "="
 )
 
-// maxItemsToList is how many facts may be expected below a place for its keys to be asked for at once.
+// maxItemsToList is how many items may be expected below a place for its keys to be requested at once.
 const maxItemsToList = 32
 
 // Limits on one report's answers. A listing beyond listMost is answered by hashes, bodies beyond bodyMost bytes are
-// left out and asked for again.
+// left out and requested again.
 const (
 	maxListed    = 2048
 	maxBodyBytes = 128 << 10
-	maxAnswers   = 64 << 10 // answers kept of one tree; then all is asked anew
+	maxAnswers   = 64 << 10 // answers kept of one tree; then all is requested anew
 )
 
-// isList says which tree a fact is in; isLocal, that it is in neither.
+// isList says which tree an item is in; isLocal, that it is in neither.
 func isList(key string) bool { return strings.HasPrefix(key, fleet.KeyServer) }
 func isLocal(key string) bool {
 	return key == fleet.KeySettings || strings.HasPrefix(key, fleet.KeyExclusion)
@@ -46,8 +46,8 @@
 	return intended, list, local
 }
 
-// FillReport puts a report's Root, ListRoot and Held in place: held is all that the module holds now, with bodies; want is
-// what the last answer asked for. What it does not know in want gives nothing.
+// FillReport puts a report's AppliedRoot, ListRoot and Applied in place: held is all that the module holds now, with bodies; want is
+// what the last answer requested. What it does not know in want gives nothing.
 func FillReport(r *fleet.Report, held []fleet.AppliedItem, want []string) {
 	in, list, local := splitByTree(held)
 	trees := map[string]*Tree{fleetTree: NewTree(in), listTree: NewTree(list)}
@@ -65,7 +65,7 @@
 			r.Applied = append(r.Applied, h)
 		}
 	}
-	for _, w := range want { // bodies first: a listing's line on the same fact adds nothing
+	for _, w := range want { // bodies first: a listing's line on the same item adds nothing
 		i := slices.IndexFunc(held, func(h fleet.AppliedItem) bool { return h.Key == w })
 		if i >= 0 && !isLocal(w) && bytes+len(held[i].Body) <= maxBodyBytes {
 			bytes += len(held[i].Body)
@@ -100,10 +100,10 @@
 	}
 }
 
-// treeExchange is what the judge has learnt of one tree of a node by asking. It stands as long as the node's root does.
+// treeExchange is what the detector has learnt of one tree of a node by asking. It stands as long as the node's root does.
 type treeExchange struct {
 	root    string
-	answers map[string]fleet.AppliedItem // answers by key: places and facts
+	answers map[string]fleet.AppliedItem // answers by key: places and items
 }
 
 // takeAnswers takes the answers of one report.
@@ -124,11 +124,11 @@
 	}
 }
 
-// maxBodies is how many bodies of one tree are asked for; of other keys that differ only that is said.
+// maxBodies is how many bodies of one tree are requested; of other keys that differ only that is said.
 const maxBodies = 32
 
 // differingKeys compares what has been learnt with the expected tree: the keys that differ, in order, once all are known;
-// and what to ask for next. With neither, the root and what the node says of its facts do not agree.
+// and what to request next. With neither, the root and what the node says of its items do not agree.
 func (x *treeExchange) differingKeys(t *Tree, letter string) (keys, ask []string) {
 	var facts []fleet.AppliedItem
 	for k, h := range x.answers {
@@ -175,7 +175,7 @@
 	return keys, ask
 }
 
-// hasChildren says that hashes below a place have come.
+// hasChildren reports that hashes below a place have come.
 func (x *treeExchange) hasChildren(place string) bool {
 	for _, c := range digits {
 		if _, ok := x.answers[place+string(c)]; ok {
--- a/internal/fleet/drift/expect.go
+++ b/internal/fleet/drift/expect.go
@@ -11,8 +11,8 @@
 	"meadowsill/internal/fleet"
 )
 
-// Intended is all that the control plane intends at a revision. Items are every item there is, and the gone ones
-// that the replica still knows of, each with its revision (without those, what is gone is judged a little later). Servers is the list under the same revisions, gone
+// Intended is all that the control plane intends at a revision. Items are every item there is, and the removed ones
+// that the replica still knows of, each with its revision (without those, what is removed is evaluated a little later). Servers is the list under the same revisions, removed
 // entries too; nil where the nodes' list is not the control plane's: then no list is compared.
 type Intended struct {
 	Revision  uint64
@@ -29,7 +29,7 @@
 	Body     fleet.AppliedServer
 }
 
-// Expect gives what a node's module holds once it has taken all of in, in key order, with bodies; local facts are
+// Expect returns what a node's module holds once it has taken all of in, in key order, with bodies; local items are
 // not among them. services are the node's scope; none: every tenant. An error is an item whose body can't be read: nothing
 // can be said of that item.
 func Expect(in Intended, m fleet.Member, services ...string) ([]fleet.AppliedItem, error) {
@@ -42,7 +42,7 @@
 	return held, err
 }
 
-// removedItemRevisions is for how many revisions an item that is gone and no longer listed is remembered.
+// removedItemRevisions is for how many revisions an item that is removed and no longer listed is remembered.
 const removedItemRevisions = 1000
 
 // maxVersions is how many versions of an item are remembered, for nodes that are a little behind.
@@ -55,7 +55,7 @@
 	knownUntil     uint64 // it is known to have held up to this revision; what came then may not have been seen
 	removed        bool
 	unknown        bool       // nothing is known of it before the next version
-	seenAt         fleet.Time // when the judge first saw it
+	seenAt         fleet.Time // when the detector first saw it
 	directive      *fleet.Directive
 	tenant         *fleet.Tenant
 	lease          *fleet.QuotaLease
@@ -71,7 +71,7 @@
 
 func (e *entry) newest() *version { return &e.versions[len(e.versions)-1] }
 
-// at gives the version that held at revision n; nil where that is not known.
+// at returns the version that held at revision n; nil where that is not known.
 func (e *entry) at(n uint64) *version {
 	for i := len(e.versions) - 1; i >= 0; i-- {
 		if v := &e.versions[i]; v.revision <= n {
@@ -84,7 +84,7 @@
 	return nil
 }
 
-// intentHistory is the judge's memory of what was intended of late.
+// intentHistory is the detector's memory of what was intended of late.
 type intentHistory struct {
 	revision            uint64 // of the intent
 	newestRevision      uint64 // newest revision taken in, the list's or the intent's
@@ -166,7 +166,7 @@
 	return failed
 }
 
-// newerThanLeader says which of a report's two versions is newer than all that the judge has taken in, as the judge looks now and then
+// newerThanLeader says which of a report's two versions is newer than all that the detector has taken in, as the detector looks now and then
 // and nodes hear from any replica: "revision", "list" or "" for neither.
 func (b *intentHistory) newerThanLeader(r *fleet.Report) string {
 	switch {
@@ -178,7 +178,7 @@
 	return ""
 }
 
-// add puts a version on record. What an item was before the judge first heard of anything is unknown; one that
+// add puts a version on record. What an item was before the detector first heard of anything is unknown; one that
 // appears later was not there.
 func (b *intentHistory) add(key string, v version) {
 	e := b.entries[key]
@@ -262,7 +262,7 @@
 	return v, nil
 }
 
-// expect gives what a node holds of zones, tenants and its share at revision n; whole is false where some of it is
+// expect returns what a node holds of zones, tenants and its share at revision n; whole is false where some of it is
 // not known for that revision.
 func (b *intentHistory) expect(n uint64, m fleet.Member, services []string) (held []fleet.AppliedItem, whole bool) {
 	whole = true
@@ -309,7 +309,7 @@
 	return held, whole
 }
 
-// directive gives the directive that holds for a zone at a node at revision n, with its own revision; nil for none, or where it is not known.
+// directive returns the directive that holds for a zone at a node at revision n, with its own revision; nil for none, or where it is not known.
 func (b *intentHistory) directive(zone string, n uint64, m fleet.Member) (d *fleet.Directive, rev uint64) {
 	for _, key := range []string{"zone/" + zone, "zone/" + zone + "@" + m.Zone} {
 		e := b.entries[key]
@@ -330,7 +330,7 @@
 	return d, rev
 }
 
-// list gives the server facts at a version of the list; nil, where they are not all known.
+// list returns the server items at a version of the list; nil, where they are not all known.
 func (b *intentHistory) list(n uint64) []fleet.AppliedItem {
 	if l := b.listAt(n); l != nil {
 		return l.items
@@ -360,7 +360,7 @@
 	return l
 }
 
-// outstanding gives the earliest revision above n of what a node is to hold, with when it was first seen, and the
+// outstanding returns the earliest revision above n of what a node is to hold, with when it was first seen, and the
 // keys of all such. list says which of the two.
 func (b *intentHistory) outstanding(n uint64, m fleet.Member, services []string, list bool) (rev uint64, seen fleet.Time, keys []string) {
 	look := func(e *entry) {
--- a/internal/fleet/drift/export_test.go
+++ b/internal/fleet/drift/export_test.go
@@ -7,7 +7,7 @@
 	"meadowsill/policy"
 )
 
-// Feed gives a module what is intended, as the node does: by fleet.ZoneBody and fleet.TenantBody.
+// Feed returns a module what is intended, as the node does: by fleet.AppliedZoneOf and fleet.AppliedTenantOf.
 func Feed(m *policy.Module, at policy.Time, in Intended, self fleet.Member) {
 	b := intentHistory{}
 	b.ingest(0, in)
@@ -54,7 +54,7 @@
 	}
 }
 
-// Book is the judge's book, for the tests from outside that play what is intended.
+// Book is the detector's book, for the tests from outside that play what is intended.
 type Book struct{ b intentHistory }
 
 func (b *Book) Ingest(in Intended) { b.b.ingest(0, in) }
@@ -63,7 +63,7 @@
 	return b.b.expect(rev, self, services)
 }
 
-// Node is what the judge has of a node.
+// Node is what the detector has of a node.
 type Node struct{ n node }
 
 func Compared(r fleet.Report) *Node { return &Node{node{Member: r.Member, heard: true, report: r}} }
--- a/internal/fleet/drift/intent_test.go
+++ b/internal/fleet/drift/intent_test.go
@@ -78,7 +78,7 @@
 	}
 }
 
-// A node may hear of the list from a replica before the judge has looked again: it is compared once the judge knows that version.
+// A node may hear of the list from a replica before the detector has looked again: it is compared once the detector knows that version.
 func TestListNewerThanTheJudge(t *testing.T) {
 	c, b := simulation.Seed(1), Book{}
 	b.Ingest(c.In)
--- a/internal/fleet/drift/judge.go
+++ b/internal/fleet/drift/judge.go
@@ -41,13 +41,13 @@
 	logCount            uint64
 }
 
-// NewDetector makes a judge that does not lead yet.
+// NewDetector makes a detector that does not lead yet.
 func NewDetector(b Bounds) *Detector {
 	return &Detector{bounds: b, nodes: map[string]*node{}, minIncarnations: map[string]uint64{}, settingsBodies: map[string]json.RawMessage{}, fewDriftingSince: longAgo, baselineProposedAt: longAgo}
 }
 
-// Lead makes the judge that of a new leader: it forgets all that is soft, and counts every bound from now. What st
-// holds it goes on from.
+// Lead makes the detector that of a new leader: it forgets all that is soft, and counts every bound from now. What st
+// holds it continues from.
 func (j *Detector) Lead(now fleet.Time, st *State) {
 	log, logged := j.log, j.logCount
 	*j = *NewDetector(j.bounds)
@@ -71,7 +71,7 @@
 	return n
 }
 
-// restartBounds counts every bound from now: the judge itself was away.
+// restartBounds counts every bound from now: the detector itself was away.
 func (j *Detector) restartBounds(now fleet.Time) {
 	j.leaderSince, j.commonSince = now, now
 	for _, n := range j.nodes {
@@ -81,7 +81,7 @@
 	}
 }
 
-// Observe takes a node's report. One of an older incarnation, or with a sequence number seen before, is refused with
+// Observe takes a node's report. One of an older incarnation, or with a sequence number seen before, is rejected with
 // fleet.ErrFenced and changes nothing.
 func (j *Detector) Observe(now fleet.Time, v fleet.NodeView) error {
 	n := j.nodes[v.Node]
@@ -123,7 +123,7 @@
 	return nil
 }
 
-// Step judges every node, moves the repairs on and gives what is to be proposed: one command or none. present are
+// Step evaluates every node, moves the repairs on and gives what is to be proposed: one command or none. present are
 // the nodes that have a session.
 func (j *Detector) Step(now fleet.Time, st *State, in Intended, present []fleet.Member) []Command {
 	if !j.leading {
@@ -195,7 +195,7 @@
 	return []Command{c}
 }
 
-// forgetNode says that a node is no more: it left, or has been without a session and a report for long. Its verdict goes.
+// forgetNode reports whether a node is no more: it left, or has been without a session and a report for long. Its verdict goes.
 func (j *Detector) forgetNode(now fleet.Time, n *node, here bool, st *State, c *Command) bool {
 	if here {
 		n.absent = false
@@ -212,7 +212,7 @@
 			c.Forget = map[string]uint64{}
 		}
 		c.Forget[n.Node] = v.Revision
-		return true // until the verdict has gone
+		return true // until the verdict is removed
 	}
 	j.minIncarnations[n.Node] = max(j.minIncarnations[n.Node], n.Incarnation+1) // what comes late does not bring it back
 	delete(j.nodes, n.Node)
@@ -233,7 +233,7 @@
 	n.verdict = f
 }
 
-// verdictChange gives the change of a node's verdict that is due, if one is. That a node in step is catching up for a
+// verdictChange returns the change of a node's verdict that is due, if one is. That a node in step is catching up for a
 // moment is not written: it happens to every node at every change of intent.
 func (j *Detector) verdictChange(now fleet.Time, n *node, old *Verdict) (Change, bool) {
 	s := n.verdict
@@ -307,15 +307,15 @@
 	return keys
 }
 
-// IsTakenOut says that a node's repair has come to its last step: it is to be out of the front.
+// IsTakenOut reports that a node's repair has come to its last step: it is to be out of the load balancer.
 func (j *Detector) IsTakenOut(name string) bool {
 	n := j.nodes[name]
 	return n != nil && n.repair.Step == TakenOut
 }
 
-// Answer gives what a report of the node is to be answered with: keys that the agent sends its node again ("*": all), what
-// the node's next report is to carry (Fill), whether the agent is to restart, and whether the node is to be out of the
-// front. What is asked of the agent is asked once a step of the repair.
+// Answer returns what a report of the node is to be answered with: keys that the agent sends its node again ("*": all), what
+// the node's next report is to carry (FillReport), whether the agent is to restart, and whether the node is to be out of the
+// front. What is requested of the agent is requested once a step of the repair.
 func (j *Detector) Answer(name string) (resend, want []string, restart, out bool) {
 	n := j.nodes[name]
 	if n == nil {
--- a/internal/fleet/drift/module_test.go
+++ b/internal/fleet/drift/module_test.go
@@ -11,7 +11,7 @@
 	"meadowsill/policy"
 )
 
-// What a real module holds after it was given the intent is what is expected of it, fact by fact; and a module that missed
+// What a real module holds after it was given the intent is what is expected of it, item by item; and a module that missed
 // the last update differs in just that.
 func TestModuleHoldsWhatIsExpected(t *testing.T) {
 	c, self := simulation.Seed(1), fleet.Member{Node: "n000", Zone: "z1", Incarnation: 1}
@@ -58,7 +58,7 @@
 	check()
 	c.Drop("share/n000")
 	check("share")
-	m.Handle(3*time.Second, policy.QuotaLease{Epoch: 9, Slots: 3}) // as internal/node feeds a share that is gone
+	m.Handle(3*time.Second, policy.QuotaLease{Epoch: 9, Slots: 3}) // as internal/node feeds a share that is removed
 	check()
 	at := slices.IndexFunc(m.Applied(), func(f policy.AppliedItem) bool { return f.Key == fleet.KeySettings })
 	got, want := simulation.Fact("settings", m.Applied()[at].Value), simulation.Fact("settings", fleet.AppliedSettings{Nodes: 1, MaxAttempts: 3, MaxOpenRequests: 100,
--- a/internal/fleet/drift/node.go
+++ b/internal/fleet/drift/node.go
@@ -8,11 +8,11 @@
 	"meadowsill/internal/fleet"
 )
 
-// node is what the judge knows of one node's process.
+// node is what the detector knows of one node's process.
 type node struct {
 	fleet.Member
-	metAt            fleet.Time // when the judge first met its name
-	heard            bool       // a report has come since the judge began to lead
+	metAt            fleet.Time // when the detector first met its name
+	heard            bool       // a report has come since the detector began to lead
 	report           fleet.Report
 	receivedAt       fleet.Time // when the last report came
 	countedSince     fleet.Time // since when it is counted: its first report after silence, of this incarnation, in this leadership
@@ -23,7 +23,7 @@
 
 	lags         [2]intentLag // of intent, of the list
 	trees        [2]treeContent
-	compareAgain bool // to be compared again: the report is of a revision that the judge had not seen
+	compareAgain bool // to be compared again: the report is of a revision that the detector had not seen
 	aheadSince   fleet.Time
 	expectedContent
 
@@ -112,7 +112,7 @@
 	evidence    string
 }
 
-// compareContent judges the node's content at its own revision. What can't be compared, as the intent of that revision is not
+// compareContent evaluates the node's content at its own revision. What can't be compared, as the intent of that revision is not
 // known, stays as it was.
 func (n *node) compareContent(now fleet.Time, b *intentHistory) {
 	r := &n.report
@@ -168,7 +168,7 @@
 	}
 }
 
-// aheadOf says that a node's body of an item is of a revision, uid, generation or epoch above the committed one at
+// aheadOf reports that a node's body of an item is of a revision, uid, generation or epoch above the committed one at
 // the node's own revision: it was never committed.
 func aheadOf(intended, applied json.RawMessage, at uint64) bool {
 	type marks struct {
@@ -208,7 +208,7 @@
 	}
 }
 
-// evaluate judges the node at now. The first that holds counts. An empty state says nothing new.
+// evaluate evaluates the node at now. The first that holds counts. An empty state says nothing new.
 func (n *node) evaluate(now, leadSince fleet.Time, bd *Bounds, b *intentHistory) evaluation {
 	if quiet := now - max(n.receivedAt, n.metAt, leadSince); quiet >= bd.ReportLifetime {
 		return evaluation{state: Silent, differences: n.verdict.differences, omitted: n.verdict.omitted, overrides: n.verdict.overrides, evidence: evidenceSilent}
@@ -282,7 +282,7 @@
 	}
 }
 
-// evaluateContent says whether content that is other is being named.
+// evaluateContent reports whether content that is other is being named.
 func (n *node) evaluateContent(bd *Bounds, f *evaluation) (asking bool) {
 	for i := range n.trees {
 		switch c := &n.trees[i]; {
@@ -304,7 +304,7 @@
 	return asking
 }
 
-// evaluateLags says whether an item is outstanding, and names those that have been for too long.
+// evaluateLags reports whether an item is outstanding, and names those that have been for too long.
 func (n *node) evaluateLags(bd *Bounds, f *evaluation) (lagging bool) {
 	for i, at := range []uint64{n.report.Revision, n.report.List} {
 		l := &n.lags[i]
--- a/internal/fleet/drift/repair.go
+++ b/internal/fleet/drift/repair.go
@@ -13,7 +13,7 @@
 	repairedAt     fleet.Time // when it last went back to idle
 	relapseEasedAt fleet.Time // when a relapse was last taken back
 	waiting        bool       // idle and drifting: the first wait runs
-	resendPending  bool       // the next answer is to ask for the re-sending
+	resendPending  bool       // the next answer is to request the re-sending
 	restartPending bool       // or for the restart
 }
 
@@ -22,7 +22,7 @@
 	ActResend      = "resend"
 	ActRestart     = "restart"
 	ActTakeOut     = "out"
-	ActReturn      = "back"   // in front again
+	ActReturn      = "back"   // in the load balancer again
 	ActRepaired    = "mended" // after a repair
 	ActSuspectSelf = "doubt"  // the detector suspects itself: nothing more is done
 	ActTrustSelf   = "trust"  // it no longer does
@@ -161,7 +161,7 @@
 	}
 }
 
-// Log gives the entries after seq that are still kept, oldest first.
+// Log returns the entries after seq that are still kept, oldest first.
 func (j *Detector) Log(seq uint64) (out []LogEntry) {
 	from := max(seq, j.logCount-min(j.logCount, uint64(len(j.log))))
 	for i := from; i < j.logCount; i++ {
--- a/internal/fleet/drift/scope.go
+++ b/internal/fleet/drift/scope.go
@@ -2,12 +2,12 @@
 
 import "meadowsill/internal/fleet"
 
-// serves says whether a node of these services holds a version of a tenant.
+// serves reports whether a node of these services holds a version of a tenant.
 func (v *version) serves(services []string) bool {
 	return fleet.Serves(services, v.tenant.Service())
 }
 
-// outside says that a node of these services holds nothing for a tenant's item at revision n: the version of then is of a
+// outside reports that a node of these services holds nothing for a tenant's item at revision n: the version of then is of a
 // service outside of its scope, or every version on record is.
 func (e *entry) outside(n uint64, services []string) bool {
 	if len(services) == 0 {
@@ -28,8 +28,8 @@
 	return known
 }
 
-// movedAfter says whether a tenant's item changed after revision n in a way that a node of these services hears of: to a
-// tenant of its scope, or from one. Of a name that is only known to be gone it is not known, and may be.
+// movedAfter reports whether a tenant's item changed after revision n in a way that a node of these services is notified of: to a
+// tenant of its scope, or from one. Of a name that is only known to be removed it is not known, and may be.
 func (e *entry) movedAfter(n uint64, services []string) bool {
 	var before *version // the newest of a tenant so far
 	for i := range e.versions {
--- a/internal/fleet/drift/scope_test.go
+++ b/internal/fleet/drift/scope_test.go
@@ -9,7 +9,7 @@
 	"meadowsill/internal/fleet/drift/simulation"
 )
 
-// scopedNode is a node of one service that reports what it holds of an intent, and an agent's judge of it.
+// scopedNode is a node of one service that reports what it holds of an intent, and an agent's detector of it.
 type scopedNode struct {
 	member fleet.Member
 	seq    uint64
--- a/internal/fleet/drift/state.go
+++ b/internal/fleet/drift/state.go
@@ -20,7 +20,7 @@
 	Silent     = "silent"
 )
 
-// Drifts says whether a node of that state holds what it should not: a state that is repaired.
+// Drifts reports whether a node of that state holds what it should not: a state that is repaired.
 func Drifts(state string) bool { return state == Stuck || state == Diverged || state == Ahead }
 
 // Steps of a node's repair.
@@ -31,7 +31,7 @@
 	TakenOut   = "out"
 )
 
-// Difference is one field of one fact that is not as intended, in JSON. An empty Field is the whole fact: "null" is
+// Difference is one field of one item that is not as intended, in JSON. An empty Field is the complete item: "null" is
 // not held, or not intended. Key "*" stands for content that the node does not name.
 type Difference struct {
 	Key      string `json:"key"`
@@ -40,7 +40,7 @@
 	Applied  string `json:"applied"`
 }
 
-// Override is a local fact that stands against what the rest of the fleet has: legitimate, and never repaired.
+// Override is a local item that stands against what the rest of the fleet has: legitimate, and never repaired.
 type Override struct {
 	Key       string       `json:"key"`
 	ChangedBy string       `json:"by,omitempty"`
@@ -60,7 +60,7 @@
 type Verdict struct {
 	fleet.Member
 	State         string       `json:"state"`
-	FirstRevision uint64       `json:"first_rev"` // revision of the intent it was first judged against
+	FirstRevision uint64       `json:"first_rev"` // revision of the intent it was first evaluated against
 	FirstSeenMS   int64        `json:"first_seen_ms"`
 	LastRevision  uint64       `json:"last_rev"`
 	LastSeenMS    int64        `json:"last_seen_ms"`
@@ -79,8 +79,8 @@
 	Body   json.RawMessage `json:"body,omitempty"`
 }
 
-// Change puts a verdict: its Verdict's First* and Rev are State's to fill in. It is refused where the node's verdict
-// is no longer the one of IfRev (0: there is none), or is of a newer incarnation.
+// Change puts a verdict: its Verdict's First* and Revision are State's to fill in. It is rejected where the node's verdict
+// is no longer the one of IfRevision (0: there is none), or is of a newer incarnation.
 type Change struct {
 	Verdict    Verdict `json:"verdict"`
 	IfRevision uint64  `json:"if_rev"`
@@ -102,7 +102,7 @@
 	Baseline Baseline            `json:"fleet,omitzero"`
 	Revision uint64              `json:"rev"` // of the last change
 	// Incarnations are the least that are taken of every node that has or had a verdict, so that reports of an
-	// earlier run, or of one that has ended, stay refused. Beyond a bound the oldest go.
+	// earlier run, or of one that has ended, stay rejected. Beyond a bound the oldest go.
 	Incarnations map[string]uint64 `json:"incarnations,omitempty"`
 }
 
--- a/internal/fleet/drift/tally.go
+++ b/internal/fleet/drift/tally.go
@@ -16,7 +16,7 @@
 	LastedMS       int64          // how long that lasted, from when it was first seen, by the leaders' wall clocks, ms
 }
 
-// VerdictCounts gives what a command means next to the state as it is before the command. It is for people: nothing is decided by it.
+// VerdictCounts returns what a command means next to the state as it is before the command. It is for people: nothing is decided by it.
 func (c Command) VerdictCounts(st *State) (out []VerdictCounts) {
 	end := func(t *VerdictCounts, old *Verdict) {
 		if old != nil && Drifts(old.State) && old.State != t.State {
--- a/internal/fleet/drift/tree.go
+++ b/internal/fleet/drift/tree.go
@@ -17,8 +17,8 @@
 	digits = "0123456789abcdef"
 )
 
-// Tree is a digest tree over facts: 256 leaves by the first two hex digits of the hash of a fact's key, 16 inner
-// nodes, a root. Building one costs two hashes a fact and 273 for the nodes; it holds the facts' keys and digests.
+// Tree is a digest tree over items: 256 leaves by the first two hex digits of the hash of an item's key, 16 inner
+// nodes, a root. Building one costs two hashes an item and 273 for the nodes; it holds the items' keys and digests.
 type Tree struct {
 	items [leaves][]treeItem // by key
 	leaf  [leaves]uint64
@@ -29,7 +29,7 @@
 
 type treeItem struct{ key, digest string }
 
-// NewTree makes the tree over facts with different keys, in any order; of facts with one key the last counts.
+// NewTree makes the tree over items with different keys, in any order; of items with one key the last counts.
 func NewTree(held []fleet.AppliedItem) *Tree {
 	t := &Tree{}
 	for _, h := range held {
@@ -77,15 +77,15 @@
 	return xxhash.Sum64(b[:])
 }
 
-// Root is the digest over all facts, 16 hex digits; all 0 for none.
+// Root is the digest over all items, 16 hex digits; all 0 for none.
 func (t *Tree) Root() string { return hex(t.root) }
 
-// Len is the number of facts.
+// Len is the number of items.
 func (t *Tree) Len() int { return t.size }
 
-// Diff gives the keys that only one of two trees holds, or both with other digests, in order, and how many hashes
-// of one tree and digests of its facts the other's owner had to be given to find them: two trees with k differing keys need at
-// most 1 + 16 + 16k hashes and the facts of k leaves.
+// Diff returns the keys that only one of two trees holds, or both with other digests, in order, and how many hashes
+// of one tree and digests of its items the other's owner had to be given to find them: two trees with k differing keys need at
+// most 1 + 16 + 16k hashes and the items of k leaves.
 func Diff(a, b *Tree) (keys []string, hashes int) {
 	if hashes = 1; a.root == b.root {
 		return nil, hashes
@@ -107,7 +107,7 @@
 	return keys, hashes
 }
 
-// differing gives the keys in which two sorted lists of facts differ.
+// differing returns the keys in which two sorted lists of items differ.
 func differing(a, b []treeItem) (keys []string) {
 	for len(a) > 0 || len(b) > 0 {
 		switch {
@@ -125,7 +125,7 @@
 	return keys
 }
 
-// leafRange gives the range of leaves under a path of at most two hex digits.
+// leafRange returns the range of leaves under a path of at most two hex digits.
 func leafRange(path string) (from, to int, ok bool) {
 	if len(path) > depth {
 		return 0, 0, false
@@ -155,7 +155,7 @@
 	return t.leaf[from]
 }
 
-// list gives the facts under a path.
+// list returns the items under a path.
 func (t *Tree) list(path string) (out []treeItem) {
 	from, to, ok := leafRange(path)
 	for p := from; ok && p < to; p++ {
--- a/internal/fleet/drift/unit_test.go
+++ b/internal/fleet/drift/unit_test.go
@@ -39,7 +39,7 @@
 	must(t, string(a) == string(b), "%s\n%s", a, b)
 }
 
-// facts draws two sets of facts that share most.
+// items draws two sets of items that share most.
 func facts(t *rapid.T) (a, b []fleet.AppliedItem, differ []string) {
 	n := rapid.SampledFrom([]int{0, 1, 5, 40, 300, 1500}).Draw(t, "facts")
 	odd := rapid.MapOf(rapid.IntRange(0, n+3), rapid.SampledFrom([]string{"other", "a only", "b only"})).Draw(t, "odd")
@@ -95,7 +95,7 @@
 	})
 }
 
-// What Want asks for and nobody knows, or too much at once, gives a report within its limit.
+// What Want requests and nobody knows, or too much at once, gives a report within its limit.
 func TestFillIsBounded(t *testing.T) {
 	var held []fleet.AppliedItem
 	want := []string{"", "~", "~*", "=*", "~zz", "~333", "nobody", "~0*"}
--- a/internal/fleet/drift/view.go
+++ b/internal/fleet/drift/view.go
@@ -7,7 +7,7 @@
 	"meadowsill/internal/fleet"
 )
 
-// Verdicts gives what is thought of every node now, by name: st's verdicts with what the judge has seen since. wallMS is
+// Verdicts returns what is thought of every node now, by name: st's verdicts with what the detector has seen since. wallMS is
 // the wall clock at now, Unix ms, for the times that people read. A node that st has in step and that has not yet
 // been heard in this leadership is shown as catching up.
 func (j *Detector) Verdicts(now fleet.Time, wallMS int64, st *State) []Verdict {
@@ -67,22 +67,22 @@
 	return s
 }
 
-// LocalDetector is an agent's judgement of its own node: the leader's, with the agent's copy of intent, for one node. It
+// LocalDetector is an agent's evaluation of its own node: the leader's, with the agent's copy of intent, for one node. It
 // repairs by re-sending alone, and knows no settings of the fleet.
 type LocalDetector struct {
 	detector *Detector
 	state    State
 }
 
-// NewLocalDetector makes the judgement of an agent that has just started.
+// NewLocalDetector makes the evaluation of an agent that has just started.
 func NewLocalDetector(b Bounds) *LocalDetector { return &LocalDetector{detector: NewDetector(b)} }
 
-// Observe takes the node's report; see Judge.Observe.
+// Observe takes the node's report; see Detector.Observe.
 func (l *LocalDetector) Observe(now fleet.Time, r fleet.Report) error {
 	return l.detector.Observe(now, fleet.NodeView{Member: r.Member, ReceivedAt: now, Report: r})
 }
 
-// Step judges the node by the agent's copy. caughtUp says that a replica has answered since the agent's start:
+// Step evaluates the node by the agent's copy. caughtUp says that a replica has answered since the agent's start:
 // until then its copy may be older than what the node holds, and nothing is said to be newer than it.
 func (l *LocalDetector) Step(now fleet.Time, in Intended, m fleet.Member, caughtUp bool) {
 	l.detector.bounds.MaxAheadTime = Defaults().MaxAheadTime
@@ -95,7 +95,7 @@
 	}
 }
 
-// Answer gives what the agent is to send its node again, and what the next report is to carry.
+// Answer returns what the agent is to send its node again, and what the next report is to carry.
 func (l *LocalDetector) Answer(node string) (resend, want []string) {
 	resend, want, _, _ = l.detector.Answer(node)
 	return resend, want
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -21,7 +21,7 @@
 	ErrFenced   = errors.New("older incarnation")  // 409; a report or command of a process that has a successor
 )
 
-// Limits on what is read from a peer or from disk, in bytes; more is refused whole.
+// Limits on what is read from a peer or from disk, in bytes; more is rejected completely.
 const (
 	MaxReportBytes = 256 << 10
 	MaxIntentBytes = 16 << 20
@@ -37,7 +37,7 @@
 }
 
 // Item is one thing intended. Its key is "zone/Y" (for every node), "zone/Y@X" (for nodes of zone X), "tenant/NAME"
-// or "share/NODE"; its body is the JSON of Directive, Tenant or Shares. Rev is the revision that last changed it.
+// or "share/NODE"; its body is the JSON of Directive, Tenant or QuotaLease. Revision is the revision that last changed it.
 type Item struct {
 	Key      string          `json:"key"`
 	Revision uint64          `json:"rev"`
@@ -46,7 +46,7 @@
 }
 
 // Intent answers GET /fleet/v1/intent?since=R&timeout_ms=T&node=NAME: every item (Full) or those changed after R.
-// Items of other nodes' shares are left out. A replica leaves AgeMS and HeldMS 0; an agent fills them in.
+// Items of other nodes' shares are left out. A replica leaves AgeMS and LeaseMS 0; an agent fills them in.
 type Intent struct {
 	Revision uint64 `json:"revision"`
 	Full     bool   `json:"full"`
@@ -71,11 +71,11 @@
 	Floor      float64  `json:"floor"`             // the share that holds once ValidMS is over; never above Share
 	Budget     float64  `json:"budget,omitempty"`  // requests/s that all nodes together may send to each of its servers; 0: no limit
 	Slots      int      `json:"slots,omitempty"`   // what Budget is divided by: a node's part is Budget/Slots
-	TrialNodes []string `json:"trial,omitempty"`   // in probation: the nodes that may try it, with safe requests only
-	Step       int      `json:"step,omitempty"`    // of the return, from 1
+	TrialNodes []string `json:"trial,omitempty"`   // in probation: the nodes that may send it trial requests, idempotent ones only
+	Step       int      `json:"step,omitempty"`    // of the recovery, from 1
 	ValidMS    int64    `json:"valid_ms"`          // counted from when a replica last confirmed it; then Floor holds
 	Reason     string   `json:"reason,omitempty"`  // lost, cut-off, gray, region; for people and logs
-	BackoffMS  int64    `json:"hold_ms,omitempty"` // the hold-off before probation, doubled by each relapse
+	BackoffMS  int64    `json:"hold_ms,omitempty"` // the backoff before probation, doubled by each relapse
 	Relapses   int      `json:"relapse,omitempty"` // relapses so far
 }
 
@@ -129,11 +129,11 @@
 }
 
 // QuotaLease is the body of "share/NODE": the node's leased part of each quota, requests/s, on top of the floor that
-// every slot has always. It holds while the node's session is held (HeldMS).
+// every slot has always. It holds while the node's session is held (LeaseMS).
 type QuotaLease struct {
 	Epoch       uint64             `json:"epoch"`       // of the division
 	Incarnation uint64             `json:"incarnation"` // the run that Rates are leased to; another run of the node has none of them
-	Slots       int                `json:"slots"`       // floor of a tenant: FloorPart * rate / slots
+	Slots       int                `json:"slots"`       // floor of a tenant: GuaranteedPart * rate / slots
 	Rates       map[string]float64 `json:"rates"`       // by tenant name
 }
 
@@ -153,7 +153,7 @@
 	Zones       []ZoneEvidence `json:"zones,omitempty"`
 	Tenants     []TenantAck    `json:"tenants,omitempty"` // every tenant the module knows
 	List        uint64         `json:"list,omitempty"`    // version of the server list that the module holds; 0: none
-	Applied     []AppliedItem  `json:"held,omitempty"`    // local facts (settings, bans), and what the last answer wanted
+	Applied     []AppliedItem  `json:"held,omitempty"`    // local items (settings, bans), and what the last answer wanted
 	AppliedRoot string         `json:"root"`              // digest over the zones, tenants and share that the module holds (docs/drift.md)
 	ListRoot    string         `json:"list_root"`         // the same over the list entries in use
 	Draining    bool           `json:"leaving,omitempty"` // the node drains: its session ends with this report
@@ -172,42 +172,42 @@
 	Rate        float64 `json:"rate"`         // answers/s of one of its servers as this node has smoothed it
 }
 
-// TenantAck is the node's own word on a tenant: read from the module, not from what it was sent.
+// TenantAck is the node's own state of a tenant: read from the module, not from what it was sent.
 type TenantAck struct {
 	Name         string  `json:"name"`
 	UID          uint64  `json:"uid"`
 	Committed    uint64  `json:"committed"`         // generation it serves by; 0 none
 	Staged       uint64  `json:"staged,omitempty"`  // generation it has validated and could serve; 0 none
 	Digest       string  `json:"digest"`            // of the staged generation, or of the committed one where none is staged
-	RejectReason string  `json:"refused,omitempty"` // why it can't stage what it was told
+	RejectReason string  `json:"refused,omitempty"` // why it can't stage what it was sent
 	Open         int     `json:"open"`              // requests open
 	Offered      float64 `json:"offered"`           // requests that came, per s
 	Admitted     float64 `json:"admitted"`          // of them within the share, per s
 	Rate         float64 `json:"rate"`              // its share now, requests/s
 }
 
-// AppliedItem is one fact that a node's module holds, for drift: the key of the item or local fact ("zone/Y", "tenant/NAME",
+// AppliedItem is one item that a node's module holds, for drift: the key of the item or local item ("zone/Y", "tenant/NAME",
 // "share", "server/ID", "ban/ID", "settings") and its canonical JSON.
 type AppliedItem struct {
 	Key    string          `json:"key"`
 	Digest string          `json:"digest"`
 	Body   json.RawMessage `json:"body,omitempty"`
-	// Of a local fact (a ban, the settings): who made it so, and when by that machine's clock. For people; it is in
+	// Of a local item (a ban, the settings): who made it so, and when by that machine's clock. For people; it is in
 	// no digest and decides nothing.
 	ChangedBy string `json:"by,omitempty"`
 	SinceMS   int64  `json:"since_ms,omitempty"`
 }
 
-// ReportAnswer is the leader's (through the agent) word on a report.
+// ReportAnswer is the leader's (through the agent) state of a report.
 type ReportAnswer struct {
 	LeaseTTLMS   int64    `json:"ttl_ms"`           // the session's lease, counted from the sending of the report
 	Revision     uint64   `json:"revision"`         // the leader's
 	Resend       []string `json:"resend,omitempty"` // keys that the agent is to send its node again
-	WantedKeys   []string `json:"want,omitempty"`   // what the next report's Held is to carry (drift.Fill), sent at once
+	WantedKeys   []string `json:"want,omitempty"`   // keys that the next report is to carry (drift.FillReport), sent at once
 	Restart      bool     `json:"restart,omitempty"`
 	NotReady     bool     `json:"out,omitempty"`     // the node is to say no at /health/ready
 	AckSequence  uint64   `json:"ack_seq,omitempty"` // the report's seq, where the leader takes differences to it; to agents alone
-	SendComplete bool     `json:"whole,omitempty"`   // the difference was not taken: the report is to be sent whole; nothing else is said then
+	SendComplete bool     `json:"whole,omitempty"`   // the difference was not taken: the report is to be sent complete; nothing else is said then
 }
 
 // NodeView is what the leader's cores know of a present node: its session and its last report.
--- a/internal/fleet/held.go
+++ b/internal/fleet/held.go
@@ -5,12 +5,12 @@
 	"slices"
 )
 
-// Bodies of Held: what a node's module says it holds, in the node's own words (docs/drift.md, "What is held").
+// Bodies of AppliedItem: what a node's module says it holds, as the node has it applied (docs/drift.md, "What is held").
 // Their canonical form (drift.Canonical) leaves out every member at its zero value, sorts names and writes numbers
 // in one way: so a type of another package with the same JSON names has the same digest. No body carries a
 // time or an age: the same content is the same body whenever it is read.
 
-// Keys of Held. A zone's, tenant's, server's or ban's name follows the slash.
+// Keys of AppliedItem. A zone's, tenant's, server's or ban's name follows the slash.
 const (
 	KeyZone      = "zone/"
 	KeyTenant    = "tenant/"
@@ -20,21 +20,21 @@
 	KeySettings  = "settings"
 )
 
-// AppliedZone is the body of "zone/Y": the directive that holds at this node, as it was told. Nothing is held for a
+// AppliedZone is the body of "zone/Y": the directive that holds at this node, as it was delivered. Nothing is held for a
 // zone that is served as ever.
 type AppliedZone struct {
-	Revision uint64  `json:"rev"` // of the item told
+	Revision uint64  `json:"rev"` // of the item delivered
 	Share    float64 `json:"share"`
 	Floor    float64 `json:"floor"`
 	Rate     float64 `json:"rate"`  // requests/s that this node may send to each server; 0: no limit
-	Trial    bool    `json:"trial"` // this node tries the zone
+	Trial    bool    `json:"trial"` // this node sends trial requests to the zone
 	ValidMS  int64   `json:"valid_ms"`
 }
 
 // AppliedTenant is the body of "tenant/NAME". What is staged is not in it: its acknowledgement is TenantAck's.
 type AppliedTenant struct {
 	UID            uint64        `json:"uid"`
-	Revision       uint64        `json:"rev"` // of the item told
+	Revision       uint64        `json:"rev"` // of the item delivered
 	Committed      *AppliedRules `json:"committed"`
 	Removing       bool          `json:"removing"`
 	QuotaWithdrawn bool          `json:"quota_gone"`
@@ -52,15 +52,15 @@
 	RejectUnrouted bool               `json:"refuse_else"`
 }
 
-// AppliedLease is the body of "share": the leased parts as last told, whether or not the lease still runs. Nothing is
-// held before the first is told, and where its rates are null.
+// AppliedLease is the body of "share": the leases as last delivered, whether or not the lease still runs. Nothing is
+// held before the first is delivered, and where its rates are null.
 type AppliedLease struct {
 	Epoch uint64             `json:"epoch"`
 	Slots int                `json:"slots"`
 	Rates map[string]float64 `json:"rates"` // by tenant, requests/s
 }
 
-// AppliedServer is the body of "server/ID": an entry of the list in use. An entry that is gone is not held.
+// AppliedServer is the body of "server/ID": an entry of the list in use. An entry that is removed is not held.
 type AppliedServer struct {
 	Zone   string  `json:"zone"`
 	Kind   string  `json:"kind"`
@@ -70,7 +70,7 @@
 }
 
 // AppliedExclusion is the body of "ban/ID": an app server that the operators have taken out at this node. Who and since when
-// are Held's By and SinceMS: they are the node's to add, as the module does not know them.
+// are AppliedItem's ChangedBy and SinceMS: they are the node's to add, as the module does not know them.
 type AppliedExclusion struct {
 	Excluded bool `json:"out"` // always true
 }
@@ -102,10 +102,10 @@
 	LatencyObjectiveMS float64 `json:"aim_ms"`
 	DeadlineMS         float64 `json:"deadline_ms"`
 	LateWeight         float64 `json:"late_worth"`
-	Idempotency        int     `json:"effect"` // policy.Effect: 0 unsafe, 1 keyed, 2 safe
+	Idempotency        int     `json:"effect"` // policy.Idempotency: 0 non-idempotent, 1 idempotent by key, 2 idempotent
 }
 
-// AppliedZoneOf is the directive in the node's own words. The node tells its module by it, and drift compares with it.
+// AppliedZoneOf is the directive as the node has it applied. The node tells its module by it, and drift compares with it.
 func AppliedZoneOf(rev uint64, d Directive, node string) AppliedZone {
 	h := AppliedZone{Revision: rev, Share: d.Share, Floor: d.Floor, ValidMS: d.ValidMS, Trial: slices.Contains(d.TrialNodes, node)}
 	if d.Budget > 0 {
@@ -121,7 +121,7 @@
 	return cmp.Or(cmp.Compare(own.Share, every.Share), cmp.Compare(own.Floor, every.Floor)) < 0
 }
 
-// AppliedTenantOf is the tenant in the node's own words.
+// AppliedTenantOf is the tenant as the node has it applied.
 func AppliedTenantOf(rev uint64, t Tenant) AppliedTenant {
 	h := AppliedTenant{UID: t.UID, Revision: rev, Removing: t.Removing, QuotaWithdrawn: t.QuotaWithdrawn}
 	if g := t.Committed; g != nil {
@@ -132,7 +132,7 @@
 	return h
 }
 
-// AppliedLeaseOf is the node's leased parts in its own words.
+// AppliedLeaseOf is the node's leases as the node has it applied.
 func AppliedLeaseOf(s QuotaLease) AppliedLease {
 	return AppliedLease{Epoch: s.Epoch, Slots: s.Slots, Rates: s.Rates}
 }
--- a/internal/fleet/reportdelta/decode.go
+++ b/internal/fleet/reportdelta/decode.go
@@ -104,7 +104,7 @@
 	return nil
 }
 
-// checkSize refuses a whole report that no body of fleet.ReportLimit bytes can hold: what a leader keeps of a node is
+// checkSize refuses a whole report that no body of fleet.MaxReportBytes bytes can hold: what a leader keeps of a node is
 // bounded by that.
 func checkSize(r *fleet.Report) error {
 	if len(r.Zones) > rowLimit || len(r.Tenants) > rowLimit || len(r.Applied) > rowLimit {
--- a/internal/fleet/scope.go
+++ b/internal/fleet/scope.go
@@ -11,7 +11,7 @@
 	MaxScopeServices    = 128 // services of one node
 )
 
-// Serves says whether a node whose scope is services holds the tenants of service. A node without a scope holds every
+// Serves reports whether a node whose scope is services holds the tenants of service. A node without a scope holds every
 // tenant, and a tenant without a service is held by every node.
 func Serves(services []string, service string) bool {
 	return len(services) == 0 || service == "" || slices.Contains(services, service)
--- a/internal/fleet/session/lease.go
+++ b/internal/fleet/session/lease.go
@@ -23,7 +23,7 @@
 	byNode      map[string]*lease
 }
 
-// NewLeases starts the leases of a leader whose leadership begins at now: every session gets a whole ttl from then. It is called
+// NewLeases starts the leases of a leader whose leadership begins at now: every session gets a full TTL from then. It is called
 // only once the leader has applied all that its predecessors committed.
 func NewLeases(now fleet.Time, ttl time.Duration) *Leases {
 	return &Leases{ttl: ttl, leaderSince: now, byNode: map[string]*lease{}}
@@ -48,7 +48,7 @@
 }
 
 // Expired names the present members whose lease is over at now, by node, and holds back their renewals until
-// Settled. Each is to be proposed as a Lapse.
+// Resolved. Each is to be proposed as an Expire.
 func (l *Leases) Expired(now fleet.Time, s *State) []fleet.Member {
 	var out []fleet.Member
 	for _, m := range s.List() {
@@ -62,7 +62,7 @@
 			out = append(out, m)
 		}
 	}
-	for node, h := range l.byNode { // nothing is kept of those that have gone
+	for node, h := range l.byNode { // nothing is kept of those that are no longer present
 		if _, ok := s.Members[node]; !ok && !h.expiring && now >= h.until {
 			delete(l.byNode, node)
 		}
@@ -70,20 +70,20 @@
 	return out
 }
 
-// Resolved says that the outcome of m's proposed Lapse is known: committed and applied, or surely never to be.
+// Resolved notes that the outcome of m's proposed Expire is known: committed and applied, or surely never to be.
 func (l *Leases) Resolved(m fleet.Member) {
 	if h := l.byNode[m.Node]; h != nil && h.incarnation == m.Incarnation {
 		delete(l.byNode, m.Node)
 	}
 }
 
-// AgentLease is the agent's count of its node's session, by the agent's own clock. The zero Holder holds nothing.
+// AgentLease is the agent's count of its node's session, by the agent's own clock. The zero AgentLease holds nothing.
 type AgentLease struct {
 	until fleet.Time
 	held  bool
 }
 
-// Renew takes an answer to the report whose sending began after t0 was read: the session is held for HoldPart of
+// Renew takes an answer to the report whose sending began after t0 was read: the session is held for AgentLeasePart of
 // ttl from t0.
 func (h *AgentLease) Renew(t0 fleet.Time, ttl time.Duration) {
 	if until := t0 + time.Duration(AgentLeasePart*float64(ttl)); ttl > 0 && (!h.held || until > h.until) {
--- a/internal/fleet/session/scope.go
+++ b/internal/fleet/session/scope.go
@@ -38,7 +38,7 @@
 	return s.Scopes.Services
 }
 
-// CheckScope says whether services may be the scope of m: valid, and where this very run is present, the scope that it
+// CheckScope reports whether services may be the scope of m: valid, and where this very run is present, the scope that it
 // joined with. The error is fleet.ErrInvalid.
 func (s *State) CheckScope(m fleet.Member, services []string) error {
 	if err := fleet.ValidScope(services); err != nil {
@@ -76,7 +76,7 @@
 	}
 }
 
-// rememberServices keeps the scope of a member that has joined; of one without, and of one that has gone, nothing is kept.
+// rememberServices keeps the scope of a member that has joined; of one without, and of one that is no longer present, nothing is kept.
 func (s *State) rememberServices(node string, services []string) {
 	switch {
 	case s.Scopes == nil:
--- a/internal/fleet/session/scope_test.go
+++ b/internal/fleet/session/scope_test.go
@@ -106,7 +106,7 @@
 	})
 }
 
-// A run keeps the scope that it joined with; a bad scope is refused. Both change nothing.
+// A run keeps the scope that it joined with; a bad scope is rejected. Both change nothing.
 func TestScopesThatAreRefused(t *testing.T) {
 	var s State
 	mustApply(t, &s, Command{Op: Join, Member: member("a", 1), Services: []string{"billing"}})
--- a/internal/fleet/session/session.go
+++ b/internal/fleet/session/session.go
@@ -2,7 +2,7 @@
 // present, and the arithmetic by which a node counts itself out before the control plane can count it out. It does
 // no I/O, reads no clock and starts no goroutine: readings of the caller's own monotonic clock are passed in.
 //
-// State is replicated and time-free. Leases are the leader's, in memory. Holder is the agent's.
+// State is replicated and time-free. Leases are the leader's, in memory. AgentLease is the agent's.
 package session
 
 import (
@@ -19,7 +19,7 @@
 	ErrPending = errors.New("the session is ending") // its lapse is proposed: ask again
 )
 
-// MaxRememberedNames bounds the names that are remembered; a join under a further one is refused.
+// MaxRememberedNames bounds the names that are remembered; a join under a further one is rejected.
 const MaxRememberedNames = 4096
 
 // MaxNameBytes bounds the length of a node's and a zone's name, in bytes.
@@ -28,7 +28,7 @@
 // NewestRun is the newest run that was present under a name.
 type NewestRun struct {
 	Incarnation uint64 `json:"incarnation"`
-	Ended       bool   `json:"left,omitempty"` // it said goodbye, or a larger one came: it may not come back
+	Ended       bool   `json:"left,omitempty"` // it left, or a larger one came: it may not come back
 }
 
 // State is the replicated part: who is present. The zero State is empty and ready.
@@ -42,7 +42,7 @@
 // Ops of a command.
 const (
 	Join   = "join"  // a run reports for the first time, or again after its lease lapsed
-	Leave  = "leave" // it said goodbye
+	Leave  = "leave" // it left
 	Expire = "lapse" // its lease is over by the leader's clock
 )
 
@@ -55,7 +55,7 @@
 	Slots    int          `json:"slots,omitempty"`
 }
 
-// Check says whether m may be present: nil where it is present or may join, fleet.ErrFenced for an older run,
+// Check reports whether m may be present: nil where it is present or may join, fleet.ErrFenced for an older run,
 // fleet.ErrInvalid for a name that can't be.
 func (s *State) Check(m fleet.Member) error {
 	if m.Node == "" || len(m.Node) > MaxNameBytes || m.Zone == "" || len(m.Zone) > MaxNameBytes {
@@ -74,13 +74,13 @@
 	return nil
 }
 
-// Present says whether this very run is present.
+// Present reports whether this very run is present.
 func (s *State) Present(m fleet.Member) bool {
 	p, ok := s.Members[m.Node]
 	return ok && p.Incarnation == m.Incarnation
 }
 
-// Apply carries out one command and says whether it changed who is present. An error changes nothing.
+// Apply carries out one command and reports whether it changed who is present. An error changes nothing.
 func (s *State) Apply(c Command) (bool, error) {
 	switch c.Op {
 	case Join:
@@ -97,7 +97,7 @@
 		return true, nil
 	case Expire:
 		if !s.Present(c.Member) {
-			return false, nil // it has gone, or a new run is there
+			return false, nil // it is no longer present, or a new run is
 		}
 		s.removeMember(c.Member)
 		return true, nil
--- a/internal/fleet/session/table_test.go
+++ b/internal/fleet/session/table_test.go
@@ -16,7 +16,7 @@
 	incarnation          uint64
 }
 
-// name gives the event and condition as the page's table has them, from the state before it.
+// name returns the event and condition as the page's table has them, from the state before it.
 func (e event) name(s *State) (event, condition string) {
 	_, present := s.Members["n"]
 	h, known := s.NewestRuns["n"]
--- a/internal/fleet/tenants/bench_test.go
+++ b/internal/fleet/tenants/bench_test.go
@@ -45,7 +45,7 @@
 	return state, judge, present
 }
 
-// BenchmarkCapacityDivision is the first division of every quota among 100 nodes: decided by the judge and applied to the
+// BenchmarkCapacityDivision is the first division of every quota among 100 nodes: decided by the controller and applied to the
 // state. It reports the size of the leases in a snapshot.
 func BenchmarkCapacityDivision(b *testing.B) {
 	for _, n := range []int{50, 100, 200, 400} {
--- a/internal/fleet/tenants/division.go
+++ b/internal/fleet/tenants/division.go
@@ -13,7 +13,7 @@
 // roundingSlack is what sums of parts may be over by rounding alone, as a part of the quota.
 const roundingSlack = 1e-9
 
-// guaranteedRate is what of a quota the floors of all slots may come to, where the nodes of behind may still go by a
+// guaranteedRate is what of a quota the guaranteed parts of all slots may come to, where the nodes with outdated rates may still go by a
 // larger rate: the largest of them, as no more than Slots nodes run at one time. Two runs of one name are one slot: a
 // floor belongs to the name.
 func (s *State) guaranteedRate(rate float64, behind map[string]float64) float64 {
@@ -29,7 +29,7 @@
 	return fleet.GuaranteedPart * sum / float64(s.Slots)
 }
 
-// outdatedRatesAt is Behind as it will be once rate is committed over the present generation.
+// outdatedRatesAt is OutdatedRates as it will be once rate is committed over the present generation.
 func (s *State) outdatedRatesAt(e *Entry, rate float64) map[string]float64 {
 	out := map[string]float64{}
 	for n, r := range e.OutdatedRates {
@@ -49,7 +49,7 @@
 	e.OutdatedRates = s.outdatedRatesAt(e, rate)
 }
 
-// leasableOf is what may be leased of a quota of rate: what its floors leave, never below 0.
+// leasableOf is what may be leased of a quota of rate: what its guaranteed parts leave, never below 0.
 func (s *State) leasableOf(rate float64, behind map[string]float64) float64 {
 	return max(0, rate-s.guaranteedRate(rate, behind))
 }
@@ -69,7 +69,7 @@
 	return p
 }
 
-// CanCommit says whether the leases that runs may hold of a name are within what the staged quota leaves. A
+// CanCommit reports whether the leases that runs may hold of a name are within what the staged quota leaves. A
 // smaller quota is committed only then, so that T3 holds for it from the first moment.
 func (s *State) CanCommit(name string) bool {
 	e := s.Tenants[name]
@@ -92,7 +92,7 @@
 	return sum
 }
 
-// maxLeasedByTenant gives it for every name, each sum taken in the order of the nodes.
+// maxLeasedByTenant returns it for every name, each sum taken in the order of the nodes.
 func (s *State) maxLeasedByTenant() map[string]float64 {
 	sums := map[string]float64{}
 	for _, n := range sortedKeys(s.Runs) {
--- a/internal/fleet/tenants/items.go
+++ b/internal/fleet/tenants/items.go
@@ -19,7 +19,7 @@
 	PhaseQuotaWithdrawn = "unquoted"
 )
 
-// Phase gives where a tenant is in its rollout or removal.
+// Phase returns where a tenant is in its rollout or removal.
 func (s *State) Phase(name string) string {
 	switch e := s.Tenants[name]; {
 	case e == nil:
@@ -36,7 +36,7 @@
 	return PhaseSettled
 }
 
-// Tenant gives a tenant as it is intended; fleet.ErrUnknown wrapped, with the reason of the rollback where there was
+// Tenant returns a tenant as it is intended; fleet.ErrNotFound wrapped, with the reason of the rollback where there was
 // one, for a name that has none.
 func (s *State) Tenant(name string) (fleet.Tenant, error) {
 	if e := s.Tenants[name]; e != nil {
@@ -45,17 +45,17 @@
 	return fleet.Tenant{}, s.notFound(name)
 }
 
-// Items gives every item, by key, in order: tenants and shares, and as Gone those whose tombstone is kept. A reader
-// of changes takes those with Rev after its own, or all that are not Gone where its own is before Compacted.
+// Items returns every item, by key, in order: tenants and shares, and as Removed those whose tombstone is kept. A reader
+// of changes takes those with Revision after its own, or all that are not Removed where its own is before Compacted.
 func (s *State) Items() []fleet.Item { return s.items("") }
 
-// ItemsFor gives the same for one node: every tenant, and no other node's share.
+// ItemsFor returns the same for one node: every tenant, and no other node's quota lease.
 func (s *State) ItemsFor(node string) []fleet.Item { return s.items(node) }
 
 // Compacted is the revision up to which changes can no longer be read from the tombstones kept.
 func (s *State) Compacted() uint64 { return s.Floor }
 
-// Item gives one item by its key: live, or Gone where its tombstone is kept; false for neither.
+// Item returns one item by its key: live, or Removed where its tombstone is kept; false for neither.
 func (s *State) Item(key string) (fleet.Item, bool) {
 	if name, ok := strings.CutPrefix(key, keyTenant); ok && s.Tenants[name] != nil {
 		e := s.Tenants[name]
--- a/internal/fleet/tenants/judge.go
+++ b/internal/fleet/tenants/judge.go
@@ -9,7 +9,7 @@
 )
 
 // Controller is the leader's soft part: it sees what nodes report and says which commands the state is ready for. It
-// loses everything when its leadership ends; what it decides is refused by the state where it is out of date.
+// loses everything when its leadership ends; what it decides is rejected by the state where it is out of date.
 type Controller struct {
 	config      Config
 	leaderSince fleet.Time
@@ -35,7 +35,7 @@
 	seenAt        fleet.Time // when this leader first saw it
 }
 
-// NewController makes a judge whose leadership began at 0.
+// NewController makes a controller whose leadership began at 0.
 func NewController(cfg Config) *Controller {
 	j := &Controller{config: cfg}
 	j.Lead(0)
@@ -82,8 +82,8 @@
 	}
 }
 
-// Step gives the commands that the state is ready for, from what has been observed of those who are present. Of a tenant
-// only the present members of its scope count. It is called about every 100 ms; a command that it gives again before the first was applied is refused by
+// Step returns the commands that the state is ready for, from what has been observed of those who are present. Of a tenant
+// only the present members of its scope count. It is called about every 100 ms; a command that it gives again before the first was applied is rejected by
 // the state and does no harm. Over 200 tenants and 50 (300) nodes a step takes 0.1 (0.2) ms, one a second that divides 4 (25) ms,
 // and a report observed 0.1 ms: BenchmarkStep.
 func (j *Controller) Step(now fleet.Time, s *State, p Present) []Command {
@@ -163,8 +163,8 @@
 	return back, now-j.steps[name].seenAt >= StageTimeout
 }
 
-// hasStaged says whether a node has validated and staged what is intended, by its own report with its module's digest;
-// refused, that it can't; why, as text.
+// hasStaged reports whether a node has validated and staged what is intended, by its own report with its module's digest;
+// rejected, that it can't; why, as text.
 func (j *Controller) hasStaged(e *Entry, name string, m fleet.Member) (ok, refused bool, why string) {
 	if !j.hasRevision(e, m) {
 		return false, false, "has not heard of it"
@@ -183,7 +183,7 @@
 	return true, false, ""
 }
 
-// hasRevision says whether a present run's module holds intent as new as the tenant's item.
+// hasRevision reports whether a present run's module holds intent as new as the tenant's item.
 func (j *Controller) hasRevision(e *Entry, m fleet.Member) bool {
 	v := j.reports[m.Node]
 	return v != nil && v.Incarnation == m.Incarnation && v.Report.Revision >= e.Revision
--- a/internal/fleet/tenants/lend.go
+++ b/internal/fleet/tenants/lend.go
@@ -9,7 +9,7 @@
 	"meadowsill/internal/fleet"
 )
 
-// quotaDivider is the judge's part that divides quotas: what it aims at, and which leases are over.
+// quotaDivider is the controller's part that divides quotas: its targets, and which leases have expired.
 type quotaDivider struct {
 	started       bool
 	dividedAt     fleet.Time         // when a division was last thought of
@@ -33,7 +33,7 @@
 }
 
 // trackLeases notes which leased runs are over. A run that lapsed is over: it counted itself out before the leader did.
-// One that a larger incarnation ended may hold its lease for another TTL; so may any that vanished while this judge
+// One that a larger incarnation ended may hold its lease for another TTL; so may any that vanished while this controller
 // can't tell how: it did not lead yet, or the epoch moved more often than the present runs did.
 func (j *Controller) trackLeases(now fleet.Time, s *State, epoch uint64, present []fleet.Member) {
 	l := &j.divider
@@ -96,7 +96,7 @@
 	l.presentBefore, l.epoch = cur, epoch
 }
 
-// divide decides one division, or none: it looks once in DivideEvery, and changes only what is to change.
+// divide decides one division, or none: it looks once in DivideInterval, and changes only what is to change.
 func (j *Controller) divide(now fleet.Time, s *State, r *presentByScope) *Division {
 	present := r.Members
 	j.trackLeases(now, s, r.Epoch(""), present)
@@ -158,7 +158,7 @@
 	return d
 }
 
-// freesQuota says whether what a run holds frees anything.
+// freesQuota reports whether what a run holds frees anything.
 func (s *State) freesQuota(h Confirmation, le *Lease) bool {
 	if h.Revision >= le.Revision {
 		for name, m := range le.MaxRates {
@@ -238,8 +238,8 @@
 	}
 }
 
-// targetRates gives the part of the pool of each run present in the scope. It stays as it was while the pool and the runs are the same and
-// either every run has room, or no run's part would move by more than the hysteresis.
+// targetRates returns the part of what may be leased of each run present in the scope. It stays as it was while that and the runs are the same and
+// either every run has capacity, or no run's part would move by more than the hysteresis.
 func (j *Controller) targetRates(next *State, name, service string, pool float64, runs []presentRun) []float64 {
 	floor := 0.0
 	if e := next.Tenants[name]; e != nil && e.Committed != nil {
@@ -254,7 +254,7 @@
 		}
 	}
 	old, ok := j.divider.targets[name]
-	if ok = ok && old.service == service; !ok { // a new leader goes on from what is leased, where that is nearly all
+	if ok = ok && old.service == service; !ok { // a new leader continues from what is leased, where that is nearly all
 		old = target{leasable: pool, service: service, rates: make([]float64, len(runs))}
 		sum := 0.0
 		for i, st := range runs {
--- a/internal/fleet/tenants/line.go
+++ b/internal/fleet/tenants/line.go
@@ -36,7 +36,7 @@
 	return best
 }
 
-// within says whether path field is at or below path at.
+// within reports whether path field is at or below path at.
 func within(field, at string) bool {
 	rest, ok := strings.CutPrefix(field, at)
 	return ok && (rest == "" || rest[0] == '.' || rest[0] == '[')
--- a/internal/fleet/tenants/page_test.go
+++ b/internal/fleet/tenants/page_test.go
@@ -100,7 +100,7 @@
 	}
 }
 
-// step carries out what the judge decides for the tenants, divisions only where asked; its last error.
+// step carries out what the controller decides for the tenants, divisions only where asked; its last error.
 func (f *fixture) step(divide bool) (err error) {
 	for _, c := range f.j.Step(f.now, f.s, f.present()) {
 		if c.Op != Divide || divide {
@@ -257,7 +257,7 @@
 	})
 }
 
-// playRow brings a tenant of a service into the row's state, and plays its event.
+// playRow brings a tenant of a service into the row's state, and runs its event.
 func playRow(t *testing.T, r statetable.Row, service string) {
 	t.Helper()
 	f := newFixture(service)
@@ -321,7 +321,7 @@
 	}
 }
 
-// everyTransition gives every command to every phase: what changes the phase must be a row.
+// everyTransition returns every command to every phase: what changes the phase must be a row.
 func everyTransition(t *testing.T, rows []statetable.Row, service string) {
 	events := map[string][]string{Put: {"put"}, Delete: {"delete"}, Commit: {"staged"}, Rollback: {"refused", "timeout"},
 		Applied: {"applied"}, Drained: {"drained"}, QuotaWithdrawn: {"applied"}, Divide: nil}
--- a/internal/fleet/tenants/parse.go
+++ b/internal/fleet/tenants/parse.go
@@ -17,7 +17,7 @@
 // maxDepth is how deep a JSON body may be nested; the schema needs 3.
 const maxDepth = 8
 
-// ParseTOML reads a tenant file and validates it whole. Errors are *FieldError with the field and its line.
+// ParseTOML reads a tenant file and validates it completely. Errors are *FieldError with the field and its line.
 func ParseTOML(data []byte) (fleet.Spec, error) {
 	if len(data) > fleet.MaxTenantBytes {
 		return fleet.Spec{}, fieldError("", "is over %d bytes", fleet.MaxTenantBytes)
@@ -48,7 +48,7 @@
 }
 
 // ParseProposal reads the body of PUT /fleet/v1/tenants/NAME, {"generation": G, "spec": SPEC}: the generation that
-// the operator read (0: none) and the specification, validated whole. Field paths begin with "spec.".
+// the operator read (0: none) and the specification, validated completely. Field paths begin with "spec.".
 func ParseProposal(data []byte) (generation uint64, spec fleet.Spec, err error) {
 	body, err := decodeJSON(data)
 	if err != nil {
@@ -168,7 +168,7 @@
 	}
 }
 
-// fields calls each for every key, in order; it says whether it knows the key.
+// fields calls each for every key, in order; it reports whether it knows the key.
 func (t *tree) fields(at string, v any, each func(field, key string, v any) bool) {
 	m, ok := v.(map[string]any)
 	if !ok {
--- a/internal/fleet/tenants/schema.go
+++ b/internal/fleet/tenants/schema.go
@@ -26,12 +26,12 @@
 
 // FieldError is one fault of a specification. It wraps fleet.ErrInvalid.
 type FieldError struct {
-	Field   string // its path, as "routes[1].weight"; empty: the whole
+	Field   string // its path, as "routes[1].weight"; empty: the complete
 	Line    int    // of the TOML file, from 1; 0: not known
 	Problem string
 }
 
-// Error gives one plain line: "invalid: line 4: quota.rate: must be above 0".
+// Error returns one plain line: "invalid: line 4: quota.rate: must be above 0".
 func (e *FieldError) Error() string {
 	var b strings.Builder
 	b.WriteString(fleet.ErrInvalid.Error())
@@ -200,12 +200,12 @@
 	return nil
 }
 
-// Canonical gives the JSON of a specification, the same bytes for the same meaning: classes in order, empty
+// Canonical returns the JSON of a specification, the same bytes for the same meaning: classes in order, empty
 // lists left out. The order of routes is kept.
 func Canonical(s fleet.Spec) []byte {
 	s.Namespace.Classes = slices.Sorted(slices.Values(s.Namespace.Classes))
 	raw, err := json.Marshal(s)
-	if err != nil { // only numbers that Validate refuses
+	if err != nil { // only numbers that Validate rejects
 		return nil
 	}
 	return raw
--- a/internal/fleet/tenants/scope.go
+++ b/internal/fleet/tenants/scope.go
@@ -9,10 +9,10 @@
 	"meadowsill/internal/fleet"
 )
 
-// EpochOf gives the session epoch of a service's scope (session.State.ScopeEpoch); of no service, the fleet's.
+// EpochOf returns the session epoch of a service's scope (session.State.ScopeEpoch); of no service, the fleet's.
 type EpochOf func(service string) uint64
 
-// Present is who is present, as the judge counts them.
+// Present is who is present, as the controller counts them.
 type Present struct {
 	Epoch    EpochOf
 	Members  []fleet.Member
@@ -52,7 +52,7 @@
 	return nil
 }
 
-// InScope gives the tenants that a node of these services holds, in no order; no services: all. It costs what it gives.
+// InScope returns the tenants that a node of these services holds, in no order; no services: all. It costs what it gives.
 func (s *State) InScope(services []string) iter.Seq2[string, *Entry] {
 	return func(yield func(string, *Entry) bool) {
 		if len(services) == 0 {
@@ -78,7 +78,7 @@
 	}
 }
 
-// presentByScope is who is present in each scope, worked out once a step and only for the scopes asked for.
+// presentByScope is who is present in each scope, worked out once a step and only for the scopes requested.
 type presentByScope struct {
 	Present
 	all       scopeMembers
@@ -111,7 +111,7 @@
 	return r
 }
 
-// of gives the members that serve a service; of no service, all.
+// of returns the members that serve a service; of no service, all.
 func (r *presentByScope) of(service string) *scopeMembers {
 	if service == "" || len(r.unscoped) == len(r.Members) {
 		return &r.all
@@ -137,7 +137,7 @@
 
 func byNode(a, b fleet.Member) int { return strings.Compare(a.Node, b.Node) }
 
-// pick gives the runs of the group's members, out of those of all present members.
+// pick returns the runs of the group's members, out of those of all present members.
 func (g *scopeMembers) pick(runs []presentRun) []presentRun {
 	if len(g.positions) == len(runs) {
 		return runs
@@ -149,7 +149,7 @@
 	return picked
 }
 
-// all says whether ok holds for every member.
+// all reports whether ok holds for every member.
 func (g *scopeMembers) all(ok func(fleet.Member) bool) bool {
 	return !slices.ContainsFunc(g.members, func(m fleet.Member) bool { return !ok(m) })
 }
--- a/internal/fleet/tenants/scope_test.go
+++ b/internal/fleet/tenants/scope_test.go
@@ -10,7 +10,7 @@
 	"meadowsill/internal/fleet"
 )
 
-// A command that does not say "scoped", as those of older logs, is refused by the fleet's epoch, whatever the tenant's service.
+// A command that does not say "scoped", as those of older logs, is rejected by the fleet's epoch, whatever the tenant's service.
 func TestCommandsWithoutScopes(t *testing.T) {
 	f := newFixture("retail")
 	f.join("n3", "other") // the fleet's epoch is now above the scope's
--- a/internal/fleet/tenants/service_test.go
+++ b/internal/fleet/tenants/service_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// A tenant's service is read from a file and from a proposal, is part of the digest, and is refused by its field's name.
+// A tenant's service is read from a file and from a proposal, is part of the digest, and is rejected by its field's name.
 func TestServiceOfATenant(t *testing.T) {
 	const line = `service = "billing"` + "\n"
 	spec, err := ParseTOML([]byte(line + goodTOML))
--- a/internal/fleet/tenants/state.go
+++ b/internal/fleet/tenants/state.go
@@ -16,7 +16,7 @@
 	OrphanedLeases  []OrphanedLease   `json:"ghosts,omitempty"`   // runs that have a successor and may still hold their leases
 	CountedNodes    map[string]uint64 `json:"known,omitempty"`    // nodes that were counted, by the count's number
 	NodeCounts      uint64            `json:"counts,omitempty"`   // counts of nodes so far
-	Slots           int               `json:"slots,omitempty"`    // the fleet's whole number of nodes
+	Slots           int               `json:"slots,omitempty"`    // the fleet's full number of nodes
 	Division        uint64            `json:"division,omitempty"` // rises with every division
 	DividedRevision uint64            `json:"divided,omitempty"`  // revision of the newest division
 	Tombstones      []Tombstone       `json:"tombs,omitempty"`    // oldest first
@@ -33,7 +33,7 @@
 	OutdatedRates map[string]float64 `json:"behind,omitempty"`   // by node: the largest rate, above the present, that its floor may come of
 }
 
-// Lease is the leased parts of one run: as published, and the most that it may hold by what it has heard.
+// Lease is the leases of one run: as published, and the most that it may hold by what it has heard.
 type Lease struct {
 	Incarnation uint64             `json:"incarnation"`
 	Revision    uint64             `json:"rev"`
@@ -42,13 +42,13 @@
 	MaxRates    map[string]float64 `json:"most,omitempty"` // at least Rates
 }
 
-// OrphanedLease is a run that has a successor and may hold what it was leased until the judge knows its lease to be over.
+// OrphanedLease is a run that has a successor and may hold what it was leased until the controller knows its lease to be over.
 type OrphanedLease struct {
 	Run
 	MaxRates map[string]float64 `json:"most"`
 }
 
-// Tombstone remembers that an item is gone, and for a tenant why its last rollout was rolled back.
+// Tombstone remembers that an item is removed, and for a tenant why its last rollout was rolled back.
 type Tombstone struct {
 	Key        string `json:"key"`
 	Revision   uint64 `json:"rev"`
@@ -58,7 +58,7 @@
 
 // Apply changes the state by one command and gives the keys of the items changed. rev gives the revision of
 // this change; it is called once, and only where something changes. epoch gives the session epochs as they stand
-// where the command is applied. Errors wrap fleet.ErrInvalid, ErrConflict, ErrUnknown or ErrStale; they change nothing.
+// where the command is applied. Errors wrap fleet.ErrInvalid, ErrConflict, ErrNotFound or ErrStale; they change nothing.
 func (s *State) Apply(c Command, epoch EpochOf, rev func() uint64) (changed []string, err error) {
 	switch c.Op {
 	case Put:
@@ -86,7 +86,7 @@
 }
 
 // epochNow is the present value of the epoch that the command names. Those from before there were scopes name the fleet's,
-// and are refused by it on every replica.
+// and are rejected by it on every replica.
 func (c *Command) epochNow(e *Entry, epoch EpochOf) uint64 {
 	if c.Scoped {
 		return epoch(e.Service())
@@ -158,7 +158,7 @@
 	return []string{keyTenant + c.Name}, nil
 }
 
-// applyStep carries out the judge's commands on a tenant that is as the judge saw it.
+// applyStep carries out the controller's commands on a tenant that is as the controller saw it.
 func (s *State) applyStep(e *Entry, c Command, rev func() uint64) ([]string, error) {
 	wrong := func() ([]string, error) {
 		return nil, fmt.Errorf("%w: %s of tenant %q, generation %d: not where the tenant is", ErrStale, c.Op, c.Name, c.Generation)
@@ -206,7 +206,7 @@
 }
 
 // countNodes notes that nodes were counted. Of more than twice the slots those last counted longest ago are forgotten,
-// their larger floors with them.
+// their larger guaranteed parts with them.
 func (s *State) countNodes(runs []Run) {
 	if s.CountedNodes == nil {
 		s.CountedNodes = map[string]uint64{}
--- a/internal/fleet/tenants/status.go
+++ b/internal/fleet/tenants/status.go
@@ -17,7 +17,7 @@
 	NodeRemoved  = "removed"  // takes no new requests; none is open
 )
 
-// Status gives the phase with a tenant of each node present in its scope, by node; fleet.ErrUnknown wrapped for a name that has none.
+// Status returns the phase with a tenant of each node present in its scope, by node; fleet.ErrNotFound wrapped for a name that has none.
 func (j *Controller) Status(now fleet.Time, s *State, name string, p Present) ([]NodeStatus, error) {
 	e := s.Tenants[name]
 	if e == nil {
@@ -98,7 +98,7 @@
 	return out
 }
 
-// isLate says whether a node has yet to take the step that a tenant is at.
+// isLate reports whether a node has yet to take the step that a tenant is at.
 func (j *Controller) isLate(s *State, e *Entry, name string, m fleet.Member) bool {
 	switch s.Phase(name) {
 	case PhaseApplying:
@@ -109,7 +109,7 @@
 	return false
 }
 
-// HasFollowed says whether a node that reports so holds up nothing: it has applied all that is committed in its scope.
+// HasFollowed reports whether a node that reports so holds up nothing: it has applied all that is committed in its scope.
 func HasFollowed(s *State, r fleet.Report) bool {
 	for name, e := range s.InScope(r.Services) {
 		if !e.Applying && !e.Removing && !e.QuotaWithdrawn {
@@ -127,9 +127,9 @@
 	return true
 }
 
-// CaughtUp says whether a node that reports so may begin to serve: of every committed tenant of its scope it holds the present
-// generation, or while that is being applied its predecessor, and none of a tenant that is no more or is outside of it. It is asked before a
-// run becomes present; until then the leader answers its reports with Out (T2, T4).
+// CaughtUp reports whether a node that reports so may begin to serve: of every committed tenant of its scope it holds the present
+// generation, or while that is being applied its predecessor, and none of a tenant that is no more or is outside of it. It is checked before a
+// run becomes present; until then the leader answers its reports with NotReady (T2, T4).
 // Tenants of the node's own settings have UID 0 and don't count until intent names them.
 func CaughtUp(s *State, r fleet.Report) bool {
 	acks := map[string]fleet.TenantAck{}
--- a/internal/fleet/zones/back.go
+++ b/internal/fleet/zones/back.go
@@ -7,11 +7,11 @@
 	"meadowsill/internal/fleet"
 )
 
-// recovery is what the judge knows of the return of a zone: of the directive of revision rev, since it saw it.
+// recovery is what the controller knows of the recovery of a zone: of the directive of a revision, since it saw it.
 type recovery struct {
 	revision   uint64
 	startedAt  fleet.Time
-	evidenceAt fleet.Time // or, where a zone is left, since evidence last said that it fails
+	evidenceAt fleet.Time // or, where a zone is evacuated, since evidence last said that it fails
 	byNode     map[string]*nodeEvidence
 	warming    bool
 	answeredAt fleet.Time // first answers of this return, where warming
@@ -57,7 +57,7 @@
 	}
 }
 
-// hasEnoughAnswers tells whether there are so many answers of counted nodes, of two of them at least where two may try, with
+// hasEnoughAnswers reports whether there are so many answers of counted nodes, of two of them at least where two may try, with
 // less than StepLost lost and most attempts answered, from enough of the zone's servers.
 func (b *recovery) hasEnoughAnswers(set *Settings, v fleetView, need, may, listed int) bool {
 	var ok, lost, attempts []float64
@@ -86,7 +86,7 @@
 		float64(servers) >= 0.6*float64(listed)
 }
 
-// nextRecoveryChange gives the next change of a zone that is left or returns, if it is time for one.
+// nextRecoveryChange returns the next change of a zone that is evacuated or returns, if it is time for one.
 func (j *Controller) nextRecoveryChange(v fleetView, s *State, key string) (c Change, ok bool) {
 	b, e := j.recoveries[key], s.Directives[key]
 	y, x, _ := ParseKey(key)
@@ -166,7 +166,7 @@
 	return len(steps)
 }
 
-// endRecovery makes the change by which a return ends: the zone is left anew, for longer.
+// endRecovery makes the change by which a recovery ends: the zone is evacuated anew, for longer.
 func (j *Controller) endRecovery(c Change) Change {
 	c.Event = Lost
 	c.Entry.Relapses = min(c.Entry.Relapses+1, j.settings.maxRelapse())
@@ -174,7 +174,7 @@
 	return c
 }
 
-// recoveryStep makes the change to a step of the return.
+// recoveryStep makes the change to a step of the recovery.
 func (j *Controller) recoveryStep(c Change, b *recovery, v fleetView, event string, step int) Change {
 	e := &c.Entry
 	budgeted := e.Budget > 0
@@ -236,7 +236,7 @@
 	return c, true
 }
 
-// isSuperseded tells whether what held before this directive holds nowhere any more: every one of the nodes (nil: every
+// isSuperseded reports whether what held before this directive holds nowhere any more: every one of the nodes (nil: every
 // present one) reports that it holds this one, or it has been outlived, by clocks whose rates differ.
 func (b *recovery) isSuperseded(set *Settings, v fleetView, nodes []string) bool {
 	if v.now-b.startedAt >= set.DirectiveLifetime*21/20 {
@@ -254,7 +254,7 @@
 	return heard == len(nodes)
 }
 
-// isTrialLost tells whether most of the trial's nodes that tried, two at least where two may, lost most of it.
+// isTrialLost reports whether most of the trial's nodes that tried, two at least where two may, lost most of it.
 func (j *Controller) isTrialLost(b *recovery, v fleetView, e Entry) bool {
 	tried, lost := 0, 0
 	for _, s := range v.nodes {
@@ -268,7 +268,7 @@
 	return 2*lost > tried && (lost >= 2 || len(e.TrialNodes) == 1 && lost == 1)
 }
 
-// isStepLost tells whether the attempts of this step are lost: BackFrom of the newest, by no one node's or zone's vote.
+// isStepLost reports whether the attempts of this step are lost: RelapseLoss of the newest, by no one node's or zone's vote.
 func (j *Controller) isStepLost(v fleetView, y, x string, rev uint64) bool {
 	var all []nodeAttempts
 	zones := 0
--- a/internal/fleet/zones/evidence.go
+++ b/internal/fleet/zones/evidence.go
@@ -34,7 +34,7 @@
 	countsUntil        fleet.Time // counts hold until then, unless a window comes
 }
 
-// recordReport keeps a report; it tells whether it was newer than what is known.
+// recordReport keeps a report; it reports whether it was newer than what is known.
 func (j *Controller) recordReport(now fleet.Time, v fleet.NodeView) (*nodeRun, bool) {
 	n := j.nodes[v.Node]
 	at := min(v.ReceivedAt, now)
@@ -64,7 +64,7 @@
 	return n, true
 }
 
-// isPlausible tells whether a count could be a node's: no more of a part than of the whole.
+// isPlausible reports whether a count could be a node's: no more of a part than of the whole.
 func isPlausible(c fleet.ZoneEvidence) bool {
 	return c.Zone != "" && len(c.Zone) <= 64 && !strings.ContainsAny(c.Zone, "@/") &&
 		c.Lost >= 0 && c.Answered >= 0 && c.Lost <= maxCount && c.Answered <= maxCount && c.Attempts <= maxCount &&
@@ -91,7 +91,7 @@
 	zones    map[string]zoneCount
 }
 
-// zoneCount is a node's evidence on a zone over the newest windows of Look.
+// zoneCount is a node's evidence on a zone over the newest windows of EvidenceWindow.
 type zoneCount struct {
 	attempts, lost, answered, lostServers, listed int
 	rate                                          float64 // answers/s
@@ -108,7 +108,7 @@
 	zones         []string       // that anyone counted, in order
 }
 
-// hasQuorum tells whether enough of the present nodes are heard to judge at all.
+// hasQuorum reports whether enough of the present nodes are heard to evaluate at all.
 func (v fleetView) hasQuorum() bool { return v.presentCount > 0 && 2*len(v.nodes) >= v.presentCount }
 
 func (j *Controller) currentView(now fleet.Time, present []fleet.Member) fleetView {
@@ -153,7 +153,7 @@
 	}
 }
 
-// countWindows adds up a node's newest windows on a zone, back over Look, of those that began at revision from or later.
+// countWindows adds up a node's newest windows on a zone, back over EvidenceWindow, of those that began at revision from or later.
 // The vote is of the newest of them that are enough for one.
 func (set *Settings) countWindows(now fleet.Time, n *nodeRun, zone string, from uint64) (c zoneCount) {
 	var length fleet.Time
@@ -190,7 +190,7 @@
 	return c
 }
 
-// isFaultyNode tells whether every zone that a node tried fails: then the node is the fault.
+// isFaultyNode reports whether every zone that a node tried fails: then the node is the fault.
 func isFaultyNode(zones map[string]zoneCount) bool {
 	fail, ok := 0, 0
 	for _, c := range zones {
@@ -204,7 +204,7 @@
 	return fail > 0 && ok == 0
 }
 
-// clampToMedian gives what each value counts for: no more than a few times the median of those above 0.
+// clampToMedian returns what each value counts for: no more than a few times the median of those above 0.
 func clampToMedian(values []float64) []float64 {
 	above := slices.DeleteFunc(slices.Clone(values), func(x float64) bool { return x <= 0 })
 	if len(above) == 0 {
--- a/internal/fleet/zones/findings.go
+++ b/internal/fleet/zones/findings.go
@@ -13,7 +13,7 @@
 // voteCount are how many nodes have a vote on a zone, and which.
 type voteCount struct{ failing, healthy, cast int }
 
-// countVotes gives the votes on zone y by the zone of the nodes, and of all.
+// countVotes returns the votes on zone y by the zone of the nodes, and of all.
 func (v fleetView) countVotes(y string) (by map[string]voteCount, all voteCount) {
 	by = make(map[string]voteCount, len(v.presentByZone))
 	for i := range v.nodes {
@@ -42,9 +42,9 @@
 	return by, all
 }
 
-// isLost tells whether a quorum of nodes and of zones sees zone y fail.
+// isLost reports whether a quorum of nodes and of zones sees zone y fail.
 func (set *Settings) isLost(v fleetView, y string, by map[string]voteCount, all voteCount) bool {
-	others := 0 // zones with nodes that could judge
+	others := 0 // zones with nodes that could vote
 	for x := range v.presentByZone {
 		if x != y && set.countsForQuorum(x) {
 			others++
@@ -62,12 +62,12 @@
 	return 2*all.failing > all.cast && all.failing >= 2 && (heard == 0 || 2*agree > heard) && (others < 2 || agree >= 2)
 }
 
-// countsForQuorum tells whether zone x counts for the quorum of zones.
+// countsForQuorum reports whether zone x counts for the quorum of zones.
 func (set *Settings) countsForQuorum(x string) bool {
 	return len(set.Region) == 0 || set.Region[x] != ""
 }
 
-// isCutOff tells whether zone x's nodes see a zone fail while the others see it well.
+// isCutOff reports whether zone x's nodes see a zone fail while the others see it well.
 func isCutOff(v fleetView, x string, by map[string]voteCount, all voteCount) bool {
 	own := by[x]
 	return 2*own.failing > own.cast && (own.failing >= 2 || own.failing == 1 && v.presentByZone[x] == 1) &&
@@ -80,7 +80,7 @@
 	attempts, lost, lostServers float64
 }
 
-// robustLossPart gives the share of the attempts lost that holds without any one node's vote and without any one zone's; and
+// robustLossPart returns the share of the attempts lost that holds without any one node's vote and without any one zone's; and
 // how many attempts of how many nodes it is of. Where two zones could speak and only one does, it is 0.
 func robustLossPart(all []nodeAttempts, zones int) (p float64, attempts float64, nodes int) {
 	n := make([]float64, len(all))
@@ -120,7 +120,7 @@
 	return p, sum.attempts, nodes
 }
 
-// grayLoss gives the share of the fleet's attempts at y that is lost, 0 where there is no such finding, and how long it must
+// grayLoss returns the share of the fleet's attempts at y that is lost, 0 where there is no such evidence, and how long it must
 // hold: longer where most was lost at servers that gave no answer at all in their windows, as those may be bad servers,
 // which nodes avoid by themselves, and no bad zone.
 func (set *Settings) grayLoss(v fleetView, y string) (p float64, nodes int, hold fleet.Time) {
@@ -147,7 +147,7 @@
 // grayTrafficShare is what is served of a zone that loses share p.
 func grayTrafficShare(p float64) float64 { return math.Round(10*(1-p)) / 10 }
 
-// findEvidence gives every finding of now, by key. The hold of each runs from when it was first found without a gap.
+// findEvidence returns the evidence of now, by key. The delay of each runs from when it was first found without a gap.
 func (j *Controller) findEvidence(v fleetView, s *State) map[string]Evidence {
 	out := map[string]Evidence{}
 	add := func(key, event string, nodes, votes int, p float64, hold fleet.Time) {
@@ -181,5 +181,5 @@
 	return out
 }
 
-// isEstablished tells whether a finding has held long enough to act on.
+// isEstablished reports whether evidence has lasted long enough to act on.
 func (f Evidence) isEstablished(now fleet.Time) bool { return now-f.Since >= f.requiredTime }
--- a/internal/fleet/zones/judge.go
+++ b/internal/fleet/zones/judge.go
@@ -14,7 +14,7 @@
 	proposalRetryDelay = 500 * time.Millisecond // a command that was not applied is given again
 )
 
-// Controller is the leader's soft knowledge: what nodes reported of late, findings that must hold, hold-offs that run. It is
+// Controller is the leader's soft knowledge: what nodes reported of late, evidence that must last, backoffs that run. It is
 // not safe for concurrent use. Times are the leader's monotonic clock.
 type Controller struct {
 	settings    Settings
@@ -42,7 +42,7 @@
 	at                          fleet.Time
 }
 
-// Evidence is what a zone is judged by now, for operators.
+// Evidence is what a zone is evaluated by now, for operators.
 type Evidence struct {
 	Key          string     `json:"key"`
 	Event        string     `json:"event"`
@@ -54,7 +54,7 @@
 	requiredTime fleet.Time // how long it must hold
 }
 
-// NewController makes a judge whose leadership began at 0 and has seen nothing.
+// NewController makes a controller whose leadership began at 0 and has seen nothing.
 func NewController(set Settings) *Controller {
 	j := &Controller{settings: set}
 	j.Lead(0)
@@ -85,7 +85,7 @@
 	}
 }
 
-// Step judges, and gives the commands to apply in their order; call it each 100 ms. It changes nothing of s. A command
+// Step evaluates, and gives the commands to apply in their order; call it each 100 ms. It changes nothing of s. A command
 // that was not applied is given again.
 func (j *Controller) Step(now fleet.Time, s *State, present []fleet.Member) []Command {
 	v := j.currentView(now, present)
@@ -123,7 +123,7 @@
 	return out
 }
 
-// Evidence gives what the last Step found, by key.
+// Evidence returns what the last Step found, by key.
 func (j *Controller) Evidence() []Evidence {
 	out := make([]Evidence, 0, len(j.evidence))
 	for _, key := range slices.Sorted(maps.Keys(j.evidence)) {
@@ -132,7 +132,7 @@
 	return out
 }
 
-// mayPropose tells whether a change is to be given now: not while the same was given a moment ago.
+// mayPropose reports whether a change is to be given now: not while the same was given a moment ago.
 func (j *Controller) mayPropose(now fleet.Time, s *State, c Change) bool {
 	if g, ok := j.proposed[c.Key]; ok && g.itemRevision == c.IfRevision && g.stateRevision == s.Revision && now-g.at < proposalRetryDelay {
 		return false
@@ -141,7 +141,7 @@
 	return true
 }
 
-// followDirectives notes which directives are in force, and since when this judge has seen them.
+// followDirectives notes which directives are in force, and since when this controller has seen them.
 func (j *Controller) followDirectives(now fleet.Time, s *State) {
 	maps.DeleteFunc(j.recoveries, func(key string, _ *recovery) bool { _, ok := s.Directives[key]; return !ok })
 	for key, e := range s.Directives {
@@ -165,7 +165,7 @@
 	}
 }
 
-// evacuations gives the changes by which zones are left, or left further: all in one command, as the room for each depends
+// evacuations returns the changes by which zones are evacuated, or left further: all in one command, as the capacity for each depends
 // on the others. What it decides goes into p.
 func (j *Controller) evacuations(v fleetView, s *State, p plannedDirectives) (out []Change) {
 	held := func(f Evidence, why string) {
@@ -199,7 +199,7 @@
 	return out
 }
 
-// evacuation gives what a finding that holds makes of its zone, or why nothing.
+// evacuation returns what a finding that holds makes of its zone, or why nothing.
 func (j *Controller) evacuation(v fleetView, s *State, p plannedDirectives, f Evidence) (c Change, why string) {
 	y, x, _ := ParseKey(f.Key)
 	e, had := s.Directives[f.Key]
@@ -244,17 +244,17 @@
 	return c, ""
 }
 
-// setEvacuated makes an entry one of a zone that is left, but for share.
+// setEvacuated makes an entry one of a zone that is evacuated, but for share.
 func (j *Controller) setEvacuated(e *Entry, share float64, reason string) {
 	d := fleet.Directive{Phase: fleet.Evacuated, Share: share, Floor: share, ValidMS: j.settings.DirectiveLifetime.Milliseconds(), Reason: reason,
 		BackoffMS: max(e.BackoffMS, j.settings.backoff(e.Relapses).Milliseconds()), Relapses: e.Relapses}
-	if share > 0 && (reason == Lost || reason == Region) { // its servers may come back cold
+	if share > 0 && (reason == Lost || reason == Region) { // its servers may come back as new processes
 		d.Budget, d.Slots = j.serverBudget(e.ProvedRate, j.settings.SlowStartMinCapacity, true), j.budgetSlots
 	}
 	e.Directive, e.BaseShare, e.TrialAnswered = d, share, false
 }
 
-// regionEvacuations gives the changes by which the rest of a region is left, most of whose zones are.
+// regionEvacuations returns the changes by which the rest of a region is evacuated, most of whose zones are.
 func (j *Controller) regionEvacuations(v fleetView, s *State, p plannedDirectives) (out []Change) {
 	zones := map[string][]string{}
 	for y, r := range j.settings.Region {
@@ -283,7 +283,7 @@
 	return out
 }
 
-// serverBudget is what one server may get in a second from the whole fleet at a step of the return.
+// serverBudget is what one server may get in a second from the whole fleet at a step of the recovery.
 func (j *Controller) serverBudget(proved, share float64, cold bool) float64 {
 	if proved <= 0 {
 		return j.settings.MinServerBudget
--- a/internal/fleet/zones/room.go
+++ b/internal/fleet/zones/room.go
@@ -12,7 +12,7 @@
 	bucketCount      = 60       // of the 10 min for which a proved rate counts
 	demandWindow     = 3 * 1e9  // demand is the most of so long: from before a loss is seen
 	listedWindow     = 10 * 1e9 // servers that left the list of late were there when it was lost
-	fullRejectedPart = 0.05     // share of attempts refused: the zone is full
+	fullRejectedPart = 0.05     // share of attempts rejected: the zone is full
 )
 
 // rateSample is what a zone carried at one step.
@@ -138,7 +138,7 @@
 	return s
 }
 
-// baseShare is what is left of zone y by one directive, whatever becomes of a return that is on.
+// baseShare is what is left of zone y by one directive, whatever becomes of a recovery that is on.
 func (p plannedDirectives) baseShare(y, x string) float64 {
 	if e, ok := p[Key(y, x)]; ok {
 		return e.BaseShare
@@ -146,7 +146,7 @@
 	return 1
 }
 
-// listedServers is how many servers zone y has: as it was when it was left, or of late.
+// listedServers is how many servers zone y has: as it was when it was evacuated, or of late.
 func (j *Controller) listedServers(p plannedDirectives, y string, now fleet.Time) (n int) {
 	if z := j.loads[y]; z != nil {
 		n = z.maxListed(now)
@@ -157,7 +157,7 @@
 	return n
 }
 
-// keepsEnoughServers tells whether, with share of zone y as nodes of x see it (x "": all), enough servers stay for everyone.
+// keepsEnoughServers reports whether, with share of zone y as nodes of x see it (x "": all), enough servers stay for everyone.
 func (j *Controller) keepsEnoughServers(v fleetView, p plannedDirectives, y, x string, share float64) bool {
 	observers := []string{x}
 	if x == "" {
@@ -183,8 +183,8 @@
 	return true
 }
 
-// evacuablePart gives how much of zone y the nodes of x (x "": all) may leave: what the others bear more than they carry, of
-// the demand that would move. For a zone that is left in part, it is what more may be left.
+// evacuablePart returns how much of zone y the nodes of x (x "": all) may leave: what the others can take beyond what they serve, of
+// the demand that would move. For a zone that is evacuated in part, it is what more may be left.
 func (j *Controller) evacuablePart(v fleetView, p plannedDirectives, y, x string) (part, demand float64) {
 	y0 := j.loads[y]
 	if y0 == nil {
@@ -231,7 +231,7 @@
 	return math.Max(0, math.Min(1, room/moves)), moves
 }
 
-// isLoadMoving tells whether a directive is so new that the load may still be moving.
+// isLoadMoving reports whether a directive is so new that the load may still be moving.
 func (j *Controller) isLoadMoving(key string, now fleet.Time) bool {
 	b := j.recoveries[key]
 	return b != nil && now-b.startedAt < demandWindow
--- a/internal/fleet/zones/settings.go
+++ b/internal/fleet/zones/settings.go
@@ -1,5 +1,5 @@
-// Package zones decides when the fleet leaves a zone or region and how it returns (docs/fleet.md, "Zones"). It is a
-// pure core: no I/O, no clock, no goroutine. State is replicated and knows no time; Judge is the leader's own soft
+// Package zones decides when the fleet evacuates a zone or region and how it returns (docs/fleet.md, "Zones"). It is a
+// pure core: no I/O, no clock, no goroutine. State is replicated and knows no time; Controller is the leader's own soft
 // knowledge, is given the time, and gives the commands that change State.
 package zones
 
@@ -11,7 +11,7 @@
 	"meadowsill/internal/fleet"
 )
 
-// Settings are the bounds of the judgement. Default fills in what docs/fleet.md states; a zero field of the first
+// Settings are the bounds of the evaluation. Default fills in what docs/fleet.md states; a zero field of the first
 // group is taken as it is.
 type Settings struct {
 	Region               map[string]string // zone -> region; a zone that is not named counts for no quorum of zones, where any is
@@ -19,7 +19,7 @@
 	SlowStartMinCapacity float64           // part of its rate that a started server bears
 	SlowStartWindow      fleet.Time        // after which it bears all
 
-	EvidenceWindow     fleet.Time // evidence of so long is judged
+	EvidenceWindow     fleet.Time // evidence of so long is evaluated
 	EvidenceLifetime   fleet.Time // a node's evidence older than this is not counted
 	LostDelay          fleet.Time // a finding must hold for so long
 	CutOffDelay        fleet.Time // a zone cut off: longer, as a zone that is being lost looks so at first
@@ -35,11 +35,11 @@
 
 	InitialBackoff    fleet.Time // before probation; doubled by each relapse
 	MaxBackoff        fleet.Time
-	RelapseMemory     fleet.Time // without a relapse: hold-off halved
+	RelapseMemory     fleet.Time // without a relapse: backoff halved
 	TrialNodes        int        // nodes that try in probation
 	TrialTimeout      fleet.Time // without enough answers: other nodes
 	MinTrialAnswers   int        // answers that end probation
-	Steps             []float64  // shares of the return; the last is 1
+	Steps             []float64  // shares of the recovery; the last is 1
 	MinStepTime       fleet.Time // each at least
 	MinStepAnswers    int        // answers of a step that it needs
 	MaxStepLoss       float64    // under this share lost
@@ -59,7 +59,7 @@
 		MinServerBudget: 4, DirectiveLifetime: 5 * time.Second}
 }
 
-// Check gives an error that names the first field with a value that can't be used.
+// Check returns an error that names the first field with a value that can't be used.
 func (s *Settings) Check() error {
 	bad := func(field, why string) error { return fmt.Errorf("%w: zones %s: %s", fleet.ErrInvalid, field, why) }
 	part := func(x float64) bool { return x >= 0 && x <= 1 } // no NaN
@@ -85,7 +85,7 @@
 	return nil
 }
 
-// backoff is the hold-off after so many relapses, and the most relapses that are counted.
+// backoff is the backoff after so many relapses, and the most relapses that are counted.
 func (s *Settings) backoff(relapse int) fleet.Time {
 	d := s.InitialBackoff
 	for range relapse {
@@ -103,7 +103,7 @@
 	return n
 }
 
-// floor is what a directive of the return falls to: 0, or what was served all along, until the first step is proved.
+// floor is what a directive of the recovery falls to: 0, or what was served all along, until the first step is proved.
 func (s *Settings) floor(base float64, step int) float64 {
 	if step < 2 {
 		return base
--- a/internal/fleet/zones/state.go
+++ b/internal/fleet/zones/state.go
@@ -22,10 +22,10 @@
 type State struct {
 	Revision     uint64                 `json:"rev"`                  // of its last change, 0: none yet
 	Directives   map[string]Entry       `json:"directives,omitempty"` // by key: "zone/Y" or "zone/Y@X"
-	PastRelapses map[string]PastRelapse `json:"past,omitempty"`       // by key: served again, hold-offs not yet forgotten
+	PastRelapses map[string]PastRelapse `json:"past,omitempty"`       // by key: served again, backoffs not yet forgotten
 }
 
-// Entry is a directive in force and what its return needs to know of the zone as it was when it was left.
+// Entry is a directive in force and what its recovery needs to know of the zone as it was when it was evacuated.
 type Entry struct {
 	Revision uint64 `json:"rev"`
 	fleet.Directive
@@ -33,23 +33,23 @@
 	ListedServers int     `json:"listed"` // its servers
 	Demand        float64 `json:"demand"` // answers/s of all of it, for the observers that left it
 	BaseShare     float64 `json:"base"`   // share served all along
-	TrialAnswered bool    `json:"tried"`  // a trial has had its answers: the return begins once it is over
+	TrialAnswered bool    `json:"tried"`  // a trial has had its answers: the recovery begins once it is over
 }
 
-// PastRelapse is what is kept of a zone that is served again. Rev is the revision of its last change.
+// PastRelapse is what is kept of a zone that is served again. Revision is the revision of its last change.
 type PastRelapse struct {
 	Revision uint64 `json:"rev"`
 	Relapses int    `json:"relapse"`
 }
 
-// Command is one change, taken whole or not at all. IfState is the State's Rev that it was decided from; it is compared
-// where a zone without a directive gets one, as the room for it depends on all the others.
+// Command is one change, applied completely or not at all. IfStateRevision is the State's Revision that it was decided from; it is compared
+// where a zone without a directive gets one, as the capacity for it depends on all the others.
 type Command struct {
 	IfStateRevision uint64   `json:"if_state"`
 	Items           []Change `json:"items"`
 }
 
-// Change is the change of one item: Entry becomes its new content (Rev is given by Apply), or goes.
+// Change is the change of one item: Entry becomes its new content (Revision is given by Apply), or goes.
 type Change struct {
 	Key        string `json:"key"`
 	IfRevision uint64 `json:"if_rev"` // revision of the entry, or of the past, that it was decided from; 0: there was none
@@ -74,9 +74,9 @@
 }
 
 // Apply makes the command's change under one new revision, which rev is called for once, only if it is made. It gives
-// the keys whose items changed, in order: a key that is then not among Items has gone; none changed where only relapses
+// the keys whose items changed, in order: a key that is then not among Items has been removed; none changed where only relapses
 // were forgotten. A command decided from another revision gives ErrChanged, one that the state table does not have
-// ErrIllegal.
+// ErrIllegalTransition.
 func (s *State) Apply(c Command, rev func() uint64) (changed []string, err error) {
 	if len(c.Items) == 0 {
 		return nil, fmt.Errorf("%w: an empty command", ErrIllegalTransition)
@@ -223,7 +223,7 @@
 	return ""
 }
 
-// Items gives the directives as items of intent, by key.
+// Items returns the directives as items of intent, by key.
 func (s *State) Items() []fleet.Item {
 	out := make([]fleet.Item, 0, len(s.Directives))
 	for _, key := range slices.Sorted(maps.Keys(s.Directives)) {
@@ -233,7 +233,7 @@
 	return out
 }
 
-// Item gives the item of a key, if there is one.
+// Item returns the item of a key, if there is one.
 func (s *State) Item(key string) (fleet.Item, bool) {
 	e, ok := s.Directives[key]
 	if !ok {
@@ -243,5 +243,5 @@
 	return fleet.Item{Key: key, Revision: e.Revision, Body: body}, true
 }
 
-// Hold is the hold-off of a directive.
+// backoff is the backoff of a directive.
 func (e Entry) backoff() fleet.Time { return fleet.Time(e.BackoffMS) * 1e6 }
--- a/internal/fleet/zones/table.go
+++ b/internal/fleet/zones/table.go
@@ -8,7 +8,7 @@
 
 // Events of a zone.
 const (
-	Lost        = "lost"    // a quorum of nodes and of zones sees it fail; in a return: the step's attempts are lost
+	Lost        = "lost"    // a quorum of nodes and of zones sees it fail; in a recovery: the step's attempts are lost
 	CutOff      = "cut-off" // the nodes of one zone see it fail, the others see it well
 	Gray        = "gray"    // a share of the fleet's attempts is lost, spread over its servers
 	Region      = "region"  // most of its region's zones are lost
@@ -16,7 +16,7 @@
 	Answered    = "answers" // fresh answers, enough of them
 )
 
-// Transition is a row of the state table: the core makes no other. Back says that the row counts a relapse.
+// Transition is a row of the state table: the core makes no other. CountsRelapse says that the row counts a relapse.
 type Transition struct {
 	From, Event, Condition, To string
 	CountsRelapse              bool
@@ -52,10 +52,10 @@
 	{fleet.Recovering, TimeElapsed, "10 s without answers enough", fleet.Recovering, false},
 }
 
-// Table gives every transition that State.Apply takes, in the page's order.
+// Table returns every transition that State.Apply takes, in the page's order.
 func Table() []Transition { return slices.Clone(table) }
 
-// isLegal tells whether some row goes so.
+// isLegal reports whether some row goes so.
 func isLegal(from, event, to string, back bool) bool {
 	return slices.ContainsFunc(table, func(t Transition) bool {
 		return t.From == from && t.Event == event && t.To == to && t.CountsRelapse == back
--- a/internal/node/actions_test.go
+++ b/internal/node/actions_test.go
@@ -129,7 +129,7 @@
 	if a := <-r.answer; a.status != http.StatusBadGateway {
 		t.Errorf("status %d: a cancelled attempt may have run", a.status)
 	}
-	act(policy.Forward{ID: "q", Server: 1}) // over: answered with Moot, and nothing is sent
+	act(policy.Forward{ID: "q", Server: 1}) // over: answered with NotSent, and nothing is sent
 	act(policy.Reject{ID: "q"})
 	act(policy.Fail{ID: "nobody"})
 	fired := make(chan struct{})
--- a/internal/node/attempts.go
+++ b/internal/node/attempts.go
@@ -14,7 +14,7 @@
 
 // request is a client's request as the front end has read it.
 type request struct {
-	arrived  policy.RequestArrived // but for Patience
+	arrived  policy.RequestArrived // but for Timeout
 	class    policy.Class          // as the rules had it when the request came
 	rules    *rules
 	deadline time.Time // the client has its answer by then
--- a/policy/load_test.go
+++ b/policy/load_test.go
@@ -1,6 +1,6 @@
 package policy_test
 
-// Quiet traffic and overload: what is sent and what is shed.
+// Light traffic and overload: what is sent and what is shed.
 
 import (
 	"fmt"
@@ -11,7 +11,7 @@
 	"meadowsill/policy"
 )
 
-// Quiet traffic is not rejected, also with many servers and few requests.
+// Light traffic is not rejected, also with many servers and few requests.
 func TestLightTrafficIsServed(t *testing.T) {
 	s := harnessSettings()
 	s.Nodes = 6
@@ -65,7 +65,7 @@
 	}
 }
 
-// Full answers in a row back off: many nodes that each come back after one validity would keep a overload alive.
+// Rejections in a row back off: many nodes that each come back after one validity would keep an overload alive.
 func TestRejectionsBackOff(t *testing.T) {
 	r := newHarness(t, harnessSettings(), 1)
 	r.delay = func(policy.ServerID) (time.Duration, policy.OutcomeCode) { return time.Millisecond, policy.Rejected }
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -37,7 +37,7 @@
 	}
 }
 
-// What all nodes together send a warming server in any span of OverloadTime stays within its budget of N and chance, as
+// What all nodes together send a warming server in any span of OverloadDuration stays within its budget of N and chance, as
 // half of the servers are replaced at once, also with 70 % of the nodes restarted in that second, and with warming servers
 // that err. Guards against sums that no node sees: each one's guess of a warm server too high, or of another kind.
 func TestFleetSparesWarmingServers(t *testing.T) {
