--- a/cmd/balancer/main_test.go
+++ b/cmd/balancer/main_test.go
@@ -98,7 +98,7 @@
 		t.Fatal(err)
 	}
 	cmd.Process.Signal(syscall.SIGHUP)
-	if lines.Scan(); !strings.Contains(lines.Text(), "configuration not taken") {
+	if lines.Scan(); !strings.Contains(lines.Text(), "configuration rejected") {
 		t.Errorf("at SIGHUP with a broken file: %q", lines.Text())
 	}
 	moved, err := net.Listen("tcp", "127.0.0.1:0")
@@ -124,7 +124,7 @@
 	}
 }
 
-// sharedPort gives an address that nobody but the processes which share it can take: a socket stays bound to it.
+// sharedPort returns an address that nobody but the processes which share it can take: a socket stays bound to it.
 func sharedPort(t *testing.T) string {
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM, 0)
 	if err != nil {
--- a/cmd/balancer/crowd_test.go
+++ b/cmd/balancer/many_clients_test.go
@@ -16,7 +16,7 @@
 
 // Clients that come all at once and rest, or send nothing, fill the places while discovery is down, under a real limit of descriptors.
 // Discovery is called all the same, and another client gets in once some of them may be closed.
-func TestCrowdLeavesDescriptors(t *testing.T) {
+func TestManyClientsLeaveDescriptors(t *testing.T) {
 	t.Parallel()
 	const sockets = 64
 	discovery, err := net.Listen("tcp", "127.0.0.1:0")
--- a/cmd/balancer/signals_test.go
+++ b/cmd/balancer/signals_test.go
@@ -214,7 +214,7 @@
 	io.WriteString(pipe, config)
 	pipe.Close()
 	r.await(t, "msg=serving")
-	r.await(t, `msg="configuration taken" classes=1 attempts=5`)
+	r.await(t, `msg="configuration applied" classes=1 attempts=5`)
 	r.pipe(t)
 	r.signal(t, syscall.SIGHUP)
 	pipe = r.reading(t)
@@ -223,16 +223,17 @@
 	r.signal(t, syscall.SIGHUP)
 	io.WriteString(pipe, second[:len(second)/2]) // half a file is none
 	pipe.Close()
-	r.await(t, `msg="configuration not taken"`)
-	r.await(t, `msg="configuration taken" classes=1 attempts=4`)
+	r.await(t, `msg="configuration rejected"`)
+	r.await(t, `msg="configuration applied" classes=1 attempts=4`)
 	r.signal(t, syscall.SIGTERM)
 	r.ends(t)
 }
 
 // holder is an app server that holds its requests until let is closed.
 type holder struct {
-	came, let chan struct{}
-	config    string // of a node that knows it
+	came   chan struct{}
+	let    chan struct{}
+	config string // of a node that knows it
 }
 
 func newHolder(t *testing.T) *holder {
@@ -271,7 +272,7 @@
 		select {
 		case <-h.came:
 			return answer
-		case err := <-answer: // the node may refuse by what it has seen so far
+		case err := <-answer: // the node may reject by what it has seen so far
 			if err == nil || err.Error() != "status 503" || time.Now().After(end) {
 				t.Fatalf("answered at once: %v", err)
 			}
@@ -307,7 +308,7 @@
 	r.ends(t)
 }
 
-// A reload in the drain is taken, what is held is answered under the rules it came under, and the program ends.
+// A reload in the drain is taken, what is applied is answered under the rules it came under, and the program ends.
 func TestReloadInTheDrain(t *testing.T) {
 	t.Parallel()
 	r, h, answer := held(t)
@@ -315,7 +316,7 @@
 	r.await(t, "msg=draining")
 	r.put(t, strings.Replace(h.config, `"name":"c"`, `"name":"other"`, 1))
 	r.signal(t, syscall.SIGHUP)
-	r.await(t, `msg="configuration taken" classes=1`)
+	r.await(t, `msg="configuration applied" classes=1`)
 	close(h.let)
 	if err := <-answer; err != nil {
 		t.Errorf("the request that was held: %v", err)
--- a/cmd/discovery/agent_flags_test.go
+++ b/cmd/discovery/agent_flags_test.go
@@ -9,7 +9,7 @@
 )
 
 // A bad scope stops the agent at its start with one line that names the flag, and nothing is written.
-func TestAgentRefusesBadServices(t *testing.T) {
+func TestAgentRejectsBadServices(t *testing.T) {
 	t.Parallel()
 	many := []string{"--node", "n", "--zone", "z"}
 	for range fleet.MaxScopeServices + 1 {
--- a/cmd/discovery/agents_test.go
+++ b/cmd/discovery/agents_test.go
@@ -17,7 +17,7 @@
 	return err == nil && resp.StatusCode == http.StatusOK && json.Unmarshal(raw, v) == nil
 }
 
-// An agent serves its durable copy with its age while no replica can be reached; a damaged copy is refused and put aside;
+// An agent serves its durable copy with its age while no replica can be reached; a damaged copy is rejected and put aside;
 // an old one is served as old, and never over what the node holds.
 func TestAgentsCopy(t *testing.T) {
 	t.Parallel()
@@ -25,7 +25,9 @@
 	f.present()
 	f.mustPut("brand", 0, 100)
 	f.settled("brand", 1)
-	a, b, c := f.nodes[0], f.nodes[1], f.nodes[2]
+	a := f.nodes[0]
+	b := f.nodes[1]
+	c := f.nodes[2]
 	file := func(n *simulated.Node) string { return filepath.Join(n.Dir, "intent.copy") }
 	for _, n := range f.nodes {
 		f.until("the copy of "+n.Name, func() bool {
@@ -91,9 +93,9 @@
 	f.settled("brand", 2)
 }
 
-// All replicas are gone: the agents go on serving what they have, with its age, and count their nodes out; when the replicas are
+// All replicas are down: the agents go on serving what they have, with its age, and count their nodes out; when the replicas are
 // back, so are the sessions, without a new incarnation.
-func TestReplicasGone(t *testing.T) {
+func TestReplicasDown(t *testing.T) {
 	t.Parallel()
 	f := startFleet(t, 10, "ttl_ms = 2000")
 	f.present()
--- a/cmd/discovery/cluster_test.go
+++ b/cmd/discovery/cluster_test.go
@@ -20,7 +20,7 @@
 	*discoverylab.Cluster
 	t   *testing.T
 	mu  sync.Mutex
-	ops []linearizability.Op // the history of writes and consistent reads, for the linearizability check
+	ops []linearizability.Operation // the history of writes and consistent reads, for the linearizability check
 }
 
 // bin is the discovery under test, built once; with DISCOVERY_RACE=1 in the environment with the race detector, which makes these tests
@@ -80,13 +80,17 @@
 	return i
 }
 
-func (c *cluster) record(o linearizability.Op) { c.mu.Lock(); c.ops = append(c.ops, o); c.mu.Unlock() }
+func (c *cluster) record(o linearizability.Operation) {
+	c.mu.Lock()
+	c.ops = append(c.ops, o)
+	c.mu.Unlock()
+}
 
 // register tries each replica in turn, following X-Leader's replica, until one acknowledges or 30 s pass. Each
 // try is recorded: acknowledged, or of unknown outcome unless the replica said at once that it does not lead.
 func (c *cluster) register(id string, from int) bool {
 	for end, i := time.Now().Add(30*time.Second), from; time.Now().Before(end); i = (i + 1) % len(c.HTTP) {
-		op := linearizability.Op{Client: 2, Write: true, ID: id, Call: time.Now().UnixNano()}
+		op := linearizability.Operation{Client: 2, Write: true, ID: id, Call: time.Now().UnixNano()}
 		code, msg := c.Register(i, id, 60000)
 		op.Return, op.Unknown = time.Now().UnixNano(), code != http.StatusOK
 		if !strings.Contains(msg, "not the leader") {
--- a/cmd/discovery/drift_test.go
+++ b/cmd/discovery/drift_test.go
@@ -44,7 +44,7 @@
 	})
 }
 
-// One of ten nodes holds another tenant's rules than it was told: the leader names it, the item and the field, and has its agent
+// One of ten nodes holds another tenant's rules than it was sent: the leader names it, the item and the field, and has its agent
 // tell it again; the verdict's first-seen time outlives the leader. Then one node falls silent, and one has a ban of its operators.
 func TestDrift(t *testing.T) {
 	t.Parallel()
--- a/cmd/discovery/failover_test.go
+++ b/cmd/discovery/failover_test.go
@@ -50,7 +50,7 @@
 	return func() { close(done); <-ended }
 }
 
-// The leader is killed between stage and commit, and again between commit and the first apply: the rollout goes on from the
+// The leader is killed between stage and commit, and again between commit and the first apply: the rollout continues from the
 // replicated state, and nothing is rolled back.
 func TestLeaderKilledInRollout(t *testing.T) {
 	t.Parallel()
@@ -153,7 +153,7 @@
 	}
 }
 
-// snapshots gives the index in raft's log of each replica's newest snapshot, 0 for none.
+// snapshots returns the index in raft's log of each replica's newest snapshot, 0 for none.
 func (f *fleetUp) snapshots() (newest [3]uint64) {
 	for i, d := range f.Dirs {
 		entries, _ := os.ReadDir(d + "/snapshots")
--- a/cmd/discovery/fleet_test.go
+++ b/cmd/discovery/fleet_test.go
@@ -13,7 +13,7 @@
 	"meadowsill/internal/lab/simulated"
 )
 
-// fleetUp is three replicas, and agents as processes, each with a node that the test plays.
+// fleetUp is three replicas, and agents as processes, each with a node that the test runs.
 type fleetUp struct {
 	*cluster
 	nodes []*simulated.Node
--- a/cmd/discovery/list_test.go
+++ b/cmd/discovery/list_test.go
@@ -59,7 +59,7 @@
 				return
 			default:
 			}
-			op := linearizability.Op{Client: 1, Call: time.Now().UnixNano()}
+			op := linearizability.Operation{Client: 1, Call: time.Now().UnixNano()}
 			a, err := c.Read(i, "?consistent=1")
 			op.Return = time.Now().UnixNano()
 			if err != nil {
@@ -122,7 +122,7 @@
 		}
 	}
 	lin := linearizability.Check(history, 10*time.Second)
-	t.Logf("linearizability: %d ids, %d operations (%d consistent reads), %d violations, %d unknown", lin.Ids, len(history),
+	t.Logf("linearizability: %d ids, %d operations (%d consistent reads), %d violations, %d unknown", lin.IDs, len(history),
 		reads, len(lin.Violations), len(lin.Unknown))
 	if len(lin.Violations) > 0 || reads < 10 {
 		t.Errorf("violations at %v; %d reads", lin.Violations, reads)
@@ -279,7 +279,7 @@
 	}
 }
 
-// A watcher that falls behind compaction gets the whole list, never a gap.
+// A watcher that falls behind compaction gets the complete list, never a gap.
 func TestSlowWatcherAfterCompaction(t *testing.T) {
 	c := startCluster(t, 3, "--keep-revisions", "8")
 	lead := c.leader()
--- a/cmd/discovery/main.go
+++ b/cmd/discovery/main.go
@@ -52,7 +52,7 @@
 	var snapAfter uint64
 	cmd := &cobra.Command{Use: "serve", Short: "Run one replica", Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
-			cfg := replica.Config{Dir: dir, Staleness: staleness, KeepRevs: keep, SnapAfter: snapAfter, SnapEvery: snapEvery, Routes: map[string]string{}}
+			cfg := replica.Config{Dir: dir, Staleness: staleness, KeepRevisions: keep, SnapshotAfter: snapAfter, SnapshotInterval: snapEvery, Routes: map[string]string{}}
 			for _, r := range routes {
 				peer, addr, ok := strings.Cut(r, "=")
 				if !ok {
@@ -151,7 +151,7 @@
 				if err != nil {
 					return err
 				}
-				if err := json.Unmarshal(raw, &a.Rewrite); err != nil {
+				if err := json.Unmarshal(raw, &a.Addresses); err != nil {
 					return fmt.Errorf("--addr-map %s: %w", addrMap, err)
 				}
 			}
@@ -195,7 +195,7 @@
 	return mux, nil
 }
 
-// routes gives a dialer that reaches the replicas named in "HTTP=ADDR" at ADDR.
+// routes returns a dialer that reaches the replicas named in "HTTP=ADDR" at ADDR.
 func routes(via []string) (func(ctx context.Context, network, addr string) (net.Conn, error), error) {
 	to := map[string]string{}
 	for _, v := range via {
--- a/cmd/discovery/olddata_test.go
+++ b/cmd/discovery/olddata_test.go
@@ -54,7 +54,7 @@
 }
 
 // The data of a replica that a build before the fleet wrote (a snapshot, and a log that goes on after it, of a process killed): this
-// build, with the fleet turned on, goes on from it. Its four registrations lapsed long ago, which the leader now says.
+// build, with the fleet turned on, continues from it. Its four registrations lapsed long ago, which the leader now reports.
 func TestOldDataRestores(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
--- a/cmd/discovery/reports_test.go
+++ b/cmd/discovery/reports_test.go
@@ -91,7 +91,7 @@
 		mean := (bytesBy(n, "difference") - size) / (sentBy(n, "difference") - sent)
 		t.Logf("%s: %.0f bytes a difference at %d tenants; whole before: %.0f of %.0f bytes on average; whole since: %.0f",
 			n.Name, mean, tenants, whole, wholeSize/max(whole, 1), sentBy(n, "whole")-whole)
-		if mean > 2000 { // a whole one is some 35 KB
+		if mean > 2000 { // a complete one is some 35 KB
 			t.Errorf("%s: %.0f bytes a difference", n.Name, mean)
 		}
 	}
--- a/cmd/discovery/rollout_test.go
+++ b/cmd/discovery/rollout_test.go
@@ -32,7 +32,7 @@
 	return tn
 }
 
-// Tenants on ten nodes: a rollout, a refusal by one node, two operators at once, a name deleted and made again at once, and
+// Tenants on ten nodes: a rollout, a rejection by one node, two operators at once, a name deleted and made again at once, and
 // 200 tenants in one go.
 func TestTenants(t *testing.T) {
 	t.Parallel()
@@ -186,9 +186,11 @@
 	f.present()
 	member := `"node":"n99","zone":"za","incarnation":1`
 	for _, row := range []struct {
-		method, path, body string
-		code               int
-		want               string
+		method string
+		path   string
+		body   string
+		code   int
+		want   string
 	}{
 		{"PUT", "/fleet/v1/tenants/a", `{"generation":0,"spec":{"name":"a","quota":{"rate":-1}}}`, 400, "spec.quota.rate"},
 		{"PUT", "/fleet/v1/tenants/a", `{"generation":0,"spec":{"name":"a","quota":{"rate":1},"colour":1}}`, 400, "colour"},
--- a/cmd/discovery/scope_test.go
+++ b/cmd/discovery/scope_test.go
@@ -15,7 +15,7 @@
 	code, text := f.api(http.MethodPut, "/fleet/v1/tenants/"+name, map[string]any{"generation": generation, "spec": spec})
 	tenant := f.tenant(name)
 	ours := func(g *fleet.Generation) bool { return g != nil && g.Number == generation+1 }
-	if code != http.StatusOK && !ours(tenant.Staged) && !ours(tenant.Committed) { // a try before may have been taken
+	if code != http.StatusOK && !ours(tenant.Staged) && !ours(tenant.Committed) { // an attempt before may have been taken
 		f.t.Fatalf("put %s over generation %d: %d %s", name, generation, code, text)
 	}
 }
--- a/cmd/discovery/tenants.go
+++ b/cmd/discovery/tenants.go
@@ -100,7 +100,7 @@
 	return a, nil
 }
 
-// refusal is the API's own word on why it did not do as asked.
+// rejection is the API's own reason why it did not do as asked.
 func (a answer) refusal(what string) error {
 	return fmt.Errorf("%s: %d: %.400s", what, a.status, bytes.TrimSpace(a.body))
 }
@@ -109,7 +109,7 @@
 
 func tenantPath(name string) string { return "/fleet/v1/tenants/" + url.PathEscape(name) }
 
-// present gives the tenant as it is intended, its generation 0 where there is none.
+// present returns the tenant as it is intended, its generation 0 where there is none.
 func (c *tenantClient) present(ctx context.Context, name string) (t fleet.Tenant, generation uint64, err error) {
 	a, err := c.call(ctx, http.MethodGet, tenantPath(name), nil)
 	switch {
--- a/cmd/discovery/tenants_test.go
+++ b/cmd/discovery/tenants_test.go
@@ -48,17 +48,17 @@
 		if l.race != "" {
 			spec, _ := tenants.ParseTOML([]byte(l.race))
 			l.race = ""
-			l.apply(tenants.Command{Op: tenants.Put, Name: name, Generation: l.s.Tenants[name].Committed.Number, Spec: &spec})
+			l.apply(tenants.Command{Operation: tenants.Put, Name: name, Generation: l.s.Tenants[name].Committed.Number, Spec: &spec})
 		}
 		raw, _ := io.ReadAll(r.Body)
 		var g uint64
 		var spec fleet.Spec
 		if g, spec, err = tenants.ParseProposal(raw); err == nil {
-			err = l.apply(tenants.Command{Op: tenants.Put, Name: name, Generation: g, Spec: &spec})
+			err = l.apply(tenants.Command{Operation: tenants.Put, Name: name, Generation: g, Spec: &spec})
 		}
 	case r.Method == http.MethodDelete:
 		g, _ := strconv.ParseUint(r.URL.Query().Get("generation"), 10, 64)
-		err = l.apply(tenants.Command{Op: tenants.Delete, Name: name, Generation: g})
+		err = l.apply(tenants.Command{Operation: tenants.Delete, Name: name, Generation: g})
 	}
 	if l.lose && r.Method != http.MethodGet {
 		l.lose = false
@@ -110,9 +110,10 @@
 		return run("apply", file)
 	}
 	for _, step := range []struct {
-		what      string
-		do        func() (string, error)
-		out, fail string
+		what string
+		do   func() (string, error)
+		out  string
+		fail string
 	}{
 		{"none", func() (string, error) { return run("delete", "lulu") }, "", "tenant lulu: there is none"},
 		{"new", func() (string, error) { return apply(10) }, "lulu: generation 1 proposed", ""},
--- a/cmd/fleetlab/simulate_cores.go
+++ b/cmd/fleetlab/simulate_cores.go
@@ -13,8 +13,8 @@
 
 // corePlays are the plays of one core by kind. How many nodes there are, and for how long, is the play's own choice.
 var corePlays = map[string]func(seed uint64) error{
-	"zones":   func(s uint64) error { return zonesplay.Play(zonesplay.Draw(s)) },
-	"tenants": func(s uint64) error { return tenantsplay.Play(int64(s), 40) },
+	"zones":   func(s uint64) error { return zonesplay.Run(zonesplay.Draw(s)) },
+	"tenants": func(s uint64) error { return tenantsplay.Run(int64(s), 40) },
 }
 
 // simulateCore plays seeds of a kind of corePlays. The error is the breach of the lowest seed.
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -1,6 +1,5 @@
-// Command simhost hosts instances of the decision module on the simulator's
-// wire: a batch of events a line on standard input, a reply a line on standard
-// output.
+// Command simhost hosts instances of the decision module on the simulator's wire: a batch of events per line on standard
+// input, a reply per line on standard output.
 package main
 
 import (
@@ -14,6 +13,9 @@
 	"meadowsill/policy"
 )
 
+// bufferSize is that of the input and the output, in bytes.
+const bufferSize = 1 << 20
+
 func main() {
 	if err := run(os.Stdin, os.Stdout); err != nil {
 		fmt.Fprintln(os.Stderr, "simhost:", err)
@@ -21,56 +23,71 @@
 	}
 }
 
+// run answers each line of in on out, until in ends.
 func run(in io.Reader, out io.Writer) error {
-	r, w := bufio.NewReaderSize(in, 1<<20), bufio.NewWriterSize(out, 1<<20)
-	nodes := map[int]*policy.Module{}
+	reader := bufio.NewReaderSize(in, bufferSize)
+	writer := bufio.NewWriterSize(out, bufferSize)
+	modules := instances{}
 	var reply []byte
 	for number := 1; ; number++ {
-		line, err := r.ReadBytes('\n')
+		line, err := reader.ReadBytes('\n')
 		if errors.Is(err, io.EOF) && len(line) == 0 {
 			return nil
 		}
 		if err != nil && !errors.Is(err, io.EOF) {
 			return fmt.Errorf("line %d: %w", number, err)
 		}
-		replies, err := answer(nodes, line)
+		replies, err := modules.answer(line)
 		if err != nil {
 			return fmt.Errorf("line %d: %w", number, err)
 		}
 		reply = wire.AppendReply(reply[:0], replies)
-		if _, err := w.Write(reply); err != nil {
+		if _, err := writer.Write(reply); err != nil {
 			return err
 		}
-		if err := w.Flush(); err != nil {
+		if err := writer.Flush(); err != nil {
 			return err
 		}
 	}
 }
 
-func answer(nodes map[int]*policy.Module, line []byte) ([]wire.Reply, error) {
+// instances are the modules that run, by node.
+type instances map[int]*policy.Module
+
+// answer gives a line's events to the modules and returns what they do.
+func (m instances) answer(line []byte) ([]wire.Reply, error) {
 	batch, err := wire.DecodeBatch(line)
 	if err != nil {
 		return nil, err
 	}
 	var replies []wire.Reply
-	for _, g := range batch.Groups {
-		reply := wire.Reply{Node: g.Node}
-		for i, h := range g.Events {
-			switch {
-			case h.Start != nil:
-				nodes[g.Node] = policy.New(h.Start.Settings, h.Start.Seed)
-			case h.Retire:
-				delete(nodes, g.Node)
-				reply.Actions = nil // a dead instance does nothing
-			default:
-				m := nodes[g.Node]
-				if m == nil {
-					return nil, fmt.Errorf("node %d, event %d: no up came before it", g.Node, i)
-				}
-				reply.Actions = append(reply.Actions, m.Handle(batch.Now, h.Event)...)
-			}
+	for _, events := range batch.Instances {
+		reply, err := m.handle(batch.Now, events)
+		if err != nil {
+			return nil, err
 		}
 		replies = append(replies, reply)
 	}
 	return replies, nil
 }
+
+// handle gives one instance its events.
+func (m instances) handle(now policy.Time, events wire.InstanceEvents) (wire.Reply, error) {
+	reply := wire.Reply{NodeID: events.NodeID}
+	for i, event := range events.Events {
+		switch {
+		case event.Start != nil:
+			m[events.NodeID] = policy.New(event.Start.Settings, event.Start.Seed)
+		case event.Retire:
+			delete(m, events.NodeID)
+			reply.Actions = nil // a retired instance does nothing
+		default:
+			module := m[events.NodeID]
+			if module == nil {
+				return wire.Reply{}, fmt.Errorf("node %d, event %d: no up came before it", events.NodeID, i)
+			}
+			reply.Actions = append(reply.Actions, module.Handle(now, event.Event)...)
+		}
+	}
+	return reply, nil
+}
--- a/internal/fleet/agent/bench_test.go
+++ b/internal/fleet/agent/bench_test.go
@@ -22,7 +22,7 @@
 	return fleet.Item{Key: fleet.KeyTenant + name, Revision: rev, Body: body}
 }
 
-// benchWhole is a whole answer of so many tenants.
+// benchWhole is a complete answer of so many tenants.
 func benchWhole(size int) fleet.Intent {
 	in := fleet.Intent{Revision: uint64(size), Full: true}
 	for i := range size {
@@ -37,11 +37,11 @@
 }
 
 // benchCopy runs a benchmark at each size, over a copy that holds so many tenants.
-func benchCopy(b *testing.B, run func(b *testing.B, c *Copy, size int)) {
+func benchCopy(b *testing.B, run func(b *testing.B, c *IntentCopy, size int)) {
 	for _, size := range benchSizes {
 		b.Run(fmt.Sprintf("tenants=%d", size), func(b *testing.B) {
-			c := &Copy{}
-			if _, err := c.Take(benchWhole(size)); err != nil {
+			c := &IntentCopy{}
+			if _, err := c.Apply(benchWhole(size)); err != nil {
 				b.Fatal(err)
 			}
 			b.ReportAllocs()
@@ -53,9 +53,9 @@
 
 // BenchmarkTake takes an answer that changes one tenant.
 func BenchmarkTake(b *testing.B) {
-	benchCopy(b, func(b *testing.B, c *Copy, size int) {
+	benchCopy(b, func(b *testing.B, c *IntentCopy, size int) {
 		for b.Loop() {
-			if _, err := c.Take(benchChange(size, c.Revision+1)); err != nil {
+			if _, err := c.Apply(benchChange(size, c.Revision+1)); err != nil {
 				b.Fatal(err)
 			}
 		}
@@ -64,8 +64,8 @@
 
 // BenchmarkRead answers a watch with the one tenant that changed.
 func BenchmarkRead(b *testing.B) {
-	benchCopy(b, func(b *testing.B, c *Copy, size int) {
-		if _, err := c.Take(benchChange(size, c.Revision+1)); err != nil {
+	benchCopy(b, func(b *testing.B, c *IntentCopy, size int) {
+		if _, err := c.Apply(benchChange(size, c.Revision+1)); err != nil {
 			b.Fatal(err)
 		}
 		for b.Loop() {
@@ -78,17 +78,17 @@
 
 // BenchmarkSave makes a change of one tenant durable, as the agent does after each.
 func BenchmarkSave(b *testing.B) {
-	benchCopy(b, func(b *testing.B, c *Copy, size int) {
-		d, _, err := openDisk(b.TempDir(), "n", nil)
+	benchCopy(b, func(b *testing.B, c *IntentCopy, size int) {
+		d, _, err := openCopyFile(b.TempDir(), "n", nil)
 		if err != nil {
 			b.Fatal(err)
 		}
 		written := 0
 		for b.Loop() {
-			if _, err := c.Take(benchChange(size, c.Revision+1)); err != nil {
+			if _, err := c.Apply(benchChange(size, c.Revision+1)); err != nil {
 				b.Fatal(err)
 			}
-			bytes, err := d.save(c.Read(d.since(), nil), false)
+			bytes, err := d.save(c.Read(d.deltaSince(), nil), false)
 			if err != nil {
 				b.Fatal(err)
 			}
--- a/internal/fleet/agent/capacity_bench_test.go
+++ b/internal/fleet/agent/capacity_bench_test.go
@@ -10,10 +10,10 @@
 )
 
 // The sizes are steps towards the plan of docs/CAPACITY.md, 170,000 tenants. The last is all that one answer may hold:
-// fleet.DecodeIntent refuses more than 16,384 items.
+// fleet.DecodeIntent rejects more than 16,384 items.
 var capacitySizes = []int{1000, 4000, 8000, 16_000}
 
-// benchIntent is a whole answer with n small tenants.
+// benchIntent is a complete answer with n small tenants.
 func benchIntent(b *testing.B, n int) fleet.Intent {
 	intent := fleet.Intent{Revision: uint64(n), Full: true}
 	for i := range n {
@@ -29,11 +29,11 @@
 	return intent
 }
 
-func benchEach(b *testing.B, run func(b *testing.B, intent fleet.Intent, held *Copy)) {
+func benchEach(b *testing.B, run func(b *testing.B, intent fleet.Intent, held *IntentCopy)) {
 	for _, n := range capacitySizes {
 		intent := benchIntent(b, n)
-		held := &Copy{}
-		if _, err := held.Take(intent); err != nil {
+		held := &IntentCopy{}
+		if _, err := held.Apply(intent); err != nil {
 			b.Fatal(err)
 		}
 		b.Run(fmt.Sprintf("tenants=%d", n), func(b *testing.B) { run(b, intent, held) })
@@ -42,7 +42,7 @@
 
 // BenchmarkCapacityReadOneChange is the answer to a node that lacks the newest change.
 func BenchmarkCapacityReadOneChange(b *testing.B) {
-	benchEach(b, func(b *testing.B, _ fleet.Intent, held *Copy) {
+	benchEach(b, func(b *testing.B, _ fleet.Intent, held *IntentCopy) {
 		for b.Loop() {
 			held.Read(held.Revision-1, nil)
 		}
@@ -51,27 +51,27 @@
 
 // BenchmarkCapacityTakeOneChange brings one changed tenant in.
 func BenchmarkCapacityTakeOneChange(b *testing.B) {
-	benchEach(b, func(b *testing.B, intent fleet.Intent, _ *Copy) {
-		own := &Copy{} // the changes are of this run alone
-		if _, err := own.Take(intent); err != nil {
+	benchEach(b, func(b *testing.B, intent fleet.Intent, _ *IntentCopy) {
+		own := &IntentCopy{} // the changes are of this run alone
+		if _, err := own.Apply(intent); err != nil {
 			b.Fatal(err)
 		}
 		for b.Loop() {
 			changed := intent.Items[0]
 			changed.Revision = own.Revision + 1
-			if _, err := own.Take(fleet.Intent{Revision: changed.Revision, Items: []fleet.Item{changed}}); err != nil {
+			if _, err := own.Apply(fleet.Intent{Revision: changed.Revision, Items: []fleet.Item{changed}}); err != nil {
 				b.Fatal(err)
 			}
 		}
 	})
 }
 
-// BenchmarkCapacityTakeWhole brings a whole answer into an empty copy.
-func BenchmarkCapacityTakeWhole(b *testing.B) {
-	benchEach(b, func(b *testing.B, intent fleet.Intent, _ *Copy) {
+// BenchmarkCapacityApplyComplete brings a complete answer into an empty copy.
+func BenchmarkCapacityApplyComplete(b *testing.B) {
+	benchEach(b, func(b *testing.B, intent fleet.Intent, _ *IntentCopy) {
 		for b.Loop() {
-			empty := &Copy{}
-			if _, err := empty.Take(intent); err != nil {
+			empty := &IntentCopy{}
+			if _, err := empty.Apply(intent); err != nil {
 				b.Fatal(err)
 			}
 		}
@@ -79,7 +79,7 @@
 }
 
 // encodeCopy is a copy as it lies on disk after its whole base was written.
-func encodeCopy(b *testing.B, held *Copy) []byte {
+func encodeCopy(b *testing.B, held *IntentCopy) []byte {
 	whole := held.Read(0, nil)
 	raw, err := encodeBase(baseRecord{Node: "n1", Revision: whole.Revision, Items: whole.Items})
 	if err != nil {
@@ -90,7 +90,7 @@
 
 // BenchmarkCapacityEncode is the copy as it lies on disk, whose size it reports.
 func BenchmarkCapacityEncode(b *testing.B) {
-	benchEach(b, func(b *testing.B, _ fleet.Intent, held *Copy) {
+	benchEach(b, func(b *testing.B, _ fleet.Intent, held *IntentCopy) {
 		size := 0
 		for b.Loop() {
 			size = len(encodeCopy(b, held))
@@ -101,7 +101,7 @@
 
 // BenchmarkCapacityDecode reads a copy back, as each start does.
 func BenchmarkCapacityDecode(b *testing.B) {
-	benchEach(b, func(b *testing.B, _ fleet.Intent, held *Copy) {
+	benchEach(b, func(b *testing.B, _ fleet.Intent, held *IntentCopy) {
 		raw := encodeCopy(b, held)
 		for b.Loop() {
 			if _, err := decodeCopy(raw, "n1"); err != nil {
@@ -114,12 +114,12 @@
 // BenchmarkCapacitySaveOneChange makes a change of one tenant durable, the write of a new base now and then among it. It
 // reports the bytes written for each. Its time has the wait for the disk in it.
 func BenchmarkCapacitySaveOneChange(b *testing.B) {
-	benchEach(b, func(b *testing.B, intent fleet.Intent, _ *Copy) {
-		own := &Copy{}
-		if _, err := own.Take(intent); err != nil {
+	benchEach(b, func(b *testing.B, intent fleet.Intent, _ *IntentCopy) {
+		own := &IntentCopy{}
+		if _, err := own.Apply(intent); err != nil {
 			b.Fatal(err)
 		}
-		d, _, err := openDisk(b.TempDir(), "n1", nil)
+		d, _, err := openCopyFile(b.TempDir(), "n1", nil)
 		if err != nil {
 			b.Fatal(err)
 		}
@@ -130,10 +130,10 @@
 		for b.Loop() {
 			changed := intent.Items[0]
 			changed.Revision = own.Revision + 1
-			if _, err := own.Take(fleet.Intent{Revision: changed.Revision, Items: []fleet.Item{changed}}); err != nil {
+			if _, err := own.Apply(fleet.Intent{Revision: changed.Revision, Items: []fleet.Item{changed}}); err != nil {
 				b.Fatal(err)
 			}
-			bytes, err := d.save(own.Read(d.since(), nil), false)
+			bytes, err := d.save(own.Read(d.deltaSince(), nil), false)
 			if err != nil {
 				b.Fatal(err)
 			}
@@ -158,8 +158,8 @@
 				if err != nil {
 					b.Fatal(err)
 				}
-				held := &Copy{}
-				if _, err := held.Take(decoded); err != nil {
+				held := &IntentCopy{}
+				if _, err := held.Apply(decoded); err != nil {
 					b.Fatal(err)
 				}
 				live = liveHeap() - before
--- a/internal/fleet/agent/disk.go
+++ b/internal/fleet/agent/copy_file.go
@@ -12,114 +12,117 @@
 )
 
 const (
-	copyName    = "intent.copy"
-	refusedName = copyName + ".refused"
+	copyFileName     = "intent.copy"
+	rejectedFileName = copyFileName + ".refused"
 
-	logSlack  = 64 << 10                 // the log is written anew once its differences are so much larger than its base
-	baseLimit = 2 * fleet.MaxIntentBytes // bytes of a base; the copy of more is not kept
-	fileLimit = 6 * fleet.MaxIntentBytes // of a base, as many differences, and a last one as large as an answer
+	maxLogExcess = 64 << 10                 // the log is written anew once its differences are so much larger than its base
+	maxBaseBytes = 2 * fleet.MaxIntentBytes // bytes of a base; the copy of more is not kept
+	maxFileBytes = 6 * fleet.MaxIntentBytes // of a base, as many differences, and a last one as large as an answer
 )
 
 // Errors of a write. After the first, what is on disk is newer than what was to be written, and stays. After the
 // second, the file is no longer as this agent left it: the next write is a base.
 var (
-	errNewer    = errors.New("copy: a newer one is on disk")
-	errReplaced = errors.New("copy: another process has written it")
+	errNewerOnDisk  = errors.New("copy: a newer one is on disk")
+	errFileReplaced = errors.New("copy: another process has written it")
 )
 
-// disk keeps an agent's durable copy in its directory, for one goroutine at a time.
-type disk struct {
-	dir, node string
+// copyFile keeps an agent's durable copy in its directory, for one goroutine at a time.
+type copyFile struct {
+	dir       string
+	node      string
 	services  []string
 	revision  uint64      // that the file holds
-	base      int64       // bytes of the file's base
-	file      fs.FileInfo // the file as this agent left it; nil: the next write is a base
+	baseSize  int64       // bytes of the file's base
+	fileInfo  fs.FileInfo // the file as this agent left it; nil: the next write is a base
 	writeSync func(*os.File, []byte) error
 }
 
-// openDisk reads the copy in dir. None is an empty one. A damaged one, or another node's, is an error and an empty copy; it is put
+// openCopyFile reads the copy in dir. None is an empty one. A damaged one, or another node's, is an error and an empty copy; it is put
 // aside under another name for whoever looks for the cause.
-func openDisk(dir, node string, services []string) (*disk, storedCopy, error) {
-	d := &disk{dir: dir, node: node, services: services, writeSync: writeSync}
+func openCopyFile(dir, node string, services []string) (*copyFile, storedCopy, error) {
+	d := &copyFile{dir: dir, node: node, services: services, writeSync: writeSync}
 	stored, info, err := d.read()
 	if errors.Is(err, fs.ErrNotExist) {
-		return d, storedCopy{copy: &Copy{}}, nil
+		return d, storedCopy{copy: &IntentCopy{}}, nil
 	}
 	if err != nil {
-		os.Rename(d.path(), filepath.Join(dir, refusedName))
-		return d, storedCopy{copy: &Copy{}}, err
+		os.Rename(d.path(), filepath.Join(dir, rejectedFileName))
+		return d, storedCopy{copy: &IntentCopy{}}, err
 	}
-	if !stored.old && !stored.truncated && !stored.incomplete && slices.Equal(stored.services, services) {
-		d.revision, d.base, d.file = stored.copy.Revision, stored.base, info
+	if !stored.oldFormat && !stored.truncated && !stored.incomplete && slices.Equal(stored.services, services) {
+		d.revision = stored.copy.Revision
+		d.baseSize = stored.baseSize
+		d.fileInfo = info
 	}
 	return d, stored, nil
 }
 
-func (d *disk) path() string { return filepath.Join(d.dir, copyName) }
+func (d *copyFile) path() string { return filepath.Join(d.dir, copyFileName) }
 
 // read decodes the file as it is now.
-func (d *disk) read() (storedCopy, fs.FileInfo, error) {
+func (d *copyFile) read() (storedCopy, fs.FileInfo, error) {
 	info, err := os.Stat(d.path())
 	if err != nil {
 		return storedCopy{}, nil, err
 	}
-	if info.Size() > fileLimit {
-		return storedCopy{}, nil, fmt.Errorf("copy: %d bytes, at most %d", info.Size(), fileLimit)
+	if info.Size() > maxFileBytes {
+		return storedCopy{}, nil, fmt.Errorf("copy: %d bytes, at most %d", info.Size(), maxFileBytes)
 	}
 	raw, err := os.ReadFile(d.path())
 	if err != nil {
 		return storedCopy{}, nil, err
 	}
 	if int64(len(raw)) != info.Size() {
-		return storedCopy{}, nil, errReplaced
+		return storedCopy{}, nil, errFileReplaced
 	}
 	stored, err := decodeCopy(raw, d.node)
 	return stored, info, err
 }
 
-// since is the revision after which the next write needs the changes; 0: it needs every item, as a base is due.
-func (d *disk) since() uint64 {
-	if d.file == nil || !d.unchanged() || d.file.Size()-d.base > d.base+logSlack {
+// deltaSince is the revision after which the next write needs the changes; 0: it needs every item, as a base is due.
+func (d *copyFile) deltaSince() uint64 {
+	if d.fileInfo == nil || !d.unchanged() || d.fileInfo.Size()-d.baseSize > d.baseSize+maxLogExcess {
 		return 0
 	}
 	return d.revision
 }
 
-// unchanged says whether the file is as this agent left it.
-func (d *disk) unchanged() bool {
+// unchanged reports whether the file is as this agent left it.
+func (d *copyFile) unchanged() bool {
 	info, err := os.Stat(d.path())
-	return err == nil && d.file != nil && os.SameFile(info, d.file) && info.Size() == d.file.Size()
+	return err == nil && d.fileInfo != nil && os.SameFile(info, d.fileInfo) && info.Size() == d.fileInfo.Size()
 }
 
 // save writes every item, or the changes after d.since(), and gives the bytes written. incomplete marks every item of a scope of which some
 // services have not been read yet. After an error nothing is known of the file but with errNewer.
-func (d *disk) save(in fleet.Intent, incomplete bool) (int, error) {
+func (d *copyFile) save(in fleet.Intent, incomplete bool) (int, error) {
 	var written int
 	var err error
 	if in.Full {
 		written, err = d.saveBase(in, incomplete)
 	} else {
-		written, err = d.saveDifference(in)
+		written, err = d.saveDelta(in)
 	}
 	if err != nil {
-		d.file = nil
+		d.fileInfo = nil
 	}
 	return written, err
 }
 
 // saveBase puts a new file in the place of the old one, whole or not at all. It is not put over a newer one, as an agent that was
 // stopped and went on at the same time as its successor would.
-func (d *disk) saveBase(in fleet.Intent, incomplete bool) (int, error) {
+func (d *copyFile) saveBase(in fleet.Intent, incomplete bool) (int, error) {
 	if !d.unchanged() {
 		if stored, _, err := d.read(); err == nil && stored.copy.Revision > in.Revision {
-			return 0, fmt.Errorf("%w: revision %d, this is %d", errNewer, stored.copy.Revision, in.Revision)
+			return 0, fmt.Errorf("%w: revision %d, this is %d", errNewerOnDisk, stored.copy.Revision, in.Revision)
 		}
 	}
 	raw, err := encodeBase(baseRecord{Node: d.node, Services: d.services, Incomplete: incomplete, Revision: in.Revision, Items: in.Items})
 	if err != nil {
 		return 0, err
 	}
-	file, err := os.CreateTemp(d.dir, copyName+".*")
+	file, err := os.CreateTemp(d.dir, copyFileName+".*")
 	if err != nil {
 		return 0, err
 	}
@@ -131,12 +134,14 @@
 	if err := os.Rename(file.Name(), d.path()); err != nil {
 		return 0, err
 	}
-	d.revision, d.base, d.file = in.Revision, int64(len(raw)), info
+	d.revision = in.Revision
+	d.baseSize = int64(len(raw))
+	d.fileInfo = info
 	return len(raw), syncDir(d.dir)
 }
 
-// saveDifference adds a record to the file.
-func (d *disk) saveDifference(in fleet.Intent) (int, error) {
+// saveDelta adds a record to the file.
+func (d *copyFile) saveDelta(in fleet.Intent) (int, error) {
 	raw, err := appendRecord(nil, differenceRecord{Since: d.revision, Revision: in.Revision, Items: in.Items})
 	if err != nil {
 		return 0, err
@@ -148,23 +153,23 @@
 	if err != nil {
 		return 0, err
 	}
-	if info, err := file.Stat(); err != nil || !os.SameFile(info, d.file) || info.Size() != d.file.Size() {
+	if info, err := file.Stat(); err != nil || !os.SameFile(info, d.fileInfo) || info.Size() != d.fileInfo.Size() {
 		file.Close()
-		return 0, errors.Join(errReplaced, err)
+		return 0, errors.Join(errFileReplaced, err)
 	}
-	size := d.file.Size() + int64(len(raw))
-	if d.file, err = d.writeAndClose(file, raw); err != nil {
+	size := d.fileInfo.Size() + int64(len(raw))
+	if d.fileInfo, err = d.writeAndClose(file, raw); err != nil {
 		return 0, err
 	}
-	if d.file.Size() != size || !d.unchanged() { // another process wrote at the same time
-		return 0, errReplaced
+	if d.fileInfo.Size() != size || !d.unchanged() { // another process wrote at the same time
+		return 0, errFileReplaced
 	}
 	d.revision = in.Revision
 	return len(raw), nil
 }
 
 // writeAndClose writes raw through to the disk and gives the file as it is then.
-func (d *disk) writeAndClose(file *os.File, raw []byte) (fs.FileInfo, error) {
+func (d *copyFile) writeAndClose(file *os.File, raw []byte) (fs.FileInfo, error) {
 	err := d.writeSync(file, raw)
 	info, statErr := file.Stat()
 	return info, errors.Join(err, statErr, file.Close())
@@ -187,8 +192,8 @@
 }
 
 // remove takes the copy away.
-func (d *disk) remove() error {
-	d.file = nil
+func (d *copyFile) remove() error {
+	d.fileInfo = nil
 	if err := os.Remove(d.path()); err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return err
 	}
--- a/internal/fleet/agent/disk_test.go
+++ b/internal/fleet/agent/copy_file_test.go
@@ -38,7 +38,7 @@
 	if err != nil {
 		panic(err)
 	}
-	return append(fmt.Appendf(nil, wholeLine, revision, xxhash.Sum64(body)), body...)
+	return append(fmt.Appendf(nil, oldFormatLine, revision, xxhash.Sum64(body)), body...)
 }
 
 // sampleLog is the file of a base at revision 9 and differences to 10, 11 and 12, and the parts that it is made of.
@@ -64,11 +64,11 @@
 }
 
 // A log is read back to its last record. A last record that is cut short is left out, wherever it is cut; anything else that is not as
-// it was written refuses the copy: a bit that is another, a record lost, repeated, out of order, of elsewhere.
+// it was written rejects the copy: a bit that is another, a record lost, repeated, out of order, of elsewhere.
 func TestDamagedLog(t *testing.T) {
 	log, parts := sampleLog(t)
 	stored, err := decodeCopy(log, "n")
-	if err != nil || stored.copy.Revision != 12 || stored.truncated || !slices.Equal(stored.services, []string{"billing"}) || stored.base != int64(len(parts[0])) {
+	if err != nil || stored.copy.Revision != 12 || stored.truncated || !slices.Equal(stored.services, []string{"billing"}) || stored.baseSize != int64(len(parts[0])) {
 		t.Fatalf("%+v, %v", stored, err)
 	}
 	if in := stored.copy.Read(9, nil); in.Full || len(in.Items) != 2 || stored.copy.Len() != 2 {
@@ -120,10 +120,10 @@
 	}
 }
 
-// A file of the build before the log is read as before, and every change of it refused.
-func TestOldWholeCopy(t *testing.T) {
+// A file of the build before the log is read as before, and every change of it rejected.
+func TestOldFormatCopy(t *testing.T) {
 	raw := wholeFile("n", 9, sample().Read(0, nil).Items...)
-	if stored, err := decodeCopy(raw, "n"); err != nil || stored.copy.Revision != 9 || stored.copy.Len() != 1 || stored.services != nil || !stored.old {
+	if stored, err := decodeCopy(raw, "n"); err != nil || stored.copy.Revision != 9 || stored.copy.Len() != 1 || stored.services != nil || !stored.oldFormat {
 		t.Fatalf("%+v, %v", stored, err)
 	}
 	bad := [][]byte{raw[:len(raw)-1], append(raw[:len(raw):len(raw)], ' '), []byte(strings.Replace(string(raw), "1 9", "1 8", 1)),
@@ -143,10 +143,10 @@
 	}
 }
 
-// open opens the copy in dir and fails the test where it is refused.
-func open(t *testing.T, dir string, services ...string) (*disk, *Copy) {
+// open opens the copy in dir and fails the test where it is rejected.
+func open(t *testing.T, dir string, services ...string) (*copyFile, *IntentCopy) {
 	t.Helper()
-	d, stored, err := openDisk(dir, "n", services)
+	d, stored, err := openCopyFile(dir, "n", services)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -154,12 +154,12 @@
 }
 
 // advance takes a change of one tenant into a copy and saves it.
-func advance(t *testing.T, d *disk, c *Copy, revision uint64) error {
+func advance(t *testing.T, d *copyFile, c *IntentCopy, revision uint64) error {
 	t.Helper()
-	if _, err := c.Take(fleet.Intent{Revision: revision, Items: []fleet.Item{tenantOf(fmt.Sprint("t", revision%8), revision, "", "-")}}); err != nil {
+	if _, err := c.Apply(fleet.Intent{Revision: revision, Items: []fleet.Item{tenantOf(fmt.Sprint("t", revision%8), revision, "", "-")}}); err != nil {
 		t.Fatal(err)
 	}
-	_, err := d.save(c.Read(d.since(), nil), false)
+	_, err := d.save(c.Read(d.deltaSince(), nil), false)
 	return err
 }
 
@@ -173,16 +173,16 @@
 	}
 	bases, size := 0, int64(0)
 	for revision := uint64(1); revision <= 1000; revision++ {
-		base := d.since() == 0
+		base := d.deltaSince() == 0
 		if err := advance(t, d, c, revision); err != nil {
 			t.Fatal(err)
 		}
 		if base {
 			bases++
-		} else if grown := d.file.Size() - size; grown <= 0 || grown > 400 {
+		} else if grown := d.fileInfo.Size() - size; grown <= 0 || grown > 400 {
 			t.Fatalf("a difference of one tenant takes %d bytes", grown)
 		}
-		size = d.file.Size()
+		size = d.fileInfo.Size()
 		if revision%100 == 50 {
 			d, c = open(t, dir)
 			if c.Revision != revision || c.Len() != 8 {
@@ -190,8 +190,8 @@
 			}
 		}
 	}
-	if bases < 2 || bases > 5 || size > 2*d.base+logSlack+400 {
-		t.Errorf("%d bases in 1000 changes, %d bytes at the end after a base of %d", bases, size, d.base)
+	if bases < 2 || bases > 5 || size > 2*d.baseSize+maxLogExcess+400 {
+		t.Errorf("%d bases in 1000 changes, %d bytes at the end after a base of %d", bases, size, d.baseSize)
 	}
 	raw, err := os.ReadFile(d.path())
 	if err != nil {
@@ -201,10 +201,10 @@
 	if err := os.WriteFile(d.path(), raw, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, stored, err := openDisk(dir, "n", nil); err == nil || stored.copy.Revision != 0 {
+	if _, stored, err := openCopyFile(dir, "n", nil); err == nil || stored.copy.Revision != 0 {
 		t.Errorf("a damaged copy: %+v, %v", stored, err)
 	}
-	if left, _ := os.ReadDir(dir); len(left) != 1 || left[0].Name() != refusedName {
+	if left, _ := os.ReadDir(dir); len(left) != 1 || left[0].Name() != rejectedFileName {
 		t.Errorf("left in the directory: %v", left)
 	}
 	if _, c := open(t, dir); c.Revision != 0 {
@@ -221,18 +221,18 @@
 			t.Fatal(err)
 		}
 	}
-	if err := os.Truncate(d.path(), d.file.Size()-5); err != nil {
+	if err := os.Truncate(d.path(), d.fileInfo.Size()-5); err != nil {
 		t.Fatal(err)
 	}
 	d, c = open(t, dir)
-	if c.Revision != 2 || d.since() != 0 {
-		t.Fatalf("revision %d, since %d", c.Revision, d.since())
+	if c.Revision != 2 || d.deltaSince() != 0 {
+		t.Fatalf("revision %d, since %d", c.Revision, d.deltaSince())
 	}
 	if err := advance(t, d, c, 4); err != nil {
 		t.Fatal(err)
 	}
-	if d, c := open(t, dir); c.Revision != 4 || c.Len() != 3 || d.since() != 4 {
-		t.Errorf("after the next write: revision %d, %d items, since %d", c.Revision, c.Len(), d.since())
+	if d, c := open(t, dir); c.Revision != 4 || c.Len() != 3 || d.deltaSince() != 4 {
+		t.Errorf("after the next write: revision %d, %d items, since %d", c.Revision, c.Len(), d.deltaSince())
 	}
 }
 
@@ -253,10 +253,10 @@
 		}
 	}
 	want, _ := os.ReadFile(first.path())
-	if err := advance(t, first, older, 5); !errors.Is(err, errNewer) {
+	if err := advance(t, first, older, 5); !errors.Is(err, errNewerOnDisk) {
 		t.Errorf("an older copy over a newer: %v", err)
 	}
-	first.file, _ = os.Stat(first.path()) // as if it had looked before the other wrote
+	first.fileInfo, _ = os.Stat(first.path()) // as if it had looked before the other wrote
 	if got, _ := os.ReadFile(first.path()); !bytes.Equal(got, want) {
 		t.Error("the newer copy was changed")
 	}
@@ -288,13 +288,13 @@
 	d.writeSync = func(file *os.File, raw []byte) error {
 		d.writeSync = writeSync
 		other, copied := open(t, dir)
-		other.file = nil // writes a base
+		other.fileInfo = nil // writes a base
 		if err := advance(t, other, copied, 2); err != nil {
 			t.Fatal(err)
 		}
 		return writeSync(file, raw)
 	}
-	if err := advance(t, d, c, 3); !errors.Is(err, errReplaced) {
+	if err := advance(t, d, c, 3); !errors.Is(err, errFileReplaced) {
 		t.Errorf("written to a file that has been replaced: %v", err)
 	}
 	if err := advance(t, d, c, 4); err != nil {
@@ -306,7 +306,7 @@
 }
 
 // failWrites makes writes of d fail half way, as on a full disk, until end is called.
-func failWrites(d *disk) (end func()) {
+func failWrites(d *copyFile) (end func()) {
 	d.writeSync = func(file *os.File, raw []byte) error {
 		if _, err := file.Write(raw[:len(raw)/2]); err != nil {
 			return err
@@ -351,7 +351,7 @@
 	if err := d.remove(); err != nil {
 		t.Errorf("nothing to take away: %v", err)
 	}
-	if _, err := os.Stat(filepath.Join(dir, copyName)); err == nil {
+	if _, err := os.Stat(filepath.Join(dir, copyFileName)); err == nil {
 		t.Error("the copy is still there")
 	}
 }
--- a/internal/fleet/agent/copy_test.go
+++ b/internal/fleet/agent/copy_test.go
@@ -14,8 +14,9 @@
 
 // intended is a control plane that knows nothing but its items.
 type intended struct {
-	rev, floor uint64
-	items      map[string]fleet.Item
+	rev   uint64
+	floor uint64
+	items map[string]fleet.Item
 }
 
 func (s *intended) change(key string, gone bool) {
@@ -56,7 +57,7 @@
 	refused, differences := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
 		plane := &intended{items: map[string]fleet.Item{}}
-		c := &Copy{}
+		c := &IntentCopy{}
 		held, revision := map[string]fleet.Item{}, uint64(0)
 		var late []fleet.Intent
 		var disk [][]byte
@@ -64,7 +65,7 @@
 		logged, rebase := uint64(0), true
 		take := func(in fleet.Intent) {
 			before := c.Revision
-			changed, err := c.Take(in)
+			changed, err := c.Apply(in)
 			if err != nil {
 				refused++
 			}
@@ -98,7 +99,9 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			disk, logged, rebase = append(disk, log), in.Revision, false
+			disk = append(disk, log)
+			logged = in.Revision
+			rebase = false
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"change": func(t *rapid.T) {
@@ -112,7 +115,7 @@
 			"whole":   func(t *rapid.T) { take(plane.read(0)) },
 			"ask":     func(t *rapid.T) { late = append(late, plane.read(c.Revision)) },
 			"late": func(t *rapid.T) {
-				// A watch has one answer at a time: what comes late was asked for at the copy's own revision, or is whole.
+				// A watch has one answer at a time: what comes late was requested at the copy's own revision, or is complete.
 				for _, in := range late {
 					if in.Full || in.Revision < c.Revision {
 						take(in)
@@ -128,20 +131,25 @@
 				}
 			},
 			"restart": func(t *rapid.T) {
-				c, log, logged, rebase = &Copy{}, nil, 0, true
+				c = &IntentCopy{}
+				log = nil
+				logged = 0
+				rebase = true
 				if len(disk) > 0 {
 					log = disk[rapid.IntRange(0, len(disk)-1).Draw(t, "copy")]
 					stored, err := decodeCopy(log, "n")
 					if err != nil {
 						t.Fatal(err)
 					}
-					c, logged, rebase = stored.copy, stored.copy.Revision, false
+					c = stored.copy
+					logged = stored.copy.Revision
+					rebase = false
 				}
 			},
 			"node": func(t *rapid.T) { node() },
 			"": func(t *rapid.T) {
 				again := clone(c)
-				if _, err := again.Take(plane.read(again.Revision)); err != nil {
+				if _, err := again.Apply(plane.read(again.Revision)); err != nil {
 					t.Fatal(err)
 				}
 				now := merge(map[string]fleet.Item{}, again.Read(0, nil))
@@ -167,23 +175,23 @@
 	}
 }
 
-// clone gives a copy of its own.
-func clone(c *Copy) *Copy {
-	out := &Copy{Revision: c.Revision, Floor: c.Floor, items: maps.Clone(c.items)}
+// clone returns a copy of its own.
+func clone(c *IntentCopy) *IntentCopy {
+	out := &IntentCopy{Revision: c.Revision, Floor: c.Floor, items: maps.Clone(c.items)}
 	if c.changes != nil {
-		out.changes, out.gone = c.changes.Clone(), c.gone.Clone()
+		out.changes, out.removed = c.changes.Clone(), c.removed.Clone()
 	}
 	return out
 }
 
-func sample() *Copy {
-	c := &Copy{}
-	c.Take(fleet.Intent{Revision: 9, Full: true, Items: []fleet.Item{{Key: "zone/a", Revision: 7, Body: json.RawMessage(`{"phase":"left","valid_ms":5000}`)}}})
+func sample() *IntentCopy {
+	c := &IntentCopy{}
+	c.Apply(fleet.Intent{Revision: 9, Full: true, Items: []fleet.Item{{Key: "zone/a", Revision: 7, Body: json.RawMessage(`{"phase":"left","valid_ms":5000}`)}}})
 	return c
 }
 
-// What is sent again comes whatever its revision; what the copy does not have comes as gone, where a node may hold it.
-func TestSentAgain(t *testing.T) {
+// What is sent again comes whatever its revision; what the copy does not have comes as removed, where a node may hold it.
+func TestItemsAreResent(t *testing.T) {
 	read := func(again ...string) fleet.Intent {
 		keys := map[string]bool{}
 		for _, key := range again {
@@ -206,18 +214,18 @@
 func TestChangesFollowItems(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		plane := &intended{items: map[string]fleet.Item{}}
-		c := &Copy{}
+		c := &IntentCopy{}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			plane.change("zone/"+rapid.StringMatching("[a-h]").Draw(t, "key"), rapid.Bool().Draw(t, "gone"))
 			if rapid.Bool().Draw(t, "take") {
-				if _, err := c.Take(plane.read(rapid.SampledFrom([]uint64{0, c.Revision}).Draw(t, "since"))); err != nil {
+				if _, err := c.Apply(plane.read(rapid.SampledFrom([]uint64{0, c.Revision}).Draw(t, "since"))); err != nil {
 					t.Fatal(err)
 				}
 			}
 			changes, gone := 0, 0
 			for key, item := range c.items {
-				at := change{item.Revision, key}
-				if !c.changes.Has(at) || c.gone.Has(at) != item.Removed {
+				at := revisionKey{item.Revision, key}
+				if !c.changes.Has(at) || c.removed.Has(at) != item.Removed {
 					t.Fatalf("%+v is not in its place", item)
 				}
 				changes++
@@ -225,8 +233,8 @@
 					gone++
 				}
 			}
-			if c.changes != nil && (c.changes.Len() != changes || c.gone.Len() != gone) {
-				t.Fatalf("%d changes and %d gone of %d and %d", c.changes.Len(), c.gone.Len(), changes, gone)
+			if c.changes != nil && (c.changes.Len() != changes || c.removed.Len() != gone) {
+				t.Fatalf("%d changes and %d gone of %d and %d", c.changes.Len(), c.removed.Len(), changes, gone)
 			}
 			if len(c.All()) != c.Len() || c.Len() != len(c.items) {
 				t.Fatalf("%d of %d items", len(c.All()), c.Len())
--- a/internal/fleet/agent/outgoing_test.go
+++ b/internal/fleet/agent/outgoing_test.go
@@ -96,9 +96,9 @@
 		l.log = append(l.log, fmt.Sprint("wish ", d.Head.Sequence))
 		return fleet.ReportAnswer{SendComplete: true}, http.StatusOK
 	}
-	l.log = append(l.log, fmt.Sprintf("difference %d after %d", d.Head.Sequence, d.BaseSeq))
+	l.log = append(l.log, fmt.Sprintf("difference %d after %d", d.Head.Sequence, d.BaseSequence))
 	l.has = base
-	ans.AckSequence = l.bases.Keep(base, d.BaseSeq)
+	ans.AckSequence = l.bases.Keep(base, d.BaseSequence)
 	return ans, http.StatusOK
 }
 
@@ -149,22 +149,22 @@
 	return raw
 }
 
-// carried has the agent carry a report as its loop does: a wish for the whole one is followed at once, and comes no second time.
+// carried has the agent carry a report as its loop does: a request for the complete one is followed at once, and comes no second time.
 func (l *reportLink) carried(raw []byte) error {
 	l.t.Helper()
 	rep, newer, err := fleet.DecodeNodeReport(raw)
 	if err != nil {
 		l.t.Fatal(err)
 	}
-	c, err := l.a.hand(newCarried(rep, raw, newer))
+	c, err := l.a.acceptReport(newPendingReport(rep, raw, newer))
 	if err != nil {
 		l.t.Fatal(err)
 	}
-	_, err = l.a.deliver(l.t.Context(), l.addr, c)
-	if errors.Is(err, errWhole) {
-		_, err = l.a.deliver(l.t.Context(), l.addr, c)
+	_, err = l.a.sendReport(l.t.Context(), l.addr, c)
+	if errors.Is(err, errCompleteWanted) {
+		_, err = l.a.sendReport(l.t.Context(), l.addr, c)
 	}
-	if errors.Is(err, errWhole) {
+	if errors.Is(err, errCompleteWanted) {
 		l.t.Fatal("a whole report was wished for after one was sent")
 	}
 	return err
@@ -187,12 +187,12 @@
 	if d := cmp.Diff(l.made, l.leader.has, cmpopts.EquateEmpty()); d != "" {
 		l.t.Error("the leader has another report:", d)
 	}
-	if l.a.holder.Remaining(l.a.now()) == 0 {
+	if l.a.lease.Remaining(l.a.now()) == 0 {
 		l.t.Error("the session is not held")
 	}
 }
 
-// Reports go as differences once one is acknowledged; after a lost answer, a lost difference, one cut short or refused, over a change of
+// Reports go as differences once one is acknowledged; after a lost answer, a lost difference, one cut short or rejected, over a change of
 // the leader and restarts of node and agent the leader has what the node made, and the session is held.
 func TestReportsByDifference(t *testing.T) {
 	l := newReportLink(t)
@@ -237,13 +237,13 @@
 	l.restartAgent()
 	l.arrives("whole 20")
 	l.arrives("difference 21 after 20")
-	if n := counter(t, l.a.m.sent.WithLabelValues(kindDifference)); n != 1 {
+	if n := counter(t, l.a.metrics.sent.WithLabelValues(kindDelta)); n != 1 {
 		t.Errorf("%v differences counted", n)
 	}
 }
 
-// A leader of the build before acknowledges nothing and is sent whole reports; where it follows one of this build, its 404 to a
-// difference is followed by the whole report at once.
+// A leader of the build before acknowledges nothing and is sent complete reports; where it follows one of this build, its 404 to a
+// difference is followed by the complete report at once.
 func TestLeaderOfTheLastBuild(t *testing.T) {
 	l := newReportLink(t)
 	l.set(func(leader *differenceLeader) { leader.lastBuild = true })
@@ -269,7 +269,7 @@
 }
 
 // A report with members that this build does not know goes whole, as the node made it.
-func TestNewerNodesReportGoesWhole(t *testing.T) {
+func TestNewerNodesReportIsSentComplete(t *testing.T) {
 	l := newReportLink(t)
 	l.arrives("whole 1")
 	raw := strings.Replace(string(l.raw()), `"seq"`, `"later_member":1,"seq"`, 1)
@@ -284,8 +284,8 @@
 	l.arrives("difference 3 after 2")
 }
 
-// The loop follows a wish with the whole report of the same seq, and the node's answer has nothing of the link's own.
-func TestWishIsFollowedAtOnce(t *testing.T) {
+// The loop follows such a request with the complete report of the same seq, and the node's answer has nothing of the link's own.
+func TestCompleteReportFollowsAtOnce(t *testing.T) {
 	l := newReportLink(t)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
@@ -335,14 +335,14 @@
 	}
 }
 
-// By the bounds alone: a difference that is lost takes its try's whole time, the next one is answered by a wish as late as can be, and
-// so is the whole report. The session is held until then by agent and leader, with a second report lost besides.
+// By the bounds alone: a difference that is lost takes its try's whole time, the next one is answered by a request as late as can be, and
+// so is the complete report. The session is held until then by agent and leader, with a second report lost besides.
 func TestLostDifferenceLosesNoLease(t *testing.T) {
 	const ttl, every = 6 * time.Second, time.Second // of a session, and between a quiet node's reports
 	var holder session.AgentLease
 	m := fleet.Member{Node: "n", Zone: "z", Incarnation: 7}
 	state := &session.State{}
-	if _, err := state.Apply(session.Command{Op: session.Join, Member: m, Slots: 1}); err != nil {
+	if _, err := state.Apply(session.Command{Operation: session.Join, Member: m, Slots: 1}); err != nil {
 		t.Fatal(err)
 	}
 	leases := session.NewLeases(0, ttl)
@@ -362,16 +362,16 @@
 	}
 	renew(0)
 	advance(every)
-	advance(carryTimeout) // a difference is lost: nothing is answered
+	advance(reportTimeout) // a difference is lost: nothing is answered
 	advance(300 * time.Millisecond)
-	advance(carryTimeout) // the next one is answered at the last moment, by a wish
+	advance(reportTimeout) // the next one is answered at the last moment, by a request for the complete report
 	t0 := now
-	advance(carryTimeout) // and so is the whole report
+	advance(reportTimeout) // and so is the complete report
 	renew(t0)
-	if left := holder.Remaining(now); left < every+carryTimeout {
+	if left := holder.Remaining(now); left < every+reportTimeout {
 		t.Errorf("held for %v more", left)
 	}
-	if sum := every + 3*carryTimeout + 300*time.Millisecond; float64(sum+carryTimeout) > session.AgentLeasePart*float64(ttl) {
-		t.Errorf("%v with another report lost, of %v", sum+carryTimeout, ttl)
+	if sum := every + 3*reportTimeout + 300*time.Millisecond; float64(sum+reportTimeout) > session.AgentLeasePart*float64(ttl) {
+		t.Errorf("%v with another report lost, of %v", sum+reportTimeout, ttl)
 	}
 }
--- a/internal/fleet/agent/record.go
+++ b/internal/fleet/agent/record.go
@@ -40,8 +40,8 @@
 	Items    []fleet.Item `json:"items"`
 }
 
-// errTruncated is met at the end of a log whose last record was not written to its end.
-var errTruncated = errors.New("copy: the last record is cut short")
+// errTruncatedRecord is met at the end of a log whose last record was not written to its end.
+var errTruncatedRecord = errors.New("copy: the last record is cut short")
 
 // appendRecord adds a record to a log.
 func appendRecord(log []byte, record any) ([]byte, error) {
@@ -60,11 +60,11 @@
 	return fmt.Sprintf("%s %08x\n", prefix, uint32(xxhash.Sum64String(prefix)))
 }
 
-// encodeBase gives a file that holds a base alone.
+// encodeBase returns a file that holds a base alone.
 func encodeBase(base baseRecord) ([]byte, error) {
 	raw, err := appendRecord([]byte(logFormat), base)
-	if err == nil && len(raw) > baseLimit {
-		err = fmt.Errorf("copy: %d bytes, at most %d", len(raw), baseLimit)
+	if err == nil && len(raw) > maxBaseBytes {
+		err = fmt.Errorf("copy: %d bytes, at most %d", len(raw), maxBaseBytes)
 	}
 	return raw, err
 }
@@ -73,7 +73,7 @@
 // the log ends before the record does; any other means damage.
 func nextRecord(log []byte, record any) (rest []byte, err error) {
 	if len(log) < recordHead {
-		return nil, errTruncated
+		return nil, errTruncatedRecord
 	}
 	line := string(log[:recordHead])
 	var length uint32
@@ -83,7 +83,7 @@
 	}
 	log = log[recordHead:]
 	if uint64(len(log)) < uint64(length) {
-		return nil, errTruncated
+		return nil, errTruncatedRecord
 	}
 	body := log[:length]
 	if got := xxhash.Sum64(body); got != sum {
@@ -108,33 +108,33 @@
 
 // storedCopy is what a file of a durable copy holds.
 type storedCopy struct {
-	copy       *Copy
+	copy       *IntentCopy
 	services   []string // the scope that it is of; none: every service
-	incomplete bool     // services of the scope are missing: a whole read is due
-	base       int64    // bytes up to the end of the base
+	incomplete bool     // services of the scope are missing: a complete read is due
+	baseSize   int64    // bytes up to the end of the base
 	truncated  bool     // a last record that was cut short has been left out
-	old        bool     // it is of the format before the log
+	oldFormat  bool     // it is of the format before the log
 }
 
 // decodeCopy reads the file of a durable copy, of this format or the one before. One that is damaged, of another node or of
 // another kind is an error; nothing of it is used. A last record that is cut short is left out: nobody
 // has been promised what it holds, as a record counts only once all of it is on disk.
 func decodeCopy(raw []byte, node string) (storedCopy, error) {
-	if len(raw) > fileLimit {
-		return storedCopy{}, fmt.Errorf("copy: %d bytes, at most %d", len(raw), fileLimit)
+	if len(raw) > maxFileBytes {
+		return storedCopy{}, fmt.Errorf("copy: %d bytes, at most %d", len(raw), maxFileBytes)
 	}
 	log, ok := bytes.CutPrefix(raw, []byte(logFormat))
 	if !ok {
-		return decodeWhole(raw, node)
+		return decodeOldFormat(raw, node)
 	}
 	stored, log, err := decodeBase(log, node)
 	if err != nil {
 		return storedCopy{}, err
 	}
-	stored.base = int64(len(raw) - len(log))
+	stored.baseSize = int64(len(raw) - len(log))
 	for len(log) > 0 {
-		rest, err := stored.replay(log)
-		if errors.Is(err, errTruncated) {
+		rest, err := stored.applyRecord(log)
+		if errors.Is(err, errTruncatedRecord) {
 			stored.truncated = true
 			break
 		}
@@ -156,25 +156,25 @@
 	if err := fleet.ValidScope(base.Services); err != nil {
 		return storedCopy{}, nil, fmt.Errorf("copy: %w", err)
 	}
-	stored, err := wholeCopy(base, node)
+	stored, err := newStoredCopy(base, node)
 	return stored, rest, err
 }
 
-// wholeCopy makes a copy of the items of a base.
-func wholeCopy(base baseRecord, node string) (storedCopy, error) {
+// newStoredCopy makes a copy of the items of a base.
+func newStoredCopy(base baseRecord, node string) (storedCopy, error) {
 	if base.Node != node {
 		return storedCopy{}, fmt.Errorf("copy: of node %q, this is %q", base.Node, node)
 	}
 	if err := checkItems(base.Items, 0, base.Revision); err != nil {
 		return storedCopy{}, err
 	}
-	stored := storedCopy{copy: &Copy{}, services: base.Services, incomplete: base.Incomplete}
-	_, err := stored.copy.Take(fleet.Intent{Revision: base.Revision, Full: true, Items: base.Items})
+	stored := storedCopy{copy: &IntentCopy{}, services: base.Services, incomplete: base.Incomplete}
+	_, err := stored.copy.Apply(fleet.Intent{Revision: base.Revision, Full: true, Items: base.Items})
 	return stored, err
 }
 
-// replay takes the difference that a log begins with into the copy and gives the rest of the log.
-func (s *storedCopy) replay(log []byte) (rest []byte, err error) {
+// applyRecord takes the difference that a log begins with into the copy and gives the rest of the log.
+func (s *storedCopy) applyRecord(log []byte) (rest []byte, err error) {
 	var difference differenceRecord
 	if rest, err = nextRecord(log, &difference); err != nil {
 		return nil, err
@@ -185,7 +185,7 @@
 	if err := checkItems(difference.Items, difference.Since, difference.Revision); err != nil {
 		return nil, err
 	}
-	_, err = s.copy.Take(fleet.Intent{Revision: difference.Revision, Items: difference.Items})
+	_, err = s.copy.Apply(fleet.Intent{Revision: difference.Revision, Items: difference.Items})
 	return rest, err
 }
 
@@ -208,14 +208,14 @@
 	return nil
 }
 
-// wholeLine is the first line of the format before the log: the copy's revision and the checksum of its one body.
-const wholeLine = "fleet-intent 1 %d %016x\n"
+// oldFormatLine is the first line of the format before the log: the copy's revision and the checksum of its one body.
+const oldFormatLine = "fleet-intent 1 %d %016x\n"
 
-// decodeWhole reads the format before the log. It has no scope: it holds every service.
-func decodeWhole(raw []byte, node string) (storedCopy, error) {
+// decodeOldFormat reads the format before the log. It has no scope: it holds every service.
+func decodeOldFormat(raw []byte, node string) (storedCopy, error) {
 	line, body, _ := bytes.Cut(raw, []byte("\n"))
 	var revision, sum uint64
-	if _, err := fmt.Sscanf(string(line)+"\n", wholeLine, &revision, &sum); err != nil {
+	if _, err := fmt.Sscanf(string(line)+"\n", oldFormatLine, &revision, &sum); err != nil {
 		return storedCopy{}, errors.New("copy: its first line is not a copy's")
 	}
 	if got := xxhash.Sum64(body); got != sum {
@@ -229,7 +229,7 @@
 		return storedCopy{}, fmt.Errorf("copy: of revision %d, the line says %d", base.Revision, revision)
 	}
 	base.Services, base.Incomplete = nil, false
-	stored, err := wholeCopy(base, node)
-	stored.base, stored.old = int64(len(raw)), true
+	stored, err := newStoredCopy(base, node)
+	stored.baseSize, stored.oldFormat = int64(len(raw)), true
 	return stored, err
 }
--- a/internal/fleet/agent/scope.go
+++ b/internal/fleet/agent/scope.go
@@ -24,9 +24,9 @@
 	return g != nil && fleet.Serves(services, g.Spec.Service)
 }
 
-// inScope says whether a node that serves services holds an item. Only tenants have a scope: that of the committed
+// inScope reports whether a node that serves services holds an item. Only tenants have a scope: that of the committed
 // generation and, while a rollout is on, that of the staged one. A tenant without either is in every scope, as is an
-// item that is gone: its body, which would tell, is gone as well.
+// item that is removed: its body, which would tell, is removed as well.
 func inScope(services []string, item fleet.Item) bool {
 	if len(services) == 0 || item.Removed || !strings.HasPrefix(item.Key, fleet.KeyTenant) {
 		return true
@@ -38,9 +38,9 @@
 	return tenant.Committed.serves(services) || tenant.Staged.serves(services)
 }
 
-// restrict leaves in an answer what is in scope, whatever the replica's build sent. A whole answer loses the other
-// tenants. A difference has them as gone: they may have been in scope when the node last read.
-func restrict(services []string, in fleet.Intent) fleet.Intent {
+// restrictToScope leaves in an answer what is in scope, whatever the replica's build sent. A complete answer loses the other
+// tenants. A difference has them as removed: they may have been in scope when the node last read.
+func restrictToScope(services []string, in fleet.Intent) fleet.Intent {
 	if len(services) == 0 {
 		return in
 	}
@@ -57,8 +57,8 @@
 	return in
 }
 
-// widened says whether the scope now holds a service that the scope before did not.
-func widened(before, now []string) bool {
+// isWidened reports whether the scope now holds a service that the scope before did not.
+func isWidened(before, now []string) bool {
 	if len(before) == 0 {
 		return false
 	}
--- a/internal/fleet/agent/scope_test.go
+++ b/internal/fleet/agent/scope_test.go
@@ -38,7 +38,7 @@
 	}
 }
 
-// Of a whole answer what is out of scope is left out; in a difference it is gone, as it may have been in scope before.
+// Of a complete answer what is out of scope is left out; in a difference it is removed, as it may have been in scope before.
 func TestRestrict(t *testing.T) {
 	items := []fleet.Item{tenantOf("in", 3, "billing", "-"), tenantOf("out", 4, "mail", "-"), tenantOf("moves", 5, "billing", "mail")}
 	summary := func(in fleet.Intent) (out []string) {
@@ -58,7 +58,7 @@
 		{nil, true, []string{"tenant/in 3 false", "tenant/out 4 false", "tenant/moves 5 false"}},
 	} {
 		in := fleet.Intent{Revision: 9, Full: row.full, Items: slices.Clone(items)}
-		if got := summary(restrict(row.services, in)); !slices.Equal(got, row.want) {
+		if got := summary(restrictToScope(row.services, in)); !slices.Equal(got, row.want) {
 			t.Errorf("%v, full %v: %v", row.services, row.full, got)
 		}
 	}
@@ -66,13 +66,14 @@
 
 func TestWidened(t *testing.T) {
 	for _, row := range []struct {
-		before, now []string
-		want        bool
+		before []string
+		now    []string
+		want   bool
 	}{
 		{nil, nil, false}, {nil, []string{"a"}, false}, {[]string{"a"}, nil, true}, {[]string{"a"}, []string{"a"}, false},
 		{[]string{"a", "b"}, []string{"a"}, false}, {[]string{"a"}, []string{"a", "b"}, true}, {[]string{"a"}, []string{"b"}, true},
 	} {
-		if got := widened(row.before, row.now); got != row.want {
+		if got := isWidened(row.before, row.now); got != row.want {
 			t.Errorf("from %v to %v: %v", row.before, row.now, got)
 		}
 	}
--- a/internal/fleet/agent/serve.go
+++ b/internal/fleet/agent/serve.go
@@ -13,8 +13,8 @@
 	"meadowsill/internal/registry"
 )
 
-// answerWait is the longest a node's report waits for the leader's answer to it; then it gets what the leader last said.
-const answerWait = 250 * time.Millisecond
+// reportAnswerTimeout is the longest a node's report waits for the leader's answer to it; then it gets what the leader last said.
+const reportAnswerTimeout = 250 * time.Millisecond
 
 // Routes puts the agent's paths on mux.
 func (a *Agent) Routes(mux *http.ServeMux) {
@@ -24,10 +24,10 @@
 }
 
 // intent answers the node's watch from the copy: at once where there is something new, else when there is, or when the
-// time asked for is over. A node that the control plane has not counted yet is sent nothing: of a quota that it heard of, a floor
+// time requested is over. A node that the control plane has not counted yet is sent nothing: of a quota that it was notified of, a floor
 // would be its own for good, and nobody would keep it back.
 func (a *Agent) intent(w http.ResponseWriter, r *http.Request) {
-	watch, err := registry.ParseWatch(r.URL.Query())
+	watch, err := registry.ParseWatchQuery(r.URL.Query())
 	if node := r.URL.Query().Get("node"); err == nil && node != "" && node != a.cfg.Node {
 		err = fmt.Errorf("node: this agent is %s's", a.cfg.Node)
 	}
@@ -37,35 +37,35 @@
 	}
 	start := time.Now()
 	a.mu.Lock()
-	if watch.Wait > 0 && !a.hasNewer(watch.Since) {
+	if watch.Timeout > 0 && !a.hasNewer(watch.Since) {
 		updated := a.updated
 		a.mu.Unlock()
-		registry.Await(r.Context(), updated, watch.Wait)
+		registry.Await(r.Context(), updated, watch.Timeout)
 		a.mu.Lock()
 	}
 	in := fleet.Intent{Revision: watch.Since, Full: watch.Since == 0, Items: []fleet.Item{}} // nothing new
-	if a.counted {
-		in = a.copy.Read(watch.Since, a.again)
-		if in.Revision >= watch.Since { // else the node refuses it
-			clear(a.again)
+	if a.joined {
+		in = a.copy.Read(watch.Since, a.resendKeys)
+		if in.Revision >= watch.Since { // else the node rejects it
+			clear(a.resendKeys)
 		}
 	}
 	now := a.now()
-	in.CaughtUp = a.caughtUp && a.counted
-	in.AgeMS = (now - a.confirmed).Milliseconds()
+	in.CaughtUp = a.caughtUp && a.joined
+	in.AgeMS = (now - a.confirmedAt).Milliseconds()
 	if !in.CaughtUp { // nobody has confirmed it, or nothing is sent
 		in.AgeMS = (now + copyAge).Milliseconds()
 	}
-	in.LeaseMS = a.holder.Remaining(now).Milliseconds()
+	in.LeaseMS = a.lease.Remaining(now).Milliseconds()
 	a.mu.Unlock()
 	w.Header().Set("X-Waited-Ms", strconv.FormatInt(time.Since(start).Milliseconds(), 10))
 	w.Header().Set("Content-Type", "application/json")
 	json.NewEncoder(w).Encode(in)
 }
 
-// hasNewer says whether there is something to send to a node that holds everything up to since. The caller holds mu.
+// hasNewer reports whether there is something to send to a node that holds everything up to since. The caller holds mu.
 func (a *Agent) hasNewer(since uint64) bool {
-	return a.counted && (a.copy.Revision > since || a.copy.Revision == since && len(a.again) > 0)
+	return a.joined && (a.copy.Revision > since || a.copy.Revision == since && len(a.resendKeys) > 0)
 }
 
 // copyAge is added to the age of what comes from disk alone: nobody knows how long the machine was away, and it is over every
@@ -73,11 +73,11 @@
 const copyAge = 24 * time.Hour
 
 // takeReport takes the node's report, hands it on, and gives the leader's answer to it, or the last one where the leader
-// is slow or gone.
+// is slow or unreachable.
 func (a *Agent) takeReport(w http.ResponseWriter, r *http.Request) {
 	raw, err := io.ReadAll(io.LimitReader(r.Body, fleet.MaxReportBytes+1))
 	if err != nil {
-		return // the node has gone
+		return // the node closed the connection
 	}
 	rep, newer, err := fleet.DecodeNodeReport(raw)
 	if err == nil && !slices.Equal(rep.Services, a.cfg.Services) {
@@ -87,18 +87,18 @@
 		err = fmt.Errorf("%w: node, zone: this agent is that of %s in %s", fleet.ErrInvalid, a.cfg.Node, a.cfg.Zone)
 	}
 	if err != nil {
-		a.m.badReports.Inc()
+		a.metrics.reportsRejected.Inc()
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	c, err := a.hand(newCarried(rep, raw, newer))
+	c, err := a.acceptReport(newPendingReport(rep, raw, newer))
 	if err != nil {
-		a.m.badReports.Inc()
+		a.metrics.reportsRejected.Inc()
 		http.Error(w, err.Error(), http.StatusConflict)
 		return
 	}
-	want := a.ownStep(&rep)
-	t := time.NewTimer(answerWait)
+	want := a.evaluateOwnNode(&rep)
+	t := time.NewTimer(reportAnswerTimeout)
 	defer t.Stop()
 	select {
 	case <-c.done:
@@ -107,7 +107,7 @@
 		return
 	}
 	a.mu.Lock()
-	ans, fenced := a.nextAnswer(), a.fenced && c.rep.Incarnation == a.inc
+	ans, fenced := a.answerForNode(), a.fenced && c.report.Incarnation == a.incarnation
 	a.mu.Unlock()
 	if fenced {
 		http.Error(w, fleet.ErrFenced.Error(), http.StatusConflict)
@@ -118,46 +118,48 @@
 	json.NewEncoder(w).Encode(ans)
 }
 
-// hand makes c the report to carry, unless it is of an older incarnation or not newer than the last.
-func (a *Agent) hand(c *carried) (*carried, error) {
-	rep := &c.rep
+// acceptReport makes c the report to carry, unless it is of an older incarnation or not newer than the last.
+func (a *Agent) acceptReport(c *pendingReport) (*pendingReport, error) {
+	rep := &c.report
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	switch {
-	case rep.Incarnation < a.inc:
-		return nil, fmt.Errorf("%w: %d, seen %d", fleet.ErrFenced, rep.Incarnation, a.inc)
-	case rep.Incarnation == a.inc && rep.Sequence <= a.seq:
-		return nil, fmt.Errorf("seq: %d, seen %d", rep.Sequence, a.seq)
-	case rep.Incarnation > a.inc:
-		a.holder.Drop()
-		a.last, a.fenced = fleet.ReportAnswer{}, false
+	case rep.Incarnation < a.incarnation:
+		return nil, fmt.Errorf("%w: %d, seen %d", fleet.ErrFenced, rep.Incarnation, a.incarnation)
+	case rep.Incarnation == a.incarnation && rep.Sequence <= a.sequence:
+		return nil, fmt.Errorf("seq: %d, seen %d", rep.Sequence, a.sequence)
+	case rep.Incarnation > a.incarnation:
+		a.lease.Drop()
+		a.lastAnswer, a.fenced = fleet.ReportAnswer{}, false
 		a.cfg.Log.Info("node's process", "incarnation", rep.Incarnation, "revision", rep.Revision)
 	}
-	a.inc, a.seq = rep.Incarnation, rep.Sequence
+	a.incarnation, a.sequence = rep.Incarnation, rep.Sequence
 	if a.report != nil {
-		a.report.end()
+		a.report.finish()
 	}
 	if slices.ContainsFunc(rep.Tenants, func(t fleet.TenantAck) bool { return t.UID != 0 }) {
-		a.count() // it was, as it has been sent tenants
+		a.markJoined() // it was, as it has been sent tenants
 	}
-	c.at = a.now()
+	c.receivedAt = a.now()
 	a.report = c
-	notify(a.reports)
+	signal(a.reports)
 	return a.report, nil
 }
 
-// nextAnswer is the answer to a report of the node: the leader's last answer, with what it wants sent once, and what is left
-// of the session by the agent's count. That the node is out for want of a session is forgotten once the leader has been gone
+// answerForNode is the answer to a report of the node: the leader's last answer, with what it wants sent once, and what is left
+// of the session by the agent's count. That the node is out for want of a session is forgotten once the leader has been unreachable
 // for outFor: without a control plane the node's own rules hold. The caller holds mu.
-func (a *Agent) nextAnswer() fleet.ReportAnswer {
-	ans := a.last
-	a.last.WantedKeys = nil
-	if ans.NotReady && ans.LeaseTTLMS == 0 && a.now()-a.lastAt > outFor {
+func (a *Agent) answerForNode() fleet.ReportAnswer {
+	ans := a.lastAnswer
+	a.lastAnswer.WantedKeys = nil
+	if ans.NotReady && ans.LeaseTTLMS == 0 && a.now()-a.lastAnswerAt > notReadyLifetime {
 		ans.NotReady = false
 	}
-	ans.LeaseTTLMS = a.holder.Remaining(a.now()).Milliseconds()
-	ans.Resend, ans.Restart, ans.AckSequence = nil, false, 0 // the agent's own work
+	ans.LeaseTTLMS = a.lease.Remaining(a.now()).Milliseconds()
+	ans.Resend = nil
+	ans.Restart = false
+	ans.AckSequence = 0 // the agent's own work
 	return ans
 }
 
-const outFor = 6 * time.Second
+const notReadyLifetime = 6 * time.Second
--- a/internal/fleet/agent/serve_test.go
+++ b/internal/fleet/agent/serve_test.go
@@ -97,7 +97,7 @@
 	if in, text := get("?since=3"); in.CaughtUp || len(in.Items) != 0 || in.Revision != 3 || in.Full {
 		t.Errorf("sent before the node was counted: %s", text)
 	}
-	if _, err := os.Stat(filepath.Join(dir, copyName)); err == nil {
+	if _, err := os.Stat(filepath.Join(dir, copyFileName)); err == nil {
 		t.Error("a copy kept before the node was counted")
 	}
 	until("wanted", func() bool { _, text := next(7); return strings.Contains(text, `"want":["~*"]`) })
--- a/internal/fleet/agent/subscription_test.go
+++ b/internal/fleet/agent/subscription_test.go
@@ -35,11 +35,11 @@
 // receive gives an agent at rest an answer of a replica, as its watch does, and has it saved for a node that is counted.
 func receive(t *testing.T, a *Agent, in fleet.Intent) {
 	t.Helper()
-	a.counted = true
-	if err := a.take(restrict(a.cfg.Services, in), a.now()); err != nil {
+	a.joined = true
+	if err := a.applyIntent(restrictToScope(a.cfg.Services, in), a.now()); err != nil {
 		t.Fatal(err)
 	}
-	if !a.persist() {
+	if !a.saveCopy() {
 		t.Fatal("not saved")
 	}
 }
@@ -57,7 +57,7 @@
 	return in
 }
 
-// keys lists an answer's items; "-" marks those that are gone.
+// keys lists an answer's items; "-" marks those that are removed.
 func keys(in fleet.Intent) string {
 	var out []string
 	for _, item := range in.Items {
@@ -82,24 +82,24 @@
 	return metrics[0].Metric[0].Counter.GetValue()
 }
 
-// allServices is a whole answer at a revision, with a tenant of each of three services, one of none, and a zone.
+// allServices is a complete answer at a revision, with a tenant of each of three services, one of none, and a zone.
 func allServices(revision uint64) fleet.Intent {
 	return fleet.Intent{Revision: revision, Full: true, Items: append(sample().Read(0, nil).Items, tenantOf("bill", 2, "billing", "-"),
 		tenantOf("find", 3, "search", "-"), tenantOf("post", 4, "mail", "-"), tenantOf("any", 5, "", "-"))}
 }
 
-// An agent of this build takes up the whole copy of the build before: what is in scope is served, with its age, no whole read is due, and
+// An agent of this build takes up the complete copy of the build before: what is in scope is served, with its age, no complete read is due, and
 // the file is in the new format before the node is sent any of it. Without a scope the first save replaces it.
-func TestAgentTakesUpOldWholeCopy(t *testing.T) {
+func TestAgentTakesUpOldFormatCopy(t *testing.T) {
 	old := func() string {
 		dir := t.TempDir()
-		if err := os.WriteFile(filepath.Join(dir, copyName), wholeFile("n", 9, allServices(9).Items...), 0o600); err != nil {
+		if err := os.WriteFile(filepath.Join(dir, copyFileName), wholeFile("n", 9, allServices(9).Items...), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		return dir
 	}
 	format := func(a *Agent) string {
-		raw, err := os.ReadFile(a.disk.path())
+		raw, err := os.ReadFile(a.copyFile.path())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -109,11 +109,11 @@
 	if in := asks(t, a, 0); keys(in) != "any bill zone/a" || in.CaughtUp || in.AgeMS < copyAge.Milliseconds() || in.Revision != 9 {
 		t.Errorf("with a scope: %s, %+v", keys(in), in)
 	}
-	if a.whole || format(a) != logFormat {
-		t.Errorf("with a scope: whole read due %v, format %q", a.whole, format(a))
+	if a.fetchAll || format(a) != logFormat {
+		t.Errorf("with a scope: whole read due %v, format %q", a.fetchAll, format(a))
 	}
 	a = atRest(t, old())
-	if in := asks(t, a, 0); keys(in) != "any bill find post zone/a" || in.CaughtUp || a.whole || format(a) == logFormat {
+	if in := asks(t, a, 0); keys(in) != "any bill find post zone/a" || in.CaughtUp || a.fetchAll || format(a) == logFormat {
 		t.Errorf("without a scope: %s, %+v, format %q", keys(in), in, format(a))
 	}
 	receive(t, a, fleet.Intent{Revision: 10, Items: []fleet.Item{tenantOf("bill", 10, "billing", "-")}})
@@ -125,7 +125,7 @@
 	}
 }
 
-// An agent that starts with fewer services has the node hear the tenants of the others as gone, also where nothing else has changed;
+// An agent that starts with fewer services has the node hear the tenants of the others as removed, also where nothing else has changed;
 // one that takes them up again reads everything anew before it calls its copy whole, and goes on serving what it has.
 func TestScopeOfTheStartChanges(t *testing.T) {
 	dir := t.TempDir()
@@ -137,39 +137,39 @@
 	}
 
 	a = atRest(t, dir, "billing")
-	if in := asks(t, a, 11); keys(in) != "any bill zone/a" || in.Revision != 9 || !a.again[everything] {
+	if in := asks(t, a, 11); keys(in) != "any bill zone/a" || in.Revision != 9 || !a.resendKeys[allItems] {
 		t.Errorf("to a node that is newer, and refuses it: %+v", in)
 	}
-	if in := asks(t, a, 9); !in.Full || keys(in) != "any bill zone/a" || a.whole {
-		t.Errorf("fewer services: full %v, %s; whole read due %v", in.Full, keys(in), a.whole)
+	if in := asks(t, a, 9); !in.Full || keys(in) != "any bill zone/a" || a.fetchAll {
+		t.Errorf("fewer services: full %v, %s; whole read due %v", in.Full, keys(in), a.fetchAll)
 	}
 	if in := asks(t, a, 9); in.Full || len(in.Items) > 0 {
 		t.Errorf("sent twice: %+v", in)
 	}
 
-	for range 2 { // the second finds on disk that the whole read is still due
+	for range 2 { // the second finds on disk that the complete read is still due
 		a = atRest(t, dir, "billing", "search")
-		if in := asks(t, a, 9); !a.whole || in.Full || len(in.Items) > 0 || in.CaughtUp || in.AgeMS < copyAge.Milliseconds() {
-			t.Errorf("a further service: whole read due %v, %+v", a.whole, in)
+		if in := asks(t, a, 9); !a.fetchAll || in.Full || len(in.Items) > 0 || in.CaughtUp || in.AgeMS < copyAge.Milliseconds() {
+			t.Errorf("a further service: whole read due %v, %+v", a.fetchAll, in)
 		}
 		if in := asks(t, a, 0); keys(in) != "any bill zone/a" {
 			t.Errorf("what it has: %s", keys(in))
 		}
 	}
 	receive(t, a, allServices(9))
-	if in := asks(t, a, 9); !in.Full || keys(in) != "any bill find zone/a" || !in.CaughtUp || a.whole {
-		t.Errorf("after the whole read: full %v, %s; whole read due %v", in.Full, keys(in), a.whole)
+	if in := asks(t, a, 9); !in.Full || keys(in) != "any bill find zone/a" || !in.CaughtUp || a.fetchAll {
+		t.Errorf("after the whole read: full %v, %s; whole read due %v", in.Full, keys(in), a.fetchAll)
 	}
-	if a = atRest(t, dir, "billing", "search"); a.whole || a.copy.Len() != 4 || a.disk.since() != 9 {
-		t.Errorf("at the next start: whole read due %v, %d items, on disk %d", a.whole, a.copy.Len(), a.disk.since())
+	if a = atRest(t, dir, "billing", "search"); a.fetchAll || a.copy.Len() != 4 || a.copyFile.deltaSince() != 9 {
+		t.Errorf("at the next start: whole read due %v, %d items, on disk %d", a.fetchAll, a.copy.Len(), a.copyFile.deltaSince())
 	}
-	if a = atRest(t, dir); !a.whole {
+	if a = atRest(t, dir); !a.fetchAll {
 		t.Error("no scope any more: no whole read is due")
 	}
 }
 
 // With a replica of the last build, which ignores the subscription, an agent keeps and sends only what is in scope: a tenant that
-// leaves it during its rollout stays until the commit, and one that the copy never had is gone, as the node may have it.
+// leaves it during its rollout stays until the commit, and one that the copy never had is removed, as the node may have it.
 func TestReplicaOfTheLastBuild(t *testing.T) {
 	a := atRest(t, t.TempDir(), "billing")
 	receive(t, a, allServices(9))
@@ -206,8 +206,8 @@
 		t.Error("the node was woken")
 	default:
 	}
-	if in := asks(t, a, 9); in.Revision != 15 || in.Full || len(in.Items) > 0 || a.saved != 15 {
-		t.Errorf("%+v, saved %d", in, a.saved)
+	if in := asks(t, a, 9); in.Revision != 15 || in.Full || len(in.Items) > 0 || a.savedRevision != 15 {
+		t.Errorf("%+v, saved %d", in, a.savedRevision)
 	}
 	if again := atRest(t, a.cfg.Dir, "billing"); again.copy.Revision != 15 {
 		t.Errorf("read back at revision %d", again.copy.Revision)
@@ -219,15 +219,15 @@
 func TestDiskFull(t *testing.T) {
 	a := atRest(t, t.TempDir(), "billing")
 	receive(t, a, allServices(9))
-	end := failWrites(a.disk)
+	end := failWrites(a.copyFile)
 	receive(t, a, fleet.Intent{Revision: 10, Items: []fleet.Item{tenantOf("bill", 10, "billing", "-")}})
-	if left, _ := os.ReadDir(a.cfg.Dir); len(left) != 0 || counter(t, a.m.saveErrors) != 1 || a.saved != 10 {
-		t.Errorf("left %v, %v errors, saved %d", left, counter(t, a.m.saveErrors), a.saved)
+	if left, _ := os.ReadDir(a.cfg.Dir); len(left) != 0 || counter(t, a.metrics.saveErrors) != 1 || a.savedRevision != 10 {
+		t.Errorf("left %v, %v errors, saved %d", left, counter(t, a.metrics.saveErrors), a.savedRevision)
 	}
 	end()
 	receive(t, a, fleet.Intent{Revision: 11, Items: []fleet.Item{tenantOf("bill", 11, "billing", "-")}})
-	if again := atRest(t, a.cfg.Dir, "billing"); again.copy.Revision != 11 || again.copy.Len() != 3 || a.saved != 11 {
-		t.Errorf("read back: %+v, saved %d", again.copy, a.saved)
+	if again := atRest(t, a.cfg.Dir, "billing"); again.copy.Revision != 11 || again.copy.Len() != 3 || a.savedRevision != 11 {
+		t.Errorf("read back: %+v, saved %d", again.copy, a.savedRevision)
 	}
 }
 
@@ -238,39 +238,40 @@
 	receive(t, first, allServices(9))
 	second := atRest(t, dir, "billing")
 	receive(t, second, fleet.Intent{Revision: 12, Items: []fleet.Item{tenantOf("bill", 12, "billing", "-")}})
-	if err := first.take(fleet.Intent{Revision: 11, Items: []fleet.Item{tenantOf("bill", 11, "billing", "-")}}, first.now()); err != nil {
+	if err := first.applyIntent(fleet.Intent{Revision: 11, Items: []fleet.Item{tenantOf("bill", 11, "billing", "-")}}, first.now()); err != nil {
 		t.Fatal(err)
 	}
-	if first.persist() || counter(t, first.m.saveErrors) != 1 || first.saved != 9 {
-		t.Errorf("%v errors, saved %d", counter(t, first.m.saveErrors), first.saved)
+	if first.saveCopy() || counter(t, first.metrics.saveErrors) != 1 || first.savedRevision != 9 {
+		t.Errorf("%v errors, saved %d", counter(t, first.metrics.saveErrors), first.savedRevision)
 	}
 	if again := atRest(t, dir, "billing"); again.copy.Revision != 12 {
 		t.Errorf("on disk: revision %d", again.copy.Revision)
 	}
 	receive(t, first, fleet.Intent{Revision: 13})
-	if again := atRest(t, dir, "billing"); again.copy.Revision != 13 || first.saved != 13 {
-		t.Errorf("once it is newer: revision %d, saved %d", again.copy.Revision, first.saved)
+	if again := atRest(t, dir, "billing"); again.copy.Revision != 13 || first.savedRevision != 13 {
+		t.Errorf("once it is newer: revision %d, saved %d", again.copy.Revision, first.savedRevision)
 	}
 }
 
-// A lost difference refuses the copy: it is put aside and counted, and the agent starts without.
-func TestAgentRefusesDamagedLog(t *testing.T) {
+// A lost difference rejects the copy: it is put aside and counted, and the agent starts without.
+func TestAgentRejectsDamagedLog(t *testing.T) {
 	_, parts := sampleLog(t)
 	dir := t.TempDir()
-	if err := os.WriteFile(filepath.Join(dir, copyName), slices.Concat(parts[0], parts[2]), 0o600); err != nil {
+	if err := os.WriteFile(filepath.Join(dir, copyFileName), slices.Concat(parts[0], parts[2]), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	a := atRest(t, dir, "billing")
-	if _, err := os.Stat(filepath.Join(dir, refusedName)); err != nil || counter(t, a.m.refused) != 1 || a.copy.Revision != 0 || a.counted {
-		t.Errorf("%v, %v refused, %+v, counted %v", err, counter(t, a.m.refused), a.copy, a.counted)
+	if _, err := os.Stat(filepath.Join(dir, rejectedFileName)); err != nil || counter(t, a.metrics.copiesRejected) != 1 || a.copy.Revision != 0 || a.joined {
+		t.Errorf("%v, %v refused, %+v, counted %v", err, counter(t, a.metrics.copiesRejected), a.copy, a.joined)
 	}
 }
 
 // A report of other services than the agent's changes nothing and is counted, whichever of the two has none.
 func TestReportOfOtherServices(t *testing.T) {
 	for _, row := range []struct {
-		mine, reported []string
-		code           int
+		mine     []string
+		reported []string
+		code     int
 	}{
 		{[]string{"billing"}, []string{"billing"}, 0}, {nil, nil, 0}, {[]string{"billing"}, nil, 400}, {nil, []string{"billing"}, 400},
 		{[]string{"billing"}, []string{"billing", "search"}, 400},
@@ -280,7 +281,7 @@
 		raw, _ := json.Marshal(fleet.Report{Member: fleet.Member{Node: "n", Zone: "z", Incarnation: 7}, Services: row.reported, Sequence: 1})
 		mux.ServeHTTP(rec, httptest.NewRequest(http.MethodPost, "/fleet/v1/report", strings.NewReader(string(raw))))
 		refused := rec.Code == http.StatusBadRequest
-		if refused != (row.code == 400) || refused != (counter(t, a.m.badReports) == 1) || refused && !strings.Contains(rec.Body.String(), "services") || refused == (a.report != nil) {
+		if refused != (row.code == 400) || refused != (counter(t, a.metrics.reportsRejected) == 1) || refused && !strings.Contains(rec.Body.String(), "services") || refused == (a.report != nil) {
 			t.Errorf("agent %v, report %v: %d %s", row.mine, row.reported, rec.Code, rec.Body)
 		}
 	}
@@ -305,7 +306,7 @@
 	r.queries = append(r.queries, query)
 	since, _ := strconv.ParseUint(query.Get("since"), 10, 64)
 	out := fleet.Intent{Revision: r.state.Revision, Full: since == 0 || since > r.state.Revision, Items: []fleet.Item{}}
-	for _, item := range restrict(query["service"], r.state).Items {
+	for _, item := range restrictToScope(query["service"], r.state).Items {
 		if out.Full || item.Revision > since {
 			out.Items = append(out.Items, item)
 		}
@@ -315,7 +316,7 @@
 
 func (r *scopedReplica) change(f func()) { r.mu.Lock(); defer r.mu.Unlock(); f() }
 
-// A subscription moves from a replica that fails to one that is behind: what it says is dropped, counted and never taken, also as a whole
+// A subscription moves from a replica that fails to one that is behind: what it says is dropped, counted and never taken, also as a complete
 // answer, until it has caught up. Each call names the scope, and that of an agent without one names none.
 func TestSubscriptionMovesToReplicaBehind(t *testing.T) {
 	t.Run("scoped", func(t *testing.T) {
@@ -346,10 +347,10 @@
 		return keys(a.copy.Read(0, nil)) == want && a.copy.Revision == revision
 	}
 	eventually(t, "the copy", func() bool { return holds(first, 20) })
-	dropped := counter(t, a.m.dropped)
+	dropped := counter(t, a.metrics.answersDropped)
 	newest.change(func() { newest.down = true })
 	behind.change(func() { behind.down = false })
-	eventually(t, "the other replica asked", func() bool { return counter(t, a.m.dropped) > dropped+4 })
+	eventually(t, "the other replica asked", func() bool { return counter(t, a.metrics.answersDropped) > dropped+4 })
 	if !holds(first, 20) {
 		t.Error("an answer of a replica that is behind was taken")
 	}
--- a/internal/fleet/agent/watch.go
+++ b/internal/fleet/agent/watch.go
@@ -16,15 +16,15 @@
 // A watch waits so long at a replica, and is given so much more to answer in. It is short, as each answer confirms the age of
 // what the node is served, and directives hold for 5 s after one.
 const (
-	watchWait  = time.Second
-	watchSlack = 1500 * time.Millisecond
+	watchTimeout     = time.Second
+	watchAnswerSlack = 1500 * time.Millisecond
 )
 
 // watch follows the replicas, one at a time; where one fails it goes on to the next.
 func (a *Agent) watch(ctx context.Context) {
-	b, i := retries(), a.anyReplica()
+	b, i := newRetryBackoff(), a.randomReplica()
 	for ctx.Err() == nil {
-		err := a.once(ctx, a.cfg.Replicas[i])
+		err := a.poll(ctx, a.cfg.Replicas[i])
 		if err == nil {
 			b.Reset()
 			continue
@@ -32,24 +32,24 @@
 		if ctx.Err() != nil {
 			return
 		}
-		a.m.dropped.Inc()
+		a.metrics.answersDropped.Inc()
 		a.cfg.Log.Warn("intent: answer dropped", "replica", a.cfg.Replicas[i], "err", err)
 		i = (i + 1) % len(a.cfg.Replicas)
-		pause(ctx, b.NextBackOff())
+		sleep(ctx, b.NextBackOff())
 	}
 }
 
-// once makes one watch call and takes its answer, or says why not.
-func (a *Agent) once(ctx context.Context, replica string) error {
+// poll makes one watch call and takes its answer, or says why not.
+func (a *Agent) poll(ctx context.Context, replica string) error {
 	a.mu.Lock()
 	since := a.copy.Revision
-	if a.whole {
+	if a.fetchAll {
 		since = 0
 	}
 	a.mu.Unlock()
-	ctx, cancel := context.WithTimeout(ctx, watchWait+watchSlack)
+	ctx, cancel := context.WithTimeout(ctx, watchTimeout+watchAnswerSlack)
 	defer cancel()
-	q := url.Values{"since": {strconv.FormatUint(since, 10)}, "timeout_ms": {strconv.FormatInt(watchWait.Milliseconds(), 10)}, "node": {a.cfg.Node}}
+	q := url.Values{"since": {strconv.FormatUint(since, 10)}, "timeout_ms": {strconv.FormatInt(watchTimeout.Milliseconds(), 10)}, "node": {a.cfg.Node}}
 	if len(a.cfg.Services) > 0 {
 		q["service"] = a.cfg.Services
 	}
@@ -79,7 +79,7 @@
 	}
 	// The replica read its state after it had waited: no sooner than t0 and what it waited. It had heard from the
 	// leader so long before. What the answer took to come is counted as age, as it can't be separated.
-	return a.take(restrict(a.cfg.Services, in), min(t0+ms(resp.Header, "X-Waited-Ms"), a.now())-ms(resp.Header, "X-Last-Contact-Ms"))
+	return a.applyIntent(restrictToScope(a.cfg.Services, in), min(t0+ms(resp.Header, "X-Waited-Ms"), a.now())-ms(resp.Header, "X-Last-Contact-Ms"))
 }
 
 // ms reads a header in ms, 0 to a minute; one that is not such a number is 0.
--- a/internal/fleet/agentclient/mirror.go
+++ b/internal/fleet/agentclient/intent_mirror.go
@@ -16,42 +16,43 @@
 	"meadowsill/policy"
 )
 
-// oldest is the largest age that the module is given; what is older is past every bound as well.
-const oldest = 24 * time.Hour
+// maxAge is the largest age that the module is given; what is older is past every bound as well.
+const maxAge = 24 * time.Hour
 
-var errOlder = errors.New("the answer is of an older revision than one before")
+var errOlderRevision = errors.New("the answer is of an older revision than one before")
 
-// Mirror is what a node knows of the intent: the newest item of each key that concerns it. Merge and Events are called in
+// IntentMirror is what a node knows of the intent: the newest item of each key that concerns it. Merge and Events are called in
 // turn, by one goroutine.
-type Mirror struct {
+type IntentMirror struct {
 	fleet.Member
 	Revision uint64
-	Known    bool // an answer has come
+	Answered bool // an answer has come
 	Items    map[string]fleet.Item
 
 	// of the last answer:
-	Age, Held time.Duration
-	Changed   []string // tenants, by their keys, in order
-	News      bool     // some item is new
+	Age            time.Duration
+	LeaseLeft      time.Duration
+	ChangedTenants []string // tenants, by their keys, in order
+	Changed        bool     // some item is new
 
-	directed map[string]bool // zones of which the module knows a directive
+	knownZones map[string]bool // zones of which the module knows a directive
 }
 
-// NewMirror makes the mirror of a node's run, which knows nothing.
-func NewMirror(m fleet.Member) *Mirror {
-	return &Mirror{Member: m, Items: map[string]fleet.Item{}, directed: map[string]bool{}}
+// NewIntentMirror makes the mirror of a node's run, which knows nothing.
+func NewIntentMirror(m fleet.Member) *IntentMirror {
+	return &IntentMirror{Member: m, Items: map[string]fleet.Item{}, knownZones: map[string]bool{}}
 }
 
-// Merge takes an answer that DecodeIntent has read through. One that contradicts what was told before is an error
-// and changes nothing: an answer of an older revision, or changes where nothing was told yet.
-func (m *Mirror) Merge(in fleet.Intent) error {
+// Merge takes an answer that DecodeIntent has read through. One that contradicts what was delivered before is an error
+// and changes nothing: an answer of an older revision, or changes where nothing was delivered yet.
+func (m *IntentMirror) Merge(in fleet.Intent) error {
 	switch {
 	case in.Revision < m.Revision:
-		return fmt.Errorf("%w: %d, known %d", errOlder, in.Revision, m.Revision)
-	case !m.Known && !in.Full:
+		return fmt.Errorf("%w: %d, known %d", errOlderRevision, in.Revision, m.Revision)
+	case !m.Answered && !in.Full:
 		return errors.New("changes where everything was asked for")
 	}
-	m.Changed, m.News = nil, false
+	m.ChangedTenants, m.Changed = nil, false
 	take := func(it fleet.Item) {
 		old, had := m.Items[it.Key]
 		if had && it.Revision < old.Revision || it.Removed && (!had || old.Removed) {
@@ -60,9 +61,9 @@
 		if it.Removed {
 			it.Body = old.Body // it tells whom it was
 		}
-		m.Items[it.Key], m.News = it, m.News || !had || it.Revision > old.Revision
+		m.Items[it.Key], m.Changed = it, m.Changed || !had || it.Revision > old.Revision
 		if strings.HasPrefix(it.Key, fleet.KeyTenant) {
-			m.Changed = append(m.Changed, it.Key)
+			m.ChangedTenants = append(m.ChangedTenants, it.Key)
 		}
 	}
 	named := map[string]bool{}
@@ -78,27 +79,27 @@
 			}
 		}
 	}
-	slices.Sort(m.Changed)
-	m.Revision, m.Known = in.Revision, true
-	m.Age, m.Held = Millis(in.AgeMS), Millis(in.LeaseMS)
+	slices.Sort(m.ChangedTenants)
+	m.Revision, m.Answered = in.Revision, true
+	m.Age, m.LeaseLeft = Millis(in.AgeMS), Millis(in.LeaseMS)
 	return nil
 }
 
-// concerns tells whether an item says something to this node.
-func (m *Mirror) concerns(key string) bool {
+// concerns reports whether an item says something to this node.
+func (m *IntentMirror) concerns(key string) bool {
 	if name, ok := strings.CutPrefix(key, fleet.KeyZone); ok {
 		_, observer, one := strings.Cut(name, "@")
 		return !one || observer == m.Zone
 	}
-	return strings.HasPrefix(key, fleet.KeyTenant) || key == m.share()
+	return strings.HasPrefix(key, fleet.KeyTenant) || key == m.leaseKey()
 }
 
-func (m *Mirror) share() string { return fleet.KeyLease + "/" + m.Node }
+func (m *IntentMirror) leaseKey() string { return fleet.KeyLease + "/" + m.Node }
 
-// Events gives the last answer as the module's events, as they are so long after the answer came: every
+// Events returns the last answer as the module's events, as they are so long after the answer came: every
 // directive and the share, which it confirms, and the tenants that it names. The share comes after the tenants, by
 // whose rates it was divided.
-func (m *Mirror) Events(since time.Duration) (out []policy.Event) {
+func (m *IntentMirror) Events(since time.Duration) (out []policy.Event) {
 	zones := map[string]bool{}
 	for key := range m.Items {
 		if name, ok := strings.CutPrefix(key, fleet.KeyZone); ok {
@@ -106,15 +107,15 @@
 			zones[zone] = true
 		}
 	}
-	age := min(m.Age+since, oldest)
+	age := min(m.Age+since, maxAge)
 	for _, zone := range slices.Sorted(maps.Keys(zones)) {
 		d, rev := m.directive(zone)
-		if d == nil && !m.directed[zone] {
+		if d == nil && !m.knownZones[zone] {
 			continue
 		}
 		e := policy.ZoneDirective{Zone: zone, Revision: m.Revision, IntentRevision: m.Revision, Serving: true, Share: 1, Floor: 1, Age: age}
-		if m.directed[zone] = true; d == nil {
-			delete(m.directed, zone)
+		if m.knownZones[zone] = true; d == nil {
+			delete(m.knownZones, zone)
 		} else {
 			h := fleet.AppliedZoneOf(rev, *d, m.Node)
 			e = policy.ZoneDirective{Zone: zone, Revision: rev, IntentRevision: m.Revision, Share: h.Share, Floor: h.Floor, Rate: h.Rate,
@@ -122,7 +123,7 @@
 		}
 		out = append(out, e)
 	}
-	for _, key := range m.Changed {
+	for _, key := range m.ChangedTenants {
 		it := m.Items[key]
 		var t fleet.Tenant
 		if json.Unmarshal(it.Body, &t) != nil {
@@ -134,7 +135,7 @@
 		}
 		out = append(out, e)
 	}
-	if it, ok := m.Items[m.share()]; ok {
+	if it, ok := m.Items[m.leaseKey()]; ok {
 		var s fleet.QuotaLease
 		if json.Unmarshal(it.Body, &s) == nil {
 			e := policy.QuotaLease{Epoch: s.Epoch, Slots: s.Slots, Rates: s.Rates, Age: age}
@@ -142,17 +143,17 @@
 			case it.Removed:
 				e.Rates = nil
 			case s.Incarnation == m.Incarnation: // another run has none of it
-				e.ValidFor = max(0, m.Held-since)
+				e.ValidFor = max(0, m.LeaseLeft-since)
 			}
 			out = append(out, e)
 		}
 	}
-	maps.DeleteFunc(m.Items, func(key string, it fleet.Item) bool { return it.Removed && key != m.share() }) // the module knows
+	maps.DeleteFunc(m.Items, func(key string, it fleet.Item) bool { return it.Removed && key != m.leaseKey() }) // the module knows
 	return out
 }
 
-// directive gives the one that holds for a zone at this node, with its revision; nil for none.
-func (m *Mirror) directive(zone string) (best *fleet.Directive, rev uint64) {
+// directive returns the one that holds for a zone at this node, with its revision; nil for none.
+func (m *IntentMirror) directive(zone string) (best *fleet.Directive, rev uint64) {
 	for _, key := range []string{fleet.KeyZone + zone, fleet.KeyZone + zone + "@" + m.Zone} {
 		it, ok := m.Items[key]
 		var d fleet.Directive
@@ -180,5 +181,5 @@
 
 // Millis is a number of ms of a message as a duration, 0 to a day.
 func Millis(ms int64) time.Duration {
-	return time.Duration(min(max(0, ms), oldest.Milliseconds())) * time.Millisecond
+	return time.Duration(min(max(0, ms), maxAge.Milliseconds())) * time.Millisecond
 }
--- a/internal/fleet/agentclient/mirror_test.go
+++ b/internal/fleet/agentclient/intent_mirror_test.go
@@ -38,13 +38,13 @@
 	}
 	told := policy.TenantUpdate{Name: "a", UID: 3, Revision: 4, IntentRevision: 5, Age: 30 * time.Millisecond,
 		Committed: &policy.TenantRules{Generation: 1, Digest: "00ff", Rate: 1000, Burst: 100}}
-	m := NewMirror(me)
+	m := NewIntentMirror(me)
 	for i, step := range []struct {
 		in     fleet.Intent
 		events []policy.Event
 		bad    bool
 	}{
-		{in: fleet.Intent{Revision: 5}, bad: true}, // changes, where all was asked for
+		{in: fleet.Intent{Revision: 5}, bad: true}, // changes, where all was requested
 		{in: fleet.Intent{Revision: 5, Full: true, LeaseMS: 100, Items: []fleet.Item{item("zone/y", 5, left(0.5)), item("zone/y@z", 3, left(0.25)),
 			item("zone/y@x", 4, left(0)), item("zone/w", 2, fleet.Directive{Phase: fleet.Serving, Share: 1}), item("tenant/a", 4, tenant(3, 1, "a")),
 			item("share/n0", 5, fleet.QuotaLease{Epoch: 2, Incarnation: 7, Slots: 4, Rates: map[string]float64{"a": 5}}),
--- a/internal/fleet/control/bench_test.go
+++ b/internal/fleet/control/bench_test.go
@@ -18,7 +18,7 @@
 	revision := uint64(0)
 	for i := range n {
 		spec := fleet.Spec{Name: fmt.Sprintf("tenant-%06d", i), Service: fmt.Sprintf("service-%d", i%services), Quota: fleet.Quota{Rate: 10, Burst: 1}}
-		put := Command{Tenants: &tenants.Command{Op: tenants.Put, Name: spec.Name, Spec: &spec}}
+		put := Command{Tenants: &tenants.Command{Operation: tenants.Put, Name: spec.Name, Spec: &spec}}
 		if _, err := s.Apply(put, func() uint64 { revision++; return revision }); err != nil {
 			tb.Fatal(err)
 		}
@@ -41,8 +41,8 @@
 	}
 }
 
-// BenchmarkReadWhole is the read of a watcher that holds nothing.
-func BenchmarkReadWhole(b *testing.B) {
+// BenchmarkReadComplete is the read of a watcher that holds nothing.
+func BenchmarkReadComplete(b *testing.B) {
 	for _, n := range benchmarkSizes {
 		s := populated(b, n, 10)
 		b.Run(fmt.Sprintf("tenants=%d", n), func(b *testing.B) {
--- a/internal/fleet/control/capacity_bench_test.go
+++ b/internal/fleet/control/capacity_bench_test.go
@@ -31,10 +31,10 @@
 	}
 	for i := range n {
 		spec := benchSpec(i)
-		apply(tenants.Command{Op: tenants.Put, Name: spec.Name, Spec: &spec})
+		apply(tenants.Command{Operation: tenants.Put, Name: spec.Name, Spec: &spec})
 		entry := state.Tenants.Tenants[spec.Name]
-		apply(tenants.Command{Op: tenants.Commit, Name: spec.Name, Generation: 1, UID: entry.UID, IfRevision: entry.Revision})
-		apply(tenants.Command{Op: tenants.Applied, Name: spec.Name, Generation: 1, UID: entry.UID, IfRevision: entry.Revision})
+		apply(tenants.Command{Operation: tenants.Commit, Name: spec.Name, Generation: 1, UID: entry.UID, IfRevision: entry.Revision})
+		apply(tenants.Command{Operation: tenants.Applied, Name: spec.Name, Generation: 1, UID: entry.UID, IfRevision: entry.Revision})
 	}
 	return state
 }
@@ -65,8 +65,8 @@
 	})
 }
 
-// BenchmarkCapacityReadWhole is a read of the complete intent.
-func BenchmarkCapacityReadWhole(b *testing.B) {
+// BenchmarkCapacityReadComplete is a read of the complete intent.
+func BenchmarkCapacityReadComplete(b *testing.B) {
 	benchEach(b, func(b *testing.B, state *State) {
 		for b.Loop() {
 			state.Read(0, "n1")
@@ -119,9 +119,9 @@
 	return NewController(set, 0, state)
 }
 
-// BenchmarkCapacityJudgeStep is a step of the leader while no session is present and no tenant changes. The first step of a leader,
+// BenchmarkCapacityControllerStep is a step of the leader while no session is present and no tenant changes. The first step of a leader,
 // which looks at every item anew, is BenchmarkCapacityJudgeFirstStep.
-func BenchmarkCapacityJudgeStep(b *testing.B) {
+func BenchmarkCapacityControllerStep(b *testing.B) {
 	benchEach(b, func(b *testing.B, state *State) {
 		judge := benchJudge(b, state)
 		now := fleet.Time(0)
@@ -136,8 +136,8 @@
 	})
 }
 
-// BenchmarkCapacityJudgeFirstStep is the first step of a leader.
-func BenchmarkCapacityJudgeFirstStep(b *testing.B) {
+// BenchmarkCapacityControllerFirstStep is the first step of a leader.
+func BenchmarkCapacityControllerFirstStep(b *testing.B) {
 	benchEach(b, func(b *testing.B, state *State) {
 		for b.Loop() {
 			benchJudge(b, state).Step(100*time.Millisecond, state, nil)
@@ -145,11 +145,11 @@
 	})
 }
 
-// BenchmarkCapacityJudgeReport is the leader's work on one report that acknowledges every tenant.
-func BenchmarkCapacityJudgeReport(b *testing.B) {
+// BenchmarkCapacityControllerReport is the leader's work on one report that acknowledges every tenant.
+func BenchmarkCapacityControllerReport(b *testing.B) {
 	benchEach(b, func(b *testing.B, state *State) {
 		report := benchReport(state)
-		if _, err := state.Session.Apply(session.Command{Op: session.Join, Member: report.Member}); err != nil {
+		if _, err := state.Session.Apply(session.Command{Operation: session.Join, Member: report.Member}); err != nil {
 			b.Fatal(err)
 		}
 		judge := benchJudge(b, state)
--- a/internal/fleet/control/control_test.go
+++ b/internal/fleet/control/control_test.go
@@ -50,7 +50,7 @@
 			"delete": func(t *rapid.T) {
 				name := names.Draw(t, "name")
 				if e := r.state.Tenants.Tenants[name]; e != nil && e.Committed != nil {
-					r.apply(Command{Tenants: &tenants.Command{Op: tenants.Delete, Name: name, Generation: e.Committed.Number}})
+					r.apply(Command{Tenants: &tenants.Command{Operation: tenants.Delete, Name: name, Generation: e.Committed.Number}})
 				}
 			},
 			"read":    func(t *rapid.T) { r.nodes[who.Draw(t, "node")].read(r.state) },
@@ -195,7 +195,7 @@
 	if err := r.apply(*c); !errors.Is(err, ErrStale) || r.state.Session.Present(late.Member) {
 		t.Errorf("a join decided before generation 3: %v", err)
 	}
-	divide := Command{Tenants: &tenants.Command{Op: tenants.Divide, IfRevision: r.state.Tenants.DividedRevision, Epoch: r.state.Session.Epoch - 1,
+	divide := Command{Tenants: &tenants.Command{Operation: tenants.Divide, IfRevision: r.state.Tenants.DividedRevision, Epoch: r.state.Session.Epoch - 1,
 		Division: &tenants.Division{Slots: 8, Expired: []tenants.Run{{Node: "n0", Incarnation: r.nodes[0].Incarnation}}}}}
 	if err := r.apply(divide); !errors.Is(err, ErrStale) {
 		t.Errorf("a division of an older epoch, which ends the lease of a run that may be back: %v", err)
--- a/internal/fleet/control/judge.go
+++ b/internal/fleet/control/controller.go
@@ -57,7 +57,7 @@
 
 // Admit looks at a report as it comes, before it is known whether this process still leads. It gives the command that must be
 // applied first (a join, a leave), or out where the run is not present and can't be yet.
-func (j *Controller) Admit(s *State, r fleet.Report) (c *Command, out bool, err error) {
+func (ctl *Controller) Admit(s *State, r fleet.Report) (c *Command, out bool, err error) {
 	if err := s.Session.Check(r.Member); err != nil {
 		return nil, false, err
 	}
@@ -67,25 +67,25 @@
 	present := s.Session.Present(r.Member)
 	switch {
 	case r.Draining && present:
-		return &Command{Session: &session.Command{Op: session.Leave, Member: r.Member}}, false, nil
+		return &Command{Session: &session.Command{Operation: session.Leave, Member: r.Member}}, false, nil
 	case r.Draining:
 		return nil, true, nil
 	case present:
 		return nil, false, nil
-	case !s.MayJoin(r) || j.blocksRollout(s, r):
+	case !s.MayJoin(r) || ctl.blocksRollout(s, r):
 		return nil, true, nil
 	}
-	join := &session.Command{Op: session.Join, Member: r.Member, Services: r.Services, Slots: j.settings.Slots}
+	join := &session.Command{Operation: session.Join, Member: r.Member, Services: r.Services, Slots: ctl.settings.Slots}
 	return &Command{Session: join, ScopeDigest: s.ScopeDigest(r.Node, r.Services)}, false, nil
 }
 
 // blocksRollout reports that a run is not to be present, as it held up a rollout, was taken out of the load balancer for it, and has not
 // followed since.
-func (j *Controller) blocksRollout(s *State, r fleet.Report) bool {
-	if inc, ok := j.rolloutBlockers[r.Node]; ok && (inc != r.Incarnation || tenants.HasFollowed(&s.Tenants, r)) {
-		delete(j.rolloutBlockers, r.Node)
+func (ctl *Controller) blocksRollout(s *State, r fleet.Report) bool {
+	if inc, ok := ctl.rolloutBlockers[r.Node]; ok && (inc != r.Incarnation || tenants.HasFollowed(&s.Tenants, r)) {
+		delete(ctl.rolloutBlockers, r.Node)
 	}
-	_, ok := j.rolloutBlockers[r.Node]
+	_, ok := ctl.rolloutBlockers[r.Node]
 	return ok
 }
 
@@ -96,41 +96,41 @@
 
 // Report takes a report of a present run that came at at, and renews its lease at now. It is called after a VerifyLeader that
 // began after the report came. A report again (a lost answer) renews and is not counted twice.
-func (j *Controller) Report(now, at fleet.Time, s *State, r fleet.Report) (fleet.ReportAnswer, error) {
+func (ctl *Controller) Report(now, at fleet.Time, s *State, r fleet.Report) (fleet.ReportAnswer, error) {
 	v := fleet.NodeView{Member: r.Member, ReceivedAt: at, Report: r}
 	if !s.Session.Present(r.Member) {
-		j.drift.Observe(now, v) // of a run that is too far behind, or leaves, too; what came before changes nothing
+		ctl.drift.Observe(now, v) // of a run that is too far behind, or leaves, too; what came before changes nothing
 		ans := NotReadyAnswer(s)
-		_, ans.WantedKeys, _, _ = j.drift.Answer(r.Node)
+		_, ans.WantedKeys, _, _ = ctl.drift.Answer(r.Node)
 		return ans, nil
 	}
 	if err := s.Session.CheckScope(r.Member, r.Services); err != nil {
 		return fleet.ReportAnswer{}, err
 	}
-	last := j.newestReports[r.Node]
+	last := ctl.newestReports[r.Node]
 	if last.incarnation == r.Incarnation && r.Sequence < last.sequence {
 		return fleet.ReportAnswer{}, ErrOlder
 	}
-	held := !j.blocksRollout(s, r)
-	if held {
-		if err := j.leases.Renew(now, r.Member); err != nil {
+	renewable := !ctl.blocksRollout(s, r)
+	if renewable {
+		if err := ctl.leases.Renew(now, r.Member); err != nil {
 			return fleet.ReportAnswer{}, err
 		}
 	}
 	if last.incarnation != r.Incarnation || r.Sequence > last.sequence {
-		j.newestReports[r.Node] = reportID{r.Incarnation, r.Sequence}
-		j.zones.Observe(now, v)
-		j.tenants.Observe(now, v)
-		j.drift.Observe(now, v) // rejects only what is rejected above
-	}
-	ans := fleet.ReportAnswer{LeaseTTLMS: j.settings.TTL.Milliseconds(), Revision: s.Revision}
-	ans.Resend, ans.WantedKeys, ans.Restart, ans.NotReady = j.drift.Answer(r.Node)
-	if !held {
+		ctl.newestReports[r.Node] = reportID{r.Incarnation, r.Sequence}
+		ctl.zones.Observe(now, v)
+		ctl.tenants.Observe(now, v)
+		ctl.drift.Observe(now, v) // rejects only what is rejected above
+	}
+	ans := fleet.ReportAnswer{LeaseTTLMS: ctl.settings.TTL.Milliseconds(), Revision: s.Revision}
+	ans.Resend, ans.WantedKeys, ans.Restart, ans.NotReady = ctl.drift.Answer(r.Node)
+	if !renewable {
 		ans.LeaseTTLMS, ans.NotReady = 0, true
 	}
-	if j.caughtUp[r.Node] != r.Incarnation {
+	if ctl.caughtUp[r.Node] != r.Incarnation {
 		if s.CaughtUp(r) {
-			j.caughtUp[r.Node] = r.Incarnation
+			ctl.caughtUp[r.Node] = r.Incarnation
 		} else {
 			ans.NotReady = true
 		}
@@ -140,44 +140,44 @@
 
 // Step returns the commands that the state is ready for, in their order; call it each 100 ms. servers is the list of app
 // servers under the same revisions, nil where there is none. Resolved must be given the outcome of each.
-func (j *Controller) Step(now fleet.Time, s *State, servers []drift.ListedServer) []Command {
+func (ctl *Controller) Step(now fleet.Time, s *State, servers []drift.ListedServer) []Command {
 	var out []Command
-	for _, m := range j.leases.Expired(now, &s.Session) {
-		out = append(out, Command{Session: &session.Command{Op: session.Expire, Member: m}})
+	for _, m := range ctl.leases.Expired(now, &s.Session) {
+		out = append(out, Command{Session: &session.Command{Operation: session.Expire, Member: m}})
 	}
 	present := s.Session.List()
-	for _, c := range j.zones.Step(now, &s.Zones, present) {
+	for _, c := range ctl.zones.Step(now, &s.Zones, present) {
 		out = append(out, Command{Zones: &c})
 	}
-	for _, c := range j.tenants.Step(now, &s.Tenants, s.present()) {
+	for _, c := range ctl.tenants.Step(now, &s.Tenants, s.present()) {
 		out = append(out, Command{Tenants: &c})
 	}
-	late := j.lateNodes(now, s)
-	for _, c := range j.drift.Step(now, &s.Drift, drift.Intended{Revision: s.Revision, Items: s.All(), Servers: servers, LateSteps: late}, present) {
+	late := ctl.lateNodes(now, s)
+	for _, c := range ctl.drift.Step(now, &s.Drift, drift.Intended{Revision: s.Revision, Items: s.All(), Servers: servers, LateSteps: late}, present) {
 		out = append(out, Command{Drift: &c})
 	}
 	for _, m := range present {
-		if late[m.Node] != nil && j.drift.IsTakenOut(m.Node) {
-			j.rolloutBlockers[m.Node] = m.Incarnation
+		if late[m.Node] != nil && ctl.drift.IsTakenOut(m.Node) {
+			ctl.rolloutBlockers[m.Node] = m.Incarnation
 		}
 	}
-	for node := range j.newestReports {
+	for node := range ctl.newestReports {
 		if _, ok := s.Session.Members[node]; !ok {
-			delete(j.newestReports, node)
+			delete(ctl.newestReports, node)
 		}
 	}
-	for node := range j.caughtUp {
+	for node := range ctl.caughtUp {
 		if _, ok := s.Session.Members[node]; !ok {
-			delete(j.caughtUp, node)
+			delete(ctl.caughtUp, node)
 		}
 	}
 	return out
 }
 
 // lateNodes is what present nodes hold up past its bound, as drift names it.
-func (j *Controller) lateNodes(now fleet.Time, s *State) map[string][]drift.Difference {
+func (ctl *Controller) lateNodes(now fleet.Time, s *State) map[string][]drift.Difference {
 	out := map[string][]drift.Difference{}
-	for _, l := range j.tenants.Late(now, &s.Tenants, s.present()) {
+	for _, l := range ctl.tenants.Late(now, &s.Tenants, s.present()) {
 		out[l.Node] = append(out[l.Node], drift.Difference{Key: "tenant/" + l.Tenant, Field: "applied",
 			Intended: strconv.FormatUint(l.WantedGeneration, 10), Applied: strconv.FormatUint(l.Generation, 10)})
 	}
@@ -185,29 +185,29 @@
 }
 
 // Resolved notes that a command's outcome is known: it was applied, rejected, or will surely never be.
-func (j *Controller) Resolved(c Command) {
-	if c.Session != nil && c.Session.Op == session.Expire {
-		j.leases.Resolved(c.Session.Member)
+func (ctl *Controller) Resolved(c Command) {
+	if c.Session != nil && c.Session.Operation == session.Expire {
+		ctl.leases.Resolved(c.Session.Member)
 	}
 }
 
 // ZoneEvidence is what zones are evaluated by now.
-func (j *Controller) ZoneEvidence() []zones.Evidence { return j.zones.Evidence() }
+func (ctl *Controller) ZoneEvidence() []zones.Evidence { return ctl.zones.Evidence() }
 
 // TenantStatus is how far each node present in a tenant's scope is with it.
-func (j *Controller) TenantStatus(now fleet.Time, s *State, name string) ([]tenants.NodeStatus, error) {
-	return j.tenants.Status(now, &s.Tenants, name, s.present())
+func (ctl *Controller) TenantStatus(now fleet.Time, s *State, name string) ([]tenants.NodeStatus, error) {
+	return ctl.tenants.Status(now, &s.Tenants, name, s.present())
 }
 
 // Verdicts is what is thought of each node. wallMS is the wall clock at now, for people.
-func (j *Controller) Verdicts(now fleet.Time, wallMS int64, s *State) []drift.Verdict {
-	return j.drift.Verdicts(now, wallMS, &s.Drift)
+func (ctl *Controller) Verdicts(now fleet.Time, wallMS int64, s *State) []drift.Verdict {
+	return ctl.drift.Verdicts(now, wallMS, &s.Drift)
 }
 
 // DriftSummary is the fleet's drift at a glance.
-func (j *Controller) DriftSummary(now fleet.Time, s *State) drift.Summary {
-	return j.drift.Summary(now, &s.Drift)
+func (ctl *Controller) DriftSummary(now fleet.Time, s *State) drift.Summary {
+	return ctl.drift.Summary(now, &s.Drift)
 }
 
 // Repairs is the log of the repairs after an entry's number.
-func (j *Controller) Repairs(after uint64) []drift.LogEntry { return j.drift.Log(after) }
+func (ctl *Controller) Repairs(after uint64) []drift.LogEntry { return ctl.drift.Log(after) }
--- a/internal/fleet/control/cost_test.go
+++ b/internal/fleet/control/cost_test.go
@@ -18,7 +18,7 @@
 	tb.Helper()
 	name := fmt.Sprintf("tenant-%06d", i)
 	e := s.Tenants.Tenants[name]
-	commit := Command{Tenants: &tenants.Command{Op: tenants.Commit, Name: name, Generation: 1, UID: e.UID, IfRevision: e.Revision}}
+	commit := Command{Tenants: &tenants.Command{Operation: tenants.Commit, Name: name, Generation: 1, UID: e.UID, IfRevision: e.Revision}}
 	if _, err := s.Apply(commit, func() uint64 { return s.Revision + 1 }); err != nil {
 		tb.Fatal(err)
 	}
--- a/internal/fleet/control/fixture_test.go
+++ b/internal/fleet/control/fixture_test.go
@@ -25,10 +25,11 @@
 
 type node struct {
 	fleet.Member
-	services      []string // its scope
-	seq, revision uint64
-	held          map[string]fleet.Item
-	serves        map[string]uint64 // committed generation by tenant
+	services []string // its scope
+	seq      uint64
+	revision uint64
+	held     map[string]fleet.Item
+	serves   map[string]uint64 // committed generation by tenant
 }
 
 func newTestFleet(t interface{ Fatal(...any) }, n int) *testFleet {
@@ -62,7 +63,7 @@
 }
 
 func (r *testFleet) putIn(service, name string, generation uint64, rate float64) error {
-	return r.apply(Command{Tenants: &tenants.Command{Op: tenants.Put, Name: name, Generation: generation,
+	return r.apply(Command{Tenants: &tenants.Command{Operation: tenants.Put, Name: name, Generation: generation,
 		Spec: &fleet.Spec{Name: name, Service: service, Quota: fleet.Quota{Rate: rate, Burst: 1}}}})
 }
 
@@ -210,7 +211,7 @@
 func (f *testFleet) mustDelete(t *testing.T, name string) {
 	t.Helper()
 	generation := f.state.Tenants.Tenants[name].Committed.Number
-	if err := f.apply(Command{Tenants: &tenants.Command{Op: tenants.Delete, Name: name, Generation: generation}}); err != nil {
+	if err := f.apply(Command{Tenants: &tenants.Command{Operation: tenants.Delete, Name: name, Generation: generation}}); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -220,7 +221,7 @@
 	t.Helper()
 	for range 100 {
 		for _, c := range f.judged(t, nodes...) {
-			if c.Tenants != nil && c.Tenants.Op == op {
+			if c.Tenants != nil && c.Tenants.Operation == op {
 				return c
 			}
 			f.apply(c)
--- a/internal/fleet/control/items_test.go
+++ b/internal/fleet/control/items_test.go
@@ -31,8 +31,10 @@
 }
 
 func (l *intentLog) tenant(c tenants.Command) error {
-	if e := l.state.Tenants.Tenants[c.Name]; e != nil && c.Op != tenants.Put && c.Op != tenants.Delete {
-		c.UID, c.IfRevision, c.Epoch = e.UID, e.Revision, l.state.Session.Epoch
+	if e := l.state.Tenants.Tenants[c.Name]; e != nil && c.Operation != tenants.Put && c.Operation != tenants.Delete {
+		c.UID = e.UID
+		c.IfRevision = e.Revision
+		c.Epoch = l.state.Session.Epoch
 	}
 	return l.apply(Command{Tenants: &c})
 }
@@ -43,7 +45,7 @@
 	if e := l.state.Tenants.Tenants[name]; e != nil && e.Committed != nil {
 		generation = e.Committed.Number
 	}
-	return l.tenant(tenants.Command{Op: tenants.Put, Name: name, Generation: generation,
+	return l.tenant(tenants.Command{Operation: tenants.Put, Name: name, Generation: generation,
 		Spec: &fleet.Spec{Name: name, Service: service, Quota: fleet.Quota{Rate: 10, Burst: 1}}})
 }
 
@@ -52,15 +54,15 @@
 	e := l.state.Tenants.Tenants[name]
 	switch l.state.Tenants.Phase(name) {
 	case tenants.PhaseStaging:
-		return l.tenant(tenants.Command{Op: tenants.Commit, Name: name, Generation: e.Staged.Number})
+		return l.tenant(tenants.Command{Operation: tenants.Commit, Name: name, Generation: e.Staged.Number})
 	case tenants.PhaseApplying:
-		return l.tenant(tenants.Command{Op: tenants.Applied, Name: name, Generation: e.Committed.Number})
+		return l.tenant(tenants.Command{Operation: tenants.Applied, Name: name, Generation: e.Committed.Number})
 	case tenants.PhaseSettled:
-		return l.tenant(tenants.Command{Op: tenants.Delete, Name: name, Generation: e.Committed.Number})
+		return l.tenant(tenants.Command{Operation: tenants.Delete, Name: name, Generation: e.Committed.Number})
 	case tenants.PhaseRemoving:
-		return l.tenant(tenants.Command{Op: tenants.Drained, Name: name})
+		return l.tenant(tenants.Command{Operation: tenants.Drained, Name: name})
 	case tenants.PhaseQuotaWithdrawn:
-		return l.tenant(tenants.Command{Op: tenants.QuotaWithdrawn, Name: name})
+		return l.tenant(tenants.Command{Operation: tenants.QuotaWithdrawn, Name: name})
 	}
 	return nil
 }
@@ -71,7 +73,7 @@
 	if e == nil || e.Staged == nil {
 		return nil
 	}
-	return l.tenant(tenants.Command{Op: tenants.Rollback, Name: name, Generation: e.Staged.Number, Node: "n1", Reason: "refused"})
+	return l.tenant(tenants.Command{Operation: tenants.Rollback, Name: name, Generation: e.Staged.Number, Node: "n1", Reason: "refused"})
 }
 
 // rename removes a tenant that is being staged, and names it again in another service.
@@ -92,7 +94,7 @@
 	if end {
 		d = &tenants.Division{Slots: 8, Expired: []tenants.Run{run}}
 	}
-	return l.tenant(tenants.Command{Op: tenants.Divide, IfRevision: l.state.Tenants.DividedRevision, Epoch: l.state.Session.Epoch, Division: d})
+	return l.tenant(tenants.Command{Operation: tenants.Divide, IfRevision: l.state.Tenants.DividedRevision, Epoch: l.state.Session.Epoch, Division: d})
 }
 
 // leave has nodes leave a zone, once.
--- a/internal/fleet/control/guard_bench_test.go
+++ b/internal/fleet/control/scope_digest_bench_test.go
@@ -29,10 +29,10 @@
 	for i := range count {
 		name := fmt.Sprintf("tenant-%06d", i)
 		spec := fleet.Spec{Name: name, Service: serviceName(i % services), Quota: fleet.Quota{Rate: 10, Burst: 1}}
-		apply(tenants.Command{Op: tenants.Put, Name: name, Spec: &spec})
+		apply(tenants.Command{Operation: tenants.Put, Name: name, Spec: &spec})
 		entry := state.Tenants.Tenants[name]
-		apply(tenants.Command{Op: tenants.Commit, Name: name, UID: entry.UID, IfRevision: entry.Revision, Generation: 1})
-		apply(tenants.Command{Op: tenants.Applied, Name: name, UID: entry.UID, IfRevision: entry.Revision, Generation: 1})
+		apply(tenants.Command{Operation: tenants.Commit, Name: name, UID: entry.UID, IfRevision: entry.Revision, Generation: 1})
+		apply(tenants.Command{Operation: tenants.Applied, Name: name, UID: entry.UID, IfRevision: entry.Revision, Generation: 1})
 	}
 	return state
 }
--- a/internal/fleet/control/scope_join_test.go
+++ b/internal/fleet/control/scope_join_test.go
@@ -34,7 +34,7 @@
 		return c
 	}
 	first := join()
-	f.state.Session.Apply(session.Command{Op: session.Expire, Member: f.state.Session.Members["n0"]})
+	f.state.Session.Apply(session.Command{Operation: session.Expire, Member: f.state.Session.Members["n0"]})
 	f.mustPut(t, "search", "s", 20)
 	f.until(t, "settled", f.settled("s"), rest...)
 	before, _ := f.state.Snapshot()
@@ -87,7 +87,7 @@
 	f.mustPut(t, "billing", "b", 10)
 	f.until(t, "leased", func() bool { return f.leased("n0", "b") > 3 && f.leased("n1", "b") > 3 }, f.nodes...)
 	back := f.nodes[0]
-	if err := f.apply(Command{Session: &session.Command{Op: session.Expire, Member: back.Member}}); err != nil {
+	if err := f.apply(Command{Session: &session.Command{Operation: session.Expire, Member: back.Member}}); err != nil {
 		t.Fatal(err)
 	}
 	back.services, back.revision = []string{"search"}, 0
@@ -141,7 +141,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	replayed, revision, refused := New(), uint64(0), 0
+	replayed := New()
+	revision := uint64(0)
+	refused := 0
 	for lines := bufio.NewScanner(bytes.NewReader(raw)); lines.Scan(); {
 		var c Command
 		if err := json.Unmarshal(lines.Bytes(), &c); err != nil {
--- a/internal/fleet/control/scope_test.go
+++ b/internal/fleet/control/scope_test.go
@@ -17,13 +17,13 @@
 func TestJoinInTheMiddleOfTheCount(t *testing.T) {
 	changes := map[string]func(*testFleet, *node) session.Command{
 		"join": func(_ *testFleet, n *node) session.Command {
-			return session.Command{Op: session.Join, Member: n.Member, Services: n.services}
+			return session.Command{Operation: session.Join, Member: n.Member, Services: n.services}
 		},
 		"leave": func(_ *testFleet, n *node) session.Command {
-			return session.Command{Op: session.Leave, Member: n.Member}
+			return session.Command{Operation: session.Leave, Member: n.Member}
 		},
 		"lapse": func(_ *testFleet, n *node) session.Command {
-			return session.Command{Op: session.Expire, Member: n.Member}
+			return session.Command{Operation: session.Expire, Member: n.Member}
 		},
 	}
 	for _, service := range []string{"billing", "search"} {
@@ -33,7 +33,7 @@
 					f := newScopedFleet(t, []string{"billing"}, []string{"billing"}, []string{service})
 					counted, third := f.nodes[:2], f.nodes[2]
 					if name == "join" {
-						f.state.Session.Apply(session.Command{Op: session.Leave, Member: third.Member})
+						f.state.Session.Apply(session.Command{Operation: session.Leave, Member: third.Member})
 						f.boot(2, service)
 					}
 					f.mustPut(t, "billing", "a", 10)
@@ -62,7 +62,7 @@
 
 // A leader may go at each step of a scoped rollout and removal, with the command lost or applied: the next one continues from the
 // replicated state, commits only what all present nodes of the scope have staged, and waits for no node outside of it.
-func TestLeaderGoneAtEachStepOfAScopedRollout(t *testing.T) {
+func TestLeaderLostAtEachStepOfAScopedRollout(t *testing.T) {
 	for _, applied := range []bool{false, true} {
 		for step := 0; ; step++ {
 			if !playRolloutWithLeaderGone(t, step, applied) {
@@ -78,7 +78,9 @@
 // playRolloutWithLeaderGone runs two generations and a removal; the leader ends at the numbered command, if there are as many.
 func playRolloutWithLeaderGone(t *testing.T, at int, applied bool) (gone bool) {
 	f := newScopedFleet(t, []string{"billing"}, []string{"billing", "mail"}, []string{"search"})
-	serving, began, commands := f.nodes[:2], f.now, 0 // the third is silent from here on
+	serving := f.nodes[:2]
+	began := f.now
+	commands := 0 // the third is silent from here on
 	run := func(done func() bool) {
 		for !done() {
 			if f.now-began > f.set.TTL { // the silent node has not lapsed before
@@ -122,7 +124,7 @@
 // checkCommit holds T5: what is committed all of these nodes have staged.
 func checkCommit(t *testing.T, f *testFleet, c Command, nodes []*node) {
 	t.Helper()
-	if c.Tenants == nil || c.Tenants.Op != tenants.Commit {
+	if c.Tenants == nil || c.Tenants.Operation != tenants.Commit {
 		return
 	}
 	for _, n := range nodes {
@@ -135,7 +137,7 @@
 
 // A tenant is removed and named again in another service while a node of the first is away: it is not present again before it
 // has dropped the old one, has nothing to say on the new one, and what it was leased goes.
-func TestNameUsedAgainOutsideOfSight(t *testing.T) {
+func TestNameReusedOutsideOfSight(t *testing.T) {
 	f := newScopedFleet(t, []string{"billing"}, []string{"billing"}, []string{"search"})
 	away, rest := f.nodes[0], f.nodes[1:]
 	f.mustPut(t, "billing", "a", 10)
--- a/internal/fleet/control/services_test.go
+++ b/internal/fleet/control/services_test.go
@@ -39,7 +39,9 @@
 // the second and of both, at whatever revision each reads.
 func TestNameAgainInAnotherService(t *testing.T) {
 	const created, removed, again = 1, 2, 3
-	gone, there, nothing := map[string]int{"tenant/a": -removed}, map[string]int{"tenant/a": again}, map[string]int{}
+	gone := map[string]int{"tenant/a": -removed}
+	there := map[string]int{"tenant/a": again}
+	nothing := map[string]int{}
 	cases := []struct {
 		name     string
 		services []string
--- a/internal/fleet/control/state.go
+++ b/internal/fleet/control/state.go
@@ -35,9 +35,10 @@
 // Change is what a command changed: the revision it took (0: none), and whether items of the intent, or verdicts of
 // drift, are among it.
 type Change struct {
-	Revision     uint64
-	Items, Drift bool
-	Scopes       []index.Scope // that the items are in, each once
+	Revision uint64
+	Items    bool
+	Drift    bool
+	Scopes   []index.Scope // that the items are in, each once
 }
 
 // State is the replicated part of the whole fleet. Its JSON is its snapshot. New makes one, Restore reads one back.
@@ -56,8 +57,8 @@
 // New returns an empty state.
 func New() *State { return &State{items: newItems()} }
 
-// Empty reports that no command has changed anything yet.
-func (s *State) Empty() bool { return s.Revision == 0 && s.Session.Epoch == 0 && s.Drift.Revision == 0 }
+// IsEmpty reports that no command has changed anything yet.
+func (s *State) IsEmpty() bool { return s.Revision == 0 && s.Session.Epoch == 0 && s.Drift.Revision == 0 }
 
 // Snapshot is the state as bytes.
 func (s *State) Snapshot() ([]byte, error) { return json.Marshal(s) }
@@ -81,7 +82,7 @@
 	var err error
 	switch {
 	case c.Session != nil:
-		if c.Session.Op == session.Join && c.ScopeDigest != s.ScopeDigest(c.Session.Member.Node, c.Session.Services) {
+		if c.Session.Operation == session.Join && c.ScopeDigest != s.ScopeDigest(c.Session.Member.Node, c.Session.Services) {
 			return ch, fmt.Errorf("%w: %s is not caught up any more", ErrStale, c.Session.Member.Node)
 		}
 		var changed bool
@@ -92,7 +93,7 @@
 		keys, err = s.Zones.Apply(*c.Zones, take)
 	case c.Tenants != nil:
 		// A division ends the leases of runs that had lapsed: not those that have come back since.
-		if c.Tenants.Op == tenants.Divide && c.Tenants.Epoch != s.Session.Epoch {
+		if c.Tenants.Operation == tenants.Divide && c.Tenants.Epoch != s.Session.Epoch {
 			return ch, fmt.Errorf("%w: division at epoch %d, it is %d", ErrStale, c.Tenants.Epoch, s.Session.Epoch)
 		}
 		keys, err = s.Tenants.Apply(*c.Tenants, s.Session.ScopeEpoch, take)
--- a/internal/fleet/decode_test.go
+++ b/internal/fleet/decode_test.go
@@ -21,13 +21,15 @@
  {"key":"zone/gone","rev":3,"gone":true}],"age_ms":12,"held_ms":4000}`
 
 // Each case puts one thing in place of another in a good body; the error must name the field.
-func TestDecodeRefuses(t *testing.T) {
+func TestDecodeRejects(t *testing.T) {
 	report := func(s string) error { _, err := DecodeReport([]byte(s)); return err }
 	intent := func(s string) error { _, err := DecodeIntent([]byte(s)); return err }
 	for _, c := range []struct {
-		read           func(string) error
-		good           string
-		old, new, says string
+		read func(string) error
+		good string
+		old  string
+		new  string
+		says string
 	}{
 		{report, goodReport, `"n1"`, `""`, "node"},
 		{report, goodReport, `"n1"`, `"a\nb"`, "node"},
--- a/internal/fleet/drift/bounds.go
+++ b/internal/fleet/drift/bounds.go
@@ -12,16 +12,18 @@
 	ForgetAfter     time.Duration // a silent node without a session is forgotten
 	RefreshInterval time.Duration // counts of a verdict that lasts are written so often
 
-	InitialRepairDelay, MaxRepairDelay time.Duration // after the first re-send, doubled by each further step; at most
-	MaxResends                         int           // re-sends before the agent restarts
-	RelapseWindow                      time.Duration // a node that drifts again within it has relapsed
-	ResendInterval                     time.Duration // over the fleet; as many as fit a second at once
-	DisruptiveInterval                 time.Duration // over the fleet: restarts, and nodes taken out
-	MaxTakenOutPart                    float64       // of the present nodes: most that are out at once, rounded down
-	SuspectSelfPart                    float64       // of the present nodes: with more drifting, the detector suspects itself
-	SuspectSelfMinNodes                int           // and with no fewer than so many
-	TrustSelfPart                      float64       // under this share for TrustSelfDelay, it trusts itself again
-	TrustSelfDelay                     time.Duration
+	// after the first re-send, doubled by each further step; at most
+	InitialRepairDelay  time.Duration
+	MaxRepairDelay      time.Duration
+	MaxResends          int           // re-sends before the agent restarts
+	RelapseWindow       time.Duration // a node that drifts again within it has relapsed
+	ResendInterval      time.Duration // over the fleet; as many as fit a second at once
+	DisruptiveInterval  time.Duration // over the fleet: restarts, and nodes taken out
+	MaxTakenOutPart     float64       // of the present nodes: most that are out at once, rounded down
+	SuspectSelfPart     float64       // of the present nodes: with more drifting, the detector suspects itself
+	SuspectSelfMinNodes int           // and with no fewer than so many
+	TrustSelfPart       float64       // under this share for TrustSelfDelay, it trusts itself again
+	TrustSelfDelay      time.Duration
 }
 
 // Defaults are the bounds that the page names.
--- a/internal/fleet/drift/canonical.go
+++ b/internal/fleet/drift/canonical.go
@@ -70,10 +70,10 @@
 		}
 		slices.Sort(names)
 		out = append(out, '{')
-		empty := true
+		isEmpty := true
 		for _, k := range names {
 			start := len(out)
-			if !empty {
+			if !isEmpty {
 				out = append(out, ',')
 			}
 			name, err := json.Marshal(k)
@@ -89,9 +89,9 @@
 				out = out[:start]
 				continue
 			}
-			empty = false
+			isEmpty = false
 		}
-		return append(out, '}'), empty, nil
+		return append(out, '}'), isEmpty, nil
 	}
 	return nil, false, fmt.Errorf("no JSON value: %T", x)
 }
--- a/internal/fleet/drift/judge.go
+++ b/internal/fleet/drift/detector.go
@@ -34,11 +34,12 @@
 	commonSince        fleet.Time
 	baselineProposedAt fleet.Time // when a baseline was last proposed
 
-	resends, disruptive rateLimiter
-	selfSuspecting      bool
-	fewDriftingSince    fleet.Time
-	log                 []LogEntry
-	logCount            uint64
+	resends          rateLimiter
+	disruptive       rateLimiter
+	selfSuspecting   bool
+	fewDriftingSince fleet.Time
+	log              []LogEntry
+	logCount         uint64
 }
 
 // NewDetector makes a detector that does not lead yet.
@@ -48,44 +49,48 @@
 
 // Lead makes the detector that of a new leader: it forgets all that is soft, and counts every bound from now. What st
 // holds it continues from.
-func (j *Detector) Lead(now fleet.Time, st *State) {
-	log, logged := j.log, j.logCount
-	*j = *NewDetector(j.bounds)
-	j.leaderSince, j.steppedAt, j.leading, j.log, j.logCount = now, now, true, log, logged
-	maps.Copy(j.minIncarnations, st.Incarnations)
+func (det *Detector) Lead(now fleet.Time, st *State) {
+	log, logged := det.log, det.logCount
+	*det = *NewDetector(det.bounds)
+	det.leaderSince = now
+	det.steppedAt = now
+	det.leading = true
+	det.log = log
+	det.logCount = logged
+	maps.Copy(det.minIncarnations, st.Incarnations)
 	for name, v := range st.Verdicts {
-		n := j.addNode(now, v.Member)
+		n := det.addNode(now, v.Member)
 		n.verdict = evaluation{state: v.State, differences: v.Differences, omitted: v.Omitted, overrides: v.Overrides, evidence: v.Evidence}
 		n.repair.Repair = v.Repair
-		n.repair.waitUntil = now + n.repair.wait(&j.bounds, max(v.Repair.Resends-1, 0))
+		n.repair.waitUntil = now + n.repair.delay(&det.bounds, max(v.Repair.Resends-1, 0))
 		if v.Repair.Step == Restarting || v.Repair.Step == TakenOut {
-			n.repair.waitUntil = now + n.repair.wait(&j.bounds, j.bounds.MaxResends)
+			n.repair.waitUntil = now + n.repair.delay(&det.bounds, det.bounds.MaxResends)
 		}
-		j.minIncarnations[name] = max(j.minIncarnations[name], v.Incarnation)
+		det.minIncarnations[name] = max(det.minIncarnations[name], v.Incarnation)
 	}
 }
 
-func (j *Detector) addNode(now fleet.Time, m fleet.Member) *node {
+func (det *Detector) addNode(now fleet.Time, m fleet.Member) *node {
 	n := &node{Member: m, metAt: now, countedSince: now, aheadSince: longAgo, verdictSince: now, refreshedAt: now, repair: repairState{repairedAt: longAgo, relapseEasedAt: now}}
-	j.nodes[m.Node] = n
+	det.nodes[m.Node] = n
 	return n
 }
 
 // restartBounds counts every bound from now: the detector itself was away.
-func (j *Detector) restartBounds(now fleet.Time) {
-	j.leaderSince, j.commonSince = now, now
-	for _, n := range j.nodes {
+func (det *Detector) restartBounds(now fleet.Time) {
+	det.leaderSince, det.commonSince = now, now
+	for _, n := range det.nodes {
 		n.restartCounting(now)
 		n.metAt = now
-		n.repair.waitUntil = max(n.repair.waitUntil, now+j.bounds.InitialRepairDelay)
+		n.repair.waitUntil = max(n.repair.waitUntil, now+det.bounds.InitialRepairDelay)
 	}
 }
 
 // Observe takes a node's report. One of an older incarnation, or with a sequence number seen before, is rejected with
 // fleet.ErrFenced and changes nothing.
-func (j *Detector) Observe(now fleet.Time, v fleet.NodeView) error {
-	n := j.nodes[v.Node]
-	known := j.minIncarnations[v.Node]
+func (det *Detector) Observe(now fleet.Time, v fleet.NodeView) error {
+	n := det.nodes[v.Node]
+	known := det.minIncarnations[v.Node]
 	if n != nil {
 		known = max(known, n.Incarnation)
 	}
@@ -94,109 +99,146 @@
 	}
 	switch {
 	case n == nil:
-		n = j.addNode(now, v.Member)
+		n = det.addNode(now, v.Member)
 	case v.Incarnation > n.Incarnation:
 		was := n
-		n = j.addNode(now, v.Member)
-		n.verdict, n.verdictSince, n.verdictRevision, n.repair, n.refreshedAt = was.verdict, was.verdictSince, was.verdictRevision, was.repair, was.refreshedAt
+		n = det.addNode(now, v.Member)
+		n.verdict = was.verdict
+		n.verdictSince = was.verdictSince
+		n.verdictRevision = was.verdictRevision
+		n.repair = was.repair
+		n.refreshedAt = was.refreshedAt
 	case n.heard && v.Report.Sequence <= n.report.Sequence:
 		return fmt.Errorf("%w: %s: sequence %d after %d", fleet.ErrFenced, v.Node, v.Report.Sequence, n.report.Sequence)
 	}
-	anew := !n.heard || now-n.receivedAt >= j.bounds.ReportLifetime
-	j.minIncarnations[v.Node] = v.Incarnation
+	anew := !n.heard || now-n.receivedAt >= det.bounds.ReportLifetime
+	det.minIncarnations[v.Node] = v.Incarnation
 	n.Member = v.Member
 	if n.previousRevision = 0; n.heard {
 		n.previousRevision = n.report.Revision
 	}
-	n.report, n.receivedAt, n.heard = v.Report, now, true
+	n.report = v.Report
+	n.receivedAt = now
+	n.heard = true
 	n.reports++
 	if n.windows++; anew {
 		n.restartCounting(now)
 	}
-	if body := n.takeLocalItems(); body != nil && (len(j.settingsBodies) < 64 || j.settingsBodies[n.settingsDigest] != nil) {
-		j.settingsBodies[n.settingsDigest] = body
+	if body := n.takeLocalItems(); body != nil && (len(det.settingsBodies) < 64 || det.settingsBodies[n.settingsDigest] != nil) {
+		det.settingsBodies[n.settingsDigest] = body
 	}
-	n.updateLags(&j.intents)
-	n.compareContent(now, &j.intents)
-	n.checkBehaviour(&j.intents)
+	n.updateLags(&det.intents)
+	n.compareContent(now, &det.intents)
+	n.checkBehaviour(&det.intents)
 	n.report.Applied = nil // all of it is taken
 	return nil
 }
 
 // Step evaluates every node, moves the repairs on and gives what is to be proposed: one command or none. present are
 // the nodes that have a session.
-func (j *Detector) Step(now fleet.Time, st *State, in Intended, present []fleet.Member) []Command {
-	if !j.leading {
-		j.Lead(now, st)
+func (det *Detector) Step(now fleet.Time, st *State, in Intended, present []fleet.Member) []Command {
+	if !det.leading {
+		det.Lead(now, st)
 	}
-	if now-j.steppedAt >= j.bounds.MaxStepGap {
-		j.restartBounds(now)
+	if now-det.steppedAt >= det.bounds.MaxStepGap {
+		det.restartBounds(now)
 	}
-	j.steppedAt = now
-	gen := j.intents.generation
-	if err := j.intents.ingest(now, in); err != nil {
-		j.appendLog(now, LogEntry{Action: ActSuspectSelf, Reason: "an item can't be read: " + err.Error()})
+	det.steppedAt = now
+	generation := det.intents.generation
+	if err := det.intents.ingest(now, in); err != nil {
+		det.appendLog(now, LogEntry{Action: ActSuspectSelf, Reason: "an item can't be read: " + err.Error()})
 	}
-	var c Command
-	here := make(map[string]bool, len(present))
+	s := &step{now: now, state: st, present: make(map[string]bool, len(present)), intentChanged: generation != det.intents.generation}
 	for _, m := range present {
-		here[m.Node] = true
-		if j.nodes[m.Node] == nil && m.Incarnation >= j.minIncarnations[m.Node] {
-			j.addNode(now, m)
+		s.present[m.Node] = true
+		if det.nodes[m.Node] == nil && m.Incarnation >= det.minIncarnations[m.Node] {
+			det.addNode(now, m)
 		}
 	}
-	j.findBaseline(now, st, here, &c)
-	drifting, outs := 0, 0
-	names := slices.Sorted(maps.Keys(j.nodes))
+	det.findBaseline(now, st, s.present, &s.command)
+	names := slices.Sorted(maps.Keys(det.nodes))
 	for _, name := range names {
-		n := j.nodes[name]
-		if j.forgetNode(now, n, here[name], st, &c) {
-			continue
-		}
-		n.lateSteps = in.LateSteps[name]
-		if gen != j.intents.generation {
-			n.updateLags(&j.intents)
-		}
-		if n.compareAgain && n.heard {
-			n.compareContent(now, &j.intents)
-		}
-		j.compareSettings(n, st)
-		j.setVerdict(now, n, n.evaluate(now, j.leaderSince, &j.bounds, &j.intents))
-		if here[name] {
-			if Drifts(n.verdict.state) {
-				drifting++
-			}
-			if n.repair.Step == TakenOut {
-				outs++
-			}
-		}
+		det.evaluateNode(s, det.nodes[name], in.LateSteps[name])
 	}
-	j.checkPlausibility(now, drifting, len(present))
-	room := int(math.Floor(j.bounds.MaxTakenOutPart*float64(len(present)) + 1e-9))
+	det.checkPlausibility(now, s.drifting, len(present))
+	s.maxTakenOut = int(math.Floor(det.bounds.MaxTakenOutPart*float64(len(present)) + roundingSlack))
 	for _, name := range names {
-		n := j.nodes[name]
-		if _, going := c.Forget[name]; n == nil || going {
-			continue
-		}
-		if !here[name] {
-			n.repair.abandon()
-		} else if act := j.advanceRepair(now, n, &outs, room); act != "" {
-			j.appendLog(now, LogEntry{Node: name, Action: act, Reason: n.verdict.state + ": " + n.verdict.evidence, Keys: n.differingKeys()})
-		}
-		if len(c.Set) < maxChanges {
-			if ch, ok := j.verdictChange(now, n, st.Verdicts[name]); ok {
-				c.Set = append(c.Set, ch)
-			}
+		if n := det.nodes[name]; n != nil {
+			det.repairNode(s, n)
 		}
 	}
-	if c.Set == nil && c.Forget == nil && c.Baseline == nil {
+	return s.commands()
+}
+
+// roundingSlack keeps a product that is a whole number but for rounding from being rounded down.
+const roundingSlack = 1e-9
+
+// step is what one Step works out.
+type step struct {
+	now           fleet.Time
+	state         *State
+	present       map[string]bool // nodes that have a session
+	intentChanged bool
+	drifting      int // present nodes that drift
+	takenOut      int // present nodes that are taken out
+	maxTakenOut   int
+	command       Command
+}
+
+// commands returns the command, if it changes anything.
+func (s *step) commands() []Command {
+	if s.command.Set == nil && s.command.Forget == nil && s.command.Baseline == nil {
 		return nil
 	}
-	return []Command{c}
+	return []Command{s.command}
+}
+
+// evaluateNode evaluates one node, or forgets it.
+func (det *Detector) evaluateNode(s *step, n *node, lateSteps []Difference) {
+	if det.forgetNode(s.now, n, s.present[n.Node], s.state, &s.command) {
+		return
+	}
+	n.lateSteps = lateSteps
+	if s.intentChanged {
+		n.updateLags(&det.intents)
+	}
+	if n.compareAgain && n.heard {
+		n.compareContent(s.now, &det.intents)
+	}
+	det.compareSettings(n, s.state)
+	det.setVerdict(s.now, n, n.evaluate(s.now, det.leaderSince, &det.bounds, &det.intents))
+	if !s.present[n.Node] {
+		return
+	}
+	if Drifts(n.verdict.state) {
+		s.drifting++
+	}
+	if n.repair.Step == TakenOut {
+		s.takenOut++
+	}
+}
+
+// repairNode moves one node's repair on, and adds the change of its verdict that is due.
+func (det *Detector) repairNode(s *step, n *node) {
+	if _, forgotten := s.command.Forget[n.Node]; forgotten {
+		return
+	}
+	if !s.present[n.Node] {
+		n.repair.abandon()
+	} else if action := det.advanceRepair(s.now, n, &s.takenOut, s.maxTakenOut); action != "" {
+		reason := n.verdict.state + ": " + n.verdict.evidence
+		det.appendLog(s.now, LogEntry{Node: n.Node, Action: action, Reason: reason, Keys: n.differingKeys()})
+	}
+	if len(s.command.Set) >= maxChanges {
+		return
+	}
+	if change, ok := det.verdictChange(s.now, n, s.state.Verdicts[n.Node]); ok {
+		s.command.Set = append(s.command.Set, change)
+	}
 }
 
 // forgetNode reports whether a node is no more: it left, or has been without a session and a report for long. Its verdict goes.
-func (j *Detector) forgetNode(now fleet.Time, n *node, here bool, st *State, c *Command) bool {
+func (det *Detector) forgetNode(now fleet.Time, n *node, here bool, st *State, c *Command) bool {
 	if here {
 		n.absent = false
 		return false
@@ -204,7 +246,7 @@
 	if !n.absent {
 		n.absent, n.absentSince = true, now
 	}
-	if !(n.heard && n.report.Draining) && now-max(n.absentSince, n.receivedAt) < j.bounds.ForgetAfter {
+	if !(n.heard && n.report.Draining) && now-max(n.absentSince, n.receivedAt) < det.bounds.ForgetAfter {
 		return false
 	}
 	if v := st.Verdicts[n.Node]; v != nil {
@@ -214,20 +256,20 @@
 		c.Forget[n.Node] = v.Revision
 		return true // until the verdict is removed
 	}
-	j.minIncarnations[n.Node] = max(j.minIncarnations[n.Node], n.Incarnation+1) // what comes late does not bring it back
-	delete(j.nodes, n.Node)
+	det.minIncarnations[n.Node] = max(det.minIncarnations[n.Node], n.Incarnation+1) // what comes late does not bring it back
+	delete(det.nodes, n.Node)
 	return true
 }
 
 // setVerdict makes a finding the one that is shown.
-func (j *Detector) setVerdict(now fleet.Time, n *node, f evaluation) {
+func (det *Detector) setVerdict(now fleet.Time, n *node, f evaluation) {
 	if f.state == "" {
 		return
 	}
 	if f.state != n.verdict.state {
-		n.verdictSince, n.verdictRevision = now, j.intents.revision
+		n.verdictSince, n.verdictRevision = now, det.intents.revision
 		if f.state == Ahead {
-			j.appendLog(now, LogEntry{Node: n.Node, Action: ActAlarm, Reason: f.evidence})
+			det.appendLog(now, LogEntry{Node: n.Node, Action: ActAlarm, Reason: f.evidence})
 		}
 	}
 	n.verdict = f
@@ -235,7 +277,7 @@
 
 // verdictChange returns the change of a node's verdict that is due, if one is. That a node in step is catching up for a
 // moment is not written: it happens to every node at every change of intent.
-func (j *Detector) verdictChange(now fleet.Time, n *node, old *Verdict) (Change, bool) {
+func (det *Detector) verdictChange(now fleet.Time, n *node, old *Verdict) (Change, bool) {
 	s := n.verdict
 	if s.state == "" || n.absent && n.heard && n.report.Draining {
 		return Change{}, false
@@ -249,48 +291,48 @@
 	case old.State != state:
 		due = true
 	case state != InStep && state != CatchingUp:
-		due = due || now-n.refreshedAt >= j.bounds.RefreshInterval || !reflect.DeepEqual(old.Differences, s.differences) || !reflect.DeepEqual(old.Overrides, s.overrides)
+		due = due || now-n.refreshedAt >= det.bounds.RefreshInterval || !reflect.DeepEqual(old.Differences, s.differences) || !reflect.DeepEqual(old.Overrides, s.overrides)
 	}
 	if !due || n.proposing && n.proposedRevision == revisionOf(old) && now-n.proposedAt < proposalRetryDelay {
 		return Change{}, false
 	}
 	n.proposing, n.proposedRevision, n.proposedAt, n.refreshedAt = true, revisionOf(old), now, now
-	v := Verdict{Member: n.Member, State: state, LastRevision: j.intents.revision, Count: max(n.reports, 1), Differences: s.differences, Omitted: s.omitted,
+	v := Verdict{Member: n.Member, State: state, LastRevision: det.intents.revision, Count: max(n.reports, 1), Differences: s.differences, Omitted: s.omitted,
 		Overrides: s.overrides, Evidence: s.evidence, Repair: n.repair.Repair}
 	n.reports = 0
 	return Change{v, revisionOf(old)}, true
 }
 
 // findBaseline finds the settings that most present nodes hold.
-func (j *Detector) findBaseline(now fleet.Time, st *State, here map[string]bool, c *Command) {
+func (det *Detector) findBaseline(now fleet.Time, st *State, here map[string]bool, c *Command) {
 	counts := map[string]int{}
-	most := ""
-	for name, n := range j.nodes {
-		if here[name] && n.heard && n.settingsDigest != "" && now-n.receivedAt < j.bounds.ReportLifetime {
+	common := ""
+	for name, n := range det.nodes {
+		if here[name] && n.heard && n.settingsDigest != "" && now-n.receivedAt < det.bounds.ReportLifetime {
 			if counts[n.settingsDigest]++; 2*counts[n.settingsDigest] > len(here) {
-				most = n.settingsDigest
+				common = n.settingsDigest
 			}
 		}
 	}
-	if most != j.commonSettings {
-		j.commonSettings, j.commonSince = most, now
+	if common != det.commonSettings {
+		det.commonSettings, det.commonSince = common, now
 	}
-	if most == "" || now-j.commonSince < j.bounds.BaselineDelay || now-j.baselineProposedAt < proposalRetryDelay {
+	if common == "" || now-det.commonSince < det.bounds.BaselineDelay || now-det.baselineProposedAt < proposalRetryDelay {
 		return
 	}
-	if most != st.Baseline.Digest || st.Baseline.Body == nil && j.settingsBodies[most] != nil {
-		c.Baseline, j.baselineProposedAt = &Baseline{most, j.settingsBodies[most]}, now
+	if common != st.Baseline.Digest || st.Baseline.Body == nil && det.settingsBodies[common] != nil {
+		c.Baseline, det.baselineProposedAt = &Baseline{common, det.settingsBodies[common]}, now
 	}
 }
 
 // compareSettings puts a node's own settings among its overrides, where they are not the fleet's.
-func (j *Detector) compareSettings(n *node, st *State) {
+func (det *Detector) compareSettings(n *node, st *State) {
 	n.overrides = slices.DeleteFunc(n.overrides, func(o Override) bool { return o.Key == fleet.KeySettings })
 	if n.settingsDigest == "" || st.Baseline.Digest == "" || n.settingsDigest == st.Baseline.Digest {
 		return
 	}
 	o := n.settingsOverride
-	if body := j.settingsBodies[n.settingsDigest]; body != nil && st.Baseline.Body != nil {
+	if body := det.settingsBodies[n.settingsDigest]; body != nil && st.Baseline.Body != nil {
 		o.Fields = Differences(fleet.KeySettings, st.Baseline.Body, body)
 		o.Fields = o.Fields[:min(len(o.Fields), maxDifferences)]
 	}
@@ -308,16 +350,16 @@
 }
 
 // IsTakenOut reports that a node's repair has come to its last step: it is to be out of the load balancer.
-func (j *Detector) IsTakenOut(name string) bool {
-	n := j.nodes[name]
+func (det *Detector) IsTakenOut(name string) bool {
+	n := det.nodes[name]
 	return n != nil && n.repair.Step == TakenOut
 }
 
 // Answer returns what a report of the node is to be answered with: keys that the agent sends its node again ("*": all), what
 // the node's next report is to carry (FillReport), whether the agent is to restart, and whether the node is to be out of the
 // front. What is requested of the agent is requested once a step of the repair.
-func (j *Detector) Answer(name string) (resend, want []string, restart, out bool) {
-	n := j.nodes[name]
+func (det *Detector) Answer(name string) (resend, want []string, restart, out bool) {
+	n := det.nodes[name]
 	if n == nil {
 		return nil, nil, false, false
 	}
@@ -331,7 +373,7 @@
 	n.repair.resendPending, n.repair.restartPending = false, false
 	if n.heard {
 		want = append(append(want, n.trees[0].wanted...), n.trees[1].wanted...)
-		if n.settingsDigest != "" && j.settingsBodies[n.settingsDigest] == nil && len(j.settingsBodies) < 64 {
+		if n.settingsDigest != "" && det.settingsBodies[n.settingsDigest] == nil && len(det.settingsBodies) < 64 {
 			want = append(want, fleet.KeySettings)
 		}
 	}
--- a/internal/fleet/drift/differ.go
+++ b/internal/fleet/drift/differences.go
@@ -97,10 +97,10 @@
 }
 
 // bodyOf finds an item among those in key order of their trees.
-func bodyOf(held []fleet.AppliedItem, key string) json.RawMessage {
-	for i := range held {
-		if held[i].Key == key {
-			return held[i].Body
+func bodyOf(items []fleet.AppliedItem, key string) json.RawMessage {
+	for i := range items {
+		if items[i].Key == key {
+			return items[i].Body
 		}
 	}
 	return nil
--- a/internal/fleet/drift/export_test.go
+++ b/internal/fleet/drift/export_test.go
@@ -39,7 +39,9 @@
 		v := e.newest()
 		update := policy.TenantUpdate{Name: e.key[len(fleet.KeyTenant):], Revision: v.revision, Removed: v.removed}
 		if !v.removed {
-			update.UID, update.Removing, update.QuotaWithdrawn = v.tenant.UID, v.tenant.Removing, v.tenant.QuotaWithdrawn
+			update.UID = v.tenant.UID
+			update.Removing = v.tenant.Removing
+			update.QuotaWithdrawn = v.tenant.QuotaWithdrawn
 			if r := fleet.AppliedTenantOf(v.revision, *v.tenant).Committed; r != nil {
 				update.Committed = &policy.TenantRules{Generation: r.Generation, Digest: r.Digest, Classes: r.Classes, Rate: r.Rate, Burst: r.Burst, ClassRates: r.ClassRates, RejectUnrouted: r.RejectUnrouted}
 				for _, x := range r.Routes {
--- a/internal/fleet/drift/expect.go
+++ b/internal/fleet/drift/intent_history.go
@@ -36,10 +36,10 @@
 	var b intentHistory
 	err := b.ingest(0, in)
 	list := b.list(b.newestRevision)
-	held, _ := b.expect(in.Revision, m, services)
-	held = append(held, list...)
-	slices.SortFunc(held, func(a, b fleet.AppliedItem) int { return strings.Compare(a.Key, b.Key) })
-	return held, err
+	applied, _ := b.expect(in.Revision, m, services)
+	applied = append(applied, list...)
+	slices.SortFunc(applied, func(a, b fleet.AppliedItem) int { return strings.Compare(a.Key, b.Key) })
+	return applied, err
 }
 
 // removedItemRevisions is for how many revisions an item that is removed and no longer listed is remembered.
@@ -64,9 +64,11 @@
 }
 
 type entry struct {
-	key            string
-	zone, observer string // of zone items
-	versions       []version
+	key string
+	// of zone items
+	zone     string
+	observer string
+	versions []version
 }
 
 func (e *entry) newest() *version { return &e.versions[len(e.versions)-1] }
@@ -109,25 +111,27 @@
 
 // ingest takes in what is intended now. Items of a revision already known are left; one that can't be read counts
 // as unknown, and the first such is the error.
-func (b *intentHistory) ingest(now fleet.Time, in Intended) error {
+func (h *intentHistory) ingest(now fleet.Time, in Intended) error {
 	newest := in.Revision // a change of the list alone leaves the intent's revision as it is
 	for i := range in.Servers {
 		newest = max(newest, in.Servers[i].Revision)
 	}
-	if b.started && newest == b.newestRevision && in.Revision == b.revision {
+	if h.started && newest == h.newestRevision && in.Revision == h.revision {
 		return nil
 	}
-	if b.entries == nil {
-		b.entries, b.leases, b.listTrees = map[string]*entry{}, map[string]*entry{}, map[uint64]*appliedList{}
+	if h.entries == nil {
+		h.entries = map[string]*entry{}
+		h.leases = map[string]*entry{}
+		h.listTrees = map[uint64]*appliedList{}
 	}
-	b.generation++
-	b.withoutList = in.Servers == nil
+	h.generation++
+	h.withoutList = in.Servers == nil
 	var failed error
 	seen := make(map[string]bool, len(in.Items)+len(in.Servers))
 	for i := range in.Items {
 		it := &in.Items[i]
 		seen[it.Key] = true
-		if e := b.entries[it.Key]; e != nil && e.newest().revision >= it.Revision {
+		if e := h.entries[it.Key]; e != nil && e.newest().revision >= it.Revision {
 			continue
 		}
 		v, err := readItem(it)
@@ -135,13 +139,13 @@
 			failed = err
 		}
 		v.seenAt = now
-		b.add(it.Key, v)
+		h.add(it.Key, v)
 	}
 	for i := range in.Servers {
 		s := &in.Servers[i]
 		key := fleet.KeyServer + s.ID
 		seen[key] = true
-		if e := b.entries[key]; e != nil && e.newest().revision >= s.Revision {
+		if e := h.entries[key]; e != nil && e.newest().revision >= s.Revision {
 			continue
 		}
 		v := version{revision: s.Revision, removed: s.Removed, seenAt: now}
@@ -151,28 +155,30 @@
 				v.unknown = true
 			}
 		}
-		b.add(key, v)
+		h.add(key, v)
 	}
-	for key, e := range b.entries {
+	for key, e := range h.entries {
 		switch {
-		case seen[key] || b.withoutList && isList(key):
+		case seen[key] || h.withoutList && isList(key):
 		case !e.newest().removed: // without notice: at some revision since the last
-			b.add(key, version{revision: b.newestRevision + 1, sureFrom: newest, removed: true, seenAt: now})
+			h.add(key, version{revision: h.newestRevision + 1, sureFrom: newest, removed: true, seenAt: now})
 		case e.newest().revision+removedItemRevisions < newest:
-			b.remove(e)
+			h.remove(e)
 		}
 	}
-	b.revision, b.newestRevision, b.started = in.Revision, newest, true
+	h.revision = in.Revision
+	h.newestRevision = newest
+	h.started = true
 	return failed
 }
 
 // newerThanLeader says which of a report's two versions is newer than all that the detector has taken in, as the detector looks now and then
 // and nodes hear from any replica: "revision", "list" or "" for neither.
-func (b *intentHistory) newerThanLeader(r *fleet.Report) string {
+func (h *intentHistory) newerThanLeader(r *fleet.Report) string {
 	switch {
-	case r.Revision > b.revision:
+	case r.Revision > h.revision:
 		return "revision"
-	case !b.withoutList && r.List > b.newestRevision:
+	case !h.withoutList && r.List > h.newestRevision:
 		return "list"
 	}
 	return ""
@@ -180,43 +186,45 @@
 
 // add puts a version on record. What an item was before the detector first heard of anything is unknown; one that
 // appears later was not there.
-func (b *intentHistory) add(key string, v version) {
-	e := b.entries[key]
+func (h *intentHistory) add(key string, v version) {
+	e := h.entries[key]
 	if e == nil {
-		e = &entry{key: key, versions: []version{{unknown: !b.started, removed: true}}}
-		b.entries[key] = e
+		e = &entry{key: key, versions: []version{{unknown: !h.started, removed: true}}}
+		h.entries[key] = e
 		kind, name, _ := strings.Cut(key, "/")
 		switch kind {
 		case "zone":
 			e.zone, e.observer, _ = strings.Cut(name, "@")
-			b.zones = insertSorted(b.zones, e)
+			h.zones = insertSorted(h.zones, e)
 		case "tenant":
-			b.tenants = insertSorted(b.tenants, e)
+			h.tenants = insertSorted(h.tenants, e)
 		case "share":
-			b.leases[name] = e
+			h.leases[name] = e
 		case "server":
-			b.servers = insertSorted(b.servers, e)
+			h.servers = insertSorted(h.servers, e)
 		}
 	}
-	e.newest().knownUntil = b.newestRevision
+	e.newest().knownUntil = h.newestRevision
 	e.versions = append(e.versions, v)
 	if over := len(e.versions) - maxVersions; over > 0 { // what was before the first kept is not known
 		e.versions = slices.Delete(e.versions, 0, over)
 	}
 	switch {
 	case isList(key):
-		b.newestListRevision = max(b.newestListRevision, v.revision)
-		clear(b.listTrees)
+		h.newestListRevision = max(h.newestListRevision, v.revision)
+		clear(h.listTrees)
 	case !strings.HasPrefix(key, "share/"):
-		b.newestFleetRevision = max(b.newestFleetRevision, v.revision)
+		h.newestFleetRevision = max(h.newestFleetRevision, v.revision)
 	}
 }
 
-func (b *intentHistory) remove(e *entry) {
-	delete(b.entries, e.key)
+func (h *intentHistory) remove(e *entry) {
+	delete(h.entries, e.key)
 	is := func(o *entry) bool { return o == e }
-	b.zones, b.tenants, b.servers = slices.DeleteFunc(b.zones, is), slices.DeleteFunc(b.tenants, is), slices.DeleteFunc(b.servers, is)
-	maps.DeleteFunc(b.leases, func(_ string, o *entry) bool { return o == e })
+	h.zones = slices.DeleteFunc(h.zones, is)
+	h.tenants = slices.DeleteFunc(h.tenants, is)
+	h.servers = slices.DeleteFunc(h.servers, is)
+	maps.DeleteFunc(h.leases, func(_ string, o *entry) bool { return o == e })
 }
 
 // insertSorted keeps entries in the order of their zones and observers, then of their keys: a zone's are together.
@@ -264,19 +272,19 @@
 
 // expect returns what a node holds of zones, tenants and its share at revision n; whole is false where some of it is
 // not known for that revision.
-func (b *intentHistory) expect(n uint64, m fleet.Member, services []string) (held []fleet.AppliedItem, whole bool) {
-	whole = true
-	for i := 0; i < len(b.zones); {
-		zone := b.zones[i].zone
+func (h *intentHistory) expect(n uint64, m fleet.Member, services []string) (items []fleet.AppliedItem, complete bool) {
+	complete = true
+	for i := 0; i < len(h.zones); {
+		zone := h.zones[i].zone
 		var best *version
-		for ; i < len(b.zones) && b.zones[i].zone == zone; i++ { // "zone/Y" first
-			e := b.zones[i]
+		for ; i < len(h.zones) && h.zones[i].zone == zone; i++ { // "zone/Y" first
+			e := h.zones[i]
 			if e.observer != "" && e.observer != m.Zone {
 				continue
 			}
 			v := e.at(n)
 			if v == nil {
-				whole = false
+				complete = false
 			} else if !v.removed && v.directive.Phase != fleet.Serving && (best == nil || fleet.IsNarrower(*best.directive, *v.directive)) {
 				best = v
 			}
@@ -286,33 +294,33 @@
 		}
 		h, ok, err := AppliedItemOf(fleet.KeyZone+zone, fleet.AppliedZoneOf(best.revision, *best.directive, m.Node))
 		if err != nil {
-			whole = false
+			complete = false
 		} else if ok {
-			held = append(held, h)
+			items = append(items, h)
 		}
 	}
 	add := func(e *entry) {
 		if v := e.at(n); v == nil {
-			whole = false
+			complete = false
 		} else if !v.removed && !v.appliesNothing {
-			held = append(held, v.applied)
+			items = append(items, v.applied)
 		}
 	}
-	for _, e := range b.tenants {
+	for _, e := range h.tenants {
 		if !e.outside(n, services) {
 			add(e)
 		}
 	}
-	if e := b.leases[m.Node]; e != nil {
+	if e := h.leases[m.Node]; e != nil {
 		add(e)
 	}
-	return held, whole
+	return items, complete
 }
 
 // directive returns the directive that holds for a zone at a node at revision n, with its own revision; nil for none, or where it is not known.
-func (b *intentHistory) directive(zone string, n uint64, m fleet.Member) (d *fleet.Directive, rev uint64) {
+func (h *intentHistory) directive(zone string, n uint64, m fleet.Member) (d *fleet.Directive, rev uint64) {
 	for _, key := range []string{"zone/" + zone, "zone/" + zone + "@" + m.Zone} {
-		e := b.entries[key]
+		e := h.entries[key]
 		if e == nil {
 			continue
 		}
@@ -331,20 +339,20 @@
 }
 
 // list returns the server items at a version of the list; nil, where they are not all known.
-func (b *intentHistory) list(n uint64) []fleet.AppliedItem {
-	if l := b.listAt(n); l != nil {
+func (h *intentHistory) list(n uint64) []fleet.AppliedItem {
+	if l := h.listAt(n); l != nil {
 		return l.items
 	}
 	return nil
 }
 
-func (b *intentHistory) listAt(n uint64) *appliedList {
-	n = min(n, b.newestListRevision)
-	if l := b.listTrees[n]; l != nil {
+func (h *intentHistory) listAt(n uint64) *appliedList {
+	n = min(n, h.newestListRevision)
+	if l := h.listTrees[n]; l != nil {
 		return l
 	}
 	l := &appliedList{}
-	for _, e := range b.servers {
+	for _, e := range h.servers {
 		switch v := e.at(n); {
 		case v == nil:
 			return nil
@@ -353,16 +361,16 @@
 		}
 	}
 	l.tree = NewTree(l.items)
-	if len(b.listTrees) >= maxVersions {
-		clear(b.listTrees)
+	if len(h.listTrees) >= maxVersions {
+		clear(h.listTrees)
 	}
-	b.listTrees[n] = l
+	h.listTrees[n] = l
 	return l
 }
 
 // outstanding returns the earliest revision above n of what a node is to hold, with when it was first seen, and the
 // keys of all such. list says which of the two.
-func (b *intentHistory) outstanding(n uint64, m fleet.Member, services []string, list bool) (rev uint64, seen fleet.Time, keys []string) {
+func (h *intentHistory) outstanding(n uint64, m fleet.Member, services []string, list bool) (rev uint64, seen fleet.Time, keys []string) {
 	look := func(e *entry) {
 		if e == nil || e.newest().revision <= n {
 			return
@@ -375,25 +383,25 @@
 		}
 	}
 	if list {
-		if b.newestListRevision > n {
-			for _, e := range b.servers {
+		if h.newestListRevision > n {
+			for _, e := range h.servers {
 				look(e)
 			}
 		}
 		return rev, seen, keys
 	}
-	if b.newestFleetRevision > n {
-		for _, e := range b.zones {
+	if h.newestFleetRevision > n {
+		for _, e := range h.zones {
 			if e.observer == "" || e.observer == m.Zone {
 				look(e)
 			}
 		}
-		for _, e := range b.tenants {
+		for _, e := range h.tenants {
 			if e.movedAfter(n, services) {
 				look(e)
 			}
 		}
 	}
-	look(b.leases[m.Node])
+	look(h.leases[m.Node])
 	return rev, seen, keys
 }
--- a/internal/fleet/drift/node.go
+++ b/internal/fleet/drift/node.go
@@ -52,10 +52,11 @@
 
 // expectedContent is what a node is to hold at a revision, by the book of a generation.
 type expectedContent struct {
-	revision, generation uint64
-	items                []fleet.AppliedItem
-	tree                 *Tree
-	complete             bool
+	revision   uint64
+	generation uint64
+	items      []fleet.AppliedItem
+	tree       *Tree
+	complete   bool
 }
 
 // intentLag is the earliest outstanding revision, and since when it counts.
@@ -75,7 +76,7 @@
 	complete    bool // items are all known
 	differences []Difference
 	omitted     int
-	ahead       bool
+	isAhead       bool
 }
 
 // longAgo is a time before all others.
@@ -126,7 +127,7 @@
 	}
 	if e := &n.expectedContent; e.complete {
 		n.trees[0].compare(now, r, r.AppliedRoot, fleetTree, e.tree, e.items, func(key string, applied json.RawMessage) bool {
-			return aheadOf(bodyOf(e.items, key), applied, r.Revision)
+			return isAheadOf(bodyOf(e.items, key), applied, r.Revision)
 		})
 	}
 	if b.withoutList {
@@ -149,14 +150,17 @@
 	if c.wanted = ask; len(ask) > 0 || len(keys) == 0 {
 		return // what was named before stands until all is named again
 	}
-	c.differences, c.omitted, c.ahead, c.complete = nil, 0, false, true
+	c.differences = nil
+	c.omitted = 0
+	c.isAhead = false
+	c.complete = true
 	for i, k := range keys {
 		if i >= maxBodies {
 			c.omitted += len(keys) - i
 			break
 		}
 		intended, applied := bodyOf(held, k), c.exchange.answers[k].Body
-		c.ahead = c.ahead || ahead(k, applied)
+		c.isAhead = c.isAhead || ahead(k, applied)
 		d := Differences(k, intended, applied)
 		if len(d) == 0 {
 			d = []Difference{{Key: k, Field: "digest", Intended: Digest(intended), Applied: c.exchange.answers[k].Digest}}
@@ -168,12 +172,14 @@
 	}
 }
 
-// aheadOf reports that a node's body of an item is of a revision, uid, generation or epoch above the committed one at
+// isAheadOf reports that a node's body of an item is of a revision, uid, generation or epoch above the committed one at
 // the node's own revision: it was never committed.
-func aheadOf(intended, applied json.RawMessage, at uint64) bool {
+func isAheadOf(intended, applied json.RawMessage, at uint64) bool {
 	type marks struct {
-		Rev, UID, Epoch uint64
-		Committed       struct{ Generation uint64 }
+		Rev       uint64
+		UID       uint64
+		Epoch     uint64
+		Committed struct{ Generation uint64 }
 	}
 	var want, has marks
 	if json.Unmarshal(applied, &has) != nil {
@@ -210,7 +216,7 @@
 
 // evaluate evaluates the node at now. The first that holds counts. An empty state says nothing new.
 func (n *node) evaluate(now, leadSince fleet.Time, bd *Bounds, b *intentHistory) evaluation {
-	if quiet := now - max(n.receivedAt, n.metAt, leadSince); quiet >= bd.ReportLifetime {
+	if silence := now - max(n.receivedAt, n.metAt, leadSince); silence >= bd.ReportLifetime {
 		return evaluation{state: Silent, differences: n.verdict.differences, omitted: n.verdict.omitted, overrides: n.verdict.overrides, evidence: evidenceSilent}
 	}
 	if !n.heard || n.receivedAt < leadSince {
@@ -232,7 +238,7 @@
 	}
 	f := evaluation{overrides: slices.Clone(n.overrides)}
 	was := n.verdict.state
-	asking := n.evaluateContent(bd, &f)
+	naming := n.evaluateContent(bd, &f)
 	if len(n.anomalies) > 0 {
 		f.differences = append(f.differences, n.anomalies...)
 		f.raise(Diverged, evidenceBehaviour)
@@ -249,8 +255,8 @@
 	case f.state != "" || above:
 	case was == Diverged && n.verdict.evidence == evidenceBehaviour && n.windows < 3:
 	case was == Stuck && lagging && n.report.Revision <= n.firstCounted[0] && n.report.List <= n.firstCounted[1]:
-	case (was == Diverged || was == Ahead) && (asking || !n.isComparable()): // what was found by an earlier leader stands
-	case asking:
+	case (was == Diverged || was == Ahead) && (naming || !n.isComparable()): // what was found by an earlier leader stands
+	case naming:
 		f.state, f.evidence = CatchingUp, evidenceNaming
 	case len(f.overrides) > 0:
 		f.state, f.evidence = Overridden, evidenceExclusion
@@ -271,7 +277,9 @@
 
 // restartCounting starts the node's bounds anew.
 func (n *node) restartCounting(now fleet.Time) {
-	n.countedSince, n.aheadSince, n.windows = now, longAgo, 0
+	n.countedSince = now
+	n.aheadSince = longAgo
+	n.windows = 0
 	n.firstCounted = [2]uint64{n.report.Revision, n.report.List}
 }
 
@@ -283,13 +291,13 @@
 }
 
 // evaluateContent reports whether content that is other is being named.
-func (n *node) evaluateContent(bd *Bounds, f *evaluation) (asking bool) {
+func (n *node) evaluateContent(bd *Bounds, f *evaluation) (naming bool) {
 	for i := range n.trees {
 		switch c := &n.trees[i]; {
 		case !c.compared || c.same:
 		case c.complete:
 			f.differences, f.omitted = append(f.differences, c.differences...), f.omitted+c.omitted
-			if c.ahead {
+			if c.isAhead {
 				f.raise(Ahead, evidenceItemAhead)
 			} else {
 				f.raise(Diverged, evidenceOtherContent)
@@ -298,10 +306,10 @@
 			f.differences = append(f.differences, Difference{Key: "*", Field: [2]string{"root", "list_root"}[i], Intended: "another", Applied: [2]string{n.report.AppliedRoot, n.report.ListRoot}[i]})
 			f.raise(Diverged, evidenceUnnamed)
 		default:
-			asking = true
+			naming = true
 		}
 	}
-	return asking
+	return naming
 }
 
 // evaluateLags reports whether an item is outstanding, and names those that have been for too long.
--- a/internal/fleet/drift/repair.go
+++ b/internal/fleet/drift/repair.go
@@ -29,9 +29,9 @@
 	ActAlarm       = "alarm"  // a node is ahead
 )
 
-// wait is the time after the try-th step, doubled by each step and each relapse.
-func (r *repairState) wait(b *Bounds, try int) time.Duration {
-	return min(b.InitialRepairDelay<<min(try+r.Relapses, 16), b.MaxRepairDelay)
+// delay is the time after the try-th step, doubled by each step and each relapse.
+func (r *repairState) delay(b *Bounds, attempt int) time.Duration {
+	return min(b.InitialRepairDelay<<min(attempt+r.Relapses, 16), b.MaxRepairDelay)
 }
 
 // rateLimiter lets one thing happen every so often, and as many as fit a second at once.
@@ -46,8 +46,8 @@
 }
 
 // advanceRepair moves one present node's repair on. It gives what was done, or "".
-func (j *Detector) advanceRepair(now fleet.Time, n *node, outs *int, room int) string {
-	r, b := &n.repair, &j.bounds
+func (det *Detector) advanceRepair(now fleet.Time, n *node, takenOut *int, maxTakenOut int) string {
+	r, b := &n.repair, &det.bounds
 	if r.Step == Idle && r.Relapses > 0 && !Drifts(n.verdict.state) && now-r.relapseEasedAt >= b.RelapseWindow {
 		r.Relapses--
 		r.relapseEasedAt = now
@@ -55,59 +55,62 @@
 	switch n.verdict.state {
 	case Stuck, Diverged, Ahead:
 	case InStep, Overridden:
-		return r.finish(now, b, outs)
+		return r.finish(now, b, takenOut)
 	default:
 		return "" // catching up, silent: nothing is known
 	}
 	switch {
 	case r.Step == TakenOut:
-		r.waitUntil = now + r.wait(b, b.MaxResends)
-	case j.selfSuspecting:
+		r.waitUntil = now + r.delay(b, b.MaxResends)
+	case det.selfSuspecting:
 	case r.Step == Idle:
 		if !r.waiting {
 			if r.repairedAt != longAgo && now-r.repairedAt < b.RelapseWindow {
 				r.Relapses = min(r.Relapses+1, 5)
 			}
-			r.waiting, r.waitUntil = true, now+r.wait(b, 0)
+			r.waiting, r.waitUntil = true, now+r.delay(b, 0)
 		}
-		if now >= r.waitUntil && j.resends.take(now, b.ResendInterval) {
+		if now >= r.waitUntil && det.resends.take(now, b.ResendInterval) {
 			return r.resend(now, b, 1)
 		}
 	case now < r.waitUntil:
 	case r.Step == Resending && r.Resends < b.MaxResends:
-		if j.resends.take(now, b.ResendInterval) {
+		if det.resends.take(now, b.ResendInterval) {
 			return r.resend(now, b, r.Resends+1)
 		}
 	case r.Step == Resending:
-		if j.disruptive.take(now, b.DisruptiveInterval) {
-			r.Step, r.restartPending, r.waitUntil = Restarting, true, now+r.wait(b, b.MaxResends)
+		if det.disruptive.take(now, b.DisruptiveInterval) {
+			r.Step, r.restartPending, r.waitUntil = Restarting, true, now+r.delay(b, b.MaxResends)
 			return ActRestart
 		}
 	case r.Step == Restarting:
-		if *outs < room && j.disruptive.take(now, b.DisruptiveInterval) {
-			*outs++
-			r.Step, r.waitUntil = TakenOut, now+r.wait(b, b.MaxResends)
+		if *takenOut < maxTakenOut && det.disruptive.take(now, b.DisruptiveInterval) {
+			*takenOut++
+			r.Step, r.waitUntil = TakenOut, now+r.delay(b, b.MaxResends)
 			return ActTakeOut
 		}
 	}
 	return ""
 }
 
-func (r *repairState) resend(now fleet.Time, b *Bounds, try int) string {
-	r.Step, r.Resends, r.waiting, r.resendPending = Resending, try, false, true
-	r.waitUntil = now + r.wait(b, try-1)
+func (r *repairState) resend(now fleet.Time, b *Bounds, attempt int) string {
+	r.Step = Resending
+	r.Resends = attempt
+	r.waiting = false
+	r.resendPending = true
+	r.waitUntil = now + r.delay(b, attempt-1)
 	return ActResend
 }
 
 // finish ends a repair, once the node has been in step for its wait where it is out.
-func (r *repairState) finish(now fleet.Time, b *Bounds, outs *int) string {
+func (r *repairState) finish(now fleet.Time, b *Bounds, takenOut *int) string {
 	r.waiting = false
 	if r.Step == Idle || r.Step == TakenOut && now < r.waitUntil {
 		return ""
 	}
 	act := ActRepaired
 	if r.Step == TakenOut {
-		*outs--
+		*takenOut--
 		act = ActReturn
 	}
 	*r = repairState{Repair: Repair{Relapses: r.Relapses}, repairedAt: now, relapseEasedAt: now}
@@ -122,27 +125,27 @@
 }
 
 // checkPlausibility looks whether so many drift that the detector is the likelier fault.
-func (j *Detector) checkPlausibility(now fleet.Time, drifting, present int) {
-	b := &j.bounds
+func (det *Detector) checkPlausibility(now fleet.Time, drifting, present int) {
+	b := &det.bounds
 	part := float64(drifting) / float64(max(present, 1))
 	switch {
-	case !j.selfSuspecting && drifting >= b.SuspectSelfMinNodes && part > b.SuspectSelfPart:
-		j.selfSuspecting, j.fewDriftingSince = true, longAgo
-		j.appendLog(now, LogEntry{Action: ActSuspectSelf, Reason: "so many nodes drift that the detector may be wrong: no repair"})
-	case j.selfSuspecting && part >= b.TrustSelfPart:
-		j.fewDriftingSince = longAgo
-	case j.selfSuspecting && j.fewDriftingSince == longAgo:
-		j.fewDriftingSince = now
-	case j.selfSuspecting && now-j.fewDriftingSince >= b.TrustSelfDelay:
-		j.selfSuspecting = false
-		j.appendLog(now, LogEntry{Action: ActTrustSelf, Reason: "few nodes drift"})
+	case !det.selfSuspecting && drifting >= b.SuspectSelfMinNodes && part > b.SuspectSelfPart:
+		det.selfSuspecting, det.fewDriftingSince = true, longAgo
+		det.appendLog(now, LogEntry{Action: ActSuspectSelf, Reason: "so many nodes drift that the detector may be wrong: no repair"})
+	case det.selfSuspecting && part >= b.TrustSelfPart:
+		det.fewDriftingSince = longAgo
+	case det.selfSuspecting && det.fewDriftingSince == longAgo:
+		det.fewDriftingSince = now
+	case det.selfSuspecting && now-det.fewDriftingSince >= b.TrustSelfDelay:
+		det.selfSuspecting = false
+		det.appendLog(now, LogEntry{Action: ActTrustSelf, Reason: "few nodes drift"})
 	}
 }
 
 // LogEntry is one line of the repair's log. At is by the leader's own clock.
 type LogEntry struct {
 	Sequence uint64     `json:"seq"`
-	At       fleet.Time `json:"at_ns"`
+	LoggedAt       fleet.Time `json:"at_ns"`
 	Node     string     `json:"node,omitempty"`
 	Action   string     `json:"act"`
 	Reason   string     `json:"why,omitempty"`
@@ -151,21 +154,21 @@
 
 const maxLogEntries = 1024
 
-func (j *Detector) appendLog(now fleet.Time, e LogEntry) {
-	j.logCount++
-	e.Sequence, e.At = j.logCount, now
-	if len(j.log) < maxLogEntries {
-		j.log = append(j.log, e)
+func (det *Detector) appendLog(now fleet.Time, e LogEntry) {
+	det.logCount++
+	e.Sequence, e.LoggedAt = det.logCount, now
+	if len(det.log) < maxLogEntries {
+		det.log = append(det.log, e)
 	} else {
-		j.log[(e.Sequence-1)%maxLogEntries] = e
+		det.log[(e.Sequence-1)%maxLogEntries] = e
 	}
 }
 
 // Log returns the entries after seq that are still kept, oldest first.
-func (j *Detector) Log(seq uint64) (out []LogEntry) {
-	from := max(seq, j.logCount-min(j.logCount, uint64(len(j.log))))
-	for i := from; i < j.logCount; i++ {
-		out = append(out, j.log[i%maxLogEntries])
+func (det *Detector) Log(seq uint64) (out []LogEntry) {
+	from := max(seq, det.logCount-min(det.logCount, uint64(len(det.log))))
+	for i := from; i < det.logCount; i++ {
+		out = append(out, det.log[i%maxLogEntries])
 	}
 	return out
 }
--- a/internal/fleet/drift/repair_test.go
+++ b/internal/fleet/drift/repair_test.go
@@ -13,18 +13,26 @@
 
 // repairCase is all that a repair's step depends on.
 type repairCase struct {
-	step                               string
-	tries                              int
-	shown                              string
-	over, relapsed, rate, room, doubts bool
-	absent, waiting                    bool // waiting: its first wait has begun
+	step     string
+	tries    int
+	shown    string
+	over     bool
+	relapsed bool
+	rate     bool
+	room     bool
+	doubts   bool
+	// waiting: its first wait has begun
+	absent  bool
+	waiting bool
 }
 
 func (c repairCase) run() (next, act string) {
 	j, now := NewDetector(Defaults()), fleet.Time(time.Hour)
 	n := j.addNode(now-time.Hour, fleet.Member{Node: "n"})
 	n.verdict.state, n.verdict.differences = c.shown, []Difference{{Key: "zone/z"}}
-	n.repair.Step, n.repair.Resends, n.repair.waitUntil = c.step, c.tries, now+1
+	n.repair.Step = c.step
+	n.repair.Resends = c.tries
+	n.repair.waitUntil = now + 1
 	if c.over {
 		n.repair.waitUntil = now
 	}
--- a/internal/fleet/drift/scope_test.go
+++ b/internal/fleet/drift/scope_test.go
@@ -50,7 +50,7 @@
 }
 
 func scoped(uid, generation uint64, service string) fleet.Tenant {
-	tenant := simulation.Brand(uid, generation, 100)
+	tenant := simulation.CommittedTenant(uid, generation, 100)
 	tenant.Committed.Spec.Service = service
 	return tenant
 }
@@ -66,58 +66,58 @@
 // Of a node with a scope only the tenants of its services, and those without a service, are expected.
 func TestExpectInScope(t *testing.T) {
 	c := scopedIntent()
-	held, err := Expect(c.In, fleet.Member{Node: "n000", Zone: "z1"}, "billing")
+	held, err := Expect(c.Intended, fleet.Member{Node: "n000", Zone: "z1"}, "billing")
 	must(t, err == nil, "%v", err)
 	must(t, BodyOf(held, "tenant/t0") != nil && BodyOf(held, "tenant/bill") != nil, "%v", held)
 	must(t, BodyOf(held, "tenant/find") == nil, "a tenant of another service is expected: %v", held)
-	whole, _ := Expect(c.In, fleet.Member{Node: "n000", Zone: "z1"})
+	whole, _ := Expect(c.Intended, fleet.Member{Node: "n000", Zone: "z1"})
 	must(t, len(whole) == len(held)+1, "%d facts without a scope, %d with", len(whole), len(held))
 }
 
 // A node that holds its scope is in step, whatever changes outside of it, also where it has not heard of that; what it lacks
 // inside, and what it holds outside, is named.
-func TestJudgedInScope(t *testing.T) {
+func TestEvaluatedInScope(t *testing.T) {
 	c, n := scopedIntent(), newScopedNode()
-	n.take(t, c.In)
-	v := n.run(t, c.In)
+	n.take(t, c.Intended)
+	v := n.run(t, c.Intended)
 	must(t, v.State == InStep, "%+v", v)
 	c.Put("tenant/find", scoped(91, 2, "search"))
 	c.Drop("tenant/find")
-	v = n.run(t, c.In)
+	v = n.run(t, c.Intended)
 	must(t, v.State == CatchingUp || v.State == InStep, "after a change outside of its scope: %+v", v)
-	n.take(t, c.In)
-	v = n.run(t, c.In)
+	n.take(t, c.Intended)
+	v = n.run(t, c.Intended)
 	must(t, v.State == InStep, "%+v", v)
 
 	c.Put("tenant/bill", scoped(90, 2, "billing"))
-	v = n.run(t, c.In)
-	must(t, v.State == Stuck && simulation.Has(v.Differences, "tenant/bill", "rev"), "after a change inside of its scope: %+v", v)
-	n.take(t, c.In)
-	v = n.run(t, c.In)
+	v = n.run(t, c.Intended)
+	must(t, v.State == Stuck && simulation.HasDifference(v.Differences, "tenant/bill", "rev"), "after a change inside of its scope: %+v", v)
+	n.take(t, c.Intended)
+	v = n.run(t, c.Intended)
 	must(t, v.State == InStep, "%+v", v)
 
-	n.held = simulation.Plant("tenant/bill", nil)(n.held)
-	v = n.run(t, c.In)
-	must(t, v.State == Diverged && simulation.Has(v.Differences, "tenant/bill", ""), "without a tenant of its scope: %+v", v)
+	n.held = simulation.PlantItem("tenant/bill", nil)(n.held)
+	v = n.run(t, c.Intended)
+	must(t, v.State == Diverged && simulation.HasDifference(v.Differences, "tenant/bill", ""), "without a tenant of its scope: %+v", v)
 
-	c.Put("tenant/find", scoped(c.In.Revision+1, 1, "search"))
-	n.take(t, c.In)
-	n.held = simulation.Plant("tenant/find", fleet.AppliedTenant{UID: c.In.Revision, Revision: c.In.Revision})(n.held)
-	v = n.run(t, c.In)
-	must(t, v.State == Diverged && simulation.Has(v.Differences, "tenant/find", ""), "with a tenant outside of its scope: %+v", v)
+	c.Put("tenant/find", scoped(c.Intended.Revision+1, 1, "search"))
+	n.take(t, c.Intended)
+	n.held = simulation.PlantItem("tenant/find", fleet.AppliedTenant{UID: c.Intended.Revision, Revision: c.Intended.Revision})(n.held)
+	v = n.run(t, c.Intended)
+	must(t, v.State == Diverged && simulation.HasDifference(v.Differences, "tenant/find", ""), "with a tenant outside of its scope: %+v", v)
 }
 
 // A name that is removed and named again in another service is outstanding at a node of the first, until it has dropped it.
 func TestNameMovesOutOfTheScope(t *testing.T) {
 	c, n := scopedIntent(), newScopedNode()
-	n.take(t, c.In)
-	must(t, n.run(t, c.In).State == InStep, "not in step")
+	n.take(t, c.Intended)
+	must(t, n.run(t, c.Intended).State == InStep, "not in step")
 	c.Drop("tenant/bill")
-	c.Put("tenant/bill", scoped(c.In.Revision+1, 1, "search"))
-	v := n.run(t, c.In)
-	must(t, v.State == Stuck && simulation.Has(v.Differences, "tenant/bill", "rev"), "%+v", v)
-	n.take(t, c.In)
+	c.Put("tenant/bill", scoped(c.Intended.Revision+1, 1, "search"))
+	v := n.run(t, c.Intended)
+	must(t, v.State == Stuck && simulation.HasDifference(v.Differences, "tenant/bill", "rev"), "%+v", v)
+	n.take(t, c.Intended)
 	must(t, BodyOf(n.held, "tenant/bill") == nil, "it holds the tenant that has its name now")
-	v = n.run(t, c.In)
+	v = n.run(t, c.Intended)
 	must(t, v.State == InStep, "%+v", v)
 }
--- a/internal/fleet/drift/simulation/harness_test.go
+++ b/internal/fleet/drift/simulation/harness_test.go
@@ -37,7 +37,7 @@
 
 func (h *harness) hear() {
 	for _, m := range h.nodes {
-		m.Hear(h.In)
+		m.Take(h.Intended)
 	}
 }
 
@@ -46,12 +46,12 @@
 	if err := h.j.Observe(h.now, fleet.NodeView{Member: m.Member, ReceivedAt: h.now, Report: m.Report()}); err != nil {
 		h.refused = append(h.refused, err)
 	}
-	resend, m.Want, _, _ = h.j.Answer(m.Node)
+	resend, m.Wanted, _, _ = h.j.Answer(m.Node)
 	return resend
 }
 
 func (h *harness) step() {
-	in := h.In
+	in := h.Intended
 	in.LateSteps = h.late
 	for _, c := range h.j.Step(h.now, h.st, in, h.present) {
 		c.AtMS = int64(h.now / ms)
@@ -64,7 +64,7 @@
 	for end := h.now + d; h.now < end; {
 		h.now += 100 * ms
 		for i, m := range h.nodes {
-			if (i > 0 || !h.quiet) && (h.now%(500*ms) == 0 || m.Want != nil) {
+			if (i > 0 || !h.quiet) && (h.now%(500*ms) == 0 || m.Wanted != nil) {
 				h.send(m)
 			}
 		}
@@ -87,9 +87,9 @@
 // mend makes the first node right again.
 func (h *harness) mend() {
 	m := h.nodes[0]
-	*m = Module{Member: m.Member, seq: m.seq, local: []fleet.AppliedItem{settings(len(h.nodes))}}
+	*m = Module{Member: m.Member, sequence: m.sequence, local: []fleet.AppliedItem{settings(len(h.nodes))}}
 	h.quiet = false
-	m.Hear(h.In)
+	m.Take(h.Intended)
 }
 
 func must(t rapid.TB, ok bool, format string, args ...any) {
--- a/internal/fleet/drift/simulation/play.go
+++ b/internal/fleet/drift/simulation/play.go
@@ -1,7 +1,7 @@
 // Package simulation is a fleet in simulated time around the core of the drift detector: nodes that hold what they were sent
 // or something else that is planted, a network that loses, doubles and delays, and leaders that change. All of a play
-// comes of its seed, so it can be played again. It does no I/O and reads no clock. The detector's tests and the lab's
-// simulate command are played on it (docs/drift.md).
+// comes of its seed, so it can be simulated again. It does no I/O and reads no clock. The detector's tests and the lab's
+// simulate command are simulated on it (docs/drift.md).
 package simulation
 
 import (
@@ -25,7 +25,7 @@
 // slack is what loss may add to the time in which a plant is named.
 const slack = 3 * time.Second
 
-// One plays a seed: first a fleet that is right through a rolling restart with loss, pauses, failovers and changes for
+// One runs a seed: first a fleet that is right through a rolling restart with loss, pauses, failovers and changes for
 // d, then the seed's plant in one node of such a fleet at rest but for the loss. Loss is a share of the messages.
 func One(seed uint64, nodes int, loss float64, d time.Duration, r Rules) Outcome {
 	p := Plants[seed%uint64(len(Plants))]
@@ -45,13 +45,13 @@
 	if o.Took, o.Found = took, took <= most; !o.Found {
 		o.Missed = fmt.Errorf("seed %d: %s: not named in %v: %+v", seed, p.name, most, last)
 	}
-	for _, v := range w.j.Verdicts(w.now+w.skew, 0, w.st) {
+	for _, v := range w.detector.Verdicts(w.now+w.skew, 0, w.state) {
 		if o.Alarm == nil && v.Node != n.Node && drift.Drifts(v.State) {
 			o.Alarm = fmt.Errorf("%s: another node than the one planted: %+v", p.name, v)
 		}
 	}
 	if o.Alarm == nil {
-		o.Alarm = w.breach
+		o.Alarm = w.violation
 	}
 	if o.Alarm != nil {
 		o.Alarm = fmt.Errorf("seed %d: %w", seed, o.Alarm)
--- a/internal/fleet/drift/simulation/prop_test.go
+++ b/internal/fleet/drift/simulation/prop_test.go
@@ -50,12 +50,12 @@
 			must(t, d <= most, "%s, seed %d, loss %v: %+v", p.name, seed, loss, v)
 			kind := fmt.Sprintf("loss %v, stuck %v", loss, p.state == Stuck)
 			took[kind] = append(took[kind], d)
-			for _, o := range w.j.Verdicts(w.now+w.skew, 0, w.st) {
+			for _, o := range w.detector.Verdicts(w.now+w.skew, 0, w.state) {
 				must(t, o.Node == n.Node || !Drifts(o.State), "%s: %+v", p.name, o)
 			}
 			w.run(5 * time.Second)
 			must(t, (w.resent > 0) == (p.state != Overridden), "%s: %d items re-sent", p.name, w.resent)
-			must(t, w.breach == nil, "%s: %v", p.name, w.breach)
+			must(t, w.violation == nil, "%s: %v", p.name, w.violation)
 		}
 	}
 	for kind, d := range took {
@@ -105,7 +105,7 @@
 		h := newHarness(12)
 		h.run(5 * time.Second)
 		if state == "behaviour" {
-			state, h.nodes[0].counts = Diverged, sent(1, 1<<30)
+			state, h.nodes[0].falsifyCounts = Diverged, sent(1, 1<<30)
 			h.run(3 * time.Second)
 		} else {
 			starts[state](h)
@@ -158,7 +158,7 @@
 	} {
 		b := Defaults()
 		c.break_(&b)
-		if err := c.check(Rules{b, paged()}); err == nil || errors.Is(err, errRow) {
+		if err := c.check(Rules{b, paged()}); err == nil || errors.Is(err, errUnlistedVerdict) {
 			t.Errorf("%s: not caught: %v", name, err)
 		} else {
 			t.Logf("%s: %.200v", name, err)
--- a/internal/fleet/drift/simulation/storm.go
+++ b/internal/fleet/drift/simulation/storm.go
@@ -9,11 +9,11 @@
 	"meadowsill/internal/fleet/drift"
 )
 
-// Storm plays a rolling restart with loss, pauses of 10 s, failovers, leaders that stop for 10 s, clocks apart by 2 s
+// Storm runs a rolling restart with loss, pauses of 10 s, failovers, leaders that stop for 10 s, clocks apart by 2 s
 // and changes of intent all along. Nothing drifts, so the error is a false alarm, a silent node in step, or a repair.
 func Storm(nodes int, seed uint64, loss float64, r Rules, d time.Duration) (err error) {
 	w := newWorld(nodes, seed, loss, r)
-	w.judged = w.calm(func(format string, args ...any) {
+	w.onVerdict = w.calm(func(format string, args ...any) {
 		if err == nil {
 			err = fmt.Errorf(format, args...)
 		}
@@ -21,20 +21,20 @@
 	w.run(5 * time.Second)
 	w.roll(d * 2 / 3 / time.Duration(nodes))
 	for end := w.now + d; w.now < end && err == nil; {
-		w.run(time.Duration(100+w.rng.IntN(900)) * ms)
+		w.run(time.Duration(100+w.random.IntN(900)) * ms)
 		w.churn()
-		if n := w.nodes[w.rng.IntN(nodes)]; w.rng.IntN(10) == 0 {
+		if n := w.nodes[w.random.IntN(nodes)]; w.random.IntN(10) == 0 {
 			n.paused = w.now + 10*time.Second
 		}
-		switch w.rng.IntN(60) {
+		switch w.random.IntN(60) {
 		case 0:
 			w.failover()
 		case 1:
 			w.paused = w.now + 10*time.Second
 		}
-		if len(w.old) > 0 { // a replay of some earlier report, of this run of the node or of one before
-			old := w.old[w.rng.IntN(len(w.old))]
-			if w.j.Observe(w.now+w.skew, fleet.NodeView{Member: old.Member, Report: old}) == nil { // it had been lost
+		if len(w.replayable) > 0 { // a replay of some earlier report, of this run of the node or of one before
+			old := w.replayable[w.random.IntN(len(w.replayable))]
+			if w.detector.Observe(w.now+w.skew, fleet.NodeView{Member: old.Member, Report: old}) == nil { // it had been lost
 				w.node(old.Node).heardAt = w.now
 			}
 		}
@@ -42,7 +42,7 @@
 	w.run(12 * time.Second)
 	var sum drift.Summary
 	for range 100 {
-		if sum = w.j.Summary(w.now+w.skew, w.st); err != nil || sum.States[drift.InStep] == nodes {
+		if sum = w.detector.Summary(w.now+w.skew, w.state); err != nil || sum.States[drift.InStep] == nodes {
 			break
 		}
 		w.run(100 * ms)
@@ -50,8 +50,8 @@
 	switch {
 	case err != nil:
 		return err
-	case w.breach != nil:
-		return w.breach
+	case w.violation != nil:
+		return w.violation
 	case w.resent > 0:
 		return fmt.Errorf("%d items re-sent", w.resent)
 	case sum.States[drift.InStep] < nodes-nodes/50:
@@ -65,24 +65,24 @@
 	w := newWorld(300, 3, 0.05, r)
 	w.run(8 * time.Second)
 	for _, n := range w.nodes {
-		n.Plant = Plant("zone/z2", nil)
+		n.Plant = PlantItem("zone/z2", nil)
 	}
 	w.run(15 * time.Second)
-	sum := w.j.Summary(w.now+w.skew, w.st)
-	if w.resent > 0 || w.outMax > 0 || len(sum.Repairs) > 0 {
-		return fmt.Errorf("re-sent %d, out %d: %+v", w.resent, w.outMax, sum)
+	sum := w.detector.Summary(w.now+w.skew, w.state)
+	if w.resent > 0 || w.maxTakenOut > 0 || len(sum.Repairs) > 0 {
+		return fmt.Errorf("re-sent %d, out %d: %+v", w.resent, w.maxTakenOut, sum)
 	}
-	if sum.States[drift.Diverged] < 290 || !sum.SelfSuspecting || !slices.ContainsFunc(w.j.Log(0), func(e drift.LogEntry) bool { return e.Action == drift.ActSuspectSelf }) {
+	if sum.States[drift.Diverged] < 290 || !sum.SelfSuspecting || !slices.ContainsFunc(w.detector.Log(0), func(e drift.LogEntry) bool { return e.Action == drift.ActSuspectSelf }) {
 		return fmt.Errorf("it does not say so: %+v", sum)
 	}
 	for _, n := range w.nodes {
 		n.Plant = nil
 	}
 	w.run(15 * time.Second)
-	if sum := w.j.Summary(w.now+w.skew, w.st); sum.SelfSuspecting {
+	if sum := w.detector.Summary(w.now+w.skew, w.state); sum.SelfSuspecting {
 		return fmt.Errorf("it does not trust itself again: %+v", sum)
 	}
-	return w.breach
+	return w.violation
 }
 
 // SomeDrift has 8 of 40 nodes hold something else for good: too many out at once is the error, and so are a node that is
@@ -91,14 +91,14 @@
 	w := newWorld(40, 4, 0.02, r)
 	w.run(8 * time.Second)
 	for _, n := range w.nodes[:8] {
-		n.Plant = Plant("zone/z2", nil)
+		n.Plant = PlantItem("zone/z2", nil)
 	}
 	w.run(90 * time.Second)
-	if w.outMax != 4 {
-		return fmt.Errorf("%d out, want 4 of 40", w.outMax)
+	if w.maxTakenOut != 4 {
+		return fmt.Errorf("%d out, want 4 of 40", w.maxTakenOut)
 	}
 	acts := map[string]int{}
-	for _, e := range w.j.Log(0) {
+	for _, e := range w.detector.Log(0) {
 		acts[e.Action+e.Node]++
 		if e.Action == drift.ActTakeOut && (acts[drift.ActResend+e.Node] != 3 || acts[drift.ActRestart+e.Node] != 1) {
 			return fmt.Errorf("%+v after %v", e, acts)
@@ -108,18 +108,18 @@
 		n.Plant = nil
 	}
 	w.run(30 * time.Second)
-	if sum := w.j.Summary(w.now+w.skew, w.st); sum.States[drift.InStep] < 39 || len(sum.Repairs) > 0 {
+	if sum := w.detector.Summary(w.now+w.skew, w.state); sum.States[drift.InStep] < 39 || len(sum.Repairs) > 0 {
 		return fmt.Errorf("not back: %+v", sum)
 	}
-	before := len(w.j.Log(0))
+	before := len(w.detector.Log(0))
 	for range 60 { // one that flaps: wrong for 4 s, right for 2 s
-		w.nodes[0].Plant = Plant("zone/z2", nil)
+		w.nodes[0].Plant = PlantItem("zone/z2", nil)
 		w.run(4 * time.Second)
 		w.nodes[0].Plant = nil
 		w.run(2 * time.Second)
 	}
-	if acts := len(w.j.Log(0)) - before; acts > 12 {
+	if acts := len(w.detector.Log(0)) - before; acts > 12 {
 		return fmt.Errorf("%d acts on a node that flapped 60 times", acts)
 	}
-	return w.breach
+	return w.violation
 }
--- a/internal/fleet/drift/simulation/table_test.go
+++ b/internal/fleet/drift/simulation/table_test.go
@@ -22,23 +22,23 @@
 	InStep:     func(h *harness) {},
 	CatchingUp: func(h *harness) { h.behind(); h.run(time.Second) },
 	Stuck:      func(h *harness) { h.behind(); h.run(4 * time.Second) },
-	Diverged:   func(h *harness) { h.nodes[0].Plant = Plant("zone/z2", nil); h.run(time.Second) },
+	Diverged:   func(h *harness) { h.nodes[0].Plant = PlantItem("zone/z2", nil); h.run(time.Second) },
 	Ahead:      func(h *harness) { h.nodes[0].Plant = above; h.run(time.Second) },
 	Overridden: func(h *harness) { h.ban(); h.run(time.Second) },
 	Silent:     func(h *harness) { h.quiet = true; h.run(2500 * ms) },
 }
 
-var above = Plant("zone/z2", fleet.AppliedZone{Revision: 1 << 40})
+var above = PlantItem("zone/z2", fleet.AppliedZone{Revision: 1 << 40})
 
 // behind has something new intended that the first node does not hear.
 func (h *harness) behind() {
-	h.nodes[0].deaf = true
-	h.Put("zone/z3@z1", Left(0.1))
+	h.nodes[0].ignoresIntent = true
+	h.Put("zone/z3@z1", EvacuationDirective(0.1))
 	h.hear()
 }
 
 func (h *harness) ban() {
-	b := Fact("ban/s3", fleet.AppliedExclusion{Excluded: true})
+	b := AppliedItem("ban/s3", fleet.AppliedExclusion{Excluded: true})
 	b.ChangedBy, b.SinceMS = "operator", 99
 	h.nodes[0].local = append(h.nodes[0].local, b)
 }
@@ -49,7 +49,7 @@
 	"report|a ban":           func(h *harness) error { return h.then(time.Second, h.ban) },
 	"report|other settings than the fleet's": func(h *harness) error {
 		h.then(time.Second, func() { h.nodes[0].local = []fleet.AppliedItem{settings(77)} })
-		if o := h.verdict(0).Overrides; len(o) != 1 || o[0].ChangedBy != "SIGHUP" || o[0].SinceMS != 17 || !Has(o[0].Fields, "settings", "nodes") {
+		if o := h.verdict(0).Overrides; len(o) != 1 || o[0].ChangedBy != "SIGHUP" || o[0].SinceMS != 17 || !HasDifference(o[0].Fields, "settings", "nodes") {
 			return fmt.Errorf("overrides %+v", o)
 		}
 		return nil
@@ -64,32 +64,32 @@
 		return h.names("tenant/t", "applied")
 	},
 	"report|other content, being named": func(h *harness) error {
-		return h.then(2500*ms, func() { h.nodes[0].Plant, h.nodes[0].mute = Plant("zone/z2", nil), true })
+		return h.then(2500*ms, func() { h.nodes[0].Plant, h.nodes[0].ignoresWants = PlantItem("zone/z2", nil), true })
 	},
 	"report|other content, named": func(h *harness) error {
 		h.then(time.Second, func() {
-			h.nodes[0].Plant = Plant("server/s3", fleet.AppliedServer{Zone: "z9", Kind: "k", State: "ready", Weight: 1})
+			h.nodes[0].Plant = PlantItem("server/s3", fleet.AppliedServer{Zone: "z9", Kind: "k", State: "ready", Weight: 1})
 		})
 		return h.names("server/s3", "zone")
 	},
 	"report|other content, not named within the bound": func(h *harness) error {
-		h.then(3900*ms, func() { h.nodes[0].Plant, h.nodes[0].mute = Plant("zone/z2", nil), true })
+		h.then(3900*ms, func() { h.nodes[0].Plant, h.nodes[0].ignoresWants = PlantItem("zone/z2", nil), true })
 		return h.names("*", "root")
 	},
 	"report|behaviour, two reports running": func(h *harness) error {
-		h.then(2100*ms, func() { h.nodes[0].counts = sent(1, 99) })
+		h.then(2100*ms, func() { h.nodes[0].falsifyCounts = sent(1, 99) })
 		return h.names("zone/z2", "sent")
 	},
 	"report|behaviour, one report": func(h *harness) error {
-		return h.then(2600*ms, func() { h.nodes[0].counts = sent(3, 3) })
+		return h.then(2600*ms, func() { h.nodes[0].falsifyCounts = sent(3, 3) })
 	},
 	"report|revision above the leader's, inside 1 s": func(h *harness) error {
-		h.quiet, h.nodes[0].rev = true, h.nodes[0].rev+10
+		h.quiet, h.nodes[0].revision = true, h.nodes[0].revision+10
 		h.send(h.nodes[0])
 		return h.pass(500 * ms)
 	},
 	"report|revision above the leader's, past 1 s": func(h *harness) error {
-		h.quiet, h.nodes[0].rev = false, h.nodes[0].rev+10
+		h.quiet, h.nodes[0].revision = false, h.nodes[0].revision+10
 		h.run(2100 * ms)
 		return h.names("*", "revision")
 	},
@@ -98,7 +98,7 @@
 		return h.names("zone/z2", "rev")
 	},
 	"report|not comparable yet": func(h *harness) error {
-		h.nodes[0].rev = 1
+		h.nodes[0].revision = 1
 		h.send(h.nodes[0])
 		return h.pass(100 * ms)
 	},
@@ -110,7 +110,7 @@
 	"report|sequence seen before": func(h *harness) error {
 		if h.verdict(0).State != "none" {
 			old := *h.nodes[0]
-			old.seq--
+			old.sequence--
 			return h.refuses(&old)
 		}
 		return nil
@@ -125,7 +125,7 @@
 		return h.pass(0)
 	},
 	"left|the node's last report said leaving": func(h *harness) error {
-		h.nodes[0].leaving, h.quiet = true, true
+		h.nodes[0].draining, h.quiet = true, true
 		h.send(h.nodes[0])
 		h.present = h.present[1:]
 		return h.pass(300 * ms)
@@ -152,7 +152,7 @@
 }
 
 func (h *harness) names(key, field string) error {
-	if v := h.verdict(0); !Has(v.Differences, key, field) {
+	if v := h.verdict(0); !HasDifference(v.Differences, key, field) {
 		return fmt.Errorf("%+v names no %s %s", v, key, field)
 	}
 	return nil
@@ -168,7 +168,7 @@
 	return nil
 }
 
-// A node that reports but has no session, as its agent's copy is too old for one, is judged all the same; no repair is
+// A node that reports but has no session, as its agent's copy is too old for one, is evaluated all the same; no repair is
 // tried on it.
 func TestWithoutSession(t *testing.T) {
 	h := newHarness(12)
@@ -178,7 +178,7 @@
 	must(t, h.verdict(0).State == Stuck && h.names("zone/z3@z1", "rev") == nil && len(h.j.Log(0)) == 0, "%+v", h.verdict(0))
 }
 
-// paged are the page's rows by next state and condition: what the judge may say, on which evidence.
+// paged are the page's rows by next state and condition: what the controller may say, on which evidence.
 var paged = sync.OnceValue(func() map[string]bool {
 	rows, _ := statetable.Table(driftPage, "Verdicts")
 	said := map[string]bool{}
@@ -188,7 +188,7 @@
 	return said
 })
 
-// Every row of the page is run against the judge, from every state that it names, on a fleet of twelve.
+// Every row of the page is run against the controller, from every state that it names, on a fleet of twelve.
 func TestVerdictTable(t *testing.T) {
 	rows, err := statetable.Table(driftPage, "Verdicts")
 	must(t, err == nil, "%v", err)
