--- a/internal/fleet/drift/simulation/world.go
+++ b/internal/fleet/drift/simulation/world.go
@@ -12,111 +12,113 @@
 	"meadowsill/internal/fleet/drift"
 )
 
-// Rules are what a play holds the judge to.
+// Rules are what a play holds the controller to.
 type Rules struct {
 	Bounds drift.Bounds
 	Rows   map[string]bool // "state|evidence" of every verdict that may be said; nil: any
 }
 
-var errRow = errors.New("in no row of the page")
+var errUnlistedVerdict = errors.New("in no row of the page")
 
 // world is a fleet on a network that drops, delays, doubles and reorders, in simulated time. The leader's clock is
 // off from the world's by skew. Nodes stamp incarnations with clocks that are off by up to 2 s.
 type world struct {
 	*Intent
-	rng            *rand.Rand
-	now, skew      fleet.Time
-	j              *drift.Detector
-	st             *drift.State
-	rev            uint64
-	nodes          []*simNode
-	queue          []event_ // by time
-	loss           float64
-	paused         fleet.Time // the leader, till then
-	stepAt         fleet.Time
-	commands       []drift.Command // proposed, not yet applied
-	judged         func(v drift.Verdict)
-	resent, outMax int
-	old            []fleet.Report // some reports, for replays
-	applied        drift.Intended // what the leader's own state machine has come to
-	appliedAt      fleet.Time
-	rules          Rules
-	breach         error // the first verdict in no row
+	random      *rand.Rand
+	now         fleet.Time
+	skew        fleet.Time
+	detector    *drift.Detector
+	state       *drift.State
+	revision    uint64
+	nodes       []*simNode
+	queue       []timedEvent // by time
+	loss        float64
+	paused      fleet.Time // the leader, till then
+	stepAt      fleet.Time
+	commands    []drift.Command // proposed, not yet applied
+	onVerdict   func(v drift.Verdict)
+	resent      int
+	maxTakenOut int
+	replayable  []fleet.Report // some reports, for replays
+	applied     drift.Intended // what the leader's own state machine has come to
+	appliedAt   fleet.Time
+	rules       Rules
+	violation   error // the first verdict in no row
 }
 
 type simNode struct {
 	Module
-	up       bool
-	paused   fleet.Time // till then
-	session  fleet.Time // when the leader last heard of it, in the world's time
-	reportAt fleet.Time
-	life     int  // counts its runs
-	fetching bool // intent is on its way
-	frozen   bool // planted: its agent's watch hangs
-	heardAt  fleet.Time
+	running      bool
+	paused       fleet.Time // till then
+	session      fleet.Time // when the leader last was notified of it, in the world's time
+	reportAt     fleet.Time
+	incarnations int  // counts its runs
+	fetching     bool // intent is on its way
+	watchHangs   bool // planted: its agent's watch hangs
+	heardAt      fleet.Time
 }
 
-type event_ struct {
-	at  fleet.Time
+type timedEvent struct {
+	due fleet.Time
 	run func()
 }
 
 func newWorld(nodes int, seedOf uint64, loss float64, r Rules) *world {
-	w := &world{Intent: Seed(nodes), rng: rand.New(rand.NewPCG(seedOf, 1)), now: time.Hour, j: drift.NewDetector(r.Bounds), st: &drift.State{}, loss: loss, rules: r}
+	w := &world{Intent: Seed(nodes), random: rand.New(rand.NewPCG(seedOf, 1)), now: time.Hour, detector: drift.NewDetector(r.Bounds), state: &drift.State{}, loss: loss, rules: r}
 	for i := range nodes {
 		n := &simNode{Module: Module{Member: fleet.Member{Node: nodeName(i), Zone: fmt.Sprintf("z%d", 1+i%3)}}}
 		w.nodes = append(w.nodes, n)
 		w.start(n)
 	}
-	w.j.Lead(w.now+w.skew, w.st)
+	w.detector.Lead(w.now+w.skew, w.state)
 	return w
 }
 
 func (w *world) after(d time.Duration, f func()) {
-	i, _ := slices.BinarySearchFunc(w.queue, w.now+d+1, func(e event_, at fleet.Time) int { return cmp.Compare(e.at, at) })
-	w.queue = slices.Insert(w.queue, i, event_{w.now + d, f})
+	i, _ := slices.BinarySearchFunc(w.queue, w.now+d+1, func(e timedEvent, at fleet.Time) int { return cmp.Compare(e.due, at) })
+	w.queue = slices.Insert(w.queue, i, timedEvent{w.now + d, f})
 }
 
 // deliver has a message arrive: late, twice or never.
 func (w *world) deliver(f func()) {
 	times := 1
-	if x := w.rng.Float64(); x < w.loss {
+	if x := w.random.Float64(); x < w.loss {
 		times = 0
 	} else if x > 0.98 {
 		times = 2
 	}
 	for range times {
-		w.after(time.Duration(2+w.rng.IntN(100))*ms, f)
+		w.after(time.Duration(2+w.random.IntN(100))*ms, f)
 	}
 }
 
 // start runs a node's process: it fetches intent before it reports, so its first report is not empty.
 func (w *world) start(n *simNode) {
-	n.life++
-	skew := time.Duration(w.rng.IntN(4000)-2000) * ms
+	n.incarnations++
+	skew := time.Duration(w.random.IntN(4000)-2000) * ms
 	n.Incarnation = max(n.Incarnation+1, uint64(w.now+10*time.Second+skew))
 	n.Module = Module{Member: n.Member, local: []fleet.AppliedItem{settings(50)}, Plant: n.Plant}
-	n.up, n.paused, n.fetching, n.reportAt = true, 0, false, w.now+time.Duration(w.rng.IntN(500))*ms
+	n.running, n.paused, n.fetching, n.reportAt = true, 0, false, w.now+time.Duration(w.random.IntN(500))*ms
 	w.fetch(n)
 }
 
 func (w *world) stop(n *simNode) {
-	n.leaving = true
+	n.draining = true
 	w.send(n)
-	n.up = false
+	n.running = false
 }
 
-// fetch is the watch of intent: it answers with all that is intended when it is asked.
+// fetch is the watch of intent: it answers with all that is intended when it is checked.
 func (w *world) fetch(n *simNode) {
-	if n.fetching || n.frozen {
+	if n.fetching || n.watchHangs {
 		return
 	}
 	n.fetching = true
-	life, in := n.life, w.In
-	w.after(500*ms, func() { n.fetching = n.fetching && n.life != life })
+	life, in := n.incarnations, w.Intended
+	w.after(500*ms, func() { n.fetching = n.fetching && n.incarnations != life })
 	w.deliver(func() {
-		if n.life == life && n.up && w.now >= n.paused && in.Revision > n.rev {
-			n.Hear(in)
+		if n.incarnations == life && n.running && w.now >= n.paused && in.Revision > n.revision {
+			n.Take(in)
 			n.fetching = false
 		}
 	})
@@ -124,11 +126,11 @@
 
 func (w *world) send(n *simNode) {
 	r := n.Report()
-	n.reportAt = w.now + time.Duration(500+w.rng.IntN(500))*ms
-	if w.rng.IntN(50) == 0 {
-		w.old = append(w.old, r)
+	n.reportAt = w.now + time.Duration(500+w.random.IntN(500))*ms
+	if w.random.IntN(50) == 0 {
+		w.replayable = append(w.replayable, r)
 	}
-	life := n.life
+	life := n.incarnations
 	w.deliver(func() { w.arrive(n, r, life) })
 }
 
@@ -137,24 +139,24 @@
 		w.after(w.paused-w.now, func() { w.arrive(n, r, life) })
 		return
 	}
-	if w.j.Observe(w.now+w.skew, fleet.NodeView{Member: r.Member, ReceivedAt: w.now + w.skew, Report: r}) != nil {
+	if w.detector.Observe(w.now+w.skew, fleet.NodeView{Member: r.Member, ReceivedAt: w.now + w.skew, Report: r}) != nil {
 		return
 	}
 	n.session, n.heardAt = w.now, w.now
 	if r.Draining {
 		n.session = -time.Hour
 	}
-	resend, want, _, _ := w.j.Answer(n.Node)
+	resend, want, _, _ := w.detector.Answer(n.Node)
 	w.resent += len(resend)
 	w.deliver(func() {
-		if n.life != life || !n.up {
+		if n.incarnations != life || !n.running {
 			return
 		}
-		if n.Want = want; len(want) > 0 {
+		if n.Wanted = want; len(want) > 0 {
 			n.reportAt = min(n.reportAt, w.now+50*ms)
 		}
-		if len(resend) > 0 && !n.frozen {
-			n.Hear(w.In)
+		if len(resend) > 0 && !n.watchHangs {
+			n.Take(w.Intended)
 		}
 	})
 }
@@ -162,19 +164,19 @@
 // tick is 20 ms of the world.
 func (w *world) tick() {
 	w.now += 20 * ms
-	for len(w.queue) > 0 && w.queue[0].at <= w.now {
+	for len(w.queue) > 0 && w.queue[0].due <= w.now {
 		run := w.queue[0].run
 		w.queue = w.queue[1:]
 		run()
 	}
 	for _, n := range w.nodes {
-		if !n.up || w.now < n.paused {
+		if !n.running || w.now < n.paused {
 			continue
 		}
-		if n.rev < w.In.Revision {
+		if n.revision < w.Intended.Revision {
 			w.fetch(n)
 		}
-		if w.now >= n.reportAt && n.rev > 0 {
+		if w.now >= n.reportAt && n.revision > 0 {
 			w.send(n)
 		}
 	}
@@ -187,7 +189,7 @@
 
 func (w *world) step() {
 	if w.now-w.appliedAt >= 300*ms {
-		w.applied, w.appliedAt = w.In, w.now
+		w.applied, w.appliedAt = w.Intended, w.now
 	}
 	var present []fleet.Member
 	for _, n := range w.nodes {
@@ -195,27 +197,27 @@
 			present = append(present, n.Member)
 		}
 	}
-	if w.rng.IntN(8) > 0 { // else raft is slow: the commands wait for a step
+	if w.random.IntN(8) > 0 { // else raft is slow: the commands wait for a step
 		for _, c := range w.commands {
 			c.AtMS = int64(w.now / ms)
-			w.st.Apply(c, func() uint64 { w.rev++; return w.rev })
+			w.state.Apply(c, func() uint64 { w.revision++; return w.revision })
 		}
 		w.commands = nil
 	}
-	w.commands = append(w.commands, w.j.Step(w.now+w.skew, w.st, w.applied, present)...)
+	w.commands = append(w.commands, w.detector.Step(w.now+w.skew, w.state, w.applied, present)...)
 	outs := 0
-	for _, v := range w.j.Verdicts(w.now+w.skew, int64(w.now/ms), w.st) {
+	for _, v := range w.detector.Verdicts(w.now+w.skew, int64(w.now/ms), w.state) {
 		if v.Repair.Step == drift.TakenOut {
 			outs++
 		}
 		if w.rules.Rows != nil && !w.rules.Rows[v.State+"|"+v.Evidence] {
-			w.breach = cmp.Or(w.breach, fmt.Errorf("%w: %+v", errRow, v))
+			w.violation = cmp.Or(w.violation, fmt.Errorf("%w: %+v", errUnlistedVerdict, v))
 		}
-		if w.judged != nil {
-			w.judged(v)
+		if w.onVerdict != nil {
+			w.onVerdict(v)
 		}
 	}
-	w.outMax = max(w.outMax, outs)
+	w.maxTakenOut = max(w.maxTakenOut, outs)
 }
 
 func (w *world) run(d time.Duration) {
@@ -227,12 +229,12 @@
 // failover elects another leader, with another clock and nothing but what is replicated.
 func (w *world) failover() {
 	w.commands = nil
-	w.old = slices.DeleteFunc(w.old, func(r fleet.Report) bool { // a new leader takes the first it hears of a run
+	w.replayable = slices.DeleteFunc(w.replayable, func(r fleet.Report) bool { // a new leader takes the first it is notified of a run
 		return slices.ContainsFunc(w.nodes, func(n *simNode) bool { return n.Member == r.Member })
 	})
-	w.skew = time.Duration(w.rng.IntN(4000)-2000) * ms
-	w.j = drift.NewDetector(w.rules.Bounds)
-	w.j.Lead(w.now+w.skew, w.st)
+	w.skew = time.Duration(w.random.IntN(4000)-2000) * ms
+	w.detector = drift.NewDetector(w.rules.Bounds)
+	w.detector.Lead(w.now+w.skew, w.state)
 }
 
 func (w *world) node(name string) *simNode {
@@ -241,20 +243,20 @@
 
 // churn changes what is intended.
 func (w *world) churn() {
-	switch w.rng.IntN(6) {
+	switch w.random.IntN(6) {
 	case 0:
-		w.Put("zone/z2", Left(float64(w.rng.IntN(10))/10))
+		w.Put("zone/z2", EvacuationDirective(float64(w.random.IntN(10))/10))
 	case 1:
-		w.Put("zone/z1@z3", Left(float64(w.rng.IntN(10))/10))
+		w.Put("zone/z1@z3", EvacuationDirective(float64(w.random.IntN(10))/10))
 	case 2:
 		w.Drop("zone/z2")
 	case 3:
-		w.Put(fmt.Sprintf("tenant/t%d", w.rng.IntN(5)), Brand(1+w.rng.Uint64N(w.In.Revision), 2, 50))
+		w.Put(fmt.Sprintf("tenant/t%d", w.random.IntN(5)), CommittedTenant(1+w.random.Uint64N(w.Intended.Revision), 2, 50))
 	case 4:
-		w.Serve(fmt.Sprintf("s%d", w.rng.IntN(12)), []string{"ready", "draining", "gone"}[w.rng.IntN(3)])
+		w.Serve(fmt.Sprintf("s%d", w.random.IntN(12)), []string{"ready", "draining", "gone"}[w.random.IntN(3)])
 	case 5:
-		n := w.nodes[w.rng.IntN(len(w.nodes))]
-		w.Put("share/"+n.Node, fleet.QuotaLease{Epoch: w.In.Revision, Slots: len(w.nodes), Rates: map[string]float64{"t0": w.rng.Float64()}})
+		n := w.nodes[w.random.IntN(len(w.nodes))]
+		w.Put("share/"+n.Node, fleet.QuotaLease{Epoch: w.Intended.Revision, Slots: len(w.nodes), Rates: map[string]float64{"t0": w.random.Float64()}})
 	}
 }
 
@@ -275,7 +277,7 @@
 	for i, n := range w.nodes {
 		w.after(time.Duration(i)*every, func() {
 			w.stop(n)
-			w.after(time.Duration(1000+w.rng.IntN(1000))*ms, func() { w.start(n) })
+			w.after(time.Duration(1000+w.random.IntN(1000))*ms, func() { w.start(n) })
 		})
 	}
 }
--- a/internal/fleet/drift/state.go
+++ b/internal/fleet/drift/state.go
@@ -123,21 +123,25 @@
 		}
 		return at
 	}
-	var refused error
+	var rejected error
 	for _, ch := range c.Set {
 		v := ch.Verdict
 		old := s.Verdicts[v.Node]
 		if known := s.Incarnations[v.Node]; v.Incarnation < known {
-			refused = fmt.Errorf("%w: %s: %d, known %d", fleet.ErrFenced, v.Node, v.Incarnation, known)
+			rejected = fmt.Errorf("%w: %s: %d, known %d", fleet.ErrFenced, v.Node, v.Incarnation, known)
 			continue
 		}
 		if now := revisionOf(old); now != ch.IfRevision {
-			refused = fmt.Errorf("%w: %s: now at %d", fleet.ErrConflict, v.Node, now)
+			rejected = fmt.Errorf("%w: %s: now at %d", fleet.ErrConflict, v.Node, now)
 			continue
 		}
-		v.FirstRevision, v.FirstSeenMS, v.LastSeenMS = v.LastRevision, c.AtMS, c.AtMS
+		v.FirstRevision = v.LastRevision
+		v.FirstSeenMS = c.AtMS
+		v.LastSeenMS = c.AtMS
 		if old != nil && old.State == v.State {
-			v.FirstRevision, v.FirstSeenMS, v.Count = old.FirstRevision, old.FirstSeenMS, old.Count+v.Count
+			v.FirstRevision = old.FirstRevision
+			v.FirstSeenMS = old.FirstSeenMS
+			v.Count = old.Count + v.Count
 		}
 		v.Revision = change()
 		s.Verdicts[v.Node], s.Incarnations[v.Node] = &v, v.Incarnation
@@ -146,7 +150,7 @@
 		switch v := s.Verdicts[node]; {
 		case v == nil:
 		case v.Revision != at:
-			refused = fmt.Errorf("%w: %s: now at %d", fleet.ErrConflict, node, v.Revision)
+			rejected = fmt.Errorf("%w: %s: now at %d", fleet.ErrConflict, node, v.Revision)
 		default:
 			delete(s.Verdicts, node)
 			s.Incarnations[node] = v.Incarnation + 1 // it ended: its next run has a larger one
@@ -158,7 +162,7 @@
 		s.Baseline = *c.Baseline
 		change()
 	}
-	return refused
+	return rejected
 }
 
 // trimIncarnations keeps the incarnations within their bound: first go those of nodes without a verdict, the oldest first.
--- a/internal/fleet/drift/tree.go
+++ b/internal/fleet/drift/tree.go
@@ -30,9 +30,9 @@
 type treeItem struct{ key, digest string }
 
 // NewTree makes the tree over items with different keys, in any order; of items with one key the last counts.
-func NewTree(held []fleet.AppliedItem) *Tree {
+func NewTree(items []fleet.AppliedItem) *Tree {
 	t := &Tree{}
-	for _, h := range held {
+	for _, h := range items {
 		p := xxhash.Sum64String(h.Key) >> 56
 		at, found := slices.BinarySearchFunc(t.items[p], h.Key, func(f treeItem, k string) int { return strings.Compare(f.key, k) })
 		if found {
@@ -43,12 +43,12 @@
 		t.size++
 	}
 	var d xxhash.Digest
-	for p, facts := range t.items {
-		if len(facts) == 0 {
+	for p, leaf := range t.items {
+		if len(leaf) == 0 {
 			continue
 		}
 		d.Reset()
-		for _, f := range facts {
+		for _, f := range leaf {
 			d.WriteString(f.key)
 			d.WriteString("\x00")
 			d.WriteString(f.digest)
@@ -66,12 +66,12 @@
 // hashChildren is the hash over the hashes of children; 0 where all are empty.
 func hashChildren(of []uint64) uint64 {
 	var b [8 * fanOut]byte
-	empty := true
+	allEmpty := true
 	for i, h := range of {
 		binary.BigEndian.PutUint64(b[8*i:], h)
-		empty = empty && h == 0
+		allEmpty = allEmpty && h == 0
 	}
-	if empty {
+	if allEmpty {
 		return 0
 	}
 	return xxhash.Sum64(b[:])
--- a/internal/fleet/drift/exchange.go
+++ b/internal/fleet/drift/tree_exchange.go
@@ -32,8 +32,8 @@
 }
 
 // splitByTree parts what a node holds by tree.
-func splitByTree(held []fleet.AppliedItem) (intended, list, local []fleet.AppliedItem) {
-	for _, h := range held {
+func splitByTree(items []fleet.AppliedItem) (intended, list, local []fleet.AppliedItem) {
+	for _, h := range items {
 		switch {
 		case isLocal(h.Key):
 			local = append(local, h)
@@ -48,8 +48,8 @@
 
 // FillReport puts a report's AppliedRoot, ListRoot and Applied in place: held is all that the module holds now, with bodies; want is
 // what the last answer requested. What it does not know in want gives nothing.
-func FillReport(r *fleet.Report, held []fleet.AppliedItem, want []string) {
-	in, list, local := splitByTree(held)
+func FillReport(r *fleet.Report, applied []fleet.AppliedItem, want []string) {
+	in, list, local := splitByTree(applied)
 	trees := map[string]*Tree{fleetTree: NewTree(in), listTree: NewTree(list)}
 	r.AppliedRoot, r.ListRoot, r.Applied = trees[fleetTree].Root(), trees[listTree].Root(), nil
 	for _, h := range local {
@@ -66,10 +66,10 @@
 		}
 	}
 	for _, w := range want { // bodies first: a listing's line on the same item adds nothing
-		i := slices.IndexFunc(held, func(h fleet.AppliedItem) bool { return h.Key == w })
-		if i >= 0 && !isLocal(w) && bytes+len(held[i].Body) <= maxBodyBytes {
-			bytes += len(held[i].Body)
-			add(held[i])
+		i := slices.IndexFunc(applied, func(h fleet.AppliedItem) bool { return h.Key == w })
+		if i >= 0 && !isLocal(w) && bytes+len(applied[i].Body) <= maxBodyBytes {
+			bytes += len(applied[i].Body)
+			add(applied[i])
 		}
 	}
 	listed := 0
@@ -107,14 +107,14 @@
 }
 
 // takeAnswers takes the answers of one report.
-func (x *treeExchange) takeAnswers(root, letter string, held []fleet.AppliedItem) {
+func (x *treeExchange) takeAnswers(root, letter string, items []fleet.AppliedItem) {
 	if x.root != root || x.answers == nil || len(x.answers) > maxAnswers {
 		x.root, x.answers = root, map[string]fleet.AppliedItem{}
 	}
-	for _, h := range held {
+	for _, h := range items {
 		place := strings.HasPrefix(h.Key, letter)
-		if fact := !strings.HasPrefix(h.Key, fleetTree) && !strings.HasPrefix(h.Key, listTree) &&
-			!isLocal(h.Key) && isList(h.Key) == (letter == listTree); !place && !fact {
+		if isItem := !strings.HasPrefix(h.Key, fleetTree) && !strings.HasPrefix(h.Key, listTree) &&
+			!isLocal(h.Key) && isList(h.Key) == (letter == listTree); !place && !isItem {
 			continue
 		}
 		if old, ok := x.answers[h.Key]; ok && h.Body == nil {
@@ -129,14 +129,14 @@
 
 // differingKeys compares what has been learnt with the expected tree: the keys that differ, in order, once all are known;
 // and what to request next. With neither, the root and what the node says of its items do not agree.
-func (x *treeExchange) differingKeys(t *Tree, letter string) (keys, ask []string) {
-	var facts []fleet.AppliedItem
+func (x *treeExchange) differingKeys(t *Tree, letter string) (keys, wanted []string) {
+	var items []fleet.AppliedItem
 	for k, h := range x.answers {
 		if !strings.HasPrefix(k, letter) {
-			facts = append(facts, h)
+			items = append(items, h)
 		}
 	}
-	have := NewTree(facts)
+	have := NewTree(items)
 	var visit func(path string)
 	visit = func(path string) {
 		_, listed := x.answers[letter+path+"*"]
@@ -157,22 +157,22 @@
 				}
 			}
 		case len(path) == depth || len(t.list(path)) <= maxItemsToList:
-			ask = append(ask, letter+path+"*")
+			wanted = append(wanted, letter+path+"*")
 		default:
-			ask = append(ask, letter+path)
+			wanted = append(wanted, letter+path)
 		}
 	}
 	visit("")
 	slices.Sort(keys)
-	if len(ask) > 0 {
-		return nil, ask
+	if len(wanted) > 0 {
+		return nil, wanted
 	}
 	for _, k := range keys[:min(len(keys), maxBodies)] {
-		if h, held := x.answers[k]; held && h.Body == nil {
-			ask = append(ask, k)
+		if h, known := x.answers[k]; known && h.Body == nil {
+			wanted = append(wanted, k)
 		}
 	}
-	return keys, ask
+	return keys, wanted
 }
 
 // hasChildren reports that hashes below a place have come.
--- a/internal/fleet/drift/unit_test.go
+++ b/internal/fleet/drift/unit_test.go
@@ -51,7 +51,9 @@
 		case what == "":
 			a, b = append(a, h), append(b, h)
 		case what == "other":
-			a, b, differ = append(a, h), append(b, o), append(differ, h.Key)
+			a = append(a, h)
+			b = append(b, o)
+			differ = append(differ, h.Key)
 		case what == "a only":
 			a, differ = append(a, h), append(differ, h.Key)
 		default:
@@ -109,7 +111,7 @@
 	must(t, len(out) <= fleet.MaxReportBytes && len(r.Applied) > 500, "%d bytes, %d facts", len(out), len(r.Applied))
 }
 
-func TestStateRefuses(t *testing.T) {
+func TestStateRejects(t *testing.T) {
 	s, rev := &State{}, uint64(10)
 	next := func() uint64 { rev++; return rev }
 	put := func(inc, ifRev uint64, state string) error {
@@ -117,8 +119,9 @@
 	}
 	must(t, put(7, 0, Stuck) == nil && rev == 11, "first")
 	for _, c := range []struct {
-		inc, ifRev uint64
-		err        error
+		inc   uint64
+		ifRev uint64
+		err   error
 	}{{6, 11, fleet.ErrFenced}, {7, 0, fleet.ErrConflict}, {7, 10, fleet.ErrConflict}} {
 		if err := put(c.inc, c.ifRev, Ahead); !errors.Is(err, c.err) || rev != 11 || s.Verdicts["n"].State != Stuck {
 			t.Errorf("%+v: %v, revision %d", c, err, rev)
--- a/internal/fleet/drift/view.go
+++ b/internal/fleet/drift/view.go
@@ -10,23 +10,23 @@
 // Verdicts returns what is thought of every node now, by name: st's verdicts with what the detector has seen since. wallMS is
 // the wall clock at now, Unix ms, for the times that people read. A node that st has in step and that has not yet
 // been heard in this leadership is shown as catching up.
-func (j *Detector) Verdicts(now fleet.Time, wallMS int64, st *State) []Verdict {
-	names := slices.Collect(maps.Keys(j.nodes))
+func (det *Detector) Verdicts(now fleet.Time, wallMS int64, st *State) []Verdict {
+	names := slices.Collect(maps.Keys(det.nodes))
 	for name := range st.Verdicts {
-		if j.nodes[name] == nil {
+		if det.nodes[name] == nil {
 			names = append(names, name)
 		}
 	}
 	slices.Sort(names)
 	out := make([]Verdict, 0, len(names))
 	for _, name := range names {
-		n, old := j.nodes[name], st.Verdicts[name]
+		n, old := det.nodes[name], st.Verdicts[name]
 		var v Verdict
 		if old != nil {
 			v = *old
 		}
 		switch {
-		case n == nil || old != nil && (n.verdict.state == "" || (!n.heard || n.receivedAt < j.leaderSince) && n.verdict.state == old.State):
+		case n == nil || old != nil && (n.verdict.state == "" || (!n.heard || n.receivedAt < det.leaderSince) && n.verdict.state == old.State):
 			if v.State == InStep {
 				v.State, v.Evidence = CatchingUp, evidenceNoReport
 			}
@@ -39,8 +39,12 @@
 			if old == nil || old.State != n.verdict.state {
 				v.FirstRevision, v.FirstSeenMS, v.Count = n.verdictRevision, wallMS-(now-n.verdictSince).Milliseconds(), 0
 			}
-			v.State, v.Differences, v.Omitted, v.Overrides, v.Evidence = n.verdict.state, n.verdict.differences, n.verdict.omitted, n.verdict.overrides, n.verdict.evidence
-			v.LastRevision, v.LastSeenMS = j.intents.revision, wallMS-max(0, now-max(n.receivedAt, j.leaderSince)).Milliseconds()
+			v.State = n.verdict.state
+			v.Differences = n.verdict.differences
+			v.Omitted = n.verdict.omitted
+			v.Overrides = n.verdict.overrides
+			v.Evidence = n.verdict.evidence
+			v.LastRevision, v.LastSeenMS = det.intents.revision, wallMS-max(0, now-max(n.receivedAt, det.leaderSince)).Milliseconds()
 			v.Count += n.reports
 		}
 		out = append(out, v)
@@ -56,9 +60,9 @@
 }
 
 // Summary counts what Verdicts shows.
-func (j *Detector) Summary(now fleet.Time, st *State) Summary {
-	s := Summary{States: map[string]int{}, Repairs: map[string]int{}, SelfSuspecting: j.selfSuspecting}
-	for _, v := range j.Verdicts(now, 0, st) {
+func (det *Detector) Summary(now fleet.Time, st *State) Summary {
+	s := Summary{States: map[string]int{}, Repairs: map[string]int{}, SelfSuspecting: det.selfSuspecting}
+	for _, v := range det.Verdicts(now, 0, st) {
 		s.States[v.State]++
 		if v.Repair.Step != Idle {
 			s.Repairs[v.Repair.Step]++
--- a/internal/fleet/reportdelta/capacity_bench_test.go
+++ b/internal/fleet/reportdelta/capacity_bench_test.go
@@ -40,7 +40,7 @@
 	})
 }
 
-// BenchmarkCapacityApply is the leader's work on one difference: its decoding and the whole report.
+// BenchmarkCapacityApply is the leader's work on one difference: its decoding and the complete report.
 func BenchmarkCapacityApply(b *testing.B) {
 	capacityEach(b, func(b *testing.B, base, next fleet.Report) {
 		raw, err := Encode(mustDiff(b, base, next))
--- a/internal/fleet/reportdelta/decode.go
+++ b/internal/fleet/reportdelta/decode.go
@@ -9,14 +9,14 @@
 	"meadowsill/internal/fleet"
 )
 
-// Limits on what one difference may hold, and on the whole report that it gives.
+// Limits on what one difference may hold, and on the complete report that it gives.
 const (
-	rowLimit  = 16 << 10
-	nameLimit = 128
+	maxRows      = 16 << 10
+	maxNameBytes = 128
 )
 
-// Encode writes a difference as Decode reads it, bodies of facts as they are.
-func Encode(d Difference) ([]byte, error) {
+// Encode writes a difference as Decode reads it, bodies of items as they are.
+func Encode(d Delta) ([]byte, error) {
 	var out bytes.Buffer
 	enc := json.NewEncoder(&out)
 	enc.SetEscapeHTML(false)
@@ -28,47 +28,49 @@
 
 // Decode reads the body of POST /fleet/v1/report/difference by the rules of fleet.DecodeReport: what is malformed, too much
 // or impossible is fleet.ErrInvalid with the member's name. Whether it fits its base is Apply's to say.
-func Decode(b []byte) (Difference, error) {
+func Decode(b []byte) (Delta, error) {
 	if len(b) > fleet.MaxReportBytes {
-		return Difference{}, fmt.Errorf("%w: %d bytes, at most %d", fleet.ErrInvalid, len(b), fleet.MaxReportBytes)
+		return Delta{}, fmt.Errorf("%w: %d bytes, at most %d", fleet.ErrInvalid, len(b), fleet.MaxReportBytes)
 	}
 	if !utf8.Valid(b) {
-		return Difference{}, fmt.Errorf("%w: not UTF-8", fleet.ErrInvalid)
+		return Delta{}, fmt.Errorf("%w: not UTF-8", fleet.ErrInvalid)
 	}
-	var d Difference
+	var d Delta
 	if err := json.Unmarshal(b, &d); err != nil {
-		return Difference{}, fmt.Errorf("%w: %w", fleet.ErrInvalid, err)
+		return Delta{}, fmt.Errorf("%w: %w", fleet.ErrInvalid, err)
 	}
 	if err := d.check(); err != nil {
-		return Difference{}, err
+		return Delta{}, err
 	}
-	for i := range d.Held {
-		d.Held[i].Body = compact(d.Held[i].Body)
+	for i := range d.Applied {
+		d.Applied[i].Body = compactBody(d.Applied[i].Body)
 	}
 	return d, nil
 }
 
-func (d *Difference) check() error {
+func (d *Delta) check() error {
 	h := &d.Head
 	if len(h.Services)+len(h.Zones)+len(h.Tenants)+len(h.Applied) > 0 {
 		return fmt.Errorf("%w: head: has services or rows", fleet.ErrInvalid)
 	}
-	if d.BaseSeq == 0 || d.BaseSeq >= h.Sequence {
-		return fmt.Errorf("%w: base_seq: %d, the report's seq is %d", fleet.ErrInvalid, d.BaseSeq, h.Sequence)
+	if d.BaseSequence == 0 || d.BaseSequence >= h.Sequence {
+		return fmt.Errorf("%w: base_seq: %d, the report's seq is %d", fleet.ErrInvalid, d.BaseSequence, h.Sequence)
 	}
 	if len(d.Digest) != 16 {
 		return fmt.Errorf("%w: digest: %.40q", fleet.ErrInvalid, d.Digest)
 	}
 	part := d.Head // its rows are checked as a report's are
-	part.Zones, part.Tenants, part.Applied = d.Zones, d.Tenants, d.Held
+	part.Zones = d.Zones
+	part.Tenants = d.Tenants
+	part.Applied = d.Applied
 	if err := part.Check(); err != nil {
 		return err
 	}
 	if err := d.checkLoads(); err != nil {
 		return err
 	}
-	for _, gone := range [][]string{d.ZonesGone, d.TenantsGone, d.HeldGone} {
-		if err := checkGone(gone); err != nil {
+	for _, gone := range [][]string{d.ZonesRemoved, d.TenantsRemoved, d.AppliedRemoved} {
+		if err := checkRemoved(gone); err != nil {
 			return err
 		}
 	}
@@ -76,12 +78,12 @@
 }
 
 // checkLoads checks the loads by the rules of tenants' rows.
-func (d *Difference) checkLoads() error {
-	if len(d.Loads) > rowLimit {
-		return fmt.Errorf("%w: loads: %d, at most %d", fleet.ErrInvalid, len(d.Loads), rowLimit)
+func (d *Delta) checkLoads() error {
+	if len(d.Loads) > maxRows {
+		return fmt.Errorf("%w: loads: %d, at most %d", fleet.ErrInvalid, len(d.Loads), maxRows)
 	}
 	for i, load := range d.Loads {
-		if load.Row < 0 || load.Row >= rowLimit {
+		if load.Row < 0 || load.Row >= maxRows {
 			return fmt.Errorf("%w: loads[%d].i: %d", fleet.ErrInvalid, i, load.Row)
 		}
 		row := load.apply(fleet.TenantAck{Name: "load"})
@@ -92,22 +94,22 @@
 	return nil
 }
 
-func checkGone(keys []string) error {
-	if len(keys) > rowLimit {
-		return fmt.Errorf("%w: gone: %d keys, at most %d", fleet.ErrInvalid, len(keys), rowLimit)
+func checkRemoved(keys []string) error {
+	if len(keys) > maxRows {
+		return fmt.Errorf("%w: gone: %d keys, at most %d", fleet.ErrInvalid, len(keys), maxRows)
 	}
 	for _, key := range keys {
-		if key == "" || len(key) > nameLimit {
+		if key == "" || len(key) > maxNameBytes {
 			return fmt.Errorf("%w: gone: key %.40q", fleet.ErrInvalid, key)
 		}
 	}
 	return nil
 }
 
-// checkSize refuses a whole report that no body of fleet.MaxReportBytes bytes can hold: what a leader keeps of a node is
+// checkSize rejects a complete report that no body of fleet.MaxReportBytes bytes can hold: what a leader keeps of a node is
 // bounded by that.
 func checkSize(r *fleet.Report) error {
-	if len(r.Zones) > rowLimit || len(r.Tenants) > rowLimit || len(r.Applied) > rowLimit {
+	if len(r.Zones) > maxRows || len(r.Tenants) > maxRows || len(r.Applied) > maxRows {
 		return fmt.Errorf("%w: too many zones, tenants or facts", fleet.ErrInvalid)
 	}
 	size := 0
--- a/internal/fleet/reportdelta/digest.go
+++ b/internal/fleet/reportdelta/digest.go
@@ -15,7 +15,7 @@
 // Digest is the xxhash64, in hex, over all members of a normalized report.
 func Digest(r fleet.Report) string {
 	hash := xxhash.New()
-	b := make(buffer, 0, 512)
+	b := make(hashBuffer, 0, 512)
 	b.text(r.Node, r.Zone)
 	b.numbers(r.Incarnation, r.Sequence, r.Revision, uint64(r.WindowMS), r.List, flag(r.Ready), flag(r.Draining))
 	b.text(r.AppliedRoot, r.ListRoot)
@@ -31,34 +31,34 @@
 		b.flush(hash)
 	}
 	for i := range r.Applied {
-		b.fact(&r.Applied[i])
+		b.item(&r.Applied[i])
 		b.flush(hash)
 	}
 	return fmt.Sprintf("%016x", hash.Sum64())
 }
 
-// buffer is what is hashed next: texts with their lengths, numbers in 8 bytes each.
-type buffer []byte
+// hashBuffer is what is hashed next: texts with their lengths, numbers in 8 bytes each.
+type hashBuffer []byte
 
-func (b *buffer) flush(hash *xxhash.Digest) {
+func (b *hashBuffer) flush(hash *xxhash.Digest) {
 	hash.Write(*b)
 	*b = (*b)[:0]
 }
 
-func (b *buffer) text(all ...string) {
+func (b *hashBuffer) text(all ...string) {
 	for _, s := range all {
 		*b = binary.LittleEndian.AppendUint64(*b, uint64(len(s)))
 		*b = append(*b, s...)
 	}
 }
 
-func (b *buffer) numbers(all ...uint64) {
+func (b *hashBuffer) numbers(all ...uint64) {
 	for _, n := range all {
 		*b = binary.LittleEndian.AppendUint64(*b, n)
 	}
 }
 
-func (b *buffer) rates(all ...float64) {
+func (b *hashBuffer) rates(all ...float64) {
 	for _, f := range all {
 		b.numbers(math.Float64bits(f + 0)) // -0 and 0 are equal
 	}
@@ -71,25 +71,25 @@
 	return 0
 }
 
-func (b *buffer) zone(z *fleet.ZoneEvidence) {
+func (b *hashBuffer) zone(z *fleet.ZoneEvidence) {
 	b.text(z.Zone)
 	b.numbers(uint64(z.Attempts), uint64(z.Lost), uint64(z.Servers), uint64(z.LostServers), uint64(z.Answered), uint64(z.Listed), uint64(z.Started))
 	b.rates(z.Rate)
 }
 
-func (b *buffer) tenant(t *fleet.TenantAck) {
+func (b *hashBuffer) tenant(t *fleet.TenantAck) {
 	b.text(t.Name, t.Digest, t.RejectReason)
 	b.numbers(t.UID, t.Committed, t.Staged, uint64(t.Open))
 	b.rates(t.Offered, t.Admitted, t.Rate)
 }
 
-func (b *buffer) fact(h *fleet.AppliedItem) {
+func (b *hashBuffer) item(h *fleet.AppliedItem) {
 	b.text(h.Key, h.Digest, h.ChangedBy, string(h.Body))
 	b.numbers(uint64(h.SinceMS))
 }
 
-// compact takes the space out of a fact's body, so that it is the same after it was sent.
-func compact(body json.RawMessage) json.RawMessage {
+// compactBody takes the space out of an item's body, so that it is the same after it was sent.
+func compactBody(body json.RawMessage) json.RawMessage {
 	var out bytes.Buffer
 	if len(body) == 0 || json.Compact(&out, body) != nil {
 		return body
--- a/internal/fleet/reportdelta/golden_test.go
+++ b/internal/fleet/reportdelta/golden_test.go
@@ -10,8 +10,8 @@
 
 // A difference as it is sent, and the digest of a report, which both ends compute.
 func TestDifferenceOnTheWire(t *testing.T) {
-	golden.JSON[reportdelta.Difference](t, "difference")
-	var difference reportdelta.Difference
+	golden.JSON[reportdelta.Delta](t, "difference")
+	var difference reportdelta.Delta
 	golden.Fill(&difference)
 	encoded, err := reportdelta.Encode(difference)
 	if err != nil {
--- a/internal/fleet/reportdelta/lossy_test.go
+++ b/internal/fleet/reportdelta/lossy_test.go
@@ -15,13 +15,14 @@
 
 // message is a report on the wire: whole, or as a difference.
 type message struct {
-	whole, difference []byte
+	whole      []byte
+	difference []byte
 }
 
 // world is one node, its agent's end of the link, the leader's end, and the messages that were delayed.
 type world struct {
 	draw   func(n int) int // a choice below n
-	forget bool            // planted: differences forget the rows gone, and have the digest of what that gives
+	forget bool            // planted: differences forget the rows removed, and have the digest of what that gives
 
 	node    fleet.Report
 	raw     []byte                  // the node\'s newest report
@@ -49,7 +50,9 @@
 func (w *world) next() fleet.Report {
 	n := &w.node
 	n.Sequence++
-	n.Tenants, n.Zones, n.Applied = slices.Clone(n.Tenants), slices.Clone(n.Zones), slices.Clone(n.Applied)
+	n.Tenants = slices.Clone(n.Tenants)
+	n.Zones = slices.Clone(n.Zones)
+	n.Applied = slices.Clone(n.Applied)
 	for range w.draw(5) {
 		key := fmt.Sprint("t", w.draw(8))
 		i := slices.IndexFunc(n.Tenants, func(t fleet.TenantAck) bool { return t.Name == key })
@@ -85,12 +88,14 @@
 
 // encode is the agent's: the difference where there is one.
 func (w *world) encode(r fleet.Report) message {
-	d, ok := w.sender.Difference(r)
+	d, ok := w.sender.Delta(r)
 	if !ok {
 		return message{whole: w.raw}
 	}
 	if w.forget {
-		d.ZonesGone, d.TenantsGone, d.HeldGone = nil, nil, nil
+		d.ZonesRemoved = nil
+		d.TenantsRemoved = nil
+		d.AppliedRemoved = nil
 		if base, err := w.leader.Find(&d); err == nil {
 			d.Digest = digestAsApplied(base, d)
 		}
@@ -100,13 +105,13 @@
 }
 
 // digestAsApplied is the digest that a difference gives, right or wrong.
-func digestAsApplied(base fleet.Report, d Difference) string {
+func digestAsApplied(base fleet.Report, d Delta) string {
 	r := d.Head
 	r.Services = base.Services
-	r.Zones, _ = merge(base.Zones, zoneKey, d.Zones, d.ZonesGone)
+	r.Zones, _ = mergeRows(base.Zones, zoneKey, d.Zones, d.ZonesRemoved)
 	tenants, _ := applyLoads(base.Tenants, d.Loads)
-	r.Tenants, _ = merge(tenants, tenantKey, d.Tenants, d.TenantsGone)
-	r.Applied, _ = merge(base.Applied, heldKey, d.Held, d.HeldGone)
+	r.Tenants, _ = mergeRows(tenants, tenantKey, d.Tenants, d.TenantsRemoved)
+	r.Applied, _ = mergeRows(base.Applied, appliedKey, d.Applied, d.AppliedRemoved)
 	return Digest(r)
 }
 
@@ -119,7 +124,7 @@
 		}
 		d, err := Decode(m.difference)
 		if err != nil {
-			w.refused[Reason(err)]++
+			w.refused[MetricReason(err)]++
 			return ans, false, nil
 		}
 		base, err := w.leader.Find(&d)
@@ -127,10 +132,10 @@
 			r, err = Apply(base, d)
 		}
 		if err != nil {
-			w.refused[Reason(err)]++
+			w.refused[MetricReason(err)]++
 			return fleet.ReportAnswer{SendComplete: true}, true, nil
 		}
-		baseSeq = d.BaseSeq
+		baseSeq = d.BaseSequence
 	} else {
 		if r, err = fleet.DecodeReport(m.whole); err != nil {
 			return ans, false, nil
@@ -138,7 +143,7 @@
 		r = Normalize(r)
 	}
 	if r.Incarnation < w.has.Incarnation || r.Incarnation == w.has.Incarnation && r.Sequence < w.has.Sequence {
-		return ans, false, nil // the judge refuses older ones
+		return ans, false, nil // the controller rejects older ones
 	}
 	if made := w.made[name(r)]; Digest(made) != Digest(r) {
 		return ans, false, fmt.Errorf("the leader takes a report that the node never made: %s: %s", name(r), same(made, r))
@@ -155,7 +160,7 @@
 	return ans, true, nil
 }
 
-// deliver has the agent send a report over a link with faults; a wish for the whole report is followed at once.
+// deliver has the agent send a report over a link with faults; a request for the complete report is followed at once.
 func (w *world) deliver(r fleet.Report, fault int) error {
 	for try := range 2 {
 		m := w.encode(r)
@@ -228,7 +233,9 @@
 
 // settle sends two reports over a link without faults: both are taken, the second of them as a difference.
 func (w *world) settle() error {
-	w.late, w.out, w.old = nil, false, false
+	w.late = nil
+	w.out = false
+	w.old = false
 	for range 2 {
 		r := w.next()
 		w.made[name(r)] = r
@@ -239,7 +246,7 @@
 		if name(w.has) != name(r) {
 			return fmt.Errorf("the leader has %s, the node is at %s", name(w.has), name(r))
 		}
-		if w.sender.base.Sequence != r.Sequence || w.sender.known && w.leader.Nodes() != 1 {
+		if w.sender.base.Sequence != r.Sequence || w.sender.hasBase && w.leader.Len() != 1 {
 			return fmt.Errorf("report %d is not acknowledged (%d differences before)", r.Sequence, before)
 		}
 	}
@@ -262,7 +269,7 @@
 	})
 }
 
-// run plays a seed to its first error.
+// run runs a seed to its first error.
 func run(seed uint64, forget bool) (*world, error) {
 	random := rand.New(rand.NewPCG(seed, 1))
 	w := newWorld(random.IntN)
@@ -275,7 +282,7 @@
 	return w, w.settle()
 }
 
-// The schedules reach what they are for, and a planted difference that forgets the rows gone is caught by them, where the digest
+// The schedules reach what they are for, and a planted difference that forgets the rows removed is caught by them, where the digest
 // does not catch it before.
 func TestPlantedDifferenceThatForgetsRows(t *testing.T) {
 	sum, caught := map[string]int{}, 0
--- a/internal/fleet/reportdelta/reportdelta.go
+++ b/internal/fleet/reportdelta/reportdelta.go
@@ -1,7 +1,7 @@
 // Package reportdelta sends a node's reports as differences (docs/fleet.md, "Reports by difference"): an agent sends what
-// changed since a report that the leader has acknowledged, and the leader makes the whole report again. A difference that
+// changed since a report that the leader has acknowledged, and the leader makes the complete report again. A difference that
 // was lost, repeated, reordered, cut short or made against something else is an error and changes nothing; the
-// whole report follows. The package does no I/O and reads no clock.
+// complete report follows. The package does no I/O and reads no clock.
 package reportdelta
 
 import (
@@ -14,31 +14,31 @@
 	"meadowsill/internal/fleet"
 )
 
-// Errors of a difference that can't be applied. Each changes nothing; the answer to it is a wish for the whole report.
+// Errors of a difference that can't be applied. Each changes nothing; the answer to it is a request for the complete report.
 var (
-	ErrBase   = errors.New("no such base")                    // the base is not held: a new leader, a gap, another run
-	ErrRows   = errors.New("rows do not fit the base")        // out of order, or of a row that is not there
-	ErrDigest = errors.New("digest does not fit")             // the whole report would be another than the node's
-	errRun    = errors.New("reports of two runs or services") // Diff has no difference between them
+	ErrUnknownBase    = errors.New("no such base")                    // the base is not held: a new leader, a gap, another run
+	ErrRowMismatch    = errors.New("rows do not fit the base")        // out of order, or of a row that is not there
+	ErrDigestMismatch = errors.New("digest does not fit")             // the complete report would be another than the node's
+	errDifferentRuns  = errors.New("reports of two runs or services") // Diff has no difference between them
 )
 
-// Difference is a report as what changed since an earlier one of the same run: POST /fleet/v1/report/difference. Lists
+// Delta is a report as what changed since an earlier one of the same run: POST /fleet/v1/report/difference. Lists
 // are in the order of their keys, each key at most once.
-type Difference struct {
-	Head        fleet.Report         `json:"head"`     // the report without its services and its rows; its services are the base's
-	BaseSeq     uint64               `json:"base_seq"` // seq of the report that this follows
-	Digest      string               `json:"digest"`   // Digest of the whole report
-	Zones       []fleet.ZoneEvidence `json:"zones,omitempty"`
-	ZonesGone   []string             `json:"zones_gone,omitempty"`
-	Tenants     []fleet.TenantAck    `json:"tenants,omitempty"`
-	TenantsGone []string             `json:"tenants_gone,omitempty"`
-	Loads       []Load               `json:"loads,omitempty"`
-	Held        []fleet.AppliedItem  `json:"held,omitempty"`
-	HeldGone    []string             `json:"held_gone,omitempty"`
+type Delta struct {
+	Head           fleet.Report         `json:"head"`     // the report without its services and its rows; its services are the base's
+	BaseSequence   uint64               `json:"base_seq"` // seq of the report that this follows
+	Digest         string               `json:"digest"`   // Digest of the complete report
+	Zones          []fleet.ZoneEvidence `json:"zones,omitempty"`
+	ZonesRemoved   []string             `json:"zones_gone,omitempty"`
+	Tenants        []fleet.TenantAck    `json:"tenants,omitempty"`
+	TenantsRemoved []string             `json:"tenants_gone,omitempty"`
+	Loads          []LoadChange         `json:"loads,omitempty"`
+	Applied        []fleet.AppliedItem  `json:"held,omitempty"`
+	AppliedRemoved []string             `json:"held_gone,omitempty"`
 }
 
-// Load is a tenant's row of which nothing but the load and the share changed.
-type Load struct {
+// LoadChange is a tenant's row of which nothing but the load and the quota changed.
+type LoadChange struct {
 	Row      int     `json:"i"` // of the base's tenants, from 0
 	Open     int     `json:"o,omitempty"`
 	Offered  float64 `json:"f,omitempty"`
@@ -46,24 +46,24 @@
 	Rate     float64 `json:"r,omitempty"`
 }
 
-// Normalize puts a report's rows in the order of their keys and the bodies of its facts in compact form, as Diff and Apply
+// Normalize puts a report's rows in the order of their keys and the bodies of its items in compact form, as Diff and Apply
 // need them. It changes nothing else; the rows of the argument stay as they are.
 func Normalize(r fleet.Report) fleet.Report {
-	r.Zones = sorted(r.Zones, zoneKey)
-	r.Tenants = sorted(r.Tenants, tenantKey)
-	r.Applied = slices.Clone(sorted(r.Applied, heldKey))
+	r.Zones = sortedRows(r.Zones, zoneKey)
+	r.Tenants = sortedRows(r.Tenants, tenantKey)
+	r.Applied = slices.Clone(sortedRows(r.Applied, appliedKey))
 	for i := range r.Applied {
-		r.Applied[i].Body = compact(r.Applied[i].Body)
+		r.Applied[i].Body = compactBody(r.Applied[i].Body)
 	}
 	return r
 }
 
-func zoneKey(z *fleet.ZoneEvidence) string { return z.Zone }
-func tenantKey(t *fleet.TenantAck) string  { return t.Name }
-func heldKey(h *fleet.AppliedItem) string  { return h.Key }
+func zoneKey(z *fleet.ZoneEvidence) string   { return z.Zone }
+func tenantKey(t *fleet.TenantAck) string    { return t.Name }
+func appliedKey(h *fleet.AppliedItem) string { return h.Key }
 
-// sorted gives rows by key: the slice itself where it is in order.
-func sorted[T any](rows []T, key func(*T) string) []T {
+// sortedRows returns rows by key: the slice itself where it is in order.
+func sortedRows[T any](rows []T, key func(*T) string) []T {
 	order := func(a, b T) int { return cmp.Compare(key(&a), key(&b)) }
 	if slices.IsSortedFunc(rows, order) {
 		return rows
@@ -73,26 +73,29 @@
 	return rows
 }
 
-// Diff gives what changed from base to next, two normalized reports of one run.
-func Diff(base, next fleet.Report) (Difference, error) {
+// Diff returns what changed from base to next, two normalized reports of one run.
+func Diff(base, next fleet.Report) (Delta, error) {
 	if base.Member != next.Member || !slices.Equal(base.Services, next.Services) {
-		return Difference{}, errRun
+		return Delta{}, errDifferentRuns
 	}
-	d := Difference{Head: next, BaseSeq: base.Sequence, Digest: Digest(next)}
-	d.Head.Services, d.Head.Zones, d.Head.Tenants, d.Head.Applied = nil, nil, nil, nil
+	d := Delta{Head: next, BaseSequence: base.Sequence, Digest: Digest(next)}
+	d.Head.Services = nil
+	d.Head.Zones = nil
+	d.Head.Tenants = nil
+	d.Head.Applied = nil
 	equal := func(a, b *fleet.ZoneEvidence, _ int) bool { return *a == *b }
-	d.Zones, d.ZonesGone = changes(base.Zones, next.Zones, zoneKey, equal)
-	d.Tenants, d.TenantsGone = changes(base.Tenants, next.Tenants, tenantKey, d.sameButLoad)
-	d.Held, d.HeldGone = changes(base.Applied, next.Applied, heldKey, sameFact)
+	d.Zones, d.ZonesRemoved = changedRows(base.Zones, next.Zones, zoneKey, equal)
+	d.Tenants, d.TenantsRemoved = changedRows(base.Tenants, next.Tenants, tenantKey, d.sameButLoad)
+	d.Applied, d.AppliedRemoved = changedRows(base.Applied, next.Applied, appliedKey, sameItem)
 	return d, nil
 }
 
 // sameButLoad compares two rows of a tenant, the first of them the base's row i. Where only the load differs it is noted.
-func (d *Difference) sameButLoad(a, b *fleet.TenantAck, i int) bool {
+func (d *Delta) sameButLoad(a, b *fleet.TenantAck, i int) bool {
 	if *a == *b {
 		return true
 	}
-	load := Load{Row: i, Open: b.Open, Offered: b.Offered, Admitted: b.Admitted, Rate: b.Rate}
+	load := LoadChange{Row: i, Open: b.Open, Offered: b.Offered, Admitted: b.Admitted, Rate: b.Rate}
 	if load.apply(*a) != *b {
 		return false
 	}
@@ -100,22 +103,25 @@
 	return true
 }
 
-// apply gives the row with this load.
-func (l Load) apply(t fleet.TenantAck) fleet.TenantAck {
-	t.Open, t.Offered, t.Admitted, t.Rate = l.Open, l.Offered, l.Admitted, l.Rate
+// apply returns the row with this load.
+func (l LoadChange) apply(t fleet.TenantAck) fleet.TenantAck {
+	t.Open = l.Open
+	t.Offered = l.Offered
+	t.Admitted = l.Admitted
+	t.Rate = l.Rate
 	return t
 }
 
-func sameFact(a, b *fleet.AppliedItem, _ int) bool {
+func sameItem(a, b *fleet.AppliedItem, _ int) bool {
 	return a.Key == b.Key && a.Digest == b.Digest && a.ChangedBy == b.ChangedBy && a.SinceMS == b.SinceMS && bytes.Equal(a.Body, b.Body)
 }
 
-// changes gives the rows of next that base has not, or not the same, and the keys that base alone has.
-func changes[T any](base, next []T, key func(*T) string, same func(a, b *T, i int) bool) (changed []T, gone []string) {
+// changedRows returns the rows of next that base has not, or not the same, and the keys that base alone has.
+func changedRows[T any](base, next []T, key func(*T) string, same func(a, b *T, i int) bool) (changed []T, removed []string) {
 	i := 0
 	for n := range next {
 		for i < len(base) && key(&base[i]) < key(&next[n]) {
-			gone = append(gone, key(&base[i]))
+			removed = append(removed, key(&base[i]))
 			i++
 		}
 		if i < len(base) && key(&base[i]) == key(&next[n]) {
@@ -128,15 +134,15 @@
 		changed = append(changed, next[n])
 	}
 	for ; i < len(base); i++ {
-		gone = append(gone, key(&base[i]))
+		removed = append(removed, key(&base[i]))
 	}
-	return changed, gone
+	return changed, removed
 }
 
-// Apply makes the whole report again. base is not changed.
-func Apply(base fleet.Report, d Difference) (fleet.Report, error) {
-	if base.Member != d.Head.Member || base.Sequence != d.BaseSeq || d.Head.Sequence <= base.Sequence {
-		return fleet.Report{}, fmt.Errorf("%w: report %d of incarnation %d after %d", ErrBase, d.Head.Sequence, d.Head.Incarnation, d.BaseSeq)
+// Apply makes the complete report again. base is not changed.
+func Apply(base fleet.Report, d Delta) (fleet.Report, error) {
+	if base.Member != d.Head.Member || base.Sequence != d.BaseSequence || d.Head.Sequence <= base.Sequence {
+		return fleet.Report{}, fmt.Errorf("%w: report %d of incarnation %d after %d", ErrUnknownBase, d.Head.Sequence, d.Head.Incarnation, d.BaseSequence)
 	}
 	r := d.Head
 	r.Services = base.Services
@@ -145,9 +151,9 @@
 		return fleet.Report{}, err
 	}
 	var zonesErr, tenantsErr, heldErr error
-	r.Zones, zonesErr = merge(base.Zones, zoneKey, d.Zones, d.ZonesGone)
-	r.Tenants, tenantsErr = merge(tenants, tenantKey, d.Tenants, d.TenantsGone)
-	r.Applied, heldErr = merge(base.Applied, heldKey, d.Held, d.HeldGone)
+	r.Zones, zonesErr = mergeRows(base.Zones, zoneKey, d.Zones, d.ZonesRemoved)
+	r.Tenants, tenantsErr = mergeRows(tenants, tenantKey, d.Tenants, d.TenantsRemoved)
+	r.Applied, heldErr = mergeRows(base.Applied, appliedKey, d.Applied, d.AppliedRemoved)
 	if err := cmp.Or(zonesErr, tenantsErr, heldErr); err != nil {
 		return fleet.Report{}, err
 	}
@@ -155,13 +161,13 @@
 		return fleet.Report{}, err
 	}
 	if got := Digest(r); got != d.Digest {
-		return fleet.Report{}, fmt.Errorf("%w: %s, the difference says %.16s", ErrDigest, got, d.Digest)
+		return fleet.Report{}, fmt.Errorf("%w: %s, the difference says %.16s", ErrDigestMismatch, got, d.Digest)
 	}
 	return r, nil
 }
 
-// applyLoads gives the rows with new loads.
-func applyLoads(rows []fleet.TenantAck, loads []Load) ([]fleet.TenantAck, error) {
+// applyLoads returns the rows with new loads.
+func applyLoads(rows []fleet.TenantAck, loads []LoadChange) ([]fleet.TenantAck, error) {
 	if len(loads) == 0 {
 		return rows, nil
 	}
@@ -169,7 +175,7 @@
 	last := -1
 	for _, load := range loads {
 		if load.Row <= last || load.Row >= len(rows) {
-			return nil, fmt.Errorf("%w: loads: row %d", ErrRows, load.Row)
+			return nil, fmt.Errorf("%w: loads: row %d", ErrRowMismatch, load.Row)
 		}
 		last = load.Row
 		rows[load.Row] = load.apply(rows[load.Row])
@@ -177,12 +183,12 @@
 	return rows, nil
 }
 
-// merge gives base with the rows changed or new in changed, without those gone. All are in the order of their keys.
-func merge[T any](base []T, key func(*T) string, changed []T, gone []string) ([]T, error) {
-	if len(changed) == 0 && len(gone) == 0 {
+// mergeRows returns base with the rows changed or new in changed, without those removed. All are in the order of their keys.
+func mergeRows[T any](base []T, key func(*T) string, changed []T, removed []string) ([]T, error) {
+	if len(changed) == 0 && len(removed) == 0 {
 		return base, nil
 	}
-	out := make([]T, 0, max(len(base)+len(changed)-len(gone), 0))
+	out := make([]T, 0, max(len(base)+len(changed)-len(removed), 0))
 	c, g := 0, 0
 	for i := range base {
 		k := key(&base[i])
@@ -191,7 +197,7 @@
 			c++
 		}
 		switch {
-		case g < len(gone) && gone[g] == k:
+		case g < len(removed) && removed[g] == k:
 			g++
 		case c < len(changed) && key(&changed[c]) == k:
 			out = append(out, changed[c])
@@ -203,11 +209,11 @@
 	out = append(out, changed[c:]...)
 	for i := 1; i < len(out); i++ {
 		if key(&out[i-1]) >= key(&out[i]) {
-			return nil, fmt.Errorf("%w: %.128q out of order or twice", ErrRows, key(&out[i]))
+			return nil, fmt.Errorf("%w: %.128q out of order or twice", ErrRowMismatch, key(&out[i]))
 		}
 	}
-	if g < len(gone) {
-		return nil, fmt.Errorf("%w: %.128q gone, not in the base or out of order", ErrRows, gone[g])
+	if g < len(removed) {
+		return nil, fmt.Errorf("%w: %.128q gone, not in the base or out of order", ErrRowMismatch, removed[g])
 	}
 	return out, nil
 }
--- a/internal/fleet/reportdelta/reportdelta_test.go
+++ b/internal/fleet/reportdelta/reportdelta_test.go
@@ -25,14 +25,17 @@
 		t := fleet.TenantAck{Name: fmt.Sprintf("tenant-%05d", i), UID: uint64(1000 + i), Committed: 3, Digest: fmt.Sprintf("%016x", i*7919), Rate: 0.2}
 		if i < active {
 			came := float64((seq*31+uint64(i)*17)%23 + 1)
-			t.Open, t.Offered, t.Admitted, t.Rate = int(seq%3), came/1.003, came/1.003, 5+came/7
+			t.Open = int(seq % 3)
+			t.Offered = came / 1.003
+			t.Admitted = came / 1.003
+			t.Rate = 5 + came/7
 		}
 		r.Tenants = append(r.Tenants, t)
 	}
 	return Normalize(r)
 }
 
-func mustDiff(t testing.TB, base, next fleet.Report) Difference {
+func mustDiff(t testing.TB, base, next fleet.Report) Delta {
 	t.Helper()
 	d, err := Diff(base, next)
 	if err != nil {
@@ -42,7 +45,7 @@
 }
 
 // send takes a difference over the wire.
-func send(t testing.TB, d Difference) Difference {
+func send(t testing.TB, d Delta) Delta {
 	t.Helper()
 	raw, err := Encode(d)
 	if err != nil {
@@ -108,15 +111,15 @@
 func TestOnlyWhatChangedIsSent(t *testing.T) {
 	base, next := node(300, 5, 1), node(300, 5, 2)
 	d := mustDiff(t, base, next)
-	if len(d.Tenants) != 0 || len(d.Loads) != 5 || len(d.TenantsGone) != 0 || len(d.Held) != 0 {
-		t.Errorf("%d rows, %d loads, %d gone, %d facts", len(d.Tenants), len(d.Loads), len(d.TenantsGone), len(d.Held))
+	if len(d.Tenants) != 0 || len(d.Loads) != 5 || len(d.TenantsRemoved) != 0 || len(d.Applied) != 0 {
+		t.Errorf("%d rows, %d loads, %d gone, %d facts", len(d.Tenants), len(d.Loads), len(d.TenantsRemoved), len(d.Applied))
 	}
 	next.Tenants = append(next.Tenants[:7:7], next.Tenants[8:]...)
 	next.Tenants[0].Staged = 4
 	next.Applied = append(next.Applied, fleet.AppliedItem{Key: "~3*", Digest: "00000000000000bb", Body: json.RawMessage(`{"a":"<&>"}`)})
 	d = send(t, mustDiff(t, base, next))
-	if len(d.Tenants) != 1 || len(d.Loads) != 4 || len(d.TenantsGone) != 1 || len(d.Held) != 1 {
-		t.Errorf("%d rows, %d loads, %d gone, %d facts", len(d.Tenants), len(d.Loads), len(d.TenantsGone), len(d.Held))
+	if len(d.Tenants) != 1 || len(d.Loads) != 4 || len(d.TenantsRemoved) != 1 || len(d.Applied) != 1 {
+		t.Errorf("%d rows, %d loads, %d gone, %d facts", len(d.Tenants), len(d.Loads), len(d.TenantsRemoved), len(d.Applied))
 	}
 	got, err := Apply(base, d)
 	if diff := same(next, got); err != nil || diff != "" {
@@ -127,36 +130,36 @@
 	}
 }
 
-// A difference that does not fit is refused with its reason and changes nothing: lost before it, repeated, reordered, cut short, of
+// A difference that does not fit is rejected with its reason and changes nothing: lost before it, repeated, reordered, cut short, of
 // another run, with a wrong digest, with rows that can't be.
 func TestDifferenceThatDoesNotFit(t *testing.T) {
 	first, second, third := node(5, 2, 1), node(6, 3, 2), node(4, 1, 3)
 	fromFirst, fromSecond := mustDiff(t, first, second), mustDiff(t, second, third)
-	with := func(d Difference, change func(*Difference)) Difference { change(&d); return d }
+	with := func(d Delta, change func(*Delta)) Delta { change(&d); return d }
 	for _, row := range []struct {
 		name string
 		base fleet.Report
-		d    Difference
+		d    Delta
 		want error
 	}{
-		{"the one before was lost", first, fromSecond, ErrBase},
-		{"repeated", second, fromFirst, ErrBase},
-		{"reordered", third, fromFirst, ErrBase},
-		{"another run", with(Difference{Head: first}, func(d *Difference) { d.Head.Incarnation++ }).Head, fromFirst, ErrBase},
-		{"another node", with(Difference{Head: first}, func(d *Difference) { d.Head.Node = "m" }).Head, fromFirst, ErrBase},
-		{"cut short: a load", first, with(fromFirst, func(d *Difference) { d.Loads = d.Loads[:1] }), ErrDigest},
-		{"cut short: a row", first, with(fromFirst, func(d *Difference) { d.Tenants = nil }), ErrDigest},
-		{"rows gone are forgotten", second, with(fromSecond, func(d *Difference) { d.TenantsGone = nil }), ErrDigest},
-		{"wrong digest", first, with(fromFirst, func(d *Difference) { d.Digest = "0123456789abcdef" }), ErrDigest},
-		{"altered head", first, with(fromFirst, func(d *Difference) { d.Head.Revision++ }), ErrDigest},
-		{"a row gone that is not there", first, with(fromFirst, func(d *Difference) { d.TenantsGone = []string{"x"} }), ErrRows},
-		{"rows out of order", first, with(fromFirst, func(d *Difference) {
+		{"the one before was lost", first, fromSecond, ErrUnknownBase},
+		{"repeated", second, fromFirst, ErrUnknownBase},
+		{"reordered", third, fromFirst, ErrUnknownBase},
+		{"another run", with(Delta{Head: first}, func(d *Delta) { d.Head.Incarnation++ }).Head, fromFirst, ErrUnknownBase},
+		{"another node", with(Delta{Head: first}, func(d *Delta) { d.Head.Node = "m" }).Head, fromFirst, ErrUnknownBase},
+		{"cut short: a load", first, with(fromFirst, func(d *Delta) { d.Loads = d.Loads[:1] }), ErrDigestMismatch},
+		{"cut short: a row", first, with(fromFirst, func(d *Delta) { d.Tenants = nil }), ErrDigestMismatch},
+		{"rows gone are forgotten", second, with(fromSecond, func(d *Delta) { d.TenantsRemoved = nil }), ErrDigestMismatch},
+		{"wrong digest", first, with(fromFirst, func(d *Delta) { d.Digest = "0123456789abcdef" }), ErrDigestMismatch},
+		{"altered head", first, with(fromFirst, func(d *Delta) { d.Head.Revision++ }), ErrDigestMismatch},
+		{"a row gone that is not there", first, with(fromFirst, func(d *Delta) { d.TenantsRemoved = []string{"x"} }), ErrRowMismatch},
+		{"rows out of order", first, with(fromFirst, func(d *Delta) {
 			d.Tenants = []fleet.TenantAck{{Name: "z"}, {Name: "y"}}
-		}), ErrRows},
-		{"a load of no row", first, with(fromFirst, func(d *Difference) { d.Loads = []Load{{Row: 5}} }), ErrRows},
-		{"a load twice", first, with(fromFirst, func(d *Difference) { d.Loads = []Load{{Row: 1}, {Row: 1}} }), ErrRows},
-		{"rows below 0", first, with(fromFirst, func(d *Difference) { d.Loads = []Load{{Row: -1}} }), ErrRows},
-		{"more than a report can hold", first, with(fromFirst, func(d *Difference) {
+		}), ErrRowMismatch},
+		{"a load of no row", first, with(fromFirst, func(d *Delta) { d.Loads = []LoadChange{{Row: 5}} }), ErrRowMismatch},
+		{"a load twice", first, with(fromFirst, func(d *Delta) { d.Loads = []LoadChange{{Row: 1}, {Row: 1}} }), ErrRowMismatch},
+		{"rows below 0", first, with(fromFirst, func(d *Delta) { d.Loads = []LoadChange{{Row: -1}} }), ErrRowMismatch},
+		{"more than a report can hold", first, with(fromFirst, func(d *Delta) {
 			d.Tenants = nil
 			for i := range 300 {
 				d.Tenants = append(d.Tenants, fleet.TenantAck{Name: fmt.Sprintf("z%03d", i), RejectReason: strings.Repeat("x", 1024)})
@@ -172,12 +175,12 @@
 			t.Errorf("%s: the base was changed", row.name)
 		}
 	}
-	if _, err := Diff(first, with(Difference{Head: second}, func(d *Difference) { d.Head.Incarnation++ }).Head); err == nil {
+	if _, err := Diff(first, with(Delta{Head: second}, func(d *Delta) { d.Head.Incarnation++ }).Head); err == nil {
 		t.Error("a difference between two runs")
 	}
 }
 
-// Bad bodies are refused in one line that names the member.
+// Bad bodies are rejected in one line that names the member.
 func TestBadDifferences(t *testing.T) {
 	const head = `"head":{"node":"n","zone":"z","incarnation":7,"seq":3},"base_seq":2,"digest":"0123456789abcdef"`
 	if _, err := Decode([]byte("{" + head + "}")); err != nil {
@@ -221,7 +224,7 @@
 	}
 }
 
-// What a leader wants of a node's facts comes through differences as through whole reports, and goes again from them.
+// What a leader wants of a node's items comes through differences as through complete reports, and goes again from them.
 func TestWantedFactsComeThroughDifferences(t *testing.T) {
 	facts := []fleet.AppliedItem{{Key: "settings", Digest: "00000000000000aa", Body: json.RawMessage(`{ "nodes": 3 }`)},
 		{Key: "tenant/a", Digest: "00000000000000ab", Body: json.RawMessage(`{"uid": 1}`)},
@@ -237,8 +240,8 @@
 			t.Fatal(err)
 		}
 		sent, got, baseSeq := Normalize(whole), Normalize(whole), uint64(0)
-		if d, ok := sender.Difference(sent); ok {
-			d, baseSeq = send(t, d), d.BaseSeq
+		if d, ok := sender.Delta(sent); ok {
+			d, baseSeq = send(t, d), d.BaseSequence
 			base, err := leader.Find(&d)
 			if err == nil {
 				got, err = Apply(base, d)
@@ -344,8 +347,8 @@
 	})
 }
 
-// BenchmarkDecodeWhole is what a leader does with a whole report, for comparison.
-func BenchmarkDecodeWhole(b *testing.B) {
+// BenchmarkDecodeComplete is what a leader does with a complete report, for comparison.
+func BenchmarkDecodeComplete(b *testing.B) {
 	sizes(func(tenants, active int) {
 		if active > 0 {
 			return
--- a/internal/fleet/session/lease.go
+++ b/internal/fleet/session/lease.go
@@ -79,25 +79,25 @@
 
 // AgentLease is the agent's count of its node's session, by the agent's own clock. The zero AgentLease holds nothing.
 type AgentLease struct {
-	until fleet.Time
-	held  bool
+	validUntil fleet.Time
+	active  bool
 }
 
 // Renew takes an answer to the report whose sending began after t0 was read: the session is held for AgentLeasePart of
 // ttl from t0.
 func (h *AgentLease) Renew(t0 fleet.Time, ttl time.Duration) {
-	if until := t0 + time.Duration(AgentLeasePart*float64(ttl)); ttl > 0 && (!h.held || until > h.until) {
-		h.until, h.held = until, true
+	if until := t0 + time.Duration(AgentLeasePart*float64(ttl)); ttl > 0 && (!h.active || until > h.validUntil) {
+		h.validUntil, h.active = until, true
 	}
 }
 
 // Drop counts the node out at once: the leader said that the session is none.
-func (h *AgentLease) Drop() { h.held = false }
+func (h *AgentLease) Drop() { h.active = false }
 
 // Remaining is what is left of the session at now; 0: counted out.
 func (h *AgentLease) Remaining(now fleet.Time) time.Duration {
-	if !h.held {
+	if !h.active {
 		return 0
 	}
-	return max(h.until-now, 0)
+	return max(h.validUntil-now, 0)
 }
--- a/internal/fleet/session/scope_test.go
+++ b/internal/fleet/session/scope_test.go
@@ -30,18 +30,19 @@
 func TestScopeEpoch(t *testing.T) {
 	var s State
 	steps := []struct {
-		c               Command
-		billing, search uint64
+		c       Command
+		billing uint64
+		search  uint64
 	}{
-		{Command{Op: Join, Member: member("a", 1)}, 1, 1},
-		{Command{Op: Join, Member: member("b", 1), Services: []string{"billing"}}, 2, 1},
-		{Command{Op: Join, Member: member("c", 1), Services: []string{"search"}}, 2, 3},
-		{Command{Op: Leave, Member: member("c", 1)}, 2, 4},
-		{Command{Op: Join, Member: member("d", 1), Services: []string{"billing", "search"}}, 5, 5},
-		{Command{Op: Join, Member: member("b", 2), Services: []string{"search"}}, 6, 6}, // it leaves one scope and joins another
-		{Command{Op: Expire, Member: member("b", 2)}, 6, 7},
-		{Command{Op: Expire, Member: member("a", 1)}, 8, 8},
-		{Command{Op: Join, Member: member("e", 1), Services: []string{"mail"}}, 8, 8},
+		{Command{Operation: Join, Member: member("a", 1)}, 1, 1},
+		{Command{Operation: Join, Member: member("b", 1), Services: []string{"billing"}}, 2, 1},
+		{Command{Operation: Join, Member: member("c", 1), Services: []string{"search"}}, 2, 3},
+		{Command{Operation: Leave, Member: member("c", 1)}, 2, 4},
+		{Command{Operation: Join, Member: member("d", 1), Services: []string{"billing", "search"}}, 5, 5},
+		{Command{Operation: Join, Member: member("b", 2), Services: []string{"search"}}, 6, 6}, // it leaves one scope and joins another
+		{Command{Operation: Expire, Member: member("b", 2)}, 6, 7},
+		{Command{Operation: Expire, Member: member("a", 1)}, 8, 8},
+		{Command{Operation: Join, Member: member("e", 1), Services: []string{"mail"}}, 8, 8},
 	}
 	for i, step := range steps {
 		mustApply(t, &s, step.c)
@@ -66,8 +67,8 @@
 		t.Repeat(map[string]func(*rapid.T){
 			"change": func(t *rapid.T) {
 				node := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "node")
-				c := Command{Op: rapid.SampledFrom([]string{Join, Leave, Expire}).Draw(t, "op"), Member: s.Members[node]}
-				if c.Op == Join {
+				c := Command{Operation: rapid.SampledFrom([]string{Join, Leave, Expire}).Draw(t, "op"), Member: s.Members[node]}
+				if c.Operation == Join {
 					incarnation++
 					c.Member = member(node, incarnation)
 					for _, name := range names {
@@ -83,7 +84,7 @@
 					return
 				}
 				for _, name := range names {
-					if was && fleet.Serves(before, name) || c.Op == Join && fleet.Serves(c.Services, name) {
+					if was && fleet.Serves(before, name) || c.Operation == Join && fleet.Serves(c.Services, name) {
 						want[name] = s.Epoch
 					}
 				}
@@ -107,9 +108,9 @@
 }
 
 // A run keeps the scope that it joined with; a bad scope is rejected. Both change nothing.
-func TestScopesThatAreRefused(t *testing.T) {
+func TestScopesThatAreRejected(t *testing.T) {
 	var s State
-	mustApply(t, &s, Command{Op: Join, Member: member("a", 1), Services: []string{"billing"}})
+	mustApply(t, &s, Command{Operation: Join, Member: member("a", 1), Services: []string{"billing"}})
 	before, _ := json.Marshal(s)
 	for name, c := range map[string]Command{
 		"another scope":  {Member: member("a", 1), Services: []string{"search"}},
@@ -122,7 +123,7 @@
 		"a newer run's":  {Member: member("a", 2), Services: []string{"b", "a"}},
 		"with no member": {Services: []string{"billing"}},
 	} {
-		c.Op = Join
+		c.Operation = Join
 		if changed, err := s.Apply(c); changed || !errors.Is(err, fleet.ErrInvalid) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s: changed %v, %v", name, changed, err)
 		}
@@ -130,17 +131,17 @@
 	if after, _ := json.Marshal(s); string(after) != string(before) {
 		t.Errorf("refusals changed the state from %s to %s", before, after)
 	}
-	if changed, err := s.Apply(Command{Op: Join, Member: member("a", 1), Services: []string{"billing"}}); changed || err != nil {
+	if changed, err := s.Apply(Command{Operation: Join, Member: member("a", 1), Services: []string{"billing"}}); changed || err != nil {
 		t.Errorf("the same run again: changed %v, %v", changed, err)
 	}
-	mustApply(t, &s, Command{Op: Join, Member: member("a", 2), Services: []string{"search"}}) // a newer run may have another
+	mustApply(t, &s, Command{Operation: Join, Member: member("a", 2), Services: []string{"search"}}) // a newer run may have another
 }
 
 // Without a scope the state has the bytes that it had before there were scopes, and one from then restores.
 func TestStateWithoutScopes(t *testing.T) {
 	const old = `{"epoch":3,"members":{"a":{"node":"a","zone":"z","incarnation":1}},"highest":{"a":{"incarnation":1},"b":{"incarnation":1}}}`
 	var s State
-	mustApply(t, &s, Command{Op: Join, Member: member("a", 1)}, Command{Op: Join, Member: member("b", 1)}, Command{Op: Expire, Member: member("b", 1)})
+	mustApply(t, &s, Command{Operation: Join, Member: member("a", 1)}, Command{Operation: Join, Member: member("b", 1)}, Command{Operation: Expire, Member: member("b", 1)})
 	if raw, _ := json.Marshal(s); string(raw) != old {
 		t.Errorf("%s, want %s", raw, old)
 	}
@@ -148,7 +149,7 @@
 	if err := json.Unmarshal([]byte(old), &restored); err != nil || restored.ScopeEpoch("billing") != 3 {
 		t.Errorf("epoch %d, %v", restored.ScopeEpoch("billing"), err)
 	}
-	mustApply(t, &restored, Command{Op: Join, Member: member("b", 1), Services: []string{"search"}})
+	mustApply(t, &restored, Command{Operation: Join, Member: member("b", 1), Services: []string{"search"}})
 	if got := []uint64{restored.ScopeEpoch("billing"), restored.ScopeEpoch("search"), restored.ScopeEpoch("")}; !slices.Equal(got, []uint64{3, 4, 4}) {
 		t.Errorf("epochs %v", got)
 	}
@@ -157,14 +158,14 @@
 // However many services are ever named, the epochs kept are bounded, and none goes back.
 func TestScopeEpochsAreBounded(t *testing.T) {
 	var s State
-	mustApply(t, &s, Command{Op: Join, Member: member("a", 1), Services: []string{"billing"}})
+	mustApply(t, &s, Command{Operation: Join, Member: member("a", 1), Services: []string{"billing"}})
 	last := s.ScopeEpoch("billing")
 	for i := range 2 * maxServiceEpochs / fleet.MaxScopeServices {
 		var services []string
 		for j := range fleet.MaxScopeServices {
 			services = append(services, fmt.Sprintf("s%05d", i*fleet.MaxScopeServices+j))
 		}
-		mustApply(t, &s, Command{Op: Join, Member: member("b", uint64(i+1)), Services: services})
+		mustApply(t, &s, Command{Operation: Join, Member: member("b", uint64(i+1)), Services: services})
 		if epoch := s.ScopeEpoch("billing"); epoch < last {
 			t.Fatalf("billing goes back from %d to %d", last, epoch)
 		} else {
--- a/internal/fleet/session/session.go
+++ b/internal/fleet/session/session.go
@@ -49,7 +49,7 @@
 // Command is one change of who is present. Slots is the most nodes that may be, from the leader's settings, so that
 // every replica decides alike; 0 means no bound.
 type Command struct {
-	Op       string       `json:"op"`
+	Operation       string       `json:"op"`
 	Member   fleet.Member `json:"member"`
 	Services []string     `json:"services,omitempty"` // join: the run's scope; none: every service
 	Slots    int          `json:"slots,omitempty"`
@@ -82,7 +82,7 @@
 
 // Apply carries out one command and reports whether it changed who is present. An error changes nothing.
 func (s *State) Apply(c Command) (bool, error) {
-	switch c.Op {
+	switch c.Operation {
 	case Join:
 		return s.join(c)
 	case Leave:
@@ -102,7 +102,7 @@
 		s.removeMember(c.Member)
 		return true, nil
 	}
-	return false, fmt.Errorf("%w: session op %q", fleet.ErrInvalid, c.Op)
+	return false, fmt.Errorf("%w: session op %q", fleet.ErrInvalid, c.Operation)
 }
 
 func (s *State) join(c Command) (bool, error) {
--- a/internal/fleet/session/session_test.go
+++ b/internal/fleet/session/session_test.go
@@ -34,7 +34,9 @@
 // Whatever the clocks' rates within 1 %, the stalls between any two steps, lost, late and reordered messages, and
 // failovers with and without what the old leader had proposed: while an agent's count says held, its node is present.
 func TestHolderIsOutFirst(t *testing.T) {
-	lapses, renewals, failovers := 0, 0, 0
+	lapses := 0
+	renewals := 0
+	failovers := 0
 	rapid.Check(t, func(t *rapid.T) {
 		m := fleet.Member{Node: "n", Zone: "z", Incarnation: 7}
 		agent := drawClock(t, "agent")
@@ -60,7 +62,7 @@
 		settle := func(apply bool) {
 			for _, p := range proposed {
 				if apply {
-					if ok, _ := state.Apply(Command{Op: Expire, Member: p}); ok {
+					if ok, _ := state.Apply(Command{Operation: Expire, Member: p}); ok {
 						lapses++
 					}
 				}
@@ -74,7 +76,7 @@
 			"verify": func(t *rapid.T) { // the leader has it, joins it where absent, and is confirmed as the leader
 				for _, f := range air {
 					if f.left == 0 && rapid.Bool().Draw(t, "this") {
-						state.Apply(Command{Op: Join, Member: m})
+						state.Apply(Command{Operation: Join, Member: m})
 						f.left, f.term = 1, len(leaders)-1
 					}
 				}
@@ -99,7 +101,7 @@
 			},
 			"renewed at once": func(t *rapid.T) {
 				l := leaders[len(leaders)-1]
-				state.Apply(Command{Op: Join, Member: m})
+				state.Apply(Command{Operation: Join, Member: m})
 				if t0 := agent.at(real); l.leases.Renew(l.clock.at(real), m) == nil {
 					holder.Renew(t0, ttl)
 					renewals++
@@ -140,10 +142,10 @@
 	}
 }
 
-func TestJoinsThatAreRefused(t *testing.T) {
+func TestJoinsThatAreRejected(t *testing.T) {
 	var s State
 	for _, m := range []fleet.Member{{Node: "a", Zone: "x", Incarnation: 5}, {Node: "b", Zone: "y", Incarnation: 5}} {
-		if ok, err := s.Apply(Command{Op: Join, Member: m, Slots: 2}); !ok || err != nil {
+		if ok, err := s.Apply(Command{Operation: Join, Member: m, Slots: 2}); !ok || err != nil {
 			t.Fatal(m, err)
 		}
 	}
@@ -158,7 +160,7 @@
 		{fleet.Member{Node: "a", Zone: "y", Incarnation: 5}, fleet.ErrInvalid}, // the same run in another zone
 		{fleet.Member{Node: "a", Zone: "x", Incarnation: 4}, fleet.ErrFenced},
 	} {
-		if ok, err := s.Apply(Command{Op: Join, Member: row.m, Slots: 2}); ok || !errors.Is(err, row.want) {
+		if ok, err := s.Apply(Command{Operation: Join, Member: row.m, Slots: 2}); ok || !errors.Is(err, row.want) {
 			t.Errorf("%+v: %v, %v", row.m, ok, err)
 		}
 	}
--- a/internal/fleet/session/table_test.go
+++ b/internal/fleet/session/table_test.go
@@ -11,9 +11,11 @@
 
 // event is what can come to one name: a report of a run, or its lapse.
 type event struct {
-	lapse, leaving, full bool
-	otherScope           bool // it names services, and the run that is present named none
-	incarnation          uint64
+	lapse       bool
+	leaving     bool
+	full        bool
+	otherScope  bool // it names services, and the run that is present named none
+	incarnation uint64
 }
 
 // name returns the event and condition as the page's table has them, from the state before it.
@@ -52,7 +54,7 @@
 // apply runs the event as the control plane does and gives the effect as the page names it.
 func (e event) apply(t *testing.T, s *State) string {
 	m := fleet.Member{Node: "n", Zone: "z", Incarnation: e.incarnation}
-	c := Command{Op: Join, Member: m, Slots: 3}
+	c := Command{Operation: Join, Member: m, Slots: 3}
 	if e.full {
 		c.Slots = 1 // "other" holds it
 	}
@@ -60,10 +62,10 @@
 		c.Services = []string{"billing"}
 	}
 	if e.leaving {
-		c.Op = Leave
+		c.Operation = Leave
 	}
 	if e.lapse {
-		c.Op = Expire
+		c.Operation = Expire
 	}
 	epoch, was, wasPresent := s.Epoch, s.Members["n"], s.Present(m)
 	changed, err := s.Apply(c)
@@ -78,13 +80,13 @@
 		t.Fatal(err)
 	case changed && s.Epoch != epoch+1:
 		t.Fatalf("epoch %d after %d", s.Epoch, epoch)
-	case changed && c.Op == Join && was.Incarnation != 0:
+	case changed && c.Operation == Join && was.Incarnation != 0:
 		return "the old one ends, the new one joins; epoch + 1"
-	case changed && c.Op == Join:
+	case changed && c.Operation == Join:
 		return "join; epoch + 1"
 	case changed:
 		return "epoch + 1"
-	case c.Op == Join && wasPresent && NewLeases(0, ttl).Renew(0, m) == nil:
+	case c.Operation == Join && wasPresent && NewLeases(0, ttl).Renew(0, m) == nil:
 		return "lease renewed"
 	}
 	return ""
@@ -97,9 +99,9 @@
 		t.Fatal(err)
 	}
 	met := map[int]bool{}
-	other := Command{Op: Join, Member: fleet.Member{Node: "other", Zone: "z", Incarnation: 1}}
+	other := Command{Operation: Join, Member: fleet.Member{Node: "other", Zone: "z", Incarnation: 1}}
 	run := func(inc uint64, op string) Command {
-		return Command{Op: op, Member: fleet.Member{Node: "n", Zone: "z", Incarnation: inc}}
+		return Command{Operation: op, Member: fleet.Member{Node: "n", Zone: "z", Incarnation: inc}}
 	}
 	for _, before := range [][]Command{{}, {run(5, Join)}, {run(5, Join), run(5, Expire)}, {run(5, Join), run(5, Leave)}} {
 		for bits := range 16 {
--- a/internal/fleet/sim/leader.go
+++ b/internal/fleet/sim/leader.go
@@ -66,7 +66,7 @@
 	s, now := c.s, c.clock.read(c.s.now)
 	for _, m := range c.sessions.List() {
 		if now >= max(c.leases[m.Node], c.leadSince+ttl) {
-			c.sessions.Apply(session.Command{Op: session.Expire, Member: m})
+			c.sessions.Apply(session.Command{Operation: session.Expire, Member: m})
 		}
 	}
 	for _, cmd := range c.tjudge.Step(now, &c.tenants, c.present()) {
@@ -94,7 +94,7 @@
 	})
 }
 
-// present is who is present, as the judge of the tenants is to count them.
+// present is who is present, as the controller of the tenants is to count them.
 func (c *control) present() tenants.Present {
 	p := tenants.Present{Epoch: c.sessions.ScopeEpoch, Members: c.sessions.List(), Services: c.sessions.ServicesByNode()}
 	if c.s.hooks.forgets {
@@ -141,11 +141,11 @@
 	}
 	now := c.clock.read(c.s.now)
 	if !c.sessions.Present(r.Member) {
-		share, _ := c.tenants.Item(fleet.KeyLease + "/" + r.Node) // or that it is gone
+		share, _ := c.tenants.Item(fleet.KeyLease + "/" + r.Node) // or that it is removed
 		if !c.s.hooks.rejoin && (!tenants.CaughtUp(&c.tenants, r) || r.Revision < max(share.Revision, c.tenants.Compacted())) {
 			return // it is answered as out, and says that it is not ready
 		}
-		c.sessions.Apply(session.Command{Op: session.Join, Member: r.Member, Services: r.Services})
+		c.sessions.Apply(session.Command{Operation: session.Join, Member: r.Member, Services: r.Services})
 		delete(c.leases, r.Node)
 	}
 	c.leases[r.Node] = max(c.leases[r.Node], now+ttl)
--- a/internal/fleet/sim/many.go
+++ b/internal/fleet/sim/many.go
@@ -9,7 +9,7 @@
 	"sync"
 )
 
-// Summary is what many plays gave together.
+// Summary is what many runs gave together.
 type Summary struct {
 	Plays    int      `json:"plays"`
 	Nodes    int      `json:"nodes"`
@@ -18,7 +18,7 @@
 	Onboard  Quantile `json:"onboard_ms"`
 	Undone   int      `json:"undone"`
 	Losses   int      `json:"losses"`  // of zones
-	Unheard  int      `json:"unheard"` // of them, those that under 95 % of all nodes ever heard of, down, deaf or stalled ones among them, or that ended before
+	Unheard  int      `json:"unheard"` // of them, those that under 95 % of all nodes ever was notified of, down, deaf or stalled ones among them, or that ended before
 	Falls    int      `json:"cold_falls"`
 	Wrong    int      `json:"wrong_leaves"`
 	Steps    int      `json:"steps"`
@@ -31,7 +31,11 @@
 
 // Quantile is a figure over all losses.
 type Quantile struct {
-	Least, P50, P95, P99, Most int64
+	Least int64
+	P50   int64
+	P95   int64
+	P99   int64
+	Most  int64
 }
 
 func quantile(all []int64) (q Quantile) {
@@ -43,8 +47,8 @@
 	return Quantile{all[0], at(50), at(95), at(99), all[len(all)-1]}
 }
 
-// Many plays the plans of seeds from first on, so many at a time, and tells each breach as it comes. Where ctx ends, it
-// gives the summary of what was played by then.
+// Many runs the plans of seeds from first on, so many at a time, and tells each breach as it comes. Where ctx ends, it
+// gives the summary of what was simulated by then.
 func Many(ctx context.Context, plan func(seed uint64) Plan, first uint64, seeds, workers int, tell io.Writer) Summary {
 	var sum Summary
 	var stop, spread, onboard []int64
@@ -57,11 +61,21 @@
 				p := plan(seed)
 				r := Run(p)
 				mu.Lock()
-				sum.Plays, sum.Nodes, sum.Losses = sum.Plays+1, p.Nodes, sum.Losses+len(r.Stop95)+r.Unheard
-				stop, spread, onboard = append(stop, r.Stop95...), append(spread, r.Spread...), append(onboard, r.Onboard...)
+				sum.Plays += 1
+				sum.Nodes = p.Nodes
+				sum.Losses = sum.Losses + len(r.Stop95) + r.Unheard
+				stop = append(stop, r.Stop95...)
+				spread = append(spread, r.Spread...)
+				onboard = append(onboard, r.Onboard...)
 				sum.Undone += r.Undone
-				sum.Unheard, sum.Falls, sum.Wrong, sum.Steps = sum.Unheard+r.Unheard, sum.Falls+r.Falls, sum.Wrong+r.Wrong, sum.Steps+r.Steps
-				sum.Answered, sum.Refused, sum.Lost, sum.Further = sum.Answered+r.Answered, sum.Refused+r.Refused, sum.Lost+r.Lost, sum.Further+r.Further
+				sum.Unheard += r.Unheard
+				sum.Falls += r.Falls
+				sum.Wrong += r.Wrong
+				sum.Steps += r.Steps
+				sum.Answered += r.Answered
+				sum.Refused += r.Refused
+				sum.Lost += r.Lost
+				sum.Further += r.Further
 				if r.Breach != nil {
 					sum.Breaches = append(sum.Breaches, r)
 					fmt.Fprintf(tell, "seed %d, %d nodes: %v\n", seed, p.Nodes, r.Breach)
--- a/internal/fleet/sim/module.go
+++ b/internal/fleet/sim/module.go
@@ -47,7 +47,7 @@
 	d.arrivals()
 }
 
-// soon feeds an event after so long, by the node's clock, unless its process has gone; one that stands still has it late.
+// soon feeds an event after so long, by the node's clock, unless its process has been removed; one that stands still has it late.
 func (d *module) soon(after time.Duration, do func()) {
 	var then func()
 	then = func() {
@@ -113,7 +113,7 @@
 	}
 }
 
-// updateZones gives the module what its node holds, with its age.
+// updateZones returns the module what its node holds, with its age.
 func (d *module) updateZones() {
 	n := d.n
 	age := n.clock.read(n.s.now) - n.confirmed
--- a/internal/fleet/sim/node.go
+++ b/internal/fleet/sim/node.go
@@ -48,8 +48,9 @@
 }
 
 type losing struct {
-	end      time.Duration
-	zone, id int
+	end  time.Duration
+	zone int
+	id   int
 }
 
 type badness struct {
@@ -75,10 +76,14 @@
 func (n *node) start() {
 	n.run++
 	n.inc++
-	n.down, n.seq, n.until = false, 0, 0
+	n.down = false
+	n.seq = 0
+	n.until = 0
 	now := n.clock.read(n.s.now)
 	n.confirmed, n.since = now-time.Hour, now
-	n.losing, n.bad, n.paces = nil, map[[2]int]badness{}, map[[2]int]pace{}
+	n.losing = nil
+	n.bad = map[[2]int]badness{}
+	n.paces = map[[2]int]pace{}
 	n.clear()
 	if n.s.plan.Module {
 		n.decides()
@@ -181,7 +186,7 @@
 	})
 }
 
-// lying tells whether a node is a liar now.
+// lying reports whether a node is a liar now.
 func (s *Sim) lying(name string) bool {
 	return slices.ContainsFunc(s.nodes, func(n *node) bool {
 		return n.name == name && slices.ContainsFunc(s.plan.Faults, func(f Fault) bool { return f.Kind == Liar && f.on(s.now) && f.node(n.i) })
--- a/internal/fleet/sim/plan.go
+++ b/internal/fleet/sim/plan.go
@@ -1,6 +1,6 @@
-// Package sim plays the fleet's pure cores with hundreds of nodes in one process, on a seeded schedule of drops,
+// Package sim runs the fleet's pure cores with hundreds of nodes in one process, on a seeded schedule of drops,
 // delays, reorders, duplicates, stalls, crashes, restarts, new leaders, lost zones and clocks that differ. The same
-// plan plays the same way every time. What it checks are the rules of docs/fleet.md as an observer sees them who
+// plan runs the same way every time. What it checks are the rules of docs/fleet.md as an observer sees them who
 // knows what really happened.
 package sim
 
@@ -19,7 +19,7 @@
 	Loss    float64       `json:"loss"`             // of every message of the control plane, and of every attempt
 	Jitter  time.Duration `json:"jitter"`           // of a message's delay, at most
 	Module  bool          `json:"module"`           // requests are decided by the module, else in a simple way of the simulator's own
-	Alone   bool          `json:"alone"`            // the control plane gives no directives: each node judges for itself
+	Alone   bool          `json:"alone"`            // the control plane gives no directives: each node evaluates for itself
 	Scopes  [][]string    `json:"scopes,omitempty"` // of the nodes, in turn: the services of each, none for every service
 	Faults  []Fault       `json:"faults"`
 	Changes []Change      `json:"changes"`
@@ -31,12 +31,12 @@
 	Tenant  string        `json:"tenant"`
 	Service string        `json:"service,omitempty"`
 	Rate    float64       `json:"rate"`   // requests/s; 0 removes it
-	Refuse  bool          `json:"refuse"` // one node refuses it
+	Refuse  bool          `json:"refuse"` // one node rejects it
 }
 
 // Kinds of faults.
 const (
-	ZoneLost  = "zone lost"  // its servers give no answer; at the end they have been restarted and are cold
+	ZoneLost  = "zone lost"  // its servers give no answer; at the end they have been restarted and are warming up
 	ZoneGray  = "zone gray"  // P of the attempts at it are lost
 	ZoneCut   = "zone cut"   // the nodes of From lose all attempts at it
 	Deaf      = "deaf"       // the Nth nodes hear and send nothing of the control plane
@@ -45,7 +45,7 @@
 	Stall     = "stall"      // their processes stand still
 	Crash     = "crash"      // they are killed, and back at the end as new incarnations with their disk copies
 	Rolling   = "rolling"    // every node is restarted in its turn, each down for a second
-	NewLeader = "new leader" // the leader is gone; another is elected at the end
+	NewLeader = "new leader" // the leader is removed; another is elected at the end
 	Liar      = "liar"       // one node reports that one zone, or every one, fails
 )
 
@@ -97,7 +97,7 @@
 	return p
 }
 
-// drawScopes gives two plans of three scopes to some nodes, and to a tenant its service. It draws from a stream of its own, so
+// drawScopes returns two plans of three scopes to some nodes, and to a tenant its service. It draws from a stream of its own, so
 // that a seed's faults are the same with and without.
 func (p *Plan) drawScopes() {
 	r := rand.New(rand.NewPCG(p.Seed, 0x5c09e))
@@ -120,7 +120,11 @@
 // Calm is the plan of a zone's loss and return with no other fault.
 func Calm(seed uint64, nodes int) Plan {
 	p := Draw(seed, nodes)
-	p.Zones, p.Servers, p.Loss, p.Jitter, p.Faults = 3, 4, 0, 5*time.Millisecond, p.Faults[:1]
+	p.Zones = 3
+	p.Servers = 4
+	p.Loss = 0
+	p.Jitter = 5 * time.Millisecond
+	p.Faults = p.Faults[:1]
 	p.Faults[0].Zone %= p.Zones
 	p.Scopes, p.Changes = nil, p.Changes[:2]
 	for i := range p.Changes {
@@ -132,7 +136,10 @@
 // Unrest is a plan with no zone's fault: lost messages and attempts, jitter and rolling restarts.
 func Unrest(seed uint64, nodes int, length time.Duration) Plan {
 	p := Calm(seed, nodes)
-	p.For, p.Loss, p.Jitter, p.Faults = length, 0.05, 50*time.Millisecond, nil
+	p.For = length
+	p.Loss = 0.05
+	p.Jitter = 50 * time.Millisecond
+	p.Faults = nil
 	for at := 5 * time.Second; at < length; at += time.Duration(nodes) * 300 * time.Millisecond {
 		p.Faults = append(p.Faults, Fault{Kind: Rolling, At: at, For: time.Duration(nodes) * 300 * time.Millisecond})
 	}
--- a/internal/fleet/sim/rules.go
+++ b/internal/fleet/sim/rules.go
@@ -65,7 +65,7 @@
 	}
 }
 
-// lied tells whether a liar may have had its own zone leave.
+// lied reports whether a liar may have had its own zone leave.
 func (s *Sim) lied(zone int) bool {
 	return slices.ContainsFunc(s.plan.Faults, func(f Fault) bool { return f.Kind == Liar && f.At <= s.now && s.plan.Nodes < 2*s.plan.Zones })
 }
--- a/internal/fleet/sim/servers.go
+++ b/internal/fleet/sim/servers.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// server is an app server that falls when it gets more than the cold rule allows.
+// server is an app server that falls when it gets more than the warming up rule allows.
 type server struct {
 	up      bool
-	started time.Duration // cold from then on; negative: warm ever since
+	started time.Duration // warming up from then on; negative: warm ever since
 	fallen  time.Duration // down until then
 	arrived []time.Duration
 }
 
-const coldSpan = time.Second // in which a cold server bears what it can
+const coldSpan = time.Second // in which a warming server bears what it can
 
 // allowed is what a server of a rate bears in coldSpan, so long after its start.
 func (s *Sim) allowed(age time.Duration) float64 {
@@ -22,7 +22,7 @@
 	return n + 3*math.Sqrt(n) + 3
 }
 
-// ask sends one attempt of node n to a server and tells whether it is answered.
+// ask sends one attempt of node n to a server and reports whether it is answered.
 func (s *Sim) ask(n *node, zone, id int) bool {
 	sv := s.servers[zone][id]
 	p := s.plan.Loss
@@ -56,7 +56,7 @@
 	return true
 }
 
-// alone tells whether some nodes may have been judging for themselves when a zone returned: then a cold fall is no
+// alone reports whether some nodes may have been judging for themselves when a zone returned: then a warming up fall is no
 // breach of the directives.
 func (s *Sim) alone(zone int) bool {
 	if s.plan.Alone || !s.left[s.zones[zone]] {
@@ -70,9 +70,11 @@
 	return len(s.plan.Faults) > 1
 }
 
-// restart makes a zone's servers cold.
+// restart makes a zone's servers warming up.
 func (s *Sim) restart(zone int) {
 	for _, sv := range s.servers[zone] {
-		sv.started, sv.fallen, sv.arrived = s.now, 0, nil
+		sv.started = s.now
+		sv.fallen = 0
+		sv.arrived = nil
 	}
 }
--- a/internal/fleet/sim/sim.go
+++ b/internal/fleet/sim/sim.go
@@ -47,16 +47,17 @@
 	takeOld bool
 	rejoin  bool // a run is present again before it has heard what was intended meanwhile
 	staged  bool // nodes serve by what is staged
-	forgets bool // the judge of the tenants counts no node with a scope
+	forgets bool // the controller of the tenants counts no node with a scope
 	ageless bool
 	greed   float64 // what a node multiplies its rates by
 }
 
 // loss is one zone's loss, as the nodes come to stop.
 type loss struct {
-	zone    int
-	at, end time.Duration
-	stops   map[int]time.Duration
+	zone  int
+	at    time.Duration
+	end   time.Duration
+	stops map[int]time.Duration
 }
 
 // Result is what a play gave. Times are in ms.
@@ -68,7 +69,7 @@
 	Unheard  int     `json:"unheard"`             // losses for which that many never stopped
 	Returned []int64 `json:"returned_ms,omitempty"`
 	Onboard  []int64 `json:"onboard_ms,omitempty"` // from a tenant's change to its being applied on every node present in its scope
-	Undone   int     `json:"undone"`               // changes that were rolled back, refused, or not applied by the end
+	Undone   int     `json:"undone"`               // changes that were rolled back, rejected, or not applied by the end
 	Falls    int     `json:"cold_falls"`
 	Wrong    int     `json:"wrong_leaves"`
 	Steps    int     `json:"steps"`
@@ -79,14 +80,14 @@
 	Events   int     `json:"events"`
 }
 
-// Run plays a plan to its end or its first breach.
+// Run runs a plan to its end or its first breach.
 func Run(p Plan) Result { return run(p, nil) }
 
 func run(p Plan, plant func(*Sim)) Result {
 	s := &Sim{plan: p, set: zones.Default(p.Nodes), rng: rand.New(rand.NewPCG(p.Seed, 2)), holdPart: holdPart, left: map[string]bool{},
 		entered: map[string]time.Duration{}, lowest: map[string]float64{}, first: map[string]uint64{}, trouble: make([]time.Duration, p.Zones), committed: map[string]bool{}}
 	s.hooks.greed = 1
-	s.set.SlowStartWindow = 10 * time.Second // servers that are cold for long, and hardly more than what is asked of them
+	s.set.SlowStartWindow = 10 * time.Second // servers that are warming up for long, and hardly more than what is required of them
 	s.capacity = 1.3 * demand * float64(p.Nodes) / float64(p.Zones*p.Servers)
 	for z := range p.Zones {
 		s.zones = append(s.zones, fmt.Sprintf("z%d", z))
@@ -119,7 +120,9 @@
 		s.now = e.at
 		e.do()
 	}
-	s.res.Seed, s.res.Breach, s.res.Events = p.Seed, s.broken, s.events
+	s.res.Seed = p.Seed
+	s.res.Breach = s.broken
+	s.res.Events = s.events
 	for _, l := range s.losses {
 		s.measure(l)
 	}
--- a/internal/fleet/sim/sim_test.go
+++ b/internal/fleet/sim/sim_test.go
@@ -44,7 +44,7 @@
 	}
 }
 
-// TestReplay: a plan plays the same way twice.
+// TestReplay: a plan runs the same way twice.
 func TestReplay(t *testing.T) {
 	for seed := range uint64(4) {
 		p := Draw(seed, 20)
@@ -67,9 +67,10 @@
 		}
 	}
 	for _, p := range []struct {
-		name, rule string
-		from       uint64 // the seed to begin with, to save time
-		plant      func(*Sim)
+		name  string
+		rule  string
+		from  uint64 // the seed to begin with, to save time
+		plant func(*Sim)
 	}{
 		{"one node's vote counts for all", "Z1", 17, func(s *Sim) {
 			s.hooks.observe = func(c *control, now time.Duration, r fleet.Report) {
@@ -124,7 +125,7 @@
 	}
 }
 
-// TestUnrest: at 5 % loss and rolling restarts no zone is left, nor cut off by the few nodes that lost twice running.
+// TestUnrest: at 5 % loss and rolling restarts no zone is evacuated, nor cut off by the few nodes that lost twice running.
 func TestUnrest(t *testing.T) {
 	sum := Many(t.Context(), func(s uint64) Plan {
 		p := Unrest(s, 30, time.Minute)
--- a/internal/fleet/sim/tenants.go
+++ b/internal/fleet/sim/tenants.go
@@ -14,9 +14,12 @@
 
 // rollout is one change of a tenant on its way.
 type rollout struct {
-	name      string
-	put, done time.Duration
-	uid, gen  uint64 // 0: not proposed yet
+	name string
+	put  time.Duration
+	done time.Duration
+	// 0: not proposed yet
+	uid       uint64
+	gen       uint64
 	digest    string // a number that was rolled back is given again
 	committed bool
 	refuse    bool
@@ -24,7 +27,7 @@
 }
 
 // operate does what an operator wants, at the generation that there is; where the leader is away or a rollout is on it
-// tries again a second later.
+// attempts again a second later.
 func (s *Sim) operate(c Change, tries int) {
 	if tries > 20 {
 		return
@@ -34,13 +37,13 @@
 		again()
 		return
 	}
-	cmd := tenants.Command{Op: tenants.Put, Name: c.Tenant}
+	cmd := tenants.Command{Operation: tenants.Put, Name: c.Tenant}
 	if t, err := s.control.tenants.Tenant(c.Tenant); err == nil && t.Committed != nil {
 		cmd.Generation = t.Committed.Number
 	}
 	if c.Rate > 0 {
 		cmd.Spec = &fleet.Spec{Name: c.Tenant, Service: c.Service, Quota: fleet.Quota{Rate: c.Rate, Burst: c.Rate / 10}}
-	} else if cmd.Op = tenants.Delete; cmd.Generation == 0 {
+	} else if cmd.Operation = tenants.Delete; cmd.Generation == 0 {
 		return
 	}
 	put := s.now
@@ -68,7 +71,7 @@
 	if err != nil {
 		return err
 	}
-	if e := c.tenants.Tenants[cmd.Name]; cmd.Op == tenants.Commit && e != nil {
+	if e := c.tenants.Tenants[cmd.Name]; cmd.Operation == tenants.Commit && e != nil {
 		s.committed[generation(cmd.Name, e.UID, staged)] = true
 		for _, r := range s.rollouts {
 			if r.name == cmd.Name && r.uid == e.UID && r.digest == staged.Digest && !r.committed {
@@ -90,7 +93,7 @@
 	return nil
 }
 
-// counts tells whether a run of a node is present that serves a service.
+// counts reports whether a run of a node is present that serves a service.
 func (c *control) counts(n *node, service string) bool {
 	_, present := c.sessions.Members[n.name]
 	return present && fleet.Serves(n.services(), service)
@@ -104,13 +107,13 @@
 	return nil
 }
 
-// knows tells whether the newest that a node holds of a tenant has the generation staged or committed.
+// knows reports whether the newest that a node holds of a tenant has the generation staged or committed.
 func (n *node) knows(name string, uid uint64, digest string) bool {
 	t := n.held.tenants[name]
 	return t.UID == uid && (t.Staged != nil && t.Staged.Digest == digest || t.Committed != nil && t.Committed.Digest == digest)
 }
 
-// refuses tells whether this node can't stage a generation: the first node, where the change says so.
+// rejects reports whether this node can't stage a generation: the first node, where the change says so.
 func (n *node) refuses(name string, uid uint64, digest string) bool {
 	return n.i == 0 && slices.ContainsFunc(n.s.rollouts, func(r *rollout) bool {
 		return r.refuse && r.name == name && r.uid == uid && r.digest == digest && !r.committed
@@ -179,7 +182,10 @@
 func (s *Sim) quotas() {
 	for _, name := range slices.Sorted(maps.Keys(s.control.tenants.Tenants)) {
 		e := s.control.tenants.Tenants[name]
-		lo, hi, sum, quota := uint64(math.MaxUint64), uint64(0), 0.0, 0.0
+		lo := uint64(math.MaxUint64)
+		hi := uint64(0)
+		sum := 0.0
+		quota := 0.0
 		if e.Committed != nil {
 			quota = e.Committed.Spec.Quota.Rate
 		}
--- a/internal/fleet/statetable/statetable.go
+++ b/internal/fleet/statetable/statetable.go
@@ -20,8 +20,12 @@
 
 // Row is one row of a state table, as plain text without markup. Line is its line in the page, from 1.
 type Row struct {
-	State, Event, Condition, Next, Effect string
-	Line                                  int
+	State     string
+	Event     string
+	Condition string
+	Next      string
+	Effect    string
+	Line      int
 }
 
 // String is the row as a test names it.
--- a/internal/fleet/tenants/bench_test.go
+++ b/internal/fleet/tenants/bench_test.go
@@ -18,13 +18,13 @@
 	next := func() uint64 { rev++; return rev }
 	for i := range n {
 		name := fmt.Sprintf("tenant-%06d", i)
-		put := Command{Op: Put, Name: name, Spec: &fleet.Spec{Name: name, Quota: fleet.Quota{Rate: 100}}}
+		put := Command{Operation: Put, Name: name, Spec: &fleet.Spec{Name: name, Quota: fleet.Quota{Rate: 100}}}
 		if _, err := state.Apply(put, firstEpoch, next); err != nil {
 			b.Fatal(err)
 		}
 		entry := state.Tenants[name]
 		for _, op := range []string{Commit, Applied} {
-			command := Command{Op: op, Name: name, Generation: 1, UID: entry.UID, IfRevision: entry.Revision, Epoch: 1}
+			command := Command{Operation: op, Name: name, Generation: 1, UID: entry.UID, IfRevision: entry.Revision, Epoch: 1}
 			if _, err := state.Apply(command, firstEpoch, next); err != nil {
 				b.Fatal(err)
 			}
@@ -57,7 +57,7 @@
 				rev := uint64(1_000_000)
 				b.StartTimer()
 				commands := judge.Step(time.Second, state, Present{Epoch: firstEpoch, Members: present})
-				if len(commands) != 1 || commands[0].Op != Divide {
+				if len(commands) != 1 || commands[0].Operation != Divide {
 					b.Fatalf("%d commands", len(commands))
 				}
 				if _, err := state.Apply(commands[0], firstEpoch, func() uint64 { rev++; return rev }); err != nil {
--- a/internal/fleet/tenants/judge.go
+++ b/internal/fleet/tenants/controller.go
@@ -31,8 +31,9 @@
 }
 
 type stepStart struct {
-	uid, revision uint64
-	seenAt        fleet.Time // when this leader first saw it
+	uid      uint64
+	revision uint64
+	seenAt   fleet.Time // when this leader first saw it
 }
 
 // NewController makes a controller whose leadership began at 0.
@@ -43,20 +44,20 @@
 }
 
 // Lead begins a leadership: nothing seen before counts.
-func (j *Controller) Lead(now fleet.Time) {
-	j.leaderSince, j.reports, j.steps, j.divider = now, map[string]*nodeReport{}, map[string]stepStart{}, newQuotaDivider()
+func (ctl *Controller) Lead(now fleet.Time) {
+	ctl.leaderSince, ctl.reports, ctl.steps, ctl.divider = now, map[string]*nodeReport{}, map[string]stepStart{}, newQuotaDivider()
 }
 
 // Observe takes a present node's newest report. Those of older incarnations, and older ones of a run, are left out.
-func (j *Controller) Observe(now fleet.Time, v fleet.NodeView) {
-	old := j.reports[v.Node]
+func (ctl *Controller) Observe(now fleet.Time, v fleet.NodeView) {
+	old := ctl.reports[v.Node]
 	if old != nil && (v.Incarnation < old.Incarnation || v.Incarnation == old.Incarnation && v.Report.Sequence < old.Report.Sequence) {
 		return
 	}
 	part := 1.0
 	if old == nil || old.Incarnation != v.Incarnation {
 		old = &nodeReport{tenants: make(map[string]tenantReport, len(v.Report.Tenants))}
-		j.reports[v.Node] = old
+		ctl.reports[v.Node] = old
 	} else {
 		part = 1 - math.Exp(-float64(max(0, v.ReceivedAt-old.ReceivedAt))/float64(loadTau))
 	}
@@ -86,67 +87,67 @@
 // only the present members of its scope count. It is called about every 100 ms; a command that it gives again before the first was applied is rejected by
 // the state and does no harm. Over 200 tenants and 50 (300) nodes a step takes 0.1 (0.2) ms, one a second that divides 4 (25) ms,
 // and a report observed 0.1 ms: BenchmarkStep.
-func (j *Controller) Step(now fleet.Time, s *State, p Present) []Command {
+func (ctl *Controller) Step(now fleet.Time, s *State, p Present) []Command {
 	r := newPresentByScope(p)
-	for n := range j.reports {
+	for n := range ctl.reports {
 		if _, ok := slices.BinarySearchFunc(r.Members, fleet.Member{Node: n}, byNode); !ok {
-			delete(j.reports, n)
+			delete(ctl.reports, n)
 		}
 	}
-	for name := range j.steps {
+	for name := range ctl.steps {
 		if phase := s.Phase(name); phase == PhaseSettled || phase == PhaseNone {
-			delete(j.steps, name)
+			delete(ctl.steps, name)
 		}
 	}
 	var out []Command
 	for _, name := range sortedKeys(s.Tenants) {
 		e := s.Tenants[name]
-		if c, ok := j.nextStep(now, s, e, name, r); ok {
+		if c, ok := ctl.nextStep(now, s, e, name, r); ok {
 			service := e.Service()
 			c.Name, c.UID, c.IfRevision, c.Epoch, c.Scoped = name, e.UID, e.Revision, r.Epoch(service), service != ""
-			if c.Op == Commit || c.Op == Applied {
+			if c.Operation == Commit || c.Operation == Applied {
 				c.Runs = r.of(service).runs
 			}
 			out = append(out, c)
 		}
 	}
-	if d := j.divide(now, s, r); d != nil {
-		out = append(out, Command{Op: Divide, IfRevision: s.DividedRevision, Epoch: r.Epoch(""), Division: d})
+	if d := ctl.divide(now, s, r); d != nil {
+		out = append(out, Command{Operation: Divide, IfRevision: s.DividedRevision, Epoch: r.Epoch(""), Division: d})
 	}
 	return out
 }
 
 // nextStep says what a tenant is ready for.
-func (j *Controller) nextStep(now fleet.Time, s *State, e *Entry, name string, r *presentByScope) (Command, bool) {
+func (ctl *Controller) nextStep(now fleet.Time, s *State, e *Entry, name string, r *presentByScope) (Command, bool) {
 	phase := s.Phase(name)
 	if phase == PhaseSettled {
 		return Command{}, false
 	}
 	present := r.of(e.Service())
-	if b := j.steps[name]; b.uid != e.UID || b.revision != e.Revision {
-		j.steps[name] = stepStart{uid: e.UID, revision: e.Revision, seenAt: now}
+	if b := ctl.steps[name]; b.uid != e.UID || b.revision != e.Revision {
+		ctl.steps[name] = stepStart{uid: e.UID, revision: e.Revision, seenAt: now}
 	}
 	switch phase {
 	case PhaseStaging:
-		return j.stagingStep(now, s, e, name, present.members)
+		return ctl.stagingStep(now, s, e, name, present.members)
 	case PhaseApplying:
-		return Command{Op: Applied, Generation: e.Committed.Number}, present.all(func(m fleet.Member) bool { return j.hasApplied(e, name, m) })
+		return Command{Operation: Applied, Generation: e.Committed.Number}, present.all(func(m fleet.Member) bool { return ctl.hasApplied(e, name, m) })
 	case PhaseRemoving:
-		return Command{Op: Drained}, present.all(func(m fleet.Member) bool {
-			a, held := j.tenantReport(e, name, m)
-			return j.hasRevision(e, m) && (!held || a.Open == 0)
+		return Command{Operation: Drained}, present.all(func(m fleet.Member) bool {
+			a, known := ctl.tenantReport(e, name, m)
+			return ctl.hasRevision(e, m) && (!known || a.Open == 0)
 		})
 	case PhaseQuotaWithdrawn:
-		return Command{Op: QuotaWithdrawn}, present.all(func(m fleet.Member) bool { return j.hasRevision(e, m) })
+		return Command{Operation: QuotaWithdrawn}, present.all(func(m fleet.Member) bool { return ctl.hasRevision(e, m) })
 	}
 	return Command{}, false
 }
 
-func (j *Controller) stagingStep(now fleet.Time, s *State, e *Entry, name string, present []fleet.Member) (Command, bool) {
-	back := Command{Op: Rollback, Generation: e.Staged.Number}
+func (ctl *Controller) stagingStep(now fleet.Time, s *State, e *Entry, name string, present []fleet.Member) (Command, bool) {
+	back := Command{Operation: Rollback, Generation: e.Staged.Number}
 	for _, m := range present {
-		ok, refused, why := j.hasStaged(e, name, m)
-		if refused {
+		ok, rejected, why := ctl.hasStaged(e, name, m)
+		if rejected {
 			back.Node, back.Reason = m.Node, shortenReason(why)
 			return back, true
 		}
@@ -156,22 +157,22 @@
 	}
 	if back.Node == "" {
 		if s.CanCommit(name) {
-			return Command{Op: Commit, Generation: e.Staged.Number}, true
+			return Command{Operation: Commit, Generation: e.Staged.Number}, true
 		}
 		back.Node, back.Reason = s.leaseHolder(name), reasonNotStaged+": may still hold a share of the larger quota"
 	}
-	return back, now-j.steps[name].seenAt >= StageTimeout
+	return back, now-ctl.steps[name].seenAt >= StageTimeout
 }
 
 // hasStaged reports whether a node has validated and staged what is intended, by its own report with its module's digest;
 // rejected, that it can't; why, as text.
-func (j *Controller) hasStaged(e *Entry, name string, m fleet.Member) (ok, refused bool, why string) {
-	if !j.hasRevision(e, m) {
+func (ctl *Controller) hasStaged(e *Entry, name string, m fleet.Member) (ok, rejected bool, why string) {
+	if !ctl.hasRevision(e, m) {
 		return false, false, "has not heard of it"
 	}
-	a, held := j.tenantReport(e, name, m)
+	a, known := ctl.tenantReport(e, name, m)
 	switch {
-	case !held:
+	case !known:
 		return false, false, "does not hold the tenant"
 	case a.RejectReason != "":
 		return false, true, a.RejectReason
@@ -184,14 +185,14 @@
 }
 
 // hasRevision reports whether a present run's module holds intent as new as the tenant's item.
-func (j *Controller) hasRevision(e *Entry, m fleet.Member) bool {
-	v := j.reports[m.Node]
+func (ctl *Controller) hasRevision(e *Entry, m fleet.Member) bool {
+	v := ctl.reports[m.Node]
 	return v != nil && v.Incarnation == m.Incarnation && v.Report.Revision >= e.Revision
 }
 
 // tenantReport is a present run's report on this tenant, and on none that had its name before.
-func (j *Controller) tenantReport(e *Entry, name string, m fleet.Member) (fleet.TenantAck, bool) {
-	v := j.reports[m.Node]
+func (ctl *Controller) tenantReport(e *Entry, name string, m fleet.Member) (fleet.TenantAck, bool) {
+	v := ctl.reports[m.Node]
 	if v == nil || v.Incarnation != m.Incarnation {
 		return fleet.TenantAck{}, false
 	}
@@ -202,9 +203,9 @@
 	return *r.ack, true
 }
 
-func (j *Controller) hasApplied(e *Entry, name string, m fleet.Member) bool {
-	a, ok := j.tenantReport(e, name, m)
-	return ok && j.hasRevision(e, m) && a.Committed == e.Committed.Number && a.Digest == e.Committed.Digest
+func (ctl *Controller) hasApplied(e *Entry, name string, m fleet.Member) bool {
+	a, ok := ctl.tenantReport(e, name, m)
+	return ok && ctl.hasRevision(e, m) && a.Committed == e.Committed.Number && a.Digest == e.Committed.Digest
 }
 
 // shortenReason keeps a node's text short enough for the log, and on one line.
--- a/internal/fleet/tenants/division.go
+++ b/internal/fleet/tenants/division.go
@@ -161,9 +161,9 @@
 			}
 		}
 	}
-	most := next.maxLeasedByTenant()
+	maxLeased := next.maxLeasedByTenant()
 	for name, grants := range raises {
-		pool, sum := next.Leasable(name), most[name]
+		pool, sum := next.Leasable(name), maxLeased[name]
 		for _, g := range grants {
 			sum += g.Rates[name] - next.Runs[g.Node].MaxRates[name]
 		}
@@ -236,7 +236,9 @@
 	}
 	slices.Sort(changed)
 	changed = slices.Compact(changed)
-	s.Runs, s.OrphanedLeases, s.Slots = next.Runs, next.OrphanedLeases, next.Slots
+	s.Runs = next.Runs
+	s.OrphanedLeases = next.OrphanedLeases
+	s.Slots = next.Slots
 	s.countNodes(runs)
 	for _, h := range d.Confirmed {
 		for _, e := range s.Tenants {
--- a/internal/fleet/tenants/items.go
+++ b/internal/fleet/tenants/items.go
@@ -96,7 +96,7 @@
 	slices.Sort(keys)
 	var out []fleet.Item
 	for _, k := range keys {
-		if n, share := strings.CutPrefix(k, keyLease); share && node != "" && node != n {
+		if n, isLease := strings.CutPrefix(k, keyLease); isLease && node != "" && node != n {
 			continue
 		}
 		it, _ := s.Item(k)
--- a/internal/fleet/tenants/page_test.go
+++ b/internal/fleet/tenants/page_test.go
@@ -33,7 +33,7 @@
 		f.join("n0", "other")
 	}
 	for _, m := range f.answers {
-		f.session(session.Command{Op: session.Join, Member: m, Services: f.scope()})
+		f.session(session.Command{Operation: session.Join, Member: m, Services: f.scope()})
 	}
 	return f
 }
@@ -54,7 +54,7 @@
 
 // join has a further node join with these services.
 func (f *fixture) join(node string, services ...string) {
-	f.session(session.Command{Op: session.Join, Member: fleet.Member{Node: node, Zone: "z", Incarnation: 1}, Services: services})
+	f.session(session.Command{Operation: session.Join, Member: fleet.Member{Node: node, Zone: "z", Incarnation: 1}, Services: services})
 }
 
 func (f *fixture) present() Present {
@@ -68,7 +68,7 @@
 
 func (f *fixture) put(rate float64, at uint64) error {
 	spec := fleet.Spec{Name: "lulu", Service: f.service, Quota: fleet.Quota{Rate: rate}}
-	return f.apply(Command{Op: Put, Name: "lulu", Generation: at, Spec: &spec})
+	return f.apply(Command{Operation: Put, Name: "lulu", Generation: at, Spec: &spec})
 }
 
 func (f *fixture) committed() uint64 {
@@ -103,7 +103,7 @@
 // step carries out what the controller decides for the tenants, divisions only where asked; its last error.
 func (f *fixture) step(divide bool) (err error) {
 	for _, c := range f.j.Step(f.now, f.s, f.present()) {
-		if c.Op != Divide || divide {
+		if c.Operation != Divide || divide {
 			err = errors.Join(err, f.apply(c))
 		}
 	}
@@ -138,7 +138,7 @@
 	case PhaseStaging:
 		do(f.put(50, f.committed()))
 	case PhaseRemoving, PhaseQuotaWithdrawn:
-		do(f.apply(Command{Op: Delete, Name: "lulu", Generation: 1}))
+		do(f.apply(Command{Operation: Delete, Name: "lulu", Generation: 1}))
 		if phase == PhaseQuotaWithdrawn {
 			next()
 		}
@@ -157,20 +157,20 @@
 	"put/invalid":                       func(f *fixture) error { return f.put(-1, f.committed()) },
 	"put/another service": func(f *fixture) error {
 		spec := fleet.Spec{Name: "lulu", Service: f.service + "2", Quota: fleet.Quota{Rate: 60}}
-		err := f.apply(Command{Op: Put, Name: "lulu", Generation: f.committed(), Spec: &spec})
+		err := f.apply(Command{Operation: Put, Name: "lulu", Generation: f.committed(), Spec: &spec})
 		if field := (*FieldError)(nil); !errors.As(err, &field) || field.Field != "service" {
 			return fmt.Errorf("%w, want a fault of the field service", err)
 		}
 		return err
 	},
 	"delete/": func(f *fixture) error {
-		return f.apply(Command{Op: Delete, Name: "lulu", Generation: f.committed()})
+		return f.apply(Command{Operation: Delete, Name: "lulu", Generation: f.committed()})
 	},
 	"delete/the present generation": func(f *fixture) error {
-		return f.apply(Command{Op: Delete, Name: "lulu", Generation: 1})
+		return f.apply(Command{Operation: Delete, Name: "lulu", Generation: 1})
 	},
 	"delete/another generation": func(f *fixture) error {
-		return f.apply(Command{Op: Delete, Name: "lulu", Generation: 9})
+		return f.apply(Command{Operation: Delete, Name: "lulu", Generation: 9})
 	},
 	"*/by all present nodes, same epoch":        func(f *fixture) error { f.answer(nil); return f.step(false) },
 	"drained/no present node has requests open": func(f *fixture) error { f.answer(nil); return f.step(false) },
@@ -188,17 +188,17 @@
 	"*/a join or a leave outside of the scope": func(f *fixture) error {
 		return f.moved(func() {
 			f.join("n3", "another", "other")
-			f.session(session.Command{Op: session.Leave, Member: f.sessions.Members["n0"]})
+			f.session(session.Command{Operation: session.Leave, Member: f.sessions.Members["n0"]})
 		})
 	},
 	"staged/leases over the smaller quota may still be held": func(f *fixture) error {
 		f.s.Slots, f.s.Runs = 3, map[string]*Lease{"n1": {Incarnation: 1, MaxRates: map[string]float64{"lulu": 70}}}
 		f.answer(nil)
-		if cs := f.j.Step(f.now, f.s, f.present()); slices.ContainsFunc(cs, func(c Command) bool { return c.Op == Commit }) {
+		if cs := f.j.Step(f.now, f.s, f.present()); slices.ContainsFunc(cs, func(c Command) bool { return c.Operation == Commit }) {
 			return errors.New("the judge commits")
 		}
 		e := f.s.Tenants["lulu"]
-		return f.apply(Command{Op: Commit, Name: "lulu", UID: e.UID, IfRevision: e.Revision, Generation: e.Staged.Number,
+		return f.apply(Command{Operation: Commit, Name: "lulu", UID: e.UID, IfRevision: e.Revision, Generation: e.Staged.Number,
 			Epoch: f.sessions.ScopeEpoch(f.service), Scoped: f.service != ""})
 	},
 	"refused/by one present node": func(f *fixture) error {
@@ -330,7 +330,7 @@
 			for op := range events {
 				f := newFixture(service)
 				f.to(t, phase, old)
-				c := Command{Op: op, Name: "lulu", Generation: f.committed(), Epoch: f.sessions.ScopeEpoch(service), Scoped: service != "",
+				c := Command{Operation: op, Name: "lulu", Generation: f.committed(), Epoch: f.sessions.ScopeEpoch(service), Scoped: service != "",
 					Node: "n1", Reason: "r", Spec: &fleet.Spec{Name: "lulu", Service: service, Quota: fleet.Quota{Rate: 3}}, Division: &Division{Slots: 3}}
 				if e := f.s.Tenants["lulu"]; e != nil {
 					c.UID, c.IfRevision = e.UID, e.Revision
--- a/internal/fleet/tenants/lend.go
+++ b/internal/fleet/tenants/quota_divider.go
@@ -35,8 +35,8 @@
 // trackLeases notes which leased runs are over. A run that lapsed is over: it counted itself out before the leader did.
 // One that a larger incarnation ended may hold its lease for another TTL; so may any that vanished while this controller
 // can't tell how: it did not lead yet, or the epoch moved more often than the present runs did.
-func (j *Controller) trackLeases(now fleet.Time, s *State, epoch uint64, present []fleet.Member) {
-	l := &j.divider
+func (ctl *Controller) trackLeases(now fleet.Time, s *State, epoch uint64, present []fleet.Member) {
+	l := &ctl.divider
 	cur := make(map[string]uint64, len(present))
 	moves := uint64(0)
 	for _, m := range present {
@@ -77,7 +77,7 @@
 			l.vanishedAt[r] = now
 			l.expired[r] = allSeen && !there && l.presentBefore[r.Node] == r.Incarnation
 		}
-		if now-l.vanishedAt[r] >= j.config.TTL {
+		if now-l.vanishedAt[r] >= ctl.config.TTL {
 			l.expired[r] = true
 		}
 	}
@@ -97,15 +97,15 @@
 }
 
 // divide decides one division, or none: it looks once in DivideInterval, and changes only what is to change.
-func (j *Controller) divide(now fleet.Time, s *State, r *presentByScope) *Division {
+func (ctl *Controller) divide(now fleet.Time, s *State, r *presentByScope) *Division {
 	present := r.Members
-	j.trackLeases(now, s, r.Epoch(""), present)
-	l := &j.divider
-	if j.config.Slots <= 0 || l.started && now-l.dividedAt < DivideInterval {
+	ctl.trackLeases(now, s, r.Epoch(""), present)
+	l := &ctl.divider
+	if ctl.config.Slots <= 0 || l.started && now-l.dividedAt < DivideInterval {
 		return nil
 	}
 	l.started, l.dividedAt = true, now
-	d := &Division{Slots: j.config.Slots}
+	d := &Division{Slots: ctl.config.Slots}
 	for r, over := range l.expired {
 		if over {
 			d.Expired = append(d.Expired, r)
@@ -120,30 +120,30 @@
 		grants[i] = Grant{Run: Run{m.Node, m.Incarnation}}
 		le := s.Runs[m.Node]
 		fresh[i] = le == nil || le.Incarnation != m.Incarnation
-		v := j.reports[m.Node]
+		v := ctl.reports[m.Node]
 		if v == nil || v.Incarnation != m.Incarnation || fresh[i] {
 			continue
 		}
-		h := Confirmation{Run: grants[i].Run, Revision: v.Report.Revision, SoleRun: now-l.presentSince[grants[i].Run] >= j.config.TTL}
+		h := Confirmation{Run: grants[i].Run, Revision: v.Report.Revision, SoleRun: now-l.presentSince[grants[i].Run] >= ctl.config.TTL}
 		if s.freesQuota(h, le) {
 			d.Confirmed = append(d.Confirmed, h)
 		}
 	}
-	next := s.draftLeases(&Division{Slots: j.config.Slots, Confirmed: d.Confirmed, Expired: d.Expired, Grants: grants})
+	next := s.draftLeases(&Division{Slots: ctl.config.Slots, Confirmed: d.Confirmed, Expired: d.Expired, Grants: grants})
 	runs := make([]presentRun, len(present))
 	for i, m := range present {
 		runs[i] = presentRun{lease: next.Runs[m.Node], grant: &grants[i]}
-		if v := j.reports[m.Node]; v != nil && v.Incarnation == m.Incarnation {
+		if v := ctl.reports[m.Node]; v != nil && v.Incarnation == m.Incarnation {
 			runs[i].reports = v.tenants
 		}
 	}
-	most := next.maxLeasedByTenant()
-	for _, name := range next.names(most) {
+	maxLeased := next.maxLeasedByTenant()
+	for _, name := range next.names(maxLeased) {
 		service := ""
 		if e := next.Tenants[name]; e != nil {
 			service = e.Service()
 		}
-		j.grantTenant(next, name, service, most[name], r.of(service).pick(runs))
+		ctl.grantTenant(next, name, service, maxLeased[name], r.of(service).pick(runs))
 	}
 	for i, m := range present {
 		runs[i].withdrawOutOfScope(next, r.Services[m.Node])
@@ -176,9 +176,9 @@
 }
 
 // names are the tenants that lease something or may.
-func (s *State) names(most map[string]float64) []string {
+func (s *State) names(maxLeased map[string]float64) []string {
 	all := sortedKeys(s.Tenants)
-	for name := range most {
+	for name := range maxLeased {
 		if s.Tenants[name] == nil {
 			all = append(all, name)
 		}
@@ -213,24 +213,24 @@
 }
 
 // grantTenant moves one tenant's parts to its aim as far as may be now: down at once, up out of what no run may hold.
-func (j *Controller) grantTenant(next *State, name, service string, most float64, runs []presentRun) {
+func (ctl *Controller) grantTenant(next *State, name, service string, maxLeased float64, runs []presentRun) {
 	pool := next.Leasable(name)
-	if pool == 0 && most == 0 {
+	if pool == 0 && maxLeased == 0 {
 		return
 	}
-	want := j.targetRates(next, name, service, pool, runs)
-	held := make([]float64, len(runs))
+	want := ctl.targetRates(next, name, service, pool, runs)
+	leased := make([]float64, len(runs))
 	need := 0.0
 	for i, st := range runs {
-		held[i] = st.lease.MaxRates[name]
-		need += max(0, want[i]-held[i])
+		leased[i] = st.lease.MaxRates[name]
+		need += max(0, want[i]-leased[i])
 	}
 	part := 0.0
 	if need > 0 {
-		part = min(1, max(0, pool-most)/need)
+		part = min(1, max(0, pool-maxLeased)/need)
 	}
 	for i, st := range runs {
-		to := min(want[i], held[i])
+		to := min(want[i], leased[i])
 		to = roundDown(to + part*max(0, want[i]-to))
 		if to != st.lease.Rates[name] {
 			st.setRate(name, to)
@@ -240,7 +240,7 @@
 
 // targetRates returns the part of what may be leased of each run present in the scope. It stays as it was while that and the runs are the same and
 // either every run has capacity, or no run's part would move by more than the hysteresis.
-func (j *Controller) targetRates(next *State, name, service string, pool float64, runs []presentRun) []float64 {
+func (ctl *Controller) targetRates(next *State, name, service string, pool float64, runs []presentRun) []float64 {
 	floor := 0.0
 	if e := next.Tenants[name]; e != nil && e.Committed != nil {
 		floor = fleet.GuaranteedPart * e.Committed.Spec.Quota.Rate / float64(next.Slots)
@@ -253,7 +253,7 @@
 			loads[i] = st.lease.Rates[name] // nothing heard: as it is
 		}
 	}
-	old, ok := j.divider.targets[name]
+	old, ok := ctl.divider.targets[name]
 	if ok = ok && old.service == service; !ok { // a new leader continues from what is leased, where that is nearly all
 		old = target{leasable: pool, service: service, rates: make([]float64, len(runs))}
 		sum := 0.0
@@ -265,16 +265,16 @@
 	}
 	want := divideByLoad(pool, loads)
 	if ok && old.leasable == pool {
-		near, room := true, true
+		withinHysteresis, withinLoad := true, true
 		for i := range want {
-			near = near && math.Abs(want[i]-old.rates[i]) <= hysteresis*max(old.rates[i], pool/float64(len(runs)))
-			room = room && loads[i] <= maxLoadPart*old.rates[i]
+			withinHysteresis = withinHysteresis && math.Abs(want[i]-old.rates[i]) <= hysteresis*max(old.rates[i], pool/float64(len(runs)))
+			withinLoad = withinLoad && loads[i] <= maxLoadPart*old.rates[i]
 		}
-		if near || room {
+		if withinHysteresis || withinLoad {
 			want = old.rates
 		}
 	}
-	j.divider.targets[name] = target{leasable: pool, service: service, rates: want}
+	ctl.divider.targets[name] = target{leasable: pool, service: service, rates: want}
 	return want
 }
 
--- a/internal/fleet/tenants/lend_test.go
+++ b/internal/fleet/tenants/quota_divider_test.go
@@ -11,13 +11,14 @@
 
 // city is a fleet without faults: every node hears and reports within a step.
 type city struct {
-	s               *State
-	j               *Controller
-	now             fleet.Time
-	rev             uint64
-	present         []fleet.Member
-	load            func(node int, tenant string) float64
-	cmds, divisions int
+	s         *State
+	j         *Controller
+	now       fleet.Time
+	rev       uint64
+	present   []fleet.Member
+	load      func(node int, tenant string) float64
+	cmds      int
+	divisions int
 }
 
 func newCity(nodes, slots int, load func(int, string) float64) *city {
@@ -35,7 +36,7 @@
 
 func (c *city) apply(t testing.TB, cmd Command) {
 	if _, err := c.s.Apply(cmd, firstEpoch, func() uint64 { c.rev++; return c.rev }); err != nil {
-		t.Fatalf("%s %s: %v", cmd.Op, cmd.Name, err)
+		t.Fatalf("%s %s: %v", cmd.Operation, cmd.Name, err)
 	}
 }
 
@@ -44,7 +45,7 @@
 	if e := c.s.Tenants[name]; e != nil {
 		at = e.Committed.Number
 	}
-	c.apply(t, Command{Op: Put, Name: name, Generation: at, Spec: &fleet.Spec{Name: name, Quota: fleet.Quota{Rate: rate}}})
+	c.apply(t, Command{Operation: Put, Name: name, Generation: at, Spec: &fleet.Spec{Name: name, Quota: fleet.Quota{Rate: rate}}})
 }
 
 func (c *city) report() {
@@ -73,7 +74,7 @@
 		}
 		for _, cmd := range c.j.Step(c.now, c.s, c.whole()) {
 			c.cmds++
-			if cmd.Op == Divide {
+			if cmd.Operation == Divide {
 				c.divisions++
 			}
 			c.apply(t, cmd)
@@ -85,8 +86,8 @@
 	return c.s.Runs[c.present[node].Node].Rates[name] + fleet.GuaranteedPart*c.s.Tenants[name].Committed.Spec.Quota.Rate/float64(c.s.Slots)
 }
 
-// TestUnusedShareFollowsDemand moves a brand's whole load from one node to another, and back.
-func TestUnusedShareFollowsDemand(t *testing.T) {
+// TestUnusedQuotaFollowsDemand moves a brand's whole load from one node to another, and back.
+func TestUnusedQuotaFollowsDemand(t *testing.T) {
 	busy := 0
 	c := newCity(10, 10, func(n int, _ string) float64 {
 		if n == busy {
--- a/internal/fleet/tenants/scope_test.go
+++ b/internal/fleet/tenants/scope_test.go
@@ -18,7 +18,7 @@
 		t.Fatal(err)
 	}
 	e := f.s.Tenants["lulu"]
-	commit := Command{Op: Commit, Name: "lulu", UID: e.UID, IfRevision: e.Revision, Generation: 1, Epoch: f.sessions.ScopeEpoch("retail")}
+	commit := Command{Operation: Commit, Name: "lulu", UID: e.UID, IfRevision: e.Revision, Generation: 1, Epoch: f.sessions.ScopeEpoch("retail")}
 	if err := f.apply(commit); !errors.Is(err, ErrStale) || commit.Epoch == f.sessions.Epoch {
 		t.Errorf("at the scope's epoch %d of %d: %v", commit.Epoch, f.sessions.Epoch, err)
 	}
@@ -38,7 +38,7 @@
 		}
 	}
 	for name, service := range map[string]string{"a": "", "b": "billing", "c": "billing", "d": "search", "e": "mail"} {
-		apply(Command{Op: Put, Name: name, Spec: &fleet.Spec{Name: name, Service: service, Quota: fleet.Quota{Rate: 1}}})
+		apply(Command{Operation: Put, Name: name, Spec: &fleet.Spec{Name: name, Service: service, Quota: fleet.Quota{Rate: 1}}})
 	}
 	check := func(want map[string][]string) {
 		t.Helper()
@@ -55,9 +55,9 @@
 	check(map[string][]string{"": {"a", "b", "c", "d", "e"}, `["billing"]`: {"a", "b", "c"}, `["billing","search"]`: {"a", "b", "c", "d"}, `["none"]`: {"a"}})
 	// A first generation that is rolled back takes its tenant away; the name may come back in another service.
 	e := s.Tenants["b"]
-	apply(Command{Op: Rollback, Name: "b", UID: e.UID, IfRevision: e.Revision, Generation: 1, Node: "n", Reason: "r"})
+	apply(Command{Operation: Rollback, Name: "b", UID: e.UID, IfRevision: e.Revision, Generation: 1, Node: "n", Reason: "r"})
 	check(map[string][]string{`["billing"]`: {"a", "c"}})
-	apply(Command{Op: Put, Name: "b", Spec: &fleet.Spec{Name: "b", Service: "search", Quota: fleet.Quota{Rate: 1}}})
+	apply(Command{Operation: Put, Name: "b", Spec: &fleet.Spec{Name: "b", Service: "search", Quota: fleet.Quota{Rate: 1}}})
 	want := map[string][]string{`["billing"]`: {"a", "c"}, `["search"]`: {"a", "b", "d"}}
 	check(want)
 	raw, _ := json.Marshal(s)
--- a/internal/fleet/tenants/simulation/play_test.go
+++ b/internal/fleet/tenants/simulation/play_test.go
@@ -20,7 +20,7 @@
 			}
 			return rng.Intn(k)
 		}
-		if b := play(pick, "", acts); b != "" {
+		if b := runModel(pick, "", acts); b != "" {
 			rt.Fatal(b)
 		}
 	})
@@ -44,7 +44,7 @@
 		t.Run(f.fault, func(t *testing.T) {
 			for seed := int64(1); seed <= 400; seed++ {
 				rng := rand.New(rand.NewSource(seed))
-				if b := play(rng.Intn, f.fault, 40); strings.Contains(b, f.rule+":") {
+				if b := runModel(rng.Intn, f.fault, 40); strings.Contains(b, f.rule+":") {
 					t.Logf("seed %d: %s", seed, b)
 					return
 				}
--- a/internal/fleet/tenants/simulation/scope.go
+++ b/internal/fleet/tenants/simulation/scope.go
@@ -14,20 +14,22 @@
 )
 
 // within is the part of a copy that a node of these services holds.
-func (c copyOf) within(services []string) copyOf {
+func (c intentCopy) within(services []string) intentCopy {
 	c.tenants = maps.Clone(c.tenants)
 	maps.DeleteFunc(c.tenants, func(_ string, t fleet.Tenant) bool { return !fleet.Serves(services, t.Service()) })
 	return c
 }
 
-// counts says whether a run is present and serves a tenant.
+// counts reports whether a run is present and serves a tenant.
 func (m *model) counts(r *run, t fleet.Tenant) bool {
 	return m.sessions.Present(r.member()) && fleet.Serves(r.services, t.Service())
 }
 
-func (r *run) member() fleet.Member { return fleet.Member{Node: r.name, Zone: "z", Incarnation: r.inc} }
+func (r *run) member() fleet.Member {
+	return fleet.Member{Node: r.name, Zone: "z", Incarnation: r.incarnation}
+}
 
-// present is who is present, as the judge is to count them.
+// present is who is present, as the controller is to count them.
 func (m *model) present() tenants.Present {
 	p := tenants.Present{Epoch: m.sessions.ScopeEpoch, Members: m.sessions.List(), Services: maps.Clone(m.sessions.ServicesByNode())}
 	for node := range p.Services {
--- a/internal/fleet/tenants/state.go
+++ b/internal/fleet/tenants/state.go
@@ -60,7 +60,7 @@
 // this change; it is called once, and only where something changes. epoch gives the session epochs as they stand
 // where the command is applied. Errors wrap fleet.ErrInvalid, ErrConflict, ErrNotFound or ErrStale; they change nothing.
 func (s *State) Apply(c Command, epoch EpochOf, rev func() uint64) (changed []string, err error) {
-	switch c.Op {
+	switch c.Operation {
 	case Put:
 		return s.propose(c, rev)
 	case Delete:
@@ -74,15 +74,15 @@
 		e := s.Tenants[c.Name]
 		switch {
 		case e == nil || e.UID != c.UID:
-			return nil, fmt.Errorf("%w: %s of tenant %q: it is no more", ErrStale, c.Op, c.Name)
+			return nil, fmt.Errorf("%w: %s of tenant %q: it is no more", ErrStale, c.Operation, c.Name)
 		case e.Revision != c.IfRevision:
-			return nil, fmt.Errorf("%w: %s of tenant %q at revision %d, it is at %d", ErrStale, c.Op, c.Name, c.IfRevision, e.Revision)
-		case c.Epoch != c.epochNow(e, epoch) && c.Op != Rollback:
-			return nil, fmt.Errorf("%w: %s of tenant %q at epoch %d, it is %d", ErrStale, c.Op, c.Name, c.Epoch, c.epochNow(e, epoch))
+			return nil, fmt.Errorf("%w: %s of tenant %q at revision %d, it is at %d", ErrStale, c.Operation, c.Name, c.IfRevision, e.Revision)
+		case c.Epoch != c.epochNow(e, epoch) && c.Operation != Rollback:
+			return nil, fmt.Errorf("%w: %s of tenant %q at epoch %d, it is %d", ErrStale, c.Operation, c.Name, c.Epoch, c.epochNow(e, epoch))
 		}
 		return s.applyStep(e, c, rev)
 	}
-	return nil, fmt.Errorf("%w: op %q is not known", fleet.ErrInvalid, c.Op)
+	return nil, fmt.Errorf("%w: op %q is not known", fleet.ErrInvalid, c.Operation)
 }
 
 // epochNow is the present value of the epoch that the command names. Those from before there were scopes name the fleet's,
@@ -161,9 +161,9 @@
 // applyStep carries out the controller's commands on a tenant that is as the controller saw it.
 func (s *State) applyStep(e *Entry, c Command, rev func() uint64) ([]string, error) {
 	wrong := func() ([]string, error) {
-		return nil, fmt.Errorf("%w: %s of tenant %q, generation %d: not where the tenant is", ErrStale, c.Op, c.Name, c.Generation)
+		return nil, fmt.Errorf("%w: %s of tenant %q, generation %d: not where the tenant is", ErrStale, c.Operation, c.Name, c.Generation)
 	}
-	switch c.Op {
+	switch c.Operation {
 	case Commit:
 		if e.Staged == nil || e.Staged.Number != c.Generation {
 			return wrong()
@@ -173,7 +173,9 @@
 		}
 		s.countNodes(c.Runs)
 		s.keepOutdatedRates(e, e.Staged.Spec.Quota.Rate)
-		e.Committed, e.Staged, e.Applying = e.Staged, nil, true
+		e.Committed = e.Staged
+		e.Staged = nil
+		e.Applying = true
 	case Rollback:
 		if e.Staged == nil || e.Staged.Number != c.Generation {
 			return wrong()
@@ -215,13 +217,13 @@
 	for _, r := range runs {
 		s.CountedNodes[r.Node] = s.NodeCounts
 	}
-	most := 2 * max(s.Slots, len(runs))
-	if s.Slots == 0 || len(s.CountedNodes) <= most {
+	maxNodes := 2 * max(s.Slots, len(runs))
+	if s.Slots == 0 || len(s.CountedNodes) <= maxNodes {
 		return
 	}
 	names := sortedKeys(s.CountedNodes)
 	slices.SortStableFunc(names, func(a, b string) int { return cmp.Compare(s.CountedNodes[a], s.CountedNodes[b]) })
-	for _, n := range names[:len(names)-most] {
+	for _, n := range names[:len(names)-maxNodes] {
 		delete(s.CountedNodes, n)
 		for _, e := range s.Tenants {
 			delete(e.OutdatedRates, n)
--- a/internal/fleet/tenants/status.go
+++ b/internal/fleet/tenants/status.go
@@ -18,7 +18,7 @@
 )
 
 // Status returns the phase with a tenant of each node present in its scope, by node; fleet.ErrNotFound wrapped for a name that has none.
-func (j *Controller) Status(now fleet.Time, s *State, name string, p Present) ([]NodeStatus, error) {
+func (ctl *Controller) Status(now fleet.Time, s *State, name string, p Present) ([]NodeStatus, error) {
 	e := s.Tenants[name]
 	if e == nil {
 		return nil, s.notFound(name)
@@ -27,12 +27,12 @@
 	out := make([]NodeStatus, 0, len(present))
 	for _, m := range present {
 		st := NodeStatus{Node: m.Node, Phase: NodeSilent, AgeMS: -1}
-		if v := j.reports[m.Node]; v != nil && v.Incarnation == m.Incarnation {
+		if v := ctl.reports[m.Node]; v != nil && v.Incarnation == m.Incarnation {
 			st.AgeMS = (now - v.ReceivedAt).Milliseconds()
-			a, held := j.tenantReport(e, name, m)
+			a, known := ctl.tenantReport(e, name, m)
 			st.Generation, st.Staged = a.Committed, a.Staged
-			st.Phase, st.Reason = j.nodePhase(e, name, m, a, held)
-			if b := j.steps[name]; st.Phase == NodeBehind && b.revision == e.Revision && now-b.seenAt >= ApplyTimeout && j.isLate(s, e, name, m) {
+			st.Phase, st.Reason = ctl.nodePhase(e, name, m, a, known)
+			if b := ctl.steps[name]; st.Phase == NodeBehind && b.revision == e.Revision && now-b.seenAt >= ApplyTimeout && ctl.isLate(s, e, name, m) {
 				st.Reason = reasonLate
 			}
 		}
@@ -41,24 +41,24 @@
 	return out, nil
 }
 
-func (j *Controller) nodePhase(e *Entry, name string, m fleet.Member, a fleet.TenantAck, held bool) (phase, reason string) {
+func (ctl *Controller) nodePhase(e *Entry, name string, m fleet.Member, a fleet.TenantAck, known bool) (phase, reason string) {
 	switch {
-	case !j.hasRevision(e, m):
+	case !ctl.hasRevision(e, m):
 		return NodeBehind, ""
-	case e.Removing && held && a.Open > 0:
+	case e.Removing && known && a.Open > 0:
 		return NodeDraining, ""
 	case e.Removing:
 		return NodeRemoved, ""
 	case e.Staged != nil:
-		ok, refused, why := j.hasStaged(e, name, m)
-		if refused {
+		ok, rejected, why := ctl.hasStaged(e, name, m)
+		if rejected {
 			return NodeRejected, why
 		}
 		if ok {
 			return NodeStaged, ""
 		}
 		return NodeBehind, why
-	case j.hasApplied(e, name, m):
+	case ctl.hasApplied(e, name, m):
 		return NodeApplied, ""
 	}
 	return NodeBehind, ""
@@ -66,29 +66,32 @@
 
 // LateNode is a node present in a tenant's scope that holds up a step of a rollout or removal, past ApplyTimeout.
 type LateNode struct {
-	Node, Tenant                 string
-	WantedGeneration, Generation uint64 // generations committed: intended, and by the node's report
+	Node   string
+	Tenant string
+	// generations committed: intended, and by the node's report
+	WantedGeneration uint64
+	Generation       uint64
 }
 
 // Late names those that hold up what is committed, by tenant and node: it is never taken back, and so nothing but them
 // stands in its way. A node that still has requests of a removed tenant open is not among them.
-func (j *Controller) Late(now fleet.Time, s *State, p Present) (out []LateNode) {
+func (ctl *Controller) Late(now fleet.Time, s *State, p Present) (out []LateNode) {
 	var r *presentByScope // made for the first that is past its bound
-	for _, name := range sortedKeys(j.steps) {
+	for _, name := range sortedKeys(ctl.steps) {
 		e := s.Tenants[name]
-		if b := j.steps[name]; e == nil || b.revision != e.Revision || now-b.seenAt < ApplyTimeout {
+		if b := ctl.steps[name]; e == nil || b.revision != e.Revision || now-b.seenAt < ApplyTimeout {
 			continue
 		}
 		if r == nil {
 			r = newPresentByScope(p)
 		}
 		for _, m := range r.of(e.Service()).members {
-			if j.isLate(s, e, name, m) {
+			if ctl.isLate(s, e, name, m) {
 				l := LateNode{Node: m.Node, Tenant: name}
 				if e.Committed != nil {
 					l.WantedGeneration = e.Committed.Number
 				}
-				if a, ok := j.tenantReport(e, name, m); ok {
+				if a, ok := ctl.tenantReport(e, name, m); ok {
 					l.Generation = a.Committed
 				}
 				out = append(out, l)
@@ -99,12 +102,12 @@
 }
 
 // isLate reports whether a node has yet to take the step that a tenant is at.
-func (j *Controller) isLate(s *State, e *Entry, name string, m fleet.Member) bool {
+func (ctl *Controller) isLate(s *State, e *Entry, name string, m fleet.Member) bool {
 	switch s.Phase(name) {
 	case PhaseApplying:
-		return !j.hasApplied(e, name, m)
+		return !ctl.hasApplied(e, name, m)
 	case PhaseRemoving, PhaseQuotaWithdrawn:
-		return !j.hasRevision(e, m)
+		return !ctl.hasRevision(e, m)
 	}
 	return false
 }
--- a/internal/fleet/zones/room.go
+++ b/internal/fleet/zones/capacity.go
@@ -17,7 +17,7 @@
 
 // rateSample is what a zone carried at one step.
 type rateSample struct {
-	at       fleet.Time
+	takenAt       fleet.Time
 	answered float64 // answers/s
 	listed   int
 }
@@ -36,23 +36,23 @@
 }
 
 // recordLoads keeps what the zones carry now.
-func (j *Controller) recordLoads(v fleetView) {
+func (ctl *Controller) recordLoads(v fleetView) {
 	total := 0.0
 	for _, y := range v.zones {
-		z := j.loads[y]
+		z := ctl.loads[y]
 		if z == nil {
 			z = &zoneLoad{}
-			j.loads[y] = z
+			ctl.loads[y] = z
 		}
-		var rates, refused []float64
+		var rates, rejected []float64
 		attempts := 0
 		for _, s := range v.nodes {
 			c := s.zones[y]
 			rates = append(rates, c.rate)
-			refused = append(refused, float64(c.attempts-c.answered-c.lost))
+			rejected = append(rejected, float64(c.attempts-c.answered-c.lost))
 			attempts += c.attempts
 		}
-		now := rateSample{at: v.now, listed: v.medianListed(y), answered: sum(clampToMedian(rates))}
+		now := rateSample{takenAt: v.now, listed: v.medianListed(y), answered: sum(clampToMedian(rates))}
 		z.history = recentSamples(append(z.history, now), v.now)
 		total += now.answered
 		b := &z.buckets[int64(v.now/bucketDuration)%bucketCount]
@@ -62,13 +62,13 @@
 		if listed := z.maxListed(v.now); listed > 0 {
 			b.maxRate = math.Max(b.maxRate, now.answered/float64(listed))
 		}
-		b.wasFull = b.wasFull || attempts >= 20 && sum(clampToMedian(refused)) > fullRejectedPart*float64(attempts)
+		b.wasFull = b.wasFull || attempts >= 20 && sum(clampToMedian(rejected)) > fullRejectedPart*float64(attempts)
 	}
-	j.totalRates = recentSamples(append(j.totalRates, rateSample{at: v.now, answered: total}), v.now)
+	ctl.totalRates = recentSamples(append(ctl.totalRates, rateSample{takenAt: v.now, answered: total}), v.now)
 }
 
 func recentSamples(h []rateSample, now fleet.Time) []rateSample {
-	return slices.DeleteFunc(h, func(s rateSample) bool { return now-s.at > listedWindow })
+	return slices.DeleteFunc(h, func(s rateSample) bool { return now-s.takenAt > listedWindow })
 }
 
 func sum(values []float64) (t float64) {
@@ -81,7 +81,7 @@
 // maxRecentRate answers/s of the last 3 s.
 func maxRecentRate(h []rateSample, now fleet.Time) (ok float64) {
 	for _, s := range h {
-		if now-s.at <= demandWindow {
+		if now-s.takenAt <= demandWindow {
 			ok = math.Max(ok, s.answered)
 		}
 	}
@@ -91,7 +91,7 @@
 // maxListed is the most servers of the last 10 s.
 func (z *zoneLoad) maxListed(now fleet.Time) (n int) {
 	for _, s := range z.history {
-		if now-s.at <= listedWindow {
+		if now-s.takenAt <= listedWindow {
 			n = max(n, s.listed)
 		}
 	}
@@ -109,13 +109,13 @@
 }
 
 // provedRate is what one of zone y's servers has given; where nothing is known, what one of the others has.
-func (j *Controller) provedRate(y string, now fleet.Time) (rate float64) {
-	if z := j.loads[y]; z != nil {
+func (ctl *Controller) provedRate(y string, now fleet.Time) (rate float64) {
+	if z := ctl.loads[y]; z != nil {
 		if rate, _ = z.provedRate(now); rate > 0 {
 			return rate
 		}
 	}
-	for _, z := range j.loads {
+	for _, z := range ctl.loads {
 		if r, _ := z.provedRate(now); r > 0 && (rate == 0 || r < rate) {
 			rate = r
 		}
@@ -147,8 +147,8 @@
 }
 
 // listedServers is how many servers zone y has: as it was when it was evacuated, or of late.
-func (j *Controller) listedServers(p plannedDirectives, y string, now fleet.Time) (n int) {
-	if z := j.loads[y]; z != nil {
+func (ctl *Controller) listedServers(p plannedDirectives, y string, now fleet.Time) (n int) {
+	if z := ctl.loads[y]; z != nil {
 		n = z.maxListed(now)
 	}
 	if e, ok := p[Key(y, "")]; ok {
@@ -158,7 +158,7 @@
 }
 
 // keepsEnoughServers reports whether, with share of zone y as nodes of x see it (x "": all), enough servers stay for everyone.
-func (j *Controller) keepsEnoughServers(v fleetView, p plannedDirectives, y, x string, share float64) bool {
+func (ctl *Controller) keepsEnoughServers(v fleetView, p plannedDirectives, y, x string, share float64) bool {
 	observers := []string{x}
 	if x == "" {
 		for z := range v.presentByZone {
@@ -167,8 +167,8 @@
 	}
 	for _, o := range observers {
 		total, stay := 0.0, 0.0
-		for _, z := range j.knownZones() {
-			n := float64(j.listedServers(p, z, v.now))
+		for _, z := range ctl.knownZones() {
+			n := float64(ctl.listedServers(p, z, v.now))
 			total += n
 			s := math.Min(p.baseShare(z, ""), p.baseShare(z, o))
 			if z == y {
@@ -176,7 +176,7 @@
 			}
 			stay += n * s
 		}
-		if total == 0 || stay < j.settings.MinServersPart*total {
+		if total == 0 || stay < ctl.settings.MinServersPart*total {
 			return false
 		}
 	}
@@ -185,8 +185,8 @@
 
 // evacuablePart returns how much of zone y the nodes of x (x "": all) may leave: what the others can take beyond what they serve, of
 // the demand that would move. For a zone that is evacuated in part, it is what more may be left.
-func (j *Controller) evacuablePart(v fleetView, p plannedDirectives, y, x string) (part, demand float64) {
-	y0 := j.loads[y]
+func (ctl *Controller) evacuablePart(v fleetView, p plannedDirectives, y, x string) (part, demand float64) {
+	y0 := ctl.loads[y]
 	if y0 == nil {
 		return 0, 0
 	}
@@ -197,50 +197,52 @@
 	}
 	if e, ok := p[Key(y, x)]; ok { // what it carried has moved already, but for its share
 		now, moves = 0, e.Demand
-		if last := y0.history[len(y0.history)-1]; last.at == v.now {
+		if last := y0.history[len(y0.history)-1]; last.takenAt == v.now {
 			now = last.answered
 		}
 	}
-	bear, carry, moving := 0.0, 0.0, 0.0
-	for _, z := range j.knownZones() {
+	available := 0.0
+	served := 0.0
+	moving := 0.0
+	for _, z := range ctl.knownZones() {
 		if z == y {
 			continue
 		}
-		if e, left := p[Key(z, "")]; left && e.Phase == fleet.Evacuated && (e.Revision == 0 || j.isLoadMoving(Key(z, ""), v.now)) {
+		if e, left := p[Key(z, "")]; left && e.Phase == fleet.Evacuated && (e.Revision == 0 || ctl.isLoadMoving(Key(z, ""), v.now)) {
 			moving += e.Demand * (1 - e.Share)
 		}
-		if j.evidence[Key(z, "")].Event == Lost {
+		if ctl.evidence[Key(z, "")].Event == Lost {
 			continue // it bears nothing
 		}
-		carry += maxRecentRate(j.loads[z].history, v.now)
-		rate, full := j.loads[z].provedRate(v.now)
+		served += maxRecentRate(ctl.loads[z].history, v.now)
+		rate, full := ctl.loads[z].provedRate(v.now)
 		if rate == 0 {
-			rate = j.provedRate(z, v.now)
+			rate = ctl.provedRate(z, v.now)
 		}
 		if !full {
-			rate *= j.settings.CapacityFactor
+			rate *= ctl.settings.CapacityFactor
 		}
-		bear += rate * float64(j.listedServers(p, z, v.now)) * p.servedShare(z, x)
+		available += rate * float64(ctl.listedServers(p, z, v.now)) * p.servedShare(z, x)
 	}
 	if moves <= 0 {
 		return 1, moves
 	}
 	// Load that nodes have moved by themselves is in what the others carry, though not in the total but for y; load of
 	// zones that are lost too is the other way round. The less of the two is what they carry.
-	room := bear*j.settings.UsableCapacityPart - math.Min(carry+moving, math.Max(0, maxRecentRate(j.totalRates, v.now)-now))
-	return math.Max(0, math.Min(1, room/moves)), moves
+	spare := available*ctl.settings.UsableCapacityPart - math.Min(served+moving, math.Max(0, maxRecentRate(ctl.totalRates, v.now)-now))
+	return math.Max(0, math.Min(1, spare/moves)), moves
 }
 
 // isLoadMoving reports whether a directive is so new that the load may still be moving.
-func (j *Controller) isLoadMoving(key string, now fleet.Time) bool {
-	b := j.recoveries[key]
+func (ctl *Controller) isLoadMoving(key string, now fleet.Time) bool {
+	b := ctl.recoveries[key]
 	return b != nil && now-b.startedAt < demandWindow
 }
 
 // knownZones zones, in order.
-func (j *Controller) knownZones() []string {
-	out := make([]string, 0, len(j.loads))
-	for y := range j.loads {
+func (ctl *Controller) knownZones() []string {
+	out := make([]string, 0, len(ctl.loads))
+	for y := range ctl.loads {
 		out = append(out, y)
 	}
 	slices.Sort(out)
--- a/internal/fleet/zones/evidence.go
+++ b/internal/fleet/zones/evidence.go
@@ -18,39 +18,45 @@
 
 // reportWindow is one report's counts. From is the intent that the node held when the window began.
 type reportWindow struct {
-	receivedAt, length fleet.Time
-	revision           uint64
-	zones              map[string]fleet.ZoneEvidence
+	receivedAt fleet.Time
+	length     fleet.Time
+	revision   uint64
+	zones      map[string]fleet.ZoneEvidence
 }
 
 // nodeRun is what is known of one node's run.
 type nodeRun struct {
 	fleet.Member
-	sequence, revision uint64
-	ready              bool
-	receivedAt         fleet.Time
-	windows            []reportWindow // the newest last
-	counts             map[string]zoneCount
-	countsUntil        fleet.Time // counts hold until then, unless a window comes
+	sequence    uint64
+	revision    uint64
+	ready       bool
+	receivedAt  fleet.Time
+	windows     []reportWindow // the newest last
+	counts      map[string]zoneCount
+	countsUntil fleet.Time // counts hold until then, unless a window comes
 }
 
 // recordReport keeps a report; it reports whether it was newer than what is known.
-func (j *Controller) recordReport(now fleet.Time, v fleet.NodeView) (*nodeRun, bool) {
-	n := j.nodes[v.Node]
+func (ctl *Controller) recordReport(now fleet.Time, v fleet.NodeView) (*nodeRun, bool) {
+	n := ctl.nodes[v.Node]
 	at := min(v.ReceivedAt, now)
 	if n != nil && (v.Incarnation < n.Incarnation || v.Incarnation == n.Incarnation && v.Report.Sequence <= n.sequence) {
 		return n, false
 	}
-	if v.Node == "" || now-at > j.settings.EvidenceLifetime {
+	if v.Node == "" || now-at > ctl.settings.EvidenceLifetime {
 		return n, false
 	}
 	if n == nil || v.Incarnation > n.Incarnation {
 		n = &nodeRun{Member: v.Member}
-		j.nodes[v.Node] = n
+		ctl.nodes[v.Node] = n
 	}
 	w := reportWindow{receivedAt: at, length: fleet.Time(v.Report.WindowMS) * 1e6, revision: n.revision}
-	n.sequence, n.revision, n.ready, n.receivedAt, n.Zone = v.Report.Sequence, v.Report.Revision, v.Report.Ready, at, v.Zone
-	if w.length > 0 && w.length <= j.settings.EvidenceLifetime && len(v.Report.Zones) <= maxZones {
+	n.sequence = v.Report.Sequence
+	n.revision = v.Report.Revision
+	n.ready = v.Report.Ready
+	n.receivedAt = at
+	n.Zone = v.Zone
+	if w.length > 0 && w.length <= ctl.settings.EvidenceLifetime && len(v.Report.Zones) <= maxZones {
 		w.zones = map[string]fleet.ZoneEvidence{}
 		for _, c := range v.Report.Zones {
 			if _, twice := w.zones[c.Zone]; !twice && isPlausible(c) {
@@ -60,7 +66,7 @@
 		n.windows = append(n.windows, w)
 		n.counts = nil
 	}
-	n.windows = slices.DeleteFunc(n.windows, func(w reportWindow) bool { return now-w.receivedAt > j.settings.EvidenceLifetime })
+	n.windows = slices.DeleteFunc(n.windows, func(w reportWindow) bool { return now-w.receivedAt > ctl.settings.EvidenceLifetime })
 	return n, true
 }
 
@@ -93,10 +99,14 @@
 
 // zoneCount is a node's evidence on a zone over the newest windows of EvidenceWindow.
 type zoneCount struct {
-	attempts, lost, answered, lostServers, listed int
-	rate                                          float64 // answers/s
-	vote                                          vote
-	newestAnswered                                bool // the newest of its windows with attempts had an answer
+	attempts       int
+	lost           int
+	answered       int
+	lostServers    int
+	listed         int
+	rate           float64 // answers/s
+	vote           vote
+	newestAnswered bool // the newest of its windows with attempts had an answer
 }
 
 // fleetView is what the leader sees now: the present nodes with fresh reports, by name.
@@ -111,26 +121,26 @@
 // hasQuorum reports whether enough of the present nodes are heard to evaluate at all.
 func (v fleetView) hasQuorum() bool { return v.presentCount > 0 && 2*len(v.nodes) >= v.presentCount }
 
-func (j *Controller) currentView(now fleet.Time, present []fleet.Member) fleetView {
+func (ctl *Controller) currentView(now fleet.Time, present []fleet.Member) fleetView {
 	v := fleetView{now: now, presentByZone: map[string]int{}, presentCount: len(present)}
 	zones, names := map[string]bool{}, map[string]bool{}
 	for _, m := range present {
 		v.presentByZone[m.Zone]++
 		names[m.Node] = true
-		n := j.nodes[m.Node]
-		if n == nil || n.Incarnation != m.Incarnation || now-n.receivedAt > j.settings.EvidenceLifetime {
+		n := ctl.nodes[m.Node]
+		if n == nil || n.Incarnation != m.Incarnation || now-n.receivedAt > ctl.settings.EvidenceLifetime {
 			continue
 		}
 		if n.counts == nil || now > n.countsUntil {
-			n.sumWindows(now, &j.settings)
+			n.sumWindows(now, &ctl.settings)
 		}
 		for z := range n.counts {
 			zones[z] = true
 		}
 		v.nodes = append(v.nodes, nodeView{Member: m, revision: n.revision, ready: n.ready, zones: n.counts, faulty: isFaultyNode(n.counts)})
 	}
-	maps.DeleteFunc(j.nodes, func(name string, n *nodeRun) bool {
-		return !names[name] && now-n.receivedAt > j.settings.EvidenceLifetime
+	maps.DeleteFunc(ctl.nodes, func(name string, n *nodeRun) bool {
+		return !names[name] && now-n.receivedAt > ctl.settings.EvidenceLifetime
 	})
 	slices.SortFunc(v.nodes, func(a, b nodeView) int { return cmp.Compare(a.Node, b.Node) })
 	v.zones = slices.Sorted(maps.Keys(zones))
@@ -157,7 +167,7 @@
 // The vote is of the newest of them that are enough for one.
 func (set *Settings) countWindows(now fleet.Time, n *nodeRun, zone string, from uint64) (c zoneCount) {
 	var length fleet.Time
-	servers, most := 0, 0
+	servers, maxServers := 0, 0
 	for i := len(n.windows) - 1; i >= 0 && length < set.EvidenceWindow; i-- {
 		w := n.windows[i]
 		if now-w.receivedAt > set.EvidenceLifetime || w.revision < from {
@@ -168,12 +178,15 @@
 		if c.attempts == 0 {
 			c.newestAnswered = z.Answered > 0
 		}
-		c.attempts, c.lost, c.answered, c.lostServers = c.attempts+z.Attempts, c.lost+z.Lost, c.answered+z.Answered, c.lostServers+z.LostServers
-		servers, most = servers+z.Servers, max(most, z.Servers)
+		c.attempts += z.Attempts
+		c.lost += z.Lost
+		c.answered += z.Answered
+		c.lostServers += z.LostServers
+		servers, maxServers = servers+z.Servers, max(maxServers, z.Servers)
 		if c.listed == 0 {
 			c.listed = z.Listed
 		}
-		if c.vote == noVote && (most >= 2 || servers >= 3 || c.listed == 1 && servers > 0) {
+		if c.vote == noVote && (maxServers >= 2 || servers >= 3 || c.listed == 1 && servers > 0) {
 			switch part := float64(c.lostServers) / float64(servers); {
 			case part >= set.FailingServersPart:
 				c.vote = voteFailing
--- a/internal/fleet/zones/simulation/judge_test.go
+++ b/internal/fleet/zones/simulation/judge_test.go
@@ -9,7 +9,7 @@
 	. "meadowsill/internal/fleet/zones"
 )
 
-// TestHardCases plays the cases that docs/fleet.md names; each is judged by what is left and for whom.
+// TestHardCases runs the cases that docs/fleet.md names; each is evaluated by what is left and for whom.
 func TestHardCases(t *testing.T) {
 	for name, play := range map[string]func(*testing.T){
 		"two zones lost within a second, room for one": func(t *testing.T) {
@@ -18,14 +18,14 @@
 			w.run(600*time.Millisecond, nil)
 			w.kill("a", "b")
 			w.run(8*sec, nil)
-			d := w.s.Directives
-			if moved := 2 - share(d, "a", "") - share(d, "b", ""); moved < 0.5 || moved > 1.3 || share(d, "c", "") != 1 {
+			d := w.state.Directives
+			if moved := 2 - trafficShare(d, "a", "") - trafficShare(d, "b", ""); moved < 0.5 || moved > 1.3 || trafficShare(d, "c", "") != 1 {
 				t.Errorf("%g zones moved: %v", moved, w.steps)
 			}
 		},
 		"a zone that flaps every 3 s": func(t *testing.T) {
 			w := started(t)
-			w.lose = func(_ *wnode, y string) float64 {
+			w.lossAt = func(_ *simNode, y string) float64 {
 				if y == "a" && w.now/(3*sec)%2 == 0 {
 					return 1
 				}
@@ -34,12 +34,12 @@
 			w.run(2*time.Minute, nil)
 			n := 0
 			for _, s := range w.steps {
-				if s.to == fleet.Evacuated {
+				if s.target == fleet.Evacuated {
 					n++
 				}
 			}
-			if n < 2 || n > 10 || w.s.Directives["zone/a"].BackoffMS < 16000 {
-				t.Errorf("left %d times in 40 losses, hold-off now %d ms", n, w.s.Directives["zone/a"].BackoffMS)
+			if n < 2 || n > 10 || w.state.Directives["zone/a"].BackoffMS < 16000 {
+				t.Errorf("left %d times in 40 losses, hold-off now %d ms", n, w.state.Directives["zone/a"].BackoffMS)
 			}
 		},
 		"lost while a third of the nodes restart": func(t *testing.T) {
@@ -51,7 +51,9 @@
 			w.until("left", 2*sec, func() bool { return w.phase("zone/a") == fleet.Evacuated })
 			for _, n := range w.nodes {
 				if n.down {
-					n.down, n.seq, n.holds = false, 0, map[string]held{}
+					n.down = false
+					n.sequence = 0
+					n.directives = map[string]heldDirective{}
 					n.Incarnation++
 				}
 			}
@@ -62,14 +64,14 @@
 		},
 		"cut off from half of the others": func(t *testing.T) {
 			w := started(t, "a", "b", "c", "d", "e")
-			w.lose = func(n *wnode, y string) float64 {
+			w.lossAt = func(n *simNode, y string) float64 {
 				if y == "a" && (n.Zone == "b" || n.Zone == "c") {
 					return 1
 				}
 				return 0
 			}
 			w.run(4*sec, nil)
-			if len(w.s.Directives) != 2 || w.phase("zone/a@b") == fleet.Serving || w.phase("zone/a@c") == fleet.Serving {
+			if len(w.state.Directives) != 2 || w.phase("zone/a@b") == fleet.Serving || w.phase("zone/a@c") == fleet.Serving {
 				t.Errorf("%v", w.steps)
 			}
 		},
@@ -88,14 +90,14 @@
 		"a node whose zone nobody else has": func(t *testing.T) {
 			w := started(t)
 			odd := w.add("odd", "nowhere")
-			w.lose = func(n *wnode, y string) float64 {
+			w.lossAt = func(n *simNode, y string) float64 {
 				if n == odd && y != "c" {
 					return 1
 				}
 				return 0
 			}
 			w.run(10*sec, nil)
-			for key := range w.s.Directives {
+			for key := range w.state.Directives {
 				if !strings.HasSuffix(key, "@nowhere") {
 					t.Errorf("%s left by its vote", key)
 				}
@@ -103,10 +105,10 @@
 		},
 		"a new leader in the middle of a return": func(t *testing.T) {
 			w := back(t, 2)
-			w.j.Lead(w.now)
+			w.controller.Lead(w.now)
 			n := len(w.steps)
 			w.untilPhase(fleet.Serving)
-			if got := w.steps[n]; got.at-w.steps[n-1].at < w.set.SlowStartWindow {
+			if got := w.steps[n]; got.time-w.steps[n-1].time < w.settings.SlowStartWindow {
 				t.Errorf("it went on before the cold time, which it does not know, was over: %v", w.steps)
 			}
 		},
@@ -115,7 +117,7 @@
 			var old []Command
 			w.apply = func(c Command) Command {
 				if old = append(old, c); len(old) > 0 {
-					w.s.Apply(old[w.rng.IntN(len(old))], func() uint64 { w.rev++; return w.rev })
+					w.state.Apply(old[w.random.IntN(len(old))], func() uint64 { w.revision++; return w.revision })
 				}
 				return c
 			}
@@ -123,8 +125,8 @@
 			w.run(6*sec, nil)
 			w.heal()
 			w.untilPhase(fleet.Serving)
-			if w.run(5*sec, nil); len(w.s.Directives) > 0 {
-				t.Errorf("an old command was taken: %v", w.s.Directives)
+			if w.run(5*sec, nil); len(w.state.Directives) > 0 {
+				t.Errorf("an old command was taken: %v", w.state.Directives)
 			}
 		},
 	} {
--- a/internal/fleet/zones/simulation/page_test.go
+++ b/internal/fleet/zones/simulation/page_test.go
@@ -22,7 +22,7 @@
 	}
 	var said []Transition
 	for _, r := range rows {
-		said = append(said, Transition{From: r.State, Event: r.Event, Condition: r.Condition, To: r.Next, CountsRelapse: strings.Contains(r.Effect, "relapse + 1")})
+		said = append(said, Transition{Source: r.State, Event: r.Event, Condition: r.Condition, Target: r.Next, CountsRelapse: strings.Contains(r.Effect, "relapse + 1")})
 		t.Run(r.String(), func(t *testing.T) {
 			run, ok := scenes[r.State+" "+r.Event+" "+r.Condition]
 			if !ok {
@@ -37,7 +37,7 @@
 			}
 			got := w.steps[from]
 			back := got.after.Relapses > got.before.Relapses
-			if got.key != key || got.from != r.State || got.event != r.Event || got.to != r.Next || back != said[len(said)-1].CountsRelapse {
+			if got.key != key || got.source != r.State || got.event != r.Event || got.target != r.Next || back != said[len(said)-1].CountsRelapse {
 				t.Fatalf("got %v, want %s", got, r)
 			}
 		})
@@ -70,7 +70,7 @@
 				}
 				c := Change{Key: "zone/a", IfRevision: 1, Event: event, Removed: to == fleet.Serving, Entry: entry[to]}
 				_, err := s.Apply(Command{IfStateRevision: 1, Items: []Change{c}}, func() uint64 { return 2 })
-				row := slices.ContainsFunc(Table(), func(x Transition) bool { return x.From == from && x.Event == event && x.To == to })
+				row := slices.ContainsFunc(Table(), func(x Transition) bool { return x.Source == from && x.Event == event && x.Target == to })
 				if err == nil && !row || err != nil && !errors.Is(err, ErrIllegalTransition) {
 					t.Errorf("%s, %s -> %s: %v, in the table: %v", from, event, to, err, row)
 				}
@@ -82,7 +82,7 @@
 	}
 }
 
-// scene plays one row and gives the world, the key and which step is the row's; -1: none, it stays as it is.
+// scene runs one row and gives the world, the key and which step is the row's; -1: none, it stays as it is.
 type scene func(t *testing.T) (w *world, key string, step int)
 
 // started is a calm fleet of three zones with proved rates.
@@ -103,15 +103,15 @@
 }
 
 func (w *world) untilStep(n int) {
-	w.until("step", 90*sec, func() bool { return w.s.Directives["zone/a"].Step == n })
+	w.until("step", 90*sec, func() bool { return w.state.Directives["zone/a"].Step == n })
 }
 
-// last gives the scene's end at the newest step.
+// last returns the scene's end at the newest step.
 func (w *world) last() (*world, string, int) {
 	return w, w.steps[len(w.steps)-1].key, len(w.steps) - 1
 }
 
-// gone is a fleet that has left zone a; back one in which a answers again.
+// removed is a fleet that has left zone a; back one in which a answers again.
 func gone(t *testing.T) *world {
 	w := started(t)
 	w.kill("a")
@@ -126,8 +126,8 @@
 	return w
 }
 
-func loses(zone string, p float64, observer string) func(*wnode, string) float64 {
-	return func(n *wnode, y string) float64 {
+func loses(zone string, p float64, observer string) func(*simNode, string) float64 {
+	return func(n *simNode, y string) float64 {
 		if y == zone && (observer == "" || n.Zone == observer) {
 			return p
 		}
@@ -138,11 +138,11 @@
 func again(t *testing.T, p float64, observer string) (*world, string, int) {
 	w := started(t)
 	key := Key("a", observer)
-	w.lose = loses("a", p, observer)
+	w.lossAt = loses("a", p, observer)
 	w.until("left", 5*sec, func() bool { return w.phase(key) == fleet.Evacuated })
 	w.heal()
 	w.until("return", 90*sec, func() bool { return w.phase(key) == fleet.Serving })
-	w.lose = loses("a", p, observer)
+	w.lossAt = loses("a", p, observer)
 	w.until("left", 5*sec, func() bool { return w.phase(key) == fleet.Evacuated })
 	return w.last()
 }
@@ -153,7 +153,7 @@
 	scenes = map[string]scene{
 		"serving lost room for all of it": func(t *testing.T) (*world, string, int) {
 			w := gone(t)
-			if e := w.s.Directives["zone/a"]; e.Share != 0 || e.Floor != 0 || e.Reason != Lost {
+			if e := w.state.Directives["zone/a"]; e.Share != 0 || e.Floor != 0 || e.Reason != Lost {
 				t.Errorf("%+v", e)
 			}
 			return w.last()
@@ -161,7 +161,7 @@
 		"serving lost room for a part": func(t *testing.T) (*world, string, int) {
 			w := newWorld(t, 7, 6, "a", "b", "c")
 			w.rate = 24
-			w.full["b"], w.full["c"] = true, true // they have no more to give: the half that they refuse shows it
+			w.rejecting["b"], w.rejecting["c"] = true, true // they have no more to give: the half that they reject shows it
 			w.run(5*sec, nil)
 			w.rate /= 4
 			w.run(4*sec, nil) // a lull: each gives a quarter of what it can
@@ -169,7 +169,7 @@
 			w.run(4*sec, nil)
 			w.kill("a")
 			w.untilPhase(fleet.Evacuated)
-			if e := w.s.Directives["zone/a"]; e.Share <= 0 || e.Share >= 1 || e.Budget <= 0 {
+			if e := w.state.Directives["zone/a"]; e.Share <= 0 || e.Share >= 1 || e.Budget <= 0 {
 				t.Errorf("%+v", e)
 			}
 			return w.last()
@@ -177,21 +177,21 @@
 		"serving lost returned in the last 60 s": func(t *testing.T) (*world, string, int) { return again(t, 1, "") },
 		"serving lost below the panic threshold": func(t *testing.T) (*world, string, int) {
 			w := started(t)
-			w.listed["a"] = 4 * perWS // of 6 * perWS
+			w.listed["a"] = 4 * serversPerZone // of 6 * perWS
 			w.rate /= 8
 			w.run(12*sec, nil)
 			w.kill("a")
 			w.run(4*sec, nil)
-			if f := w.j.Evidence(); len(f) != 1 || f[0].Event != Lost || f[0].Blocked != "panic" {
+			if f := w.controller.Evidence(); len(f) != 1 || f[0].Event != Lost || f[0].Blocked != "panic" {
 				t.Errorf("%+v", f)
 			}
 			return w, "zone/a", -1
 		},
 		"serving cut-off of observers X": func(t *testing.T) (*world, string, int) {
 			w := started(t)
-			w.lose = loses("a", 1, "b")
+			w.lossAt = loses("a", 1, "b")
 			w.until("left", 5*sec, func() bool { return w.phase("zone/a@b") == fleet.Evacuated })
-			if w.phase("zone/a") != fleet.Serving || w.portion(w.nodes[0], "a").Share != 1 {
+			if w.phase("zone/a") != fleet.Serving || w.nodeShare(w.nodes[0], "a").Share != 1 {
 				t.Error("others than b's nodes left too")
 			}
 			return w, "zone/a@b", len(w.steps) - 1
@@ -199,9 +199,9 @@
 		"serving cut-off returned in the last 60 s": func(t *testing.T) (*world, string, int) { return again(t, 1, "b") },
 		"serving gray share p lost": func(t *testing.T) (*world, string, int) {
 			w := started(t)
-			w.lose = loses("a", 0.3, "")
+			w.lossAt = loses("a", 0.3, "")
 			w.untilPhase(fleet.Evacuated)
-			if e := w.s.Directives["zone/a"]; e.Share < 0.5 || e.Share > 0.8 || e.Floor != e.Share {
+			if e := w.state.Directives["zone/a"]; e.Share < 0.5 || e.Share > 0.8 || e.Floor != e.Share {
 				t.Errorf("%+v", e)
 			}
 			return w.last()
@@ -209,13 +209,13 @@
 		"serving gray returned in the last 60 s": func(t *testing.T) (*world, string, int) { return again(t, 0.4, "") },
 		"serving region most of its region's zones are lost": func(t *testing.T) (*world, string, int) {
 			w := newWorld(t, 7, 4, "a", "b", "c", "d", "e", "f", "g")
-			w.set.Region = map[string]string{"a": "1", "b": "1", "c": "1", "d": "2", "e": "2", "f": "2", "g": "2"}
-			w.j = NewController(w.set)
+			w.settings.Region = map[string]string{"a": "1", "b": "1", "c": "1", "d": "2", "e": "2", "f": "2", "g": "2"}
+			w.controller = NewController(w.settings)
 			w.run(5*sec, nil)
 			w.kill("a", "b")
 			w.until("left", 5*sec, func() bool { return w.phase("zone/c") == fleet.Evacuated })
 			n := len(w.steps) - 1
-			if w.steps[n].at != w.steps[n-1].at || w.steps[n-1].event != Lost || w.s.Directives["zone/c"].Share != 0 {
+			if w.steps[n].time != w.steps[n-1].time || w.steps[n-1].event != Lost || w.state.Directives["zone/c"].Share != 0 {
 				t.Errorf("not one command: %v", w.steps)
 			}
 			return w, "zone/c", n
@@ -226,23 +226,23 @@
 			w.untilPhase(fleet.Serving)
 			n := len(w.steps)
 			w.until("calm", 70*sec, func() bool { return len(w.steps) > n })
-			if w.s.PastRelapses["zone/a"].Relapses != 0 {
-				t.Errorf("%+v", w.s.PastRelapses)
+			if w.state.PastRelapses["zone/a"].Relapses != 0 {
+				t.Errorf("%+v", w.state.PastRelapses)
 			}
 			return w, "zone/a", n
 		},
 		"left lost no more room": func(t *testing.T) (*world, string, int) {
-			w := gone(t) // nodes that cannot hear go on: the hold-off does not begin while they say so
-			w.hears = func(*wnode) (fleet.Time, bool) { return 0, false }
+			w := gone(t) // nodes that cannot hear go on: the backoff does not begin while they say so
+			w.intentDelay = func(*simNode) (fleet.Time, bool) { return 0, false }
 			for _, n := range w.nodes {
-				n.holds = map[string]held{}
+				n.directives = map[string]heldDirective{}
 			}
 			w.run(6*sec, nil)
 			return w, "zone/a", -1
 		},
 		"left lost more room for what is still served": func(t *testing.T) (*world, string, int) {
 			w, _, n := scenes["serving lost room for a part"](t)
-			w.full = map[string]bool{}
+			w.rejecting = map[string]bool{}
 			w.rate *= 2 // the others prove more, then carry less
 			w.run(3*sec, nil)
 			w.rate /= 4
@@ -255,11 +255,11 @@
 		"left cut-off more room for what is still served": func(t *testing.T) (*world, string, int) {
 			w := newWorld(t, 7, 6, "a", "b", "c")
 			w.rate = 24
-			w.full["b"], w.full["c"] = true, true
+			w.rejecting["b"], w.rejecting["c"] = true, true
 			w.run(5*sec, nil)
 			w.rate *= 0.9
 			w.run(4*sec, nil)
-			w.lose = loses("a", 1, "b")
+			w.lossAt = loses("a", 1, "b")
 			w.until("left", 5*sec, func() bool { return w.phase("zone/a@b") == fleet.Evacuated })
 			n := len(w.steps)
 			w.rate /= 4 // the others carry less
@@ -271,7 +271,7 @@
 		},
 		"left gray p changed by 0.2 or more": func(t *testing.T) (*world, string, int) {
 			w, _, n := scenes["serving gray share p lost"](t)
-			w.lose = loses("a", 0.5, "")
+			w.lossAt = loses("a", 0.5, "")
 			w.until("less", 20*sec, func() bool { return len(w.steps) > n+1 })
 			return w, "zone/a", n + 1
 		},
@@ -283,7 +283,7 @@
 		"left quiet the hold-off is over": func(t *testing.T) (*world, string, int) {
 			w := gone(t)
 			w.untilPhase(fleet.Probation)
-			e := w.s.Directives["zone/a"]
+			e := w.state.Directives["zone/a"]
 			zones := map[byte]bool{}
 			for _, n := range e.TrialNodes {
 				zones[n[0]] = true
@@ -298,19 +298,19 @@
 			w.heal()
 			at := w.now
 			w.untilPhase(fleet.Recovering)
-			if e := w.s.Directives["zone/a"]; w.now-at < 2*sec || e.Share != 1 || e.Step != 4 || e.Floor != e.BaseShare {
+			if e := w.state.Directives["zone/a"]; w.now-at < 2*sec || e.Share != 1 || e.Step != 4 || e.Floor != e.BaseShare {
 				t.Errorf("%+v", e)
 			}
 			return w.last()
 		},
 		"probation answers enough, under 0.1 lost": func(t *testing.T) (*world, string, int) {
 			w := back(t, 0)
-			w.until("answers", 20*sec, func() bool { return w.s.Directives["zone/a"].TrialAnswered })
+			w.until("answers", 20*sec, func() bool { return w.state.Directives["zone/a"].TrialAnswered })
 			return w.last()
 		},
 		"probation quiet the trial that had its answers is over": func(t *testing.T) (*world, string, int) {
 			w := back(t, 1)
-			if e := w.s.Directives["zone/a"]; e.Share != 0.1 || e.Floor != 0 || e.TrialNodes != nil {
+			if e := w.state.Directives["zone/a"]; e.Share != 0.1 || e.Floor != 0 || e.TrialNodes != nil {
 				t.Errorf("%+v", e)
 			}
 			return w.last()
@@ -319,7 +319,7 @@
 			w := gone(t)
 			w.untilPhase(fleet.Probation)
 			w.untilPhase(fleet.Evacuated)
-			if e := w.s.Directives["zone/a"]; e.BackoffMS != 4000 {
+			if e := w.state.Directives["zone/a"]; e.BackoffMS != 4000 {
 				t.Errorf("%+v", e)
 			}
 			return w.last()
@@ -328,11 +328,11 @@
 			w := gone(t)
 			w.heal()
 			w.untilPhase(fleet.Probation)
-			n, trial := len(w.steps), w.s.Directives["zone/a"].TrialNodes
-			w.hears = func(x *wnode) (fleet.Time, bool) { return 0, !slices.Contains(trial, x.Node) } // they never hear of it
+			n, trial := len(w.steps), w.state.Directives["zone/a"].TrialNodes
+			w.intentDelay = func(x *simNode) (fleet.Time, bool) { return 0, !slices.Contains(trial, x.Node) } // they never are notified of it
 			for _, x := range w.nodes {
-				delete(x.holds, "zone/a")
-				x.holds["zone/a"] = held{e: Entry{Directive: fleet.Directive{Phase: fleet.Evacuated, ValidMS: 1e6}}, at: w.now}
+				delete(x.directives, "zone/a")
+				x.directives["zone/a"] = heldDirective{entry: Entry{Directive: fleet.Directive{Phase: fleet.Evacuated, ValidMS: 1e6}}, confirmedAt: w.now}
 			}
 			w.until("end", 4*sec, func() bool { return len(w.steps) > n })
 			return w, "zone/a", n
@@ -341,7 +341,7 @@
 			w, _, n := scenes["probation quiet 3 s without answers enough"](t)
 			end := w.now
 			w.until("other trial", 10*sec, func() bool { return len(w.steps) > n+1 })
-			if got := w.steps[n+1]; w.now-end < w.set.DirectiveLifetime || slices.ContainsFunc(got.after.TrialNodes, func(x string) bool {
+			if got := w.steps[n+1]; w.now-end < w.settings.DirectiveLifetime || slices.ContainsFunc(got.after.TrialNodes, func(x string) bool {
 				return slices.Contains(w.steps[n].before.TrialNodes, x)
 			}) {
 				t.Errorf("%v after: %+v", w.now-end, got.after.Directive)
@@ -351,7 +351,7 @@
 		"returning answers enough of this step, not the last": func(t *testing.T) (*world, string, int) {
 			w := back(t, 2)
 			n := len(w.steps)
-			if w.steps[n-1].at-w.steps[n-2].at < sec || w.s.Directives["zone/a"].Floor != 0.1 {
+			if w.steps[n-1].time-w.steps[n-2].time < sec || w.state.Directives["zone/a"].Floor != 0.1 {
 				t.Errorf("%v", w.steps)
 			}
 			return w.last()
@@ -370,12 +370,12 @@
 			w.untilStep(4)
 			w.run(sec, nil)
 			w.kill("a")
-			w.until("left", 5*sec, func() bool { return w.phase("zone/a") == fleet.Evacuated || w.s.Directives["zone/a"].Step < 4 })
+			w.until("left", 5*sec, func() bool { return w.phase("zone/a") == fleet.Evacuated || w.state.Directives["zone/a"].Step < 4 })
 			return w, "zone/a", n
 		},
 		"returning lost a later step, in part": func(t *testing.T) (*world, string, int) {
 			w := back(t, 3)
-			w.lose = loses("a", 0.5, "")
+			w.lossAt = loses("a", 0.5, "")
 			n := len(w.steps)
 			w.until("step back", 5*sec, func() bool { return len(w.steps) > n })
 			if e := w.steps[n].after; e.Step != 2 || e.Floor != 0 || e.Relapses != 1 {
@@ -387,7 +387,7 @@
 			w := back(t, 2)
 			w.rate = 0.01
 			for _, n := range w.nodes {
-				n.carry = map[string]float64{}
+				n.pendingAttempts = map[string]float64{}
 			}
 			n := len(w.steps)
 			w.run(12*sec, nil)
--- a/internal/fleet/zones/simulation/property_test.go
+++ b/internal/fleet/zones/simulation/property_test.go
@@ -14,21 +14,21 @@
 
 var schedules = rapid.Custom(func(t *rapid.T) Schedule {
 	s := Schedule{Seed: rapid.Uint64().Draw(t, "seed"), Zones: rapid.IntRange(2, 4).Draw(t, "zones"),
-		PerZone: rapid.IntRange(2, 5).Draw(t, "per zone"), Base: rapid.Float64Range(0, 0.05).Draw(t, "loss"), Liar: -1}
+		PerZone: rapid.IntRange(2, 5).Draw(t, "per zone"), BaseLoss: rapid.Float64Range(0, 0.05).Draw(t, "loss"), LyingNode: -1}
 	if rapid.Bool().Draw(t, "a liar") {
-		s.Liar, s.Lie = rapid.IntRange(0, s.Zones*s.PerZone-1).Draw(t, "liar"), rapid.IntRange(0, 4).Draw(t, "lie")
-		s.LiarZone = s.Zones > 2 && rapid.Bool().Draw(t, "its zone")
+		s.LyingNode, s.LieKind = rapid.IntRange(0, s.Zones*s.PerZone-1).Draw(t, "liar"), rapid.IntRange(0, 4).Draw(t, "lie")
+		s.LyingZone = s.Zones > 2 && rapid.Bool().Draw(t, "its zone")
 	}
 	s.Faults = rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Fault {
-		return Fault{At: rapid.IntRange(3000, 30000).Draw(t, "at"), For: rapid.IntRange(100, 20000).Draw(t, "for"),
+		return Fault{StartMS: rapid.IntRange(3000, 30000).Draw(t, "at"), DurationMS: rapid.IntRange(100, 20000).Draw(t, "for"),
 			Kind: rapid.SampledFrom(kinds).Draw(t, "kind"), Zone: rapid.IntRange(0, s.Zones-1).Draw(t, "zone"),
 			From: rapid.IntRange(0, s.Zones-1).Draw(t, "from"), Node: rapid.IntRange(0, s.Zones*s.PerZone-1).Draw(t, "node"),
-			P: rapid.Float64Range(0.1, 0.9).Draw(t, "p")}
+			Loss: rapid.Float64Range(0.1, 0.9).Draw(t, "p")}
 	}), 0, 8).Draw(t, "faults")
 	return s
 })
 
-// TestRules plays random schedules of drops, delays, liars, restarts and new leaders under Z1 to Z5.
+// TestRules runs random schedules of drops, delays, liars, restarts and new leaders under Z1 to Z5.
 // The same ones every time, unless -rapid.seed names others.
 func TestRules(t *testing.T) {
 	if f := flag.Lookup("rapid.seed"); f.Value.String() == "0" {
@@ -36,7 +36,7 @@
 	}
 	rapid.Check(t, func(t *rapid.T) {
 		s := schedules.Draw(t, "schedule")
-		if broken := play(s, nil); broken != "" {
+		if broken := runSchedule(s, nil); broken != "" {
 			t.Fatal(broken)
 		}
 	})
@@ -45,7 +45,7 @@
 // TestMutants: each planted fault is found by the rule that it breaks.
 func TestMutants(t *testing.T) {
 	set := func(f func(*Settings)) func(*world) {
-		return func(w *world) { f(&w.set); w.j = NewController(w.set) }
+		return func(w *world) { f(&w.settings); w.controller = NewController(w.settings) }
 	}
 	change := func(f func(*Change)) func(*world) {
 		return func(w *world) {
@@ -59,25 +59,26 @@
 		}
 	}
 	for _, m := range []struct {
-		name, rule string
-		from       int // the schedule to begin with, to save time
-		mutate     func(*world)
+		name   string
+		rule   string
+		from   int // the schedule to begin with, to save time
+		mutate func(*world)
 	}{
 		{"one node's vote counts for all", "Z1", 13, func(w *world) {
-			twist := w.twist
-			w.twist = func(n *wnode, v *fleet.NodeView) {
+			twist := w.falsify
+			w.falsify = func(n *simNode, v *fleet.NodeView) {
 				twist(n, v)
 				for _, x := range w.nodes {
 					copied := *v
-					copied.Member, copied.Report.Sequence = x.Member, 1e6*uint64(w.now/tick)+uint64(n.pick)
-					w.j.Observe(w.now, copied)
+					copied.Member, copied.Report.Sequence = x.Member, 1e6*uint64(w.now/tick)+uint64(n.nextServer)
+					w.controller.Observe(w.now, copied)
 				}
 			}
 		}},
 		{"one zone's vote is enough", "Z1", 51, func(w *world) {
-			w.set.Region = map[string]string{"a": "r"} // the others are no observers
-			w.set.FailingServersPart = 0.01
-			w.j = NewController(w.set)
+			w.settings.Region = map[string]string{"a": "r"} // the others are no observers
+			w.settings.FailingServersPart = 0.01
+			w.controller = NewController(w.settings)
 		}},
 		{"no panic threshold, and room for anything", "Z2", 32, set(func(s *Settings) { s.MinServersPart, s.CapacityFactor = 0, 1000 })},
 		{"a part is a half of the budget", "Z3", 0, change(func(c *Change) { c.Entry.Slots = min(c.Entry.Slots, 2) })},
@@ -91,7 +92,7 @@
 	} {
 		t.Run(m.name, func(t *testing.T) {
 			for seed := m.from; seed < m.from+200; seed++ {
-				if broken := play(schedules.Example(seed), m.mutate); len(broken) > 2 && broken[:2] == m.rule {
+				if broken := runSchedule(schedules.Example(seed), m.mutate); len(broken) > 2 && broken[:2] == m.rule {
 					t.Logf("schedule %d: %s", seed, broken)
 					return
 				} else if broken != "" {
--- a/internal/fleet/zones/simulation/world.go
+++ b/internal/fleet/zones/simulation/world.go
@@ -16,70 +16,73 @@
 )
 
 const (
-	tick  = 50 * time.Millisecond
-	perWS = 4 // servers of a zone
+	tick           = 50 * time.Millisecond
+	serversPerZone = 4 // servers of a zone
 )
 
-// world is a fleet of nodes that keep to what they heard and report what they saw, before one judge.
+// world is a fleet of nodes that keep to what they heard and report what they saw, before one controller.
 type world struct {
-	t     interface{ Fatalf(string, ...any) }
-	set   zones.Settings
-	j     *zones.Controller
-	s     zones.State
-	now   fleet.Time
-	rev   uint64
-	rng   *rand.Rand
-	nodes []*wnode
-	zones []string
+	testing    interface{ Fatalf(string, ...any) }
+	settings   zones.Settings
+	controller *zones.Controller
+	state      zones.State
+	now        fleet.Time
+	revision   uint64
+	random     *rand.Rand
+	nodes      []*simNode
+	zones      []string
 
-	rate   float64                             // attempts/s of a node to one server of an ordinary zone
-	lose   func(n *wnode, zone string) float64 // chance that an attempt is lost
-	full   map[string]bool                     // zones that refuse half
-	listed map[string]int
-	bad    map[string]int                    // servers of a zone that never answer
-	hears  func(n *wnode) (fleet.Time, bool) // delay of intent, and whether it is heard at all
-	twist  func(n *wnode, v *fleet.NodeView) // what a liar makes of a report
-	drop   func(n *wnode) bool               // reports lost
-	steps  []step
-	apply  func(zones.Command) zones.Command // what becomes of a command on its way; nil items: lost
-	check  func()
+	rate          float64                               // attempts/s of a node to one server of an ordinary zone
+	lossAt        func(n *simNode, zone string) float64 // chance that an attempt is lost
+	rejecting     map[string]bool                       // zones that reject half
+	listed        map[string]int
+	silentServers map[string]int                      // servers of a zone that never answer
+	intentDelay   func(n *simNode) (fleet.Time, bool) // delay of intent, and whether it is heard at all
+	falsify       func(n *simNode, v *fleet.NodeView) // what a liar makes of a report
+	dropsReport   func(n *simNode) bool               // reports lost
+	steps         []step
+	apply         func(zones.Command) zones.Command // what becomes of a command on its way; nil items: lost
+	check         func()
 }
 
 // step is a transition that was applied.
 type step struct {
-	at            fleet.Time
-	key, from, to string
-	event         string
-	before, after zones.Entry
-	hadPast       bool
+	time    fleet.Time
+	key     string
+	source  string
+	target  string
+	event   string
+	before  zones.Entry
+	after   zones.Entry
+	hadPast bool
 }
 
-type wnode struct {
+type simNode struct {
 	fleet.Member
-	down    bool
-	seq     uint64
-	next    fleet.Time
-	holds   map[string]held
-	rev     uint64
-	carry   map[string]float64
-	zones   map[string]*fleet.ZoneEvidence
-	servers map[string]map[int][2]int // attempts, lost
-	last    fleet.Time
-	pick    int
-	answers map[string]int // by zone, ever
+	down            bool
+	sequence        uint64
+	nextReportAt    fleet.Time
+	directives      map[string]heldDirective
+	revision        uint64
+	pendingAttempts map[string]float64
+	zones           map[string]*fleet.ZoneEvidence
+	servers         map[string]map[int][2]int // attempts, lost
+	lastReportAt    fleet.Time
+	nextServer      int
+	answers         map[string]int // by zone, ever
 }
 
-type held struct {
-	e  zones.Entry
-	at fleet.Time // when last confirmed
+type heldDirective struct {
+	entry       zones.Entry
+	confirmedAt fleet.Time // when last confirmed
 }
 
 func newWorld(t interface{ Fatalf(string, ...any) }, seed uint64, perZone int, names ...string) *world {
-	w := &world{t: t, set: zones.Default(perZone * len(names)), rng: rand.New(rand.NewPCG(seed, 1)), zones: names, rate: 4,
-		lose: func(*wnode, string) float64 { return 0 }, full: map[string]bool{}, listed: map[string]int{}, bad: map[string]int{}}
-	w.j = zones.NewController(w.set)
+	w := &world{testing: t, settings: zones.Default(perZone * len(names)), random: rand.New(rand.NewPCG(seed, 1)), zones: names, rate: 4,
+		lossAt: func(*simNode, string) float64 { return 0 }, rejecting: map[string]bool{}, listed: map[string]int{}, silentServers: map[string]int{}}
+	w.controller = zones.NewController(w.settings)
 	for _, z := range names {
-		w.listed[z] = perWS
+		w.listed[z] = serversPerZone
 		for i := range perZone {
 			w.add(fmt.Sprintf("%s%d", z, i), z)
 		}
@@ -87,15 +90,15 @@
 	return w
 }
 
-func (w *world) add(name, zone string) *wnode {
-	n := &wnode{Member: fleet.Member{Node: name, Zone: zone, Incarnation: 1}, holds: map[string]held{}, carry: map[string]float64{}, answers: map[string]int{},
-		next: w.now + fleet.Time(w.rng.IntN(250))*time.Millisecond, last: w.now}
+func (w *world) add(name, zone string) *simNode {
+	n := &simNode{Member: fleet.Member{Node: name, Zone: zone, Incarnation: 1}, directives: map[string]heldDirective{}, pendingAttempts: map[string]float64{}, answers: map[string]int{},
+		nextReportAt: w.now + fleet.Time(w.random.IntN(250))*time.Millisecond, lastReportAt: w.now}
 	n.clear()
 	w.nodes = append(w.nodes, n)
 	return n
 }
 
-func (n *wnode) clear() {
+func (n *simNode) clear() {
 	n.zones, n.servers = map[string]*fleet.ZoneEvidence{}, map[string]map[int][2]int{}
 }
 
@@ -108,13 +111,13 @@
 	return out
 }
 
-// portion is what a node may do at a zone by what it holds.
-func (w *world) portion(n *wnode, y string) zones.NodeShare {
+// nodeShare is what a node may do at a zone by what it holds.
+func (w *world) nodeShare(n *simNode, y string) zones.NodeShare {
 	p := zones.NodeShare{Share: 1}
 	for _, key := range []string{zones.Key(y, ""), zones.Key(y, n.Zone)} {
-		if h, ok := n.holds[key]; ok {
-			past := w.now-h.at > fleet.Time(h.e.ValidMS)*time.Millisecond
-			p = zones.MergeShares(zones.NodeShareOf(h.e.Directive, n.Node, past), p)
+		if h, ok := n.directives[key]; ok {
+			past := w.now-h.confirmedAt > fleet.Time(h.entry.ValidMS)*time.Millisecond
+			p = zones.MergeShares(zones.NodeShareOf(h.entry.Directive, n.Node, past), p)
 		}
 	}
 	return p
@@ -126,14 +129,14 @@
 		w.now += tick
 		for _, n := range w.nodes {
 			if !n.down {
-				w.hear(n)
+				w.receiveIntent(n)
 				w.send(n)
 				w.report(n)
 			}
 		}
 		if w.now%(100*time.Millisecond) == 0 {
-			for _, c := range w.j.Step(w.now, &w.s, w.present()) {
-				w.put(c)
+			for _, c := range w.controller.Step(w.now, &w.state, w.present()) {
+				w.applyCommand(c)
 			}
 		}
 		if w.check != nil {
@@ -146,7 +149,7 @@
 	return false
 }
 
-func (w *world) put(c zones.Command) {
+func (w *world) applyCommand(c zones.Command) {
 	if w.apply != nil {
 		c = w.apply(c)
 	}
@@ -156,58 +159,58 @@
 	old := map[string]zones.Entry{}
 	past := map[string]bool{}
 	for _, ch := range c.Items {
-		old[ch.Key] = w.s.Directives[ch.Key]
-		_, past[ch.Key] = w.s.PastRelapses[ch.Key]
+		old[ch.Key] = w.state.Directives[ch.Key]
+		_, past[ch.Key] = w.state.PastRelapses[ch.Key]
 	}
-	if _, err := w.s.Apply(c, func() uint64 { w.rev++; return w.rev }); err != nil {
+	if _, err := w.state.Apply(c, func() uint64 { w.revision++; return w.revision }); err != nil {
 		if !errors.Is(err, zones.ErrChanged) {
-			w.t.Fatalf("%v: %v of %+v", w.now, err, c)
+			w.testing.Fatalf("%v: %v of %+v", w.now, err, c)
 		}
 		return
 	}
 	for _, ch := range c.Items {
-		st := step{at: w.now, key: ch.Key, event: ch.Event, from: fleet.Serving, to: ch.Entry.Phase, before: old[ch.Key],
-			after: w.s.Directives[ch.Key], hadPast: past[ch.Key]}
+		st := step{time: w.now, key: ch.Key, event: ch.Event, source: fleet.Serving, target: ch.Entry.Phase, before: old[ch.Key],
+			after: w.state.Directives[ch.Key], hadPast: past[ch.Key]}
 		if st.before.Phase != "" {
-			st.from = st.before.Phase
+			st.source = st.before.Phase
 		}
 		if ch.Removed {
-			st.to = fleet.Serving
+			st.target = fleet.Serving
 		}
 		w.steps = append(w.steps, st)
 	}
 }
 
-func (w *world) hear(n *wnode) {
+func (w *world) receiveIntent(n *simNode) {
 	var delay fleet.Time
-	if w.hears != nil {
-		d, ok := w.hears(n)
+	if w.intentDelay != nil {
+		d, ok := w.intentDelay(n)
 		if !ok {
 			return
 		}
 		delay = d
 	}
-	if delay > 0 && len(w.steps) > 0 && w.now-w.steps[len(w.steps)-1].at < delay {
+	if delay > 0 && len(w.steps) > 0 && w.now-w.steps[len(w.steps)-1].time < delay {
 		return // hears the newest later, and goes on with what it holds
 	}
-	for key := range n.holds {
-		if _, ok := w.s.Directives[key]; !ok {
-			delete(n.holds, key)
+	for key := range n.directives {
+		if _, ok := w.state.Directives[key]; !ok {
+			delete(n.directives, key)
 		}
 	}
-	for key, e := range w.s.Directives {
-		n.holds[key] = held{e, w.now}
+	for key, e := range w.state.Directives {
+		n.directives[key] = heldDirective{e, w.now}
 	}
-	n.rev = w.rev
+	n.revision = w.revision
 }
 
-func (w *world) send(n *wnode) {
+func (w *world) send(n *simNode) {
 	all, open := 0.0, 0.0 // what is left goes to the others
 	for _, y := range w.zones {
-		all, open = all+float64(w.listed[y]), open+float64(w.listed[y])*w.portion(n, y).Share
+		all, open = all+float64(w.listed[y]), open+float64(w.listed[y])*w.nodeShare(n, y).Share
 	}
 	for _, y := range w.zones {
-		p := w.portion(n, y)
+		p := w.nodeShare(n, y)
 		c := n.zones[y]
 		if c == nil {
 			c = &fleet.ZoneEvidence{Zone: y}
@@ -221,22 +224,22 @@
 		} else if p.Rate > 0 {
 			rate = math.Min(rate, p.Rate)
 		}
-		n.carry[y] += rate * float64(w.listed[y]) * tick.Seconds()
-		for ; n.carry[y] >= 1; n.carry[y]-- {
-			n.pick++
-			id := n.pick % max(1, w.listed[y])
-			if n.carry[y] >= 1 && w.rng.IntN(4) == 0 {
-				n.pick++
+		n.pendingAttempts[y] += rate * float64(w.listed[y]) * tick.Seconds()
+		for ; n.pendingAttempts[y] >= 1; n.pendingAttempts[y]-- {
+			n.nextServer++
+			id := n.nextServer % max(1, w.listed[y])
+			if n.pendingAttempts[y] >= 1 && w.random.IntN(4) == 0 {
+				n.nextServer++
 			}
 			sv := n.servers[y][id]
 			sv[0]++
 			c.Started++
 			c.Attempts++
 			switch {
-			case id < w.bad[y] || w.rng.Float64() < w.lose(n, y):
+			case id < w.silentServers[y] || w.random.Float64() < w.lossAt(n, y):
 				c.Lost++
 				sv[1]++
-			case w.full[y] && w.rng.IntN(2) == 0: // refused: neither lost nor an answer
+			case w.rejecting[y] && w.random.IntN(2) == 0: // rejected: neither lost nor an answer
 			default:
 				c.Answered++
 				n.answers[y]++
@@ -246,13 +249,13 @@
 	}
 }
 
-func (w *world) report(n *wnode) {
-	if w.now < n.next {
+func (w *world) report(n *simNode) {
+	if w.now < n.nextReportAt {
 		return
 	}
-	n.next = w.now + 250*time.Millisecond
-	n.seq++
-	r := fleet.Report{Member: n.Member, Sequence: n.seq, Revision: n.rev, Ready: true, WindowMS: (w.now - n.last).Milliseconds()}
+	n.nextReportAt = w.now + 250*time.Millisecond
+	n.sequence++
+	r := fleet.Report{Member: n.Member, Sequence: n.sequence, Revision: n.revision, Ready: true, WindowMS: (w.now - n.lastReportAt).Milliseconds()}
 	for _, y := range w.zones {
 		c := n.zones[y]
 		for _, sv := range n.servers[y] {
@@ -264,20 +267,20 @@
 		r.Zones = append(r.Zones, *c)
 	}
 	n.clear()
-	n.last = w.now
-	if w.drop != nil && w.drop(n) {
+	n.lastReportAt = w.now
+	if w.dropsReport != nil && w.dropsReport(n) {
 		return
 	}
 	v := fleet.NodeView{Member: n.Member, ReceivedAt: w.now, Report: r}
-	if w.twist != nil {
-		w.twist(n, &v)
+	if w.falsify != nil {
+		w.falsify(n, &v)
 	}
-	w.j.Observe(w.now, v)
+	w.controller.Observe(w.now, v)
 }
 
 // kill takes a zone away: its attempts are lost, and its nodes see all others fail if they are cut off with it.
 func (w *world) kill(names ...string) {
-	w.lose = func(_ *wnode, y string) float64 {
+	w.lossAt = func(_ *simNode, y string) float64 {
 		if slices.Contains(names, y) {
 			return 1
 		}
@@ -285,24 +288,24 @@
 	}
 }
 
-func (w *world) heal() { w.lose = func(*wnode, string) float64 { return 0 } }
+func (w *world) heal() { w.lossAt = func(*simNode, string) float64 { return 0 } }
 
 // until runs until the condition, and fails the test where it does not come.
 func (w *world) until(what string, d fleet.Time, done func() bool) {
-	if t, ok := w.t.(interface{ Helper() }); ok {
+	if t, ok := w.testing.(interface{ Helper() }); ok {
 		t.Helper()
 	}
 	if !w.run(d, done) {
-		w.t.Fatalf("%v: no %s; steps %v; findings %+v", w.now, what, w.steps, w.j.Evidence())
+		w.testing.Fatalf("%v: no %s; steps %v; findings %+v", w.now, what, w.steps, w.controller.Evidence())
 	}
 }
 
 func (s step) String() string {
-	return fmt.Sprintf("\n  %v %s %s %s->%s share %g step %d relapse %d", s.at, s.key, s.event, s.from, s.to, s.after.Share, s.after.Step, s.after.Relapses)
+	return fmt.Sprintf("\n  %v %s %s %s->%s share %g step %d relapse %d", s.time, s.key, s.event, s.source, s.target, s.after.Share, s.after.Step, s.after.Relapses)
 }
 
 func (w *world) phase(key string) string {
-	if e, ok := w.s.Directives[key]; ok {
+	if e, ok := w.state.Directives[key]; ok {
 		return e.Phase
 	}
 	return fleet.Serving
--- a/internal/fleet/zones/state.go
+++ b/internal/fleet/zones/state.go
@@ -133,7 +133,9 @@
 	if had && ch.IfRevision != old.Revision || !had && ch.IfRevision != past.Revision || !had && c.IfStateRevision != s.Revision {
 		return ErrChanged
 	}
-	from, to, e := fleet.Serving, ch.Entry.Phase, ch.Entry
+	from := fleet.Serving
+	to := ch.Entry.Phase
+	e := ch.Entry
 	if had {
 		from = old.Phase
 	}
--- a/internal/fleet/zones/table.go
+++ b/internal/fleet/zones/transitions.go
@@ -18,8 +18,11 @@
 
 // Transition is a row of the state table: the core makes no other. CountsRelapse says that the row counts a relapse.
 type Transition struct {
-	From, Event, Condition, To string
-	CountsRelapse              bool
+	Source          string
+	Event         string
+	Condition     string
+	Target            string
+	CountsRelapse bool
 }
 
 var table = []Transition{
@@ -58,6 +61,6 @@
 // isLegal reports whether some row goes so.
 func isLegal(from, event, to string, back bool) bool {
 	return slices.ContainsFunc(table, func(t Transition) bool {
-		return t.From == from && t.Event == event && t.To == to && t.CountsRelapse == back
+		return t.Source == from && t.Event == event && t.Target == to && t.CountsRelapse == back
 	})
 }
--- a/internal/fleet/zones/findings.go
+++ b/internal/fleet/zones/votes.go
@@ -76,8 +76,10 @@
 
 // nodeAttempts are a node's attempts at a zone, for shares of the fleet's.
 type nodeAttempts struct {
-	zone                        string
-	attempts, lost, lostServers float64
+	zone        string
+	attempts    float64
+	lost        float64
+	lostServers float64
 }
 
 // robustLossPart returns the share of the attempts lost that holds without any one node's vote and without any one zone's; and
@@ -97,7 +99,9 @@
 		all[i] = nodeAttempts{all[i].zone, c, all[i].lost * f, all[i].lostServers * f}
 		t := byZone[all[i].zone]
 		byZone[all[i].zone] = nodeAttempts{all[i].zone, t.attempts + c, t.lost + all[i].lost, 0}
-		sum.attempts, sum.lost, nodes = sum.attempts+c, sum.lost+all[i].lost, nodes+1
+		sum.attempts += c
+		sum.lost += all[i].lost
+		nodes += 1
 	}
 	if nodes == 0 || len(byZone) == 1 && zones > 1 {
 		return 0, sum.attempts, nodes
@@ -123,7 +127,7 @@
 // grayLoss returns the share of the fleet's attempts at y that is lost, 0 where there is no such evidence, and how long it must
 // hold: longer where most was lost at servers that gave no answer at all in their windows, as those may be bad servers,
 // which nodes avoid by themselves, and no bad zone.
-func (set *Settings) grayLoss(v fleetView, y string) (p float64, nodes int, hold fleet.Time) {
+func (set *Settings) grayLoss(v fleetView, y string) (p float64, nodes int, delay fleet.Time) {
 	var all []nodeAttempts
 	lost, lostServers := 0, 0
 	for _, s := range v.nodes {
@@ -148,32 +152,32 @@
 func grayTrafficShare(p float64) float64 { return math.Round(10*(1-p)) / 10 }
 
 // findEvidence returns the evidence of now, by key. The delay of each runs from when it was first found without a gap.
-func (j *Controller) findEvidence(v fleetView, s *State) map[string]Evidence {
+func (ctl *Controller) findEvidence(v fleetView, s *State) map[string]Evidence {
 	out := map[string]Evidence{}
-	add := func(key, event string, nodes, votes int, p float64, hold fleet.Time) {
-		out[key] = Evidence{Key: key, Event: event, Nodes: nodes, Votes: votes, Lost: p, requiredTime: hold}
+	add := func(key, event string, nodes, votes int, p float64, delay fleet.Time) {
+		out[key] = Evidence{Key: key, Event: event, Nodes: nodes, Votes: votes, Lost: p, requiredTime: delay}
 	}
 	for _, y := range v.zones {
 		by, all := v.countVotes(y)
-		if j.settings.isLost(v, y, by, all) {
-			add(Key(y, ""), Lost, all.failing, all.cast, 1, j.settings.LostDelay)
+		if ctl.settings.isLost(v, y, by, all) {
+			add(Key(y, ""), Lost, all.failing, all.cast, 1, ctl.settings.LostDelay)
 			continue
 		}
-		if p, nodes, hold := j.settings.grayLoss(v, y); p >= lostZonePart && 2*nodes > len(v.nodes) {
-			add(Key(y, ""), Lost, nodes, nodes, p, j.settings.LostDelay)
+		if p, nodes, delay := ctl.settings.grayLoss(v, y); p >= lostZonePart && 2*nodes > len(v.nodes) {
+			add(Key(y, ""), Lost, nodes, nodes, p, ctl.settings.LostDelay)
 			continue
 		} else if p > 0 {
-			add(Key(y, ""), Gray, nodes, nodes, p, hold)
+			add(Key(y, ""), Gray, nodes, nodes, p, delay)
 		}
 		for x := range v.presentByZone {
 			if isCutOff(v, x, by, all) {
-				add(Key(y, x), CutOff, by[x].failing, by[x].cast, 1, j.settings.CutOffDelay)
+				add(Key(y, x), CutOff, by[x].failing, by[x].cast, 1, ctl.settings.CutOffDelay)
 			}
 		}
 	}
 	for key, f := range out {
 		f.Since = v.now
-		if old, ok := j.evidence[key]; ok && old.Event == f.Event && v.now-j.steppedAt <= maxStepGap {
+		if old, ok := ctl.evidence[key]; ok && old.Event == f.Event && v.now-ctl.steppedAt <= maxStepGap {
 			f.Since = old.Since
 		}
 		out[key] = f
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -33,10 +33,21 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(got, want) {
-		t.Errorf("%s has changed:\n got %s\nwant %s", name, got, want)
+		t.Errorf("%s has changed: %s", name, firstDifference(got, want))
 	}
 }
 
+// firstDifference returns the first line in which two texts differ.
+func firstDifference(got, want []byte) string {
+	gotLines, wantLines := bytes.Split(got, []byte("\n")), bytes.Split(want, []byte("\n"))
+	for i := range min(len(gotLines), len(wantLines)) {
+		if !bytes.Equal(gotLines[i], wantLines[i]) {
+			return fmt.Sprintf("line %d:\n got %s\nwant %s", i+1, gotLines[i], wantLines[i])
+		}
+	}
+	return fmt.Sprintf("%d lines, want %d", len(gotLines), len(wantLines))
+}
+
 // JSON fills a T, writes it as JSON and compares that with the file name.json. It also reads the file into another T, which
 // has to be written again to the same bytes.
 func JSON[T any](t *testing.T, name string) {
--- a/internal/lab/stub/discovery.go
+++ b/internal/lab/stub/discovery.go
@@ -91,17 +91,17 @@
 		http.NotFound(w, r)
 		return
 	}
-	watch, err := registry.ParseWatch(r.URL.Query())
+	watch, err := registry.ParseWatchQuery(r.URL.Query())
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	since, watching := watch.Since, watch.Watching
+	since, watching := watch.Since, watch.IsWatch
 	d.mu.Lock()
-	if watching && since >= d.version && watch.Wait > 0 {
+	if watching && since >= d.version && watch.Timeout > 0 {
 		changes := d.changes
 		d.mu.Unlock()
-		registry.Await(r.Context(), changes, min(watch.Wait, d.MaxWait))
+		registry.Await(r.Context(), changes, min(watch.Timeout, d.MaxWait))
 		d.mu.Lock()
 	}
 	a := answer{Version: d.version, Full: !watching || since < d.floor || since > d.version, Servers: []Entry{}}
--- a/internal/node/actions_test.go
+++ b/internal/node/actions_test.go
@@ -54,13 +54,13 @@
 		return jsonList(1, !q.Has("since"), "ready", addr)
 	})
 	ctx, cancel := context.WithCancel(t.Context())
-	b := newBackends(c, 10, quiet)
-	p, err := listenPeers(c, quiet)
+	b := newUpstreams(c, 10, quiet)
+	p, err := listenPeerMessages(c, quiet)
 	if err != nil {
 		t.Fatal(err)
 	}
 	ownAddr := p.conn.LocalAddr().(*net.UDPAddr).AddrPort()
-	l := newLoop(ctx, c, b, newDiscovery(c, quiet), p, quiet)
+	l := newEventLoop(ctx, c, b, newDiscoveryClient(c, quiet), p, quiet)
 	l.rules.Load().PollsEndpoints = true // the loop asks only when set to
 	var running sync.WaitGroup
 	running.Go(func() { l.run(c.Known) })
@@ -71,7 +71,7 @@
 	defer running.Wait()
 	defer cancel()
 
-	act := func(a policy.Action) { l.post(func() { l.do(a) }) }
+	act := func(a policy.Action) { l.post(func() { l.perform(a) }) }
 	expect := func(want string) {
 		t.Helper()
 		end := time.After(patient)
@@ -103,7 +103,7 @@
 	act(policy.Subscribe{On: false})
 	act(policy.SendMessage{To: 1, Data: []byte("one")})
 	act(policy.SendMessage{ToAll: true, Data: []byte("all")})
-	act(policy.SendMessage{To: 1, Data: make([]byte, datagramLimit+1)})
+	act(policy.SendMessage{To: 1, Data: make([]byte, maxDatagramBytes+1)})
 	act(policy.SendMessage{To: 9})
 	act(policy.Log{Line: "line"})
 	buf := make([]byte, 999)
@@ -113,15 +113,15 @@
 			t.Errorf("datagram %q, %v; want %q", buf[:n], err, want)
 		}
 	}
-	other.WriteToUDPAddrPort(make([]byte, datagramLimit+1), ownAddr)
+	other.WriteToUDPAddrPort(make([]byte, maxDatagramBytes+1), ownAddr)
 	other.WriteToUDPAddrPort([]byte("hi"), ownAddr)
 	if got := <-heard; got != "1hi" {
 		t.Errorf("heard %q", got)
 	}
 	r := &request{arrived: policy.RequestArrived{ID: "q", Class: "order"}, deadline: time.Now().Add(patient), method: "POST",
 		class: policy.Class{Name: "order"}, rules: l.rules.Load(), url: &url.URL{Path: "/order", Host: "h"}, answer: make(chan answer, 1)}
-	r.life, r.end = context.WithCancel(t.Context())
-	l.post(func() { l.arrive(r) })
+	r.context, r.cancel = context.WithCancel(t.Context())
+	l.post(func() { l.startRequest(r) })
 	expect("/order")
 	act(policy.CancelAttempt{ID: "q", Attempt: 0})
 	act(policy.CancelAttempt{ID: "q", Attempt: 7})
@@ -133,7 +133,7 @@
 	act(policy.Reject{ID: "q"})
 	act(policy.Fail{ID: "nobody"})
 	fired := make(chan struct{})
-	l.post(func() { l.do(policy.SetTimer{After: time.Millisecond, Token: 9}); close(fired) })
+	l.post(func() { l.perform(policy.SetTimer{After: time.Millisecond, Token: 9}); close(fired) })
 	<-fired
 	for empty := false; !empty; time.Sleep(time.Millisecond) {
 		done := make(chan bool)
--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -14,20 +14,20 @@
 )
 
 const (
-	adminPlaces = 8                      // callers at a time; their descriptors are among the process's own
-	lineLimit   = 256                    // bytes of a call
-	lineWait    = 3 * time.Second        // for a call to be finished
-	lingerWait  = 250 * time.Millisecond // for a caller to take its answer and go
-	lingerMost  = 64 << 10               // bytes that it may still send: a close with some unread would undo the answer
+	maxAdminCallers  = 8                      // callers at a time; their descriptors are among the process's own
+	maxAdminLine     = 256                    // bytes of a call
+	adminLineTimeout = 3 * time.Second        // for a call to be finished
+	adminLingerTime  = 250 * time.Millisecond // for a caller to take its answer and go
+	maxAdminLinger   = 64 << 10               // bytes that it may still send: a close with some unread would undo the answer
 )
 
 // adminServer serves the admin API, by which operators call the node: one line on a connection, answered by one that
 // begins with ACK or NAK. No call waits for the decision loop, which may be busy.
 type adminServer struct {
-	front *frontend
-	bans  *bans
-	ctx   context.Context // of all that a call sets going
-	log   *slog.Logger
+	frontend   *frontend
+	exclusions *exclusions
+	ctx        context.Context // of all that a call sets going
+	log        *slog.Logger
 
 	mu      sync.Mutex
 	waiting []*net.TCPConn // callers whose line is not read yet, the longest wait first
@@ -40,7 +40,7 @@
 	stop := context.AfterFunc(s.ctx, func() { l.Close() })
 	defer stop()
 	s.log.Info("admin API open", "admin", l.Addr())
-	places := make(chan struct{}, adminPlaces)
+	places := make(chan struct{}, maxAdminCallers)
 	for {
 		c, err := l.AcceptTCP()
 		if errors.Is(err, net.ErrClosed) {
@@ -54,7 +54,7 @@
 		select {
 		case places <- struct{}{}:
 		default:
-			s.pushOut()
+			s.evictSlowest()
 			places <- struct{}{} // soon: a caller with a finished line is answered at once, and lingers briefly
 		}
 		s.mu.Lock()
@@ -64,9 +64,9 @@
 	}
 }
 
-// pushOut ends the wait of the caller that has not finished its line for longest. It is a half-close: a line that has come
+// evictSlowest ends the wait of the caller that has not finished its line for longest. It is a half-close: a line that has come
 // whole and is not read yet, or is being dealt with, gets its answer.
-func (s *adminServer) pushOut() {
+func (s *adminServer) evictSlowest() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(s.waiting) > 0 {
@@ -79,8 +79,8 @@
 	defer c.Close()
 	stop := context.AfterFunc(s.ctx, func() { c.Close() })
 	defer stop()
-	c.SetDeadline(time.Now().Add(lineWait))
-	line, err := bufio.NewReaderSize(c, lineLimit).ReadSlice('\n')
+	c.SetDeadline(time.Now().Add(adminLineTimeout))
+	line, err := bufio.NewReaderSize(c, maxAdminLine).ReadSlice('\n')
 	s.mu.Lock()
 	s.waiting = slices.DeleteFunc(s.waiting, func(w *net.TCPConn) bool { return w == c })
 	s.mu.Unlock()
@@ -100,15 +100,15 @@
 	if call := strings.TrimSpace(string(line)); call != "readyz" { // which may come every moment
 		s.log.Info("admin API call", "call", call, "answer", reply)
 	}
-	c.SetDeadline(time.Now().Add(lingerWait))
+	c.SetDeadline(time.Now().Add(adminLingerTime))
 	if _, err := io.WriteString(c, reply+"\n"); err != nil {
 		return
 	}
 	c.CloseWrite()
-	io.CopyN(io.Discard, c, lingerMost)
+	io.CopyN(io.Discard, c, maxAdminLinger)
 }
 
-// call does what a line asks for, or says why not.
+// call does what a line requests, or says why not.
 func (s *adminServer) call(line string) error {
 	for _, r := range strings.TrimRight(line, "\r\n") {
 		if r < ' ' && r != '\t' || r > '~' {
@@ -123,7 +123,7 @@
 		argument string
 		do       func(string) error
 	}{"readyz": {"", s.readyz}, "evacuate": {"", s.evacuate}, "activate": {"", s.activate},
-		"exclude": {"the app server's id", s.bans.exclude}, "include": {"the app server's id", s.bans.include}}
+		"exclude": {"the app server's id", s.exclusions.exclude}, "include": {"the app server's id", s.exclusions.include}}
 	call, known := calls[fields[0]]
 	argument := strings.Join(fields[1:], " ")
 	switch {
@@ -138,21 +138,21 @@
 }
 
 func (s *adminServer) readyz(string) error {
-	if why := s.front.unready(); why != "" {
+	if why := s.frontend.notReadyReason(); why != "" {
 		return errors.New(why)
 	}
 	return nil
 }
 
 func (s *adminServer) evacuate(string) error {
-	s.front.emptied.Store(true)
+	s.frontend.evacuated.Store(true)
 	return nil
 }
 
 func (s *adminServer) activate(string) error {
-	if s.front.draining.Load() {
+	if s.frontend.draining.Load() {
 		return errors.New("the process ends")
 	}
-	s.front.emptied.Store(false)
+	s.frontend.evacuated.Store(false)
 	return nil
 }
