--- a/internal/node/admin_test.go
+++ b/internal/node/admin_test.go
@@ -31,7 +31,7 @@
 	return string(reply)
 }
 
-// served asks until it is served, as the module may refuse by what the requests before took on a busy machine.
+// served asks until it is served, as the module may reject by what the requests before took on a busy machine.
 func (n *testNode) served(t *testing.T) *http.Response {
 	t.Helper()
 	for end := time.Now().Add(patient); ; time.Sleep(10 * time.Millisecond) {
@@ -52,7 +52,7 @@
 	for call, want := range map[string]string{
 		"readyz\n": "ACK\n", "readyz\r\n": "ACK\n", "activate\n": "ACK\n",
 		"readyz now\n": "NAK", "restart\n": "NAK", "READYZ\n": "NAK", "\n": "NAK", "read\x00yz\n": "NAK", "caf\xe9\n": "NAK",
-		strings.Repeat("x", 4*lineLimit) + "\n": "NAK", "readyz": "NAK",
+		strings.Repeat("x", 4*maxAdminLine) + "\n": "NAK", "readyz": "NAK",
 	} {
 		got := n.call(t, call)
 		if !strings.HasPrefix(got, want) || strings.Count(got, "\n") != 1 || want == "NAK" && len(got) < 10 {
@@ -62,25 +62,25 @@
 }
 
 // Callers that finish no line hold nobody up, nor does a loop that is busy, and all of them are let go in time.
-func TestAdminIsNotHeldUp(t *testing.T) {
+func TestAdminIsNotBlocked(t *testing.T) {
 	t.Parallel()
 	c := &Config{Settings: settings(), Known: known("127.0.0.1:1")}
-	b := newBackends(c, 10, quiet)
-	f := newFrontend(newLoop(t.Context(), c, b, nil, nil, quiet), 10, quiet)
-	f.loop.able.Store(true)
+	b := newUpstreams(c, 10, quiet)
+	f := newFrontend(newEventLoop(t.Context(), c, b, nil, nil, quiet), 10, quiet)
+	f.loop.hasReadyServer.Store(true)
 	f.listening.Store(true)
-	for range cap(f.loop.happened) { // nobody takes events: whoever waits for the loop waits for ever
+	for range cap(f.loop.events) { // nobody takes events: whoever waits for the loop waits for ever
 		f.loop.post(func() {})
 	}
 	l, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
 		t.Fatal(err)
 	}
-	server := &adminServer{front: f, ctx: t.Context(), log: quiet}
+	server := &adminServer{frontend: f, ctx: t.Context(), log: quiet}
 	go server.run(l)
 	n := &testNode{admin: l.Addr().String()}
 	var held []net.Conn
-	for range 3 * adminPlaces {
+	for range 3 * maxAdminCallers {
 		h, err := net.Dial("tcp", n.admin)
 		if err != nil {
 			t.Fatal(err)
@@ -112,7 +112,7 @@
 	}
 	defer l.Close()
 	c := &Config{Settings: settings()}
-	f := newFrontend(newLoop(t.Context(), c, newBackends(c, 10, quiet), nil, nil, quiet), 10, quiet)
+	f := newFrontend(newEventLoop(t.Context(), c, newUpstreams(c, 10, quiet), nil, nil, quiet), 10, quiet)
 	for line, want := range map[string]string{"evacuate\n": "ACK\n", "evac": "NAK the line is not finished\n"} {
 		caller, err := net.Dial("tcp", l.Addr().String())
 		if err != nil {
@@ -124,13 +124,13 @@
 			t.Fatal(err)
 		}
 		io.WriteString(caller, line)
-		for end := time.Now().Add(patient); quietSocket(conn); time.Sleep(time.Millisecond) {
+		for end := time.Now().Add(patient); hasUnreadData(conn); time.Sleep(time.Millisecond) {
 			if time.Now().After(end) {
 				t.Fatal("the line does not come")
 			}
 		}
-		server := &adminServer{front: f, ctx: t.Context(), log: quiet, waiting: []*net.TCPConn{conn}}
-		server.pushOut()
+		server := &adminServer{frontend: f, ctx: t.Context(), log: quiet, waiting: []*net.TCPConn{conn}}
+		server.evictSlowest()
 		go server.answer(conn)
 		caller.SetDeadline(time.Now().Add(patient))
 		if got, err := io.ReadAll(caller); string(got) != want || err != nil {
@@ -173,7 +173,7 @@
 		t.Errorf("emptied: status %d, closes: %v", resp.StatusCode, resp.Close)
 	}
 	idle.SetDeadline(time.Now().Add(patient))
-	if _, err := r.ReadByte(); err != io.EOF || time.Since(at) < idleLeast/2 {
+	if _, err := r.ReadByte(); err != io.EOF || time.Since(at) < minIdleTime/2 {
 		t.Errorf("the idle connection ended with %v after %v", err, time.Since(at))
 	}
 	for range 2 {
@@ -235,7 +235,7 @@
 	if err := <-n.ended; err != nil {
 		t.Error(err)
 	}
-	if out, _ := openBans(c, newBackends(c, 10, quiet), quiet).now(); !out["s-00000001"] {
+	if out, _ := openExclusions(c, newUpstreams(c, 10, quiet), quiet).current(); !out["s-00000001"] {
 		t.Errorf("out after the end: %v", out)
 	}
 }
--- a/internal/node/gone_test.go
+++ b/internal/node/client_left_test.go
@@ -18,9 +18,9 @@
 	"meadowsill/policy"
 )
 
-// A request's life ends with its client, though the loop is held and hears of nothing, and though bytes lie before the
+// A request's life ends with its client, though the loop is held and is notified of nothing, and though bytes lie before the
 // end. What stood in the loop's queue is not handed to the module.
-func TestLifeEndsOutsideTheLoop(t *testing.T) {
+func TestRequestEndsOutsideTheLoop(t *testing.T) {
 	t.Parallel()
 	// its patience is longer than the test's
 	long := strings.Replace(orderHead("Content-Length: 80000"), "X-Time-Left: 9\r\n", "X-Time-Left: 90\r\n", 1)
@@ -38,9 +38,9 @@
 				if _, err := io.WriteString(c, text); err != nil {
 					t.Fatal(err)
 				}
-				await(t, "the request stands in the queue", func() bool { return len(f.loop.happened) == 1 })
+				await(t, "the request stands in the queue", func() bool { return len(f.loop.events) == 1 })
 				leave(c, reset)
-				await(t, "the request ends with its client", func() bool { return f.open.Load() == 0 })
+				await(t, "the request ends with its client", func() bool { return f.openRequests.Load() == 0 })
 				let()
 				other, r, _ := f.dial(t)
 				io.WriteString(other, message("order", "9.5", "other"))
@@ -53,7 +53,7 @@
 }
 
 // The same for a request whose attempt is out: the life that its attempts go by has ended while the loop is held.
-func TestLifeOfARequestThatIsOut(t *testing.T) {
+func TestEndOfARequestInFlight(t *testing.T) {
 	t.Parallel()
 	for _, more := range []string{"", "x"} {
 		for _, reset := range []bool{false, true} {
@@ -72,7 +72,7 @@
 			lives := make(chan context.Context, 1)
 			f.loop.post(func() {
 				for _, r := range f.loop.requests {
-					lives <- r.life
+					lives <- r.context
 				}
 			})
 			life := <-lives
@@ -89,7 +89,7 @@
 	}
 }
 
-// With the loop's queue full a request waits for room no longer than its client does.
+// With the loop's queue full a request waits for a slot no longer than its client does.
 func TestQueueFull(t *testing.T) {
 	t.Parallel()
 	var came atomic.Int64
@@ -97,14 +97,14 @@
 	f := startFront(t, &Config{Settings: settings(), Known: known(addr)})
 	let := f.hold()
 	defer let()
-	for range cap(f.loop.happened) {
+	for range cap(f.loop.events) {
 		f.loop.post(func() {})
 	}
 	gone, _, _ := f.dial(t)
 	io.WriteString(gone, message("order", "9.5", "b"))
-	await(t, "the request is read", func() bool { return f.open.Load() == 1 })
+	await(t, "the request is read", func() bool { return f.openRequests.Load() == 1 })
 	gone.Close()
-	await(t, "it ends with its client", func() bool { return f.open.Load() == 0 })
+	await(t, "it ends with its client", func() bool { return f.openRequests.Load() == 0 })
 	stays, r, _ := f.dial(t)
 	io.WriteString(stays, message("order", "0.05", "b"))
 	if resp, err := http.ReadResponse(r, nil); err != nil || resp.StatusCode < 500 {
@@ -118,8 +118,8 @@
 	}
 }
 
-// accepted is a connection whose client has sent something and gone.
-func accepted(t *testing.T, text string, reset bool) *cappedConn {
+// accepted is a connection whose client has sent something and left.
+func accepted(t *testing.T, text string, reset bool) *clientConn {
 	t.Helper()
 	l, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
@@ -137,31 +137,31 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := &cappedConn{TCPConn: tcp, conns: newConnections(1), free: func() {}, came: time.Now()}
+	c := &clientConn{TCPConn: tcp, conns: newConnections(1), releaseSlot: func() {}, acceptedAt: time.Now()}
 	t.Cleanup(func() { c.Close() })
-	if c.left() {
+	if c.clientLeft() {
 		t.Error("a client that is there counts as gone")
 	}
 	leave(peer.(*net.TCPConn), reset)
-	await(t, "the client's end is seen", c.left)
+	await(t, "the client's end is seen", c.clientLeft)
 	return c
 }
 
-// A client may have gone before its request is read, and the read that looks for its end come only after an attempt that
+// A client may have left before its request is read, and the read that looks for its end come only after an attempt that
 // begins at once: then nothing is handed to the loop.
-func TestClientGoneBeforeItsRequestIsRead(t *testing.T) {
+func TestClientLeftBeforeItsRequestIsRead(t *testing.T) {
 	t.Parallel()
 	for _, reset := range []bool{false, true} {
 		c := &Config{Settings: settings()}
-		f := newFrontend(newLoop(t.Context(), c, newBackends(c, 10, quiet), nil, nil, quiet), 10, quiet)
+		f := newFrontend(newEventLoop(t.Context(), c, newUpstreams(c, 10, quiet), nil, nil, quiet), 10, quiet)
 		r, err := http.ReadRequest(bufio.NewReader(strings.NewReader(message("order", "9.5", ""))))
 		if err != nil {
 			t.Fatal(err)
 		}
 		func() {
 			defer func() {
-				if e := recover(); e != http.ErrAbortHandler || len(f.loop.happened) != 0 {
-					t.Errorf("ended with %v, %d events for the module", e, len(f.loop.happened))
+				if e := recover(); e != http.ErrAbortHandler || len(f.loop.events) != 0 {
+					t.Errorf("ended with %v, %d events for the module", e, len(f.loop.events))
 				}
 			}()
 			ctx, stop := context.WithTimeout(t.Context(), time.Second)
@@ -173,7 +173,7 @@
 }
 
 // A long body that lies whole in the node's socket, its client's end behind it, does not get to an app server whole.
-func TestLongBodyOfAClientGone(t *testing.T) {
+func TestLongBodyOfAClientThatLeft(t *testing.T) {
 	t.Parallel()
 	const rest = 30000
 	for _, chunked := range []bool{false, true} {
@@ -183,19 +183,19 @@
 			whole <- err
 		})
 		c := &Config{Settings: settings(), Known: known(addr)}
-		b := newBackends(c, 10, quiet)
+		b := newUpstreams(c, 10, quiet)
 		b.update(c.Known)
 		conn := accepted(t, strings.Repeat("b", rest), false)
-		u := &upload{length: -1, patience: time.Minute, finished: make(chan struct{}), client: conn,
+		u := &upload{length: -1, patience: time.Minute, complete: make(chan struct{}), client: conn,
 			body: &pacedBody{Reader: io.LimitReader(conn, rest), control: http.NewResponseController(httptest.NewRecorder())}}
-		x := &exchange{method: http.MethodPost, url: &url.URL{Host: "h", Path: "/order"}, body: make([]byte, bodyLimit+1),
-			deadline: time.Now().Add(patient), upload: u, sealed: func() {}}
+		x := &exchange{method: http.MethodPost, url: &url.URL{Host: "h", Path: "/order"}, body: make([]byte, maxBufferedBody+1),
+			deadline: time.Now().Add(patient), upload: u, onBodySent: func() {}}
 		if !chunked {
 			u.length = int64(len(x.body)) + rest
 		}
-		res := b.do(t.Context(), b.find(1), x)
-		if res.err == nil || u.complete() {
-			t.Errorf("chunked %v: ended as %+v, the body complete %v", chunked, res, u.complete())
+		res := b.roundTrip(t.Context(), b.host(1), x)
+		if res.err == nil || u.isComplete() {
+			t.Errorf("chunked %v: ended as %+v, the body complete %v", chunked, res, u.isComplete())
 		}
 		if client := (uploadError{}); !errors.As(res.err, &client) {
 			t.Errorf("chunked %v: %v, want the client's end", chunked, res.err)
@@ -224,9 +224,9 @@
 	if _, err := io.WriteString(c, orderHead(fmt.Sprintf("Content-Length: %d", length))+strings.Repeat("b", length)); err != nil {
 		t.Fatal(err)
 	}
-	await(t, "the request stands in the queue", func() bool { return len(f.loop.happened) == 1 })
+	await(t, "the request stands in the queue", func() bool { return len(f.loop.events) == 1 })
 	c.Close()
-	if conn.left() {
+	if conn.clientLeft() {
 		t.Fatal("the node knows of the end before it has read the body")
 	}
 	let()
@@ -237,16 +237,16 @@
 }
 
 // A request whose life has ended by the time its event comes is not handed to the module.
-func TestArrivesAfterItsLife(t *testing.T) {
+func TestArrivesAfterItsEnd(t *testing.T) {
 	t.Parallel()
 	c := &Config{Settings: settings(), Known: known(backend(t, func(net.Conn) {}))}
-	l := newLoop(t.Context(), c, newBackends(c, 10, quiet), nil, nil, quiet)
+	l := newEventLoop(t.Context(), c, newUpstreams(c, 10, quiet), nil, nil, quiet)
 	rules := l.rules.Load()
 	r := &request{arrived: policy.RequestArrived{ID: "a", Class: "read"}, class: rules.classes["read"], rules: rules,
 		deadline: time.Now().Add(patient), answer: make(chan answer, 1)}
-	r.life, r.end = context.WithCancel(t.Context())
-	r.end()
-	l.arrive(r)
+	r.context, r.cancel = context.WithCancel(t.Context())
+	r.cancel()
+	l.startRequest(r)
 	if len(l.requests) > 0 || len(r.answer) > 0 {
 		t.Errorf("%d requests open, %d answers", len(l.requests), len(r.answer))
 	}
@@ -261,7 +261,7 @@
 
 func (b *endingBody) Close() error { return nil }
 func (b *endingBody) Read(p []byte) (int, error) {
-	if b.got < 2*bodyLimit {
+	if b.got < 2*maxBufferedBody {
 		b.got += len(p)
 		return len(p), nil
 	}
@@ -307,7 +307,7 @@
 		}
 	})
 	u = <-seen
-	await(t, "the early answer interrupts the body", u.body.over.Load)
+	await(t, "the early answer interrupts the body", u.body.stopped.Load)
 	interrupted() // as net/http does when its read ends so
 	close(body.let)
 	if e := <-control; e != nil || answered.Code != http.StatusServiceUnavailable {
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -31,20 +31,21 @@
 	TempDir   string         // shared by the processes of an upgrade
 	Seed      int64
 	Limits    Limits
-	PeerListen,
-	PeersAll netip.AddrPort // invalid where nodes don't talk
-	Peers    []netip.AddrPort
-	Known    list // the backends as this node last had them
-	Settings policy.Settings
-	Fleet    *FleetConfig // nil: the node is in no fleet
+	// invalid where nodes don't talk
+	PeerListen netip.AddrPort
+	PeersAll   netip.AddrPort
+	Peers      []netip.AddrPort
+	Known      endpointList // the backends as this node last had them
+	Settings   policy.Settings
+	Fleet      *FleetConfig // nil: the node is in no fleet
 }
 
 // The least that a node can run with, and what it takes where nothing is given.
 const (
-	leastSockets  = 64
-	leastMemoryMB = 32
-	usualSockets  = 1024
-	usualMemoryMB = 192
+	minSockets      = 64
+	minMemoryMB     = 32
+	defaultSockets  = 1024
+	defaultMemoryMB = 192
 )
 
 // LoadConfig reads the file that GW_CONFIG names. The other GW_ variables go before what it says.
@@ -88,7 +89,7 @@
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
 	if whole {
-		if err := complete(raw); err != nil {
+		if err := checkComplete(raw); err != nil {
 			return nil, fmt.Errorf("%s: %w", path, err)
 		}
 	}
@@ -107,9 +108,10 @@
 	}
 	peers := in.PeerListen != ""
 	for _, a := range []struct {
-		name, text string
-		into       *netip.AddrPort
-		wanted     bool
+		name   string
+		text   string
+		into   *netip.AddrPort
+		wanted bool
 	}{{"listen", in.Listen, &c.Listen, true}, {"discovery", in.Discovery, &c.Discovery, true},
 		{"admin_addr", in.Admin, &c.Admin, in.Admin != ""},
 		{"peer_listen", in.PeerListen, &c.PeerListen, peers}, {"peers_all", in.PeersAll, &c.PeersAll, in.PeersAll != ""}} {
@@ -133,13 +135,13 @@
 	}
 	c.Seed = int64(seed)
 	if c.Limits.Sockets == 0 {
-		c.Limits.Sockets = usualSockets
+		c.Limits.Sockets = defaultSockets
 	}
 	if c.Limits.MemoryMB == 0 {
-		c.Limits.MemoryMB = usualMemoryMB
+		c.Limits.MemoryMB = defaultMemoryMB
 	}
-	if c.Limits.Sockets < leastSockets || c.Limits.MemoryMB < leastMemoryMB || c.Limits.Cores < 0 {
-		return nil, fmt.Errorf("%s: limits: want %d sockets and %d MB of memory at least, have %+v", path, leastSockets, leastMemoryMB, c.Limits)
+	if c.Limits.Sockets < minSockets || c.Limits.MemoryMB < minMemoryMB || c.Limits.Cores < 0 {
+		return nil, fmt.Errorf("%s: limits: want %d sockets and %d MB of memory at least, have %+v", path, minSockets, minMemoryMB, c.Limits)
 	}
 	if in.Known != nil {
 		if c.Known, err = decodeList(in.Known); err != nil {
@@ -152,7 +154,7 @@
 	if c.Settings, err = wire.DecodeSettings(in.Settings); err != nil {
 		return nil, fmt.Errorf("%s: settings: %w", path, err)
 	}
-	if err := sensible(c.Settings); err != nil {
+	if err := checkUsable(c.Settings); err != nil {
 		return nil, fmt.Errorf("%s: settings: %w", path, err)
 	}
 	if c.Fleet, err = decodeFleet(in.Fleet, c.Name, c.Settings); err != nil {
--- a/internal/node/ends_test.go
+++ b/internal/node/connection_ends_test.go
@@ -24,7 +24,7 @@
 		reset
 		nothing // more comes
 	)
-	long := "HTTP/1.1 503 No\r\nX-Unprocessed: 1\r\nX: " + strings.Repeat("x", answerLimit-2000) + "\r\n\r\n" + strings.Repeat("y", 4000)
+	long := "HTTP/1.1 503 No\r\nX-Unprocessed: 1\r\nX: " + strings.Repeat("x", maxBufferedAnswer-2000) + "\r\n\r\n" + strings.Repeat("y", 4000)
 	for name, c := range map[string]struct {
 		reply string
 		end   int
@@ -87,9 +87,9 @@
 			if c.code == policy.TimedOut || name == "half a status line" {
 				wait = 150 * time.Millisecond
 			}
-			b := newBackends(&Config{Settings: settings()}, 10, quiet)
+			b := newUpstreams(&Config{Settings: settings()}, 10, quiet)
 			b.update(known(backend(t, stand(new([3]atomic.Int64)))))
-			if r := b.do(t.Context(), b.find(1), get(wait)); r.code != c.code {
+			if r := b.roundTrip(t.Context(), b.host(1), get(wait)); r.code != c.code {
 				t.Errorf("outcome %v (%v), want %v", r.code, r.err, c.code)
 			}
 			never := c.code == policy.Rejected
@@ -100,7 +100,7 @@
 				resp, body := n.ask(t, message(class, fmt.Sprint(min(wait, patient/2).Seconds()), ""))
 				came, right := counts[strings.IndexByte("rto", class[0])].Load(), false
 				switch status := resp.StatusCode; {
-				case came == 0: // refused by what the others met with
+				case came == 0: // rejected by what the others met with
 					right = status == 503 && class != "order"
 				case c.code == policy.OK:
 					right = status == 200 && came == 1
@@ -133,11 +133,11 @@
 		c.Close()
 		close(gone)
 	})
-	b := newBackends(&Config{Settings: settings()}, 10, quiet)
+	b := newUpstreams(&Config{Settings: settings()}, 10, quiet)
 	b.update(known(addr))
 	x := get(patient)
 	ended := make(chan error, 1)
-	x.begin = func(_ *http.Response, held []byte, rest *io.PipeReader) {
+	x.onStream = func(_ *http.Response, held []byte, rest *io.PipeReader) {
 		close(begun)
 		<-gone
 		go func() {
@@ -148,7 +148,7 @@
 			ended <- err
 		}()
 	}
-	r := b.do(t.Context(), b.find(1), x)
+	r := b.roundTrip(t.Context(), b.host(1), x)
 	if err := <-ended; err == nil || r.code != policy.Reset {
 		t.Errorf("what was begun ends with %v, outcome %v (%v)", err, r.code, r.err)
 	}
@@ -164,15 +164,15 @@
 			conns <- c
 			answering(func(*http.Request, []byte) string { return ok("its own") })(c)
 		})
-		b := newBackends(&Config{Settings: settings()}, 10, quiet)
+		b := newUpstreams(&Config{Settings: settings()}, 10, quiet)
 		b.update(known(addr))
-		h := b.find(1)
-		if r := b.do(t.Context(), h, get(patient)); r.code != policy.OK {
+		h := b.host(1)
+		if r := b.roundTrip(t.Context(), h, get(patient)); r.code != policy.OK {
 			t.Fatalf("outcome %v (%v)", r.code, r.err)
 		}
 		first := <-conns
 		c, err := b.connect(t.Context(), h, time.Now().Add(patient))
-		if err != nil || !c.used {
+		if err != nil || !c.reused {
 			t.Fatalf("not the idle one: %v", err)
 		}
 		if late == "" {
@@ -180,13 +180,13 @@
 		} else {
 			io.WriteString(first, late)
 		}
-		for end := time.Now().Add(patient); quietSocket(c.TCPConn) && time.Now().Before(end); {
+		for end := time.Now().Add(patient); hasUnreadData(c.TCPConn) && time.Now().Before(end); {
 			time.Sleep(time.Millisecond)
 		}
-		if r := b.on(t.Context(), h, c, get(patient)); r.code != policy.ConnectFailed || !errors.Is(r.err, errStale) {
+		if r := b.exchangeOn(t.Context(), h, c, get(patient)); r.code != policy.ConnectFailed || !errors.Is(r.err, errUnexpectedBytes) {
 			t.Errorf("%q: outcome %v (%v), %q", late, r.code, r.err, r.body)
 		}
-		if r := b.do(t.Context(), h, get(patient)); r.code != policy.OK || string(r.body) != "its own" {
+		if r := b.roundTrip(t.Context(), h, get(patient)); r.code != policy.OK || string(r.body) != "its own" {
 			t.Errorf("%q: outcome %v (%v), %q", late, r.code, r.err, r.body)
 		}
 	}
@@ -195,10 +195,10 @@
 // Of idle connections one that has rested goes before one on which an answer ended just now, and else the longest rested.
 func TestRestedConnectionsGoFirst(t *testing.T) {
 	now := time.Now()
-	old, rested := &conn{since: now.Add(-2 * time.Hour)}, &conn{since: now.Add(-time.Hour)}
-	young, youngest := &conn{since: now.Add(time.Hour)}, &conn{since: now.Add(2 * time.Hour)}
-	h := &host{idle: []*conn{old, rested, young, youngest}}
-	for i, want := range []*conn{rested, old, young, youngest} {
+	old, rested := &upstreamConn{idleSince: now.Add(-2 * time.Hour)}, &upstreamConn{idleSince: now.Add(-time.Hour)}
+	young, youngest := &upstreamConn{idleSince: now.Add(time.Hour)}, &upstreamConn{idleSince: now.Add(2 * time.Hour)}
+	h := &upstreamHost{idle: []*upstreamConn{old, rested, young, youngest}}
+	for i, want := range []*upstreamConn{rested, old, young, youngest} {
 		if h.takeIdle() != want {
 			t.Errorf("connection %d is not the one", i)
 		}
@@ -219,12 +219,12 @@
 			}
 			close(let)
 		})
-		b := newBackends(&Config{Settings: settings()}, 10, quiet)
+		b := newUpstreams(&Config{Settings: settings()}, 10, quiet)
 		b.update(known(addr))
-		if r := b.do(t.Context(), b.find(1), get(patient)); r.code != policy.ServerError || len(b.find(1).idle) > 0 {
-			t.Errorf("%s: outcome %v (%v), %d connections kept", status, r.code, r.err, len(b.find(1).idle))
+		if r := b.roundTrip(t.Context(), b.host(1), get(patient)); r.code != policy.ServerError || len(b.host(1).idle) > 0 {
+			t.Errorf("%s: outcome %v (%v), %d connections kept", status, r.code, r.err, len(b.host(1).idle))
 		}
-		b.update(list{full: true})
+		b.update(endpointList{complete: true})
 		<-let
 	}
 }
--- a/internal/node/discovery_test.go
+++ b/internal/node/discovery_test.go
@@ -36,16 +36,18 @@
 	}
 }
 
-// A list that makes no sense is a failed call and no crash; the module asks again, and the watch goes on from
+// A list that makes no sense is a failed call and no crash; the module asks again, and the watch continues from
 // the version it has. A drain is followed.
 func TestDiscovery(t *testing.T) {
 	t.Parallel()
 	for _, pushed := range []bool{false, true} {
 		var got atomic.Int64
 		addr := backend(t, answering(func(*http.Request, []byte) string { got.Add(1); return ok("x") }))
-		failed, mended, drain := make(chan struct{}), make(chan struct{}), make(chan struct{})
+		failed := make(chan struct{})
+		mended := make(chan struct{})
+		drain := make(chan struct{})
 		bad := []string{ok(`{"version":"x"`), jsonList(5, false, "asleep", addr), "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"}
-		c := &Config{Settings: settings(), Known: list{version: 1}}
+		c := &Config{Settings: settings(), Known: endpointList{version: 1}}
 		c.Settings.PollsEndpoints = !pushed
 		c.Discovery = registry(t, func(n int, q url.Values) string {
 			if n == len(bad) {
--- a/internal/node/drain_test.go
+++ b/internal/node/drain_test.go
@@ -15,7 +15,7 @@
 	"time"
 )
 
-// SIGTERM loses nothing: what is held is answered, what comes for a moment more is served, each answer closes
+// SIGTERM loses nothing: what is applied is answered, what comes for a moment more is served, each answer closes
 // its connection, and then the node ends.
 func TestDrain(t *testing.T) {
 	t.Parallel()
@@ -57,7 +57,7 @@
 	}
 }
 
-// What is being read when the listener closes is refused and not dropped: it may have come whole too late to be served.
+// What is being read when the listener closes is rejected and not dropped: it may have come complete too late to be served.
 func TestDrainAnswersWhatIsBeingRead(t *testing.T) {
 	t.Parallel()
 	var whole atomic.Int64
@@ -103,12 +103,12 @@
 	}
 }
 
-// At its bounds a node refuses at once, and each connection that it has accepted gets an answer.
+// At its bounds a node rejects at once, and each connection that it has accepted gets an answer.
 func TestBounds(t *testing.T) {
 	t.Parallel()
 	let := make(chan struct{})
 	addr := backend(t, answering(func(*http.Request, []byte) string { <-let; return ok("x") }))
-	c := &Config{Settings: settings(), Known: known(addr), Limits: Limits{Cores: 1, MemoryMB: 192, Sockets: leastSockets}}
+	c := &Config{Settings: settings(), Known: known(addr), Limits: Limits{Cores: 1, MemoryMB: 192, Sockets: minSockets}}
 	c.Settings.MaxOpenRequests = 1
 	n := start(t, c)
 	statuses := make(chan int, 60)
@@ -132,46 +132,46 @@
 	}
 }
 
-// Above the bound the connection that has been idle longest makes room, but none that a client may still count on.
-func TestCrowdClosesLongestIdle(t *testing.T) {
+// Above the bound the connection that has been idle longest is closed, but none that a client may still count on.
+func TestOverLimitClosesLongestIdle(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := &connections{limit: 2, idle: map[net.Conn]time.Time{}, shed: map[net.Conn]bool{}}
+		c := &connections{limit: 2, idle: map[net.Conn]time.Time{}, ended: map[net.Conn]bool{}}
 		var conns, peers [4]net.Conn
 		closed := func(i int) bool {
 			conns[i].SetReadDeadline(time.Now().Add(time.Millisecond))
 			_, err := conns[i].Read(make([]byte, 1))
 			return !errors.Is(err, os.ErrDeadlineExceeded)
 		}
-		come := func(i int) { conns[i], peers[i] = net.Pipe(); c.came() }
+		come := func(i int) { conns[i], peers[i] = net.Pipe(); c.accepted() }
 		for i := range 2 {
 			come(i)
 			c.track(conns[i], http.StateIdle)
-			time.Sleep(idleLeast / 2)
+			time.Sleep(minIdleTime / 2)
 		}
 		c.track(conns[0], http.StateActive)
 		c.track(conns[0], http.StateIdle) // now idle for the shorter time
 		come(2)
-		if closed(0) || closed(1) || !c.crowded() {
+		if closed(0) || closed(1) || !c.overLimit() {
 			t.Error("a connection is closed that was idle for less than it may")
 		}
-		time.Sleep(idleLeast/2 + 2*shedEvery) // the other one has been idle for long enough now
-		if closed(0) || !closed(1) || c.crowded() {
+		time.Sleep(minIdleTime/2 + 2*shedInterval) // the other one has been idle for long enough now
+		if closed(0) || !closed(1) || c.overLimit() {
 			t.Error("want the connection closed that was idle longest, and no other")
 		}
 		come(3)
-		if closed(0) || !c.crowded() {
+		if closed(0) || !c.overLimit() {
 			t.Error("a connection is closed for the next one that was idle for less than it may")
 		}
-		time.Sleep(idleLeast)
-		if !closed(0) || c.crowded() {
+		time.Sleep(minIdleTime)
+		if !closed(0) || c.overLimit() {
 			t.Error("want room made for the last one too")
 		}
 		for _, conn := range conns {
 			c.track(conn, http.StateClosed)
-			c.left(conn)
+			c.released(conn)
 		}
-		if c.count != 0 || len(c.shed) != 0 {
-			t.Errorf("with all closed %d are counted, %d shed", c.count, len(c.shed))
+		if c.count != 0 || len(c.ended) != 0 {
+			t.Errorf("with all closed %d are counted, %d shed", c.count, len(c.ended))
 		}
 	})
 }
@@ -181,16 +181,16 @@
 func TestRequestThatCrossesTheClose(t *testing.T) {
 	t.Parallel()
 	c := &Config{Settings: settings()}
-	f := newFrontend(newLoop(t.Context(), c, newBackends(c, 10, quiet), nil, nil, quiet), 10, quiet)
+	f := newFrontend(newEventLoop(t.Context(), c, newUpstreams(c, 10, quiet), nil, nil, quiet), 10, quiet)
 	conn, _ := net.Pipe()
-	f.conns.shed[conn] = true
+	f.connections.ended[conn] = true
 	r, err := http.ReadRequest(bufio.NewReader(strings.NewReader(message("order", "0.1", ""))))
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer func() {
-		if e := recover(); e != http.ErrAbortHandler || len(f.loop.happened) != 0 {
-			t.Errorf("ended with %v, %d events for the module", e, len(f.loop.happened))
+		if e := recover(); e != http.ErrAbortHandler || len(f.loop.events) != 0 {
+			t.Errorf("ended with %v, %d events for the module", e, len(f.loop.events))
 		}
 	}()
 	f.ServeHTTP(httptest.NewRecorder(), r.WithContext(f.server().ConnContext(t.Context(), conn)))
--- a/internal/node/listcross_test.go
+++ b/internal/node/endpoint_races_test.go
@@ -52,7 +52,7 @@
 func TestGivenUpCallGivesUpItsDial(t *testing.T) {
 	t.Parallel()
 	silent := full(t)
-	d := newDiscovery(&Config{Discovery: netip.MustParseAddrPort(silent.Addr().String())}, quiet)
+	d := newDiscoveryClient(&Config{Discovery: netip.MustParseAddrPort(silent.Addr().String())}, quiet)
 	var dialling atomic.Int64
 	d.client.Transport.(*http.Transport).DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		dialling.Add(1)
@@ -93,19 +93,19 @@
 }
 
 // testLoop is a loop with the module, with discovery at an address and nothing else.
-func testLoop(t *testing.T, pushed bool, at netip.AddrPort) *loop {
-	c := &Config{Settings: settings(), Discovery: at, Known: list{version: 1}}
+func testLoop(t *testing.T, pushed bool, at netip.AddrPort) *eventLoop {
+	c := &Config{Settings: settings(), Discovery: at, Known: endpointList{version: 1}}
 	c.Settings.PollsEndpoints = !pushed
 	ctx, stop := context.WithCancel(context.Background())
-	l := newLoop(ctx, c, newBackends(c, 10, quiet), newDiscovery(c, quiet), nil, quiet)
+	l := newEventLoop(ctx, c, newUpstreams(c, 10, quiet), newDiscoveryClient(c, quiet), nil, quiet)
 	var running sync.WaitGroup
 	running.Go(func() { l.run(c.Known) })
-	t.Cleanup(func() { stop(); running.Wait(); l.disco.client.CloseIdleConnections() })
+	t.Cleanup(func() { stop(); running.Wait(); l.discovery.client.CloseIdleConnections() })
 	return l
 }
 
-// listed gives the address at which the node has the server that jsonList names.
-func (l *loop) listed() string {
+// listed returns the address at which the node has the server that jsonList names.
+func (l *eventLoop) listed() string {
 	l.backends.mu.Lock()
 	defer l.backends.mu.Unlock()
 	if h := l.backends.hosts[serverID("s-00000001")]; h != nil {
@@ -115,7 +115,7 @@
 }
 
 // halt stops the loop at its next event until it is let go.
-func (l *loop) halt(t *testing.T, then func()) (let func()) {
+func (l *eventLoop) halt(t *testing.T, then func()) (let func()) {
 	halted, gate := make(chan struct{}), make(chan struct{})
 	l.post(func() { close(halted); <-gate; then() })
 	<-halted
@@ -127,7 +127,7 @@
 const addrA, addrB, addrC = "127.0.0.1:11", "127.0.0.1:12", "127.0.0.1:13"
 
 // The last answer of the old address stands in the loop's queue as SIGHUP moves discovery: it is followed before the
-// new address's, which is asked from its version on, and never after it.
+// new address's, which is polled from its version on, and never after it.
 func TestOldAddressDoesNotOverruleTheNew(t *testing.T) {
 	t.Parallel()
 	for _, pushed := range []bool{true, false} {
@@ -157,13 +157,13 @@
 		<-held
 		let := l.halt(t, func() {})
 		close(answer)
-		await(t, "the answer in the queue", func() bool { return len(l.happened) > 0 })
-		l.disco.move(moved)
+		await(t, "the answer in the queue", func() bool { return len(l.events) > 0 })
+		l.discovery.setAddress(moved)
 		first := ""
 		if pushed {
 			first = <-since
 		} else {
-			await(t, "the watch's end in the queue", func() bool { return len(l.happened) > 1 })
+			await(t, "the watch's end in the queue", func() bool { return len(l.events) > 1 })
 		}
 		if l.listed() != addrA {
 			t.Error("the list was followed outside of the loop")
@@ -181,10 +181,13 @@
 }
 
 // A watch is begun anew while an answer of the one before stands in the loop's queue: that one's is dropped, and the new
-// one is asked from the version that the node follows.
+// one is polled from the version that the node follows.
 func TestEndedWatchTellsNothing(t *testing.T) {
 	t.Parallel()
-	held, answer, again, end := make(chan struct{}, 9), make(chan struct{}), make(chan string, 99), make(chan struct{})
+	held := make(chan struct{}, 9)
+	answer := make(chan struct{})
+	again := make(chan string, 99)
+	end := make(chan struct{})
 	l := testLoop(t, false, registry(t, func(_ int, q url.Values) string {
 		switch since, begins := q.Get("since"), q.Get("timeout_ms") == "1"; {
 		case since == "1":
@@ -203,9 +206,9 @@
 	}))
 	await(t, "the list", func() bool { return l.listed() == addrA })
 	<-held
-	let := l.halt(t, func() { l.subscribe(true) })
+	let := l.halt(t, func() { l.watchEndpoints(true) })
 	close(answer)
-	await(t, "the answer in the queue", func() bool { return len(l.happened) > 0 })
+	await(t, "the answer in the queue", func() bool { return len(l.events) > 0 })
 	let()
 	if since := <-again; since != "2" {
 		t.Errorf("the new watch is asked from version %s, want 2", since)
@@ -225,7 +228,9 @@
 func TestListBreaksOff(t *testing.T) {
 	t.Parallel()
 	for _, pushed := range []bool{true, false} {
-		asked, go1, go2 := make(chan string, 99), make(chan struct{}), make(chan struct{})
+		asked := make(chan string, 99)
+		go1 := make(chan struct{})
+		go2 := make(chan struct{})
 		var second atomic.Int64
 		addr := backend(t, func(c net.Conn) {
 			answering(func(r *http.Request, _ []byte) string {
@@ -266,8 +271,8 @@
 	}
 }
 
-// After a restart of discovery its versions may be lower. A whole list is the list then, also an older one; changes are
-// taken as such. The watch goes on from the lower version, so that whatever changes later than that arrives here.
+// After a restart of discovery its versions may be lower. A complete list is the list then, also an older one; changes are
+// taken as such. The watch continues from the lower version, so that whatever changes later than that arrives here.
 func TestOlderVersionIsFollowed(t *testing.T) {
 	t.Parallel()
 	for _, pushed := range []bool{true, false} {
@@ -299,9 +304,9 @@
 	}
 }
 
-// A server that is gone and back in one answer is another process: connections to the one before are closed, and it is
-// cold to the module. The order in the answer counts: one that is back and gone is gone.
-func TestGoneAndBackInOneAnswer(t *testing.T) {
+// A server that is removed and back in one answer is another process: connections to the one before are closed, and it is
+// warming up for the module. The order in the answer counts: one that is back and removed is removed.
+func TestRemovedAndBackInOneAnswer(t *testing.T) {
 	t.Parallel()
 	text := func(version int, states ...string) string {
 		s := ""
@@ -323,7 +328,7 @@
 		}
 		return ""
 	}))
-	host := func() *host {
+	host := func() *upstreamHost {
 		l.backends.mu.Lock()
 		defer l.backends.mu.Unlock()
 		return l.backends.hosts[serverID("s-00000001")]
@@ -347,7 +352,7 @@
 	defer peer.Close()
 	l.backends.mu.Lock()
 	before.idle = append(before.idle, kept)
-	l.backends.opened(1)
+	l.backends.countConns(1)
 	l.backends.mu.Unlock()
 	version.Store(3)
 	await(t, "the server's return", func() bool { h := host(); return h != nil && h != before })
@@ -357,10 +362,10 @@
 	}
 	after := host()
 	l.backends.mu.Lock()
-	if !before.closed || l.backends.open != 0 || after.started != 3001*time.Millisecond {
-		t.Errorf("closed %v, %d connections, started at %v", before.closed, l.backends.open, after.started)
+	if !before.closed || l.backends.open != 0 || after.startedAt != 3001*time.Millisecond {
+		t.Errorf("closed %v, %d connections, started at %v", before.closed, l.backends.open, after.startedAt)
 	}
 	l.backends.mu.Unlock()
 	version.Store(4)
-	await(t, "its end", func() bool { return host() == nil && !l.able.Load() })
+	await(t, "its end", func() bool { return host() == nil && !l.hasReadyServer.Load() })
 }
--- a/internal/node/exchange.go
+++ b/internal/node/exchange.go
@@ -20,18 +20,18 @@
 
 // exchange is one request to a backend.
 type exchange struct {
-	life     context.Context // once it has ended, nothing is written; nil: it does not end
-	writing  *sync.Mutex     // held while something is, and as life is ended with a final answer; nil: no need
-	method   string
-	url      *url.URL
-	header   http.Header
-	body     []byte
-	deadline time.Time // the node waits no longer
-	writeBy  time.Time // if set, nothing is written from then on
+	request   context.Context // once it has ended, nothing is written; nil: it does not end
+	writeLock *sync.Mutex     // held while something is, and as life is ended with a final answer; nil: no need
+	method    string
+	url       *url.URL
+	header    http.Header
+	body      []byte
+	deadline  time.Time // the node waits no longer
+	writeBy   time.Time // if set, nothing is written from then on
 
-	upload *upload                                                     // what follows on body, or nil
-	sealed func()                                                      // called when some of that is about to be sent
-	begin  func(resp *http.Response, held []byte, rest *io.PipeReader) // takes a long answer; nil: none is taken
+	upload     *upload                                                     // what follows on body, or nil
+	onBodySent func()                                                      // called when some of that is about to be sent
+	onStream   func(resp *http.Response, held []byte, rest *io.PipeReader) // takes a long answer; nil: none is taken
 }
 
 // result is how an exchange ended.
@@ -43,56 +43,56 @@
 	err    error
 }
 
-// do makes an exchange and blocks until it is over. An end of ctx calls it off.
-func (b *backends) do(ctx context.Context, h *host, x *exchange) result {
+// roundTrip makes an exchange and blocks until it is over. An end of ctx calls it off.
+func (b *upstreams) roundTrip(ctx context.Context, h *upstreamHost, x *exchange) result {
 	if h == nil {
-		return result{code: policy.ConnectFailed, err: errClosed}
+		return result{code: policy.ConnectFailed, err: errHostClosed}
 	}
 	dialing := ctx
-	if x.life != nil { // a dial takes time, and its request may end: nothing is written then, and no leave is needed
+	if x.request != nil { // a dial takes time, and its request may end: nothing is written then, and no leave is needed
 		var let context.CancelFunc
 		dialing, let = context.WithCancel(ctx)
 		defer let()
-		defer context.AfterFunc(x.life, let)()
+		defer context.AfterFunc(x.request, let)()
 	}
 	for {
 		began := time.Now()
 		c, err := b.connect(dialing, h, x.deadline)
 		switch {
 		case err == nil:
-		case x.life != nil && x.life.Err() != nil:
-			return result{code: policy.NotSent, err: errOver}
+		case x.request != nil && x.request.Err() != nil:
+			return result{code: policy.NotSent, err: errRequestOver}
 		case ctx.Err() != nil:
 			return result{code: policy.Cancelled, err: ctx.Err()}
 		default:
 			return result{code: policy.ConnectFailed, err: err}
 		}
-		r := b.on(ctx, h, c, x)
-		if errors.Is(r.err, errStale) { // the connection is closed by now, and the next one is another
+		r := b.exchangeOn(ctx, h, c, x)
+		if errors.Is(r.err, errUnexpectedBytes) { // the connection is closed by now, and the next one is another
 			continue
 		}
 		if r.code == policy.TimedOut {
-			b.silent(h, began)
+			b.closeIfSilent(h, began)
 		}
 		return r
 	}
 }
 
-// on makes an exchange on a connection, and gives that back.
-func (b *backends) on(ctx context.Context, h *host, c *conn, x *exchange) result {
+// exchangeOn makes an exchange on a connection, and gives that back.
+func (b *upstreams) exchangeOn(ctx context.Context, h *upstreamHost, c *upstreamConn, x *exchange) result {
 	c.SetDeadline(x.deadline)
 	stop := context.AfterFunc(ctx, func() { c.SetDeadline(time.Unix(1, 0)) })
 	w := newWriter(ctx, b, h, c, x)
-	r, keep := roundTrip(ctx, w)
+	r, keep := writeAndRead(ctx, w)
 	// One that has begun may set its deadline at any time, also when the next request is on the connection.
 	stopped := w.unhook()
 	stopped = stop() && stopped
 	switch {
 	case r.err == nil:
 		b.mu.Lock()
-		h.heard = time.Now()
+		h.lastAnswerAt = time.Now()
 		b.mu.Unlock()
-	case w.untouched(r.err):
+	case w.isUntouched(r.err):
 		keep = true
 	case r.code == policy.ConnectFailed || r.code == policy.NotSent:
 	case ctx.Err() != nil:
@@ -104,9 +104,9 @@
 	return r
 }
 
-// roundTrip writes a request and reads its answer. keep reports whether the connection can take another.
-func roundTrip(ctx context.Context, w *requestWriter) (r result, keep bool) {
-	x := w.x
+// writeAndRead writes a request and reads its answer. keep reports whether the connection can take another.
+func writeAndRead(ctx context.Context, w *requestWriter) (r result, keep bool) {
+	x := w.exchange
 	left := max(0, time.Until(x.deadline))
 	header := x.header.Clone()
 	if header == nil {
@@ -121,7 +121,7 @@
 		}
 	}
 	if x.upload != nil {
-		return uploadTrip(ctx, w, req)
+		return uploadAndRead(ctx, w, req)
 	}
 	var text bytes.Buffer
 	text.Grow(1<<10 + len(x.body))
@@ -129,18 +129,18 @@
 		return result{code: policy.ConnectFailed, err: err}, false
 	}
 	if _, err := w.Write(text.Bytes()); err != nil {
-		return w.unsent(err), false
+		return w.unsentResult(err), false
 	}
 	w.unhook()
-	return answerOf(ctx, w.c, x, req)
+	return readResult(ctx, w.conn, x, req)
 }
 
-// answerOf reads the answer to a request.
-func answerOf(ctx context.Context, c *conn, x *exchange, req *http.Request) (r result, keep bool) {
-	c.left.n = answerLimit // http.ReadResponse itself takes a header of any size, and any number of interim answers
-	resp, err := http.ReadResponse(c.r, req)
+// readResult reads the answer to a request.
+func readResult(ctx context.Context, c *upstreamConn, x *exchange, req *http.Request) (r result, keep bool) {
+	c.remaining.remaining = maxBufferedAnswer // http.ReadResponse itself takes a header of any size, and any number of interim answers
+	resp, err := http.ReadResponse(c.reader, req)
 	for err == nil && resp.StatusCode < 200 && resp.StatusCode != http.StatusSwitchingProtocols {
-		resp, err = http.ReadResponse(c.r, req)
+		resp, err = http.ReadResponse(c.reader, req)
 	}
 	if err != nil {
 		return result{code: policy.Reset, err: err}, false
@@ -149,7 +149,7 @@
 	body, whole, err := readAnswer(ctx, c, x, resp)
 	if err != nil {
 		code := policy.Reset
-		if errors.Is(err, errClient) {
+		if errors.Is(err, errClientGone) {
 			code = policy.Cancelled
 		}
 		return result{code: code, err: err}, false
@@ -177,7 +177,7 @@
 	for field := range strings.SplitSeq(text, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(field), "=")
 		if v, err := strconv.ParseFloat(value, 64); err == nil && !math.IsNaN(v) && !math.IsInf(v, 0) {
-			known = wire.SetReport(&r, name, v) || known
+			known = wire.SetLoadReportValue(&r, name, v) || known
 		}
 	}
 	if !known {
@@ -186,9 +186,9 @@
 	return &r
 }
 
-// probe asks a backend how it is.
-func (b *backends) probe(ctx context.Context, h *host, path string) result {
-	r := b.do(ctx, h, &exchange{method: http.MethodGet, url: &url.URL{Path: path, Host: "api.internal"}, deadline: time.Now().Add(probeWait)})
+// checkHealth checks the health of a backend.
+func (b *upstreams) checkHealth(ctx context.Context, h *upstreamHost, path string) result {
+	r := b.roundTrip(ctx, h, &exchange{method: http.MethodGet, url: &url.URL{Path: path, Host: "api.internal"}, deadline: time.Now().Add(healthCheckTimeout)})
 	if r.report == nil && r.code == policy.OK {
 		r.report = parseReport(string(r.body))
 	}
--- a/internal/node/bans_test.go
+++ b/internal/node/exclusions_test.go
@@ -19,7 +19,7 @@
 )
 
 // twoServers is a list of two servers at addr that show by their port who they are.
-func twoServers(one, other string) list {
+func twoServers(one, other string) endpointList {
 	l := known(one, other)
 	l.entries[0].name, l.entries[1].name = "s-00000001", "s-00000002"
 	return l
@@ -88,18 +88,18 @@
 }
 
 // Two processes of an upgrade agree, whichever was called.
-func TestBansOfAnUpgrade(t *testing.T) {
+func TestExclusionsOfAnUpgrade(t *testing.T) {
 	t.Parallel()
 	c := &Config{Settings: settings(), TempDir: t.TempDir()}
-	var of [2]*bans
+	var of [2]*exclusions
 	for i := range of {
-		b := newBackends(c, 10, quiet)
+		b := newUpstreams(c, 10, quiet)
 		b.update(twoServers("127.0.0.1:1", "127.0.0.1:2"))
-		of[i] = openBans(c, b, quiet)
-		of[i].list(map[policy.ServerID]string{1: "s-00000001", 2: "s-00000002"})
+		of[i] = openExclusions(c, b, quiet)
+		of[i].setServerNames(map[policy.ServerID]string{1: "s-00000001", 2: "s-00000002"})
 	}
 	closed := func(i int) string {
-		return fmt.Sprint(of[i].backends.find(1).closed, of[i].backends.find(2).closed)
+		return fmt.Sprint(of[i].backends.host(1).closed, of[i].backends.host(2).closed)
 	}
 	if err := of[0].exclude("s-00000001"); err != nil {
 		t.Fatal(err)
@@ -107,60 +107,60 @@
 	if err := of[1].exclude("s-00000002"); err != nil { // it has not looked since the other's call
 		t.Fatal(err)
 	}
-	of[0].look()
+	of[0].refresh()
 	if closed(0) != "true true" || closed(1) != "true true" {
 		t.Errorf("out: %s, %s", closed(0), closed(1))
 	}
 	if err := of[0].include("s-00000002"); err != nil {
 		t.Fatal(err)
 	}
-	of[1].look()
-	out, back := of[1].now()
+	of[1].refresh()
+	out, back := of[1].current()
 	if closed(1) != "true false" || !out["s-00000001"] || len(out) != 1 || time.Since(back["s-00000002"]) > patient {
 		t.Errorf("one back: %s, out %v, back %v", closed(1), out, back)
 	}
 	// A ban outlasts its server: it can be lifted when the list has it no more.
-	of[0].list(nil)
+	of[0].setServerNames(nil)
 	if err := of[0].include("s-00000001"); err != nil {
 		t.Error(err)
 	}
 }
 
 // A ban that one process was given binds the other within the grace, however short that is.
-func TestBanOfTheOtherBindsWithinTheGrace(t *testing.T) {
+func TestExclusionOfTheOtherBindsWithinTheGrace(t *testing.T) {
 	t.Parallel()
 	for _, grace := range []time.Duration{20 * time.Millisecond, 250 * time.Millisecond, 4 * time.Second} {
 		synctest.Test(t, func(t *testing.T) {
 			c := &Config{Settings: settings(), TempDir: t.TempDir()}
-			var of [2]*bans
+			var of [2]*exclusions
 			for i := range of {
-				b := newBackends(c, 10, quiet)
+				b := newUpstreams(c, 10, quiet)
 				b.update(twoServers("127.0.0.1:1", "127.0.0.1:2"))
-				of[i] = openBans(c, b, quiet)
-				of[i].list(map[policy.ServerID]string{1: "s-00000001", 2: "s-00000002"})
+				of[i] = openExclusions(c, b, quiet)
+				of[i].setServerNames(map[policy.ServerID]string{1: "s-00000001", 2: "s-00000002"})
 			}
 			ctx, stop := context.WithCancel(t.Context())
 			defer stop()
-			go every(ctx, lookEvery(grace), of[1].look)
+			go runEvery(ctx, exclusionsPollEvery(grace), of[1].refresh)
 			synctest.Wait() // the next look is as far as it can be
 			if err := of[0].exclude("s-00000001"); err != nil {
 				t.Fatal(err)
 			}
 			time.Sleep(grace / 2) // half is for the disk and a slow core
 			synctest.Wait()
-			if !of[1].backends.closing(of[1].backends.find(1)) {
+			if !of[1].backends.isClosed(of[1].backends.host(1)) {
 				t.Errorf("with a grace of %v it does not bind", grace)
 			}
 		})
 	}
 }
 
-// A damaged file stops no start, and the next call mends it. What can't be put on file is refused.
-func TestBansFileDamaged(t *testing.T) {
+// A damaged file stops no start, and the next call mends it. What can't be put on file is rejected.
+func TestExclusionsFileDamaged(t *testing.T) {
 	t.Parallel()
 	c := &Config{Name: "n/1", Settings: settings(), TempDir: t.TempDir()}
-	b := newBackends(c, 10, quiet)
-	path := openBans(c, b, quiet).path
+	b := newUpstreams(c, 10, quiet)
+	path := openExclusions(c, b, quiet).path
 	if filepath.Dir(path) != c.TempDir {
 		t.Fatalf("%s is not in %s", path, c.TempDir)
 	}
@@ -168,17 +168,17 @@
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		s := openBans(c, b, quiet)
-		s.list(map[policy.ServerID]string{1: "s-00000001"})
+		s := openExclusions(c, b, quiet)
+		s.setServerNames(map[policy.ServerID]string{1: "s-00000001"})
 		if err := s.exclude("s-00000001"); err != nil {
 			t.Errorf("%q: %v", text, err)
 		}
-		if out, _ := openBans(c, b, quiet).now(); !out["s-00000001"] {
+		if out, _ := openExclusions(c, b, quiet).current(); !out["s-00000001"] {
 			t.Errorf("after %q the ban is not on file", text)
 		}
 	}
-	s := openBans(c, b, quiet)
-	s.list(map[policy.ServerID]string{2: "s-00000002"})
+	s := openExclusions(c, b, quiet)
+	s.setServerNames(map[policy.ServerID]string{2: "s-00000002"})
 	if err := os.RemoveAll(c.TempDir); err != nil {
 		t.Fatal(err)
 	}
@@ -188,12 +188,12 @@
 }
 
 // A file that changes within a tick of the clock, and in the inode of the one before, is taken all the same.
-func TestBansChangedWithinATick(t *testing.T) {
+func TestExclusionsChangedWithinATick(t *testing.T) {
 	t.Parallel()
 	c := &Config{Name: "n", Settings: settings(), TempDir: t.TempDir()}
-	b := newBackends(c, 10, quiet)
-	path, at := openBans(c, b, quiet).path, time.Now().Add(-time.Second)
-	var s *bans
+	b := newUpstreams(c, 10, quiet)
+	path, at := openExclusions(c, b, quiet).path, time.Now().Add(-time.Second)
+	var s *exclusions
 	for i, text := range []string{`{"out":["s-00000001"],"back":{}}`, `{"out":["s-00000002"],"back":{}}`} {
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil { // the same inode and size
 			t.Fatal(err)
@@ -202,22 +202,22 @@
 			t.Fatal(err)
 		}
 		if i == 0 {
-			s = openBans(c, b, quiet)
+			s = openExclusions(c, b, quiet)
 		}
 	}
-	s.look()
-	if out, _ := s.now(); len(out) != 1 || !out["s-00000002"] {
+	s.refresh()
+	if out, _ := s.current(); len(out) != 1 || !out["s-00000002"] {
 		t.Errorf("out: %v", out)
 	}
 }
 
-// The other process is stopped as it changes the file: the loop goes on, and so do looks; the call is refused in time.
-func TestBansHeldByTheOther(t *testing.T) {
+// The other process is stopped as it changes the file: the loop goes on, and so do looks; the call is rejected in time.
+func TestExclusionsLockedByTheOther(t *testing.T) {
 	t.Parallel()
 	c := &Config{Name: "n", Settings: settings(), TempDir: t.TempDir()}
-	s := openBans(c, newBackends(c, 10, quiet), quiet)
+	s := openExclusions(c, newUpstreams(c, 10, quiet), quiet)
 	names := map[policy.ServerID]string{1: "s-00000001"}
-	s.list(names)
+	s.setServerNames(names)
 	other, err := s.lock()
 	if err != nil {
 		t.Fatal(err)
@@ -225,7 +225,7 @@
 	defer other.Close()
 	waits, loop := make(chan struct{}), make(chan struct{})
 	var first sync.Once
-	s.flock = func(fd, how int) error { // as the call asks for the lock, the loop takes a list and notifies the module of bans
+	s.flock = func(fd, how int) error { // as the call requests the lock, the loop takes a list and notifies the module of exclusions
 		first.Do(func() { close(waits); <-loop })
 		return syscall.Flock(fd, how)
 	}
@@ -233,7 +233,7 @@
 	go func() { answer <- s.exclude("s-00000001") }()
 	<-waits
 	went := make(chan struct{})
-	go func() { s.list(names); s.now(); close(went) }()
+	go func() { s.setServerNames(names); s.current(); close(went) }()
 	select {
 	case <-went:
 	case <-time.After(patient):
@@ -242,7 +242,7 @@
 	close(loop)
 	select {
 	case err := <-answer:
-		if out, _ := s.now(); err == nil || len(out) > 0 {
+		if out, _ := s.current(); err == nil || len(out) > 0 {
 			t.Errorf("the call: %v, out %v", err, out)
 		}
 	case <-time.After(patient):
--- a/internal/node/fleet_test.go
+++ b/internal/node/fleet_client_test.go
@@ -99,7 +99,7 @@
 // fleetNode is a node with a fleet block.
 func fleetNode(t *testing.T, a *agent, catchUp time.Duration, servers ...string) *testNode {
 	c := &Config{Name: "n 0", Settings: settings(), Known: known(servers...), Fleet: &FleetConfig{
-		Agent: netip.MustParseAddrPort(a.Listener.Addr().String()), Report: leastReport * time.Millisecond, CatchUp: catchUp}}
+		Agent: netip.MustParseAddrPort(a.Listener.Addr().String()), Report: minReportMS * time.Millisecond, CatchUp: catchUp}}
 	for i := range c.Known.entries {
 		c.Known.entries[i].name = fmt.Sprint("s-", i)
 	}
@@ -244,7 +244,7 @@
 	})
 }
 
-// An agent that is never there keeps the node from the front for the time to catch up, and no longer.
+// An agent that is never there keeps the node not ready for the time to catch up, and no longer.
 func TestFleetCatchUpEnds(t *testing.T) {
 	t.Parallel()
 	addr := backend(t, answering(func(*http.Request, []byte) string { return ok("x") }))
@@ -261,19 +261,19 @@
 // However often the agent is at fault, that is one line in a while; each fault is counted.
 func TestFleetFaultsAreLoggedAtABoundedRate(t *testing.T) {
 	var text bytes.Buffer
-	f := &fleetLink{log: slog.New(slog.NewTextHandler(&text, nil))}
+	f := &fleetClient{log: slog.New(slog.NewTextHandler(&text, nil))}
 	began, err := time.Now(), errors.New(strings.Repeat("x", 1<<16))
 	for range 1000 {
-		f.fault(t.Context(), "intent", err)
+		f.logFault(t.Context(), "intent", err)
 	}
-	most := 1 + int(time.Since(began)/faultEvery)
-	if lines := strings.Count(text.String(), "\n"); f.faults.Load() != 1000 || lines < 1 || lines > most || text.Len() > 2*faultText*most {
+	most := 1 + int(time.Since(began)/faultLogInterval)
+	if lines := strings.Count(text.String(), "\n"); f.faults.Load() != 1000 || lines < 1 || lines > most || text.Len() > 2*maxFaultText*most {
 		t.Errorf("%d faults, %d bytes logged", f.faults.Load(), text.Len())
 	}
 }
 
 // Without the block there is nothing of the fleet: no goroutine, and no call.
-func TestNoFleetUnasked(t *testing.T) { // not parallel: it looks at the whole process
+func TestNoFleetUnasked(t *testing.T) { // not parallel: it looks at the complete process
 	addr := backend(t, answering(func(*http.Request, []byte) string { return ok("x") }))
 	running := func() string {
 		buf := make([]byte, 1<<20)
@@ -289,14 +289,14 @@
 			n = start(t, &Config{Settings: settings(), Known: known(addr)})
 			n.waitReady(t, 200)
 		}
-		if has := strings.Contains(running(), "fleetLink"); has != on || (a.calls.Load() > 0) != on {
+		if has := strings.Contains(running(), "(*fleetClient)"); has != on || (a.calls.Load() > 0) != on {
 			t.Errorf("block %v: goroutines of the fleet %v, %d calls", on, has, a.calls.Load())
 		}
 		n.stop()
 		<-n.ended
 	}
-	if link := newFleetLink(&Config{}, nil, nil, quiet); link != nil || link.unready() != "" {
-		t.Error("a link without a block")
+	if link := newFleetClient(&Config{}, nil, nil, quiet); link != nil || link.notReadyReason() != "" {
+		t.Error("a fleet client without a block")
 	}
 }
 
--- a/internal/node/fleet_config.go
+++ b/internal/node/fleet_config.go
@@ -17,18 +17,18 @@
 type FleetConfig struct {
 	Agent    netip.AddrPort // on the node's own machine
 	Report   time.Duration  // between reports
-	CatchUp  time.Duration  // a node that has not heard of all that is intended by then serves by what it has
+	CatchUp  time.Duration  // a node that has not was notified of all that is intended by then serves by what it has
 	Services []string       // whose tenants the node serves, sorted; none: every tenant. The agent names the same
 }
 
 // Bounds of the block, and what holds where it names none.
 const (
-	usualReport  = 250
-	leastReport  = 50
-	mostReport   = 1000 // ms; a report of 2 s ago is no evidence any more
-	usualCatchUp = 10_000
-	mostCatchUp  = 600_000
-	fleetName    = 128 // bytes of a node's or zone's name, as fleet.DecodeReport takes them
+	defaultReportMS   = 250
+	minReportMS       = 50
+	maxReportMS       = 1000 // ms; a report of 2 s ago is no evidence any more
+	defaultCatchUpMS  = 10_000
+	maxCatchUpMS      = 600_000
+	maxFleetNameBytes = 128 // bytes of a node's or zone's name, as fleet.DecodeReport takes them
 )
 
 // decodeFleet reads the block; nil where there is none. A bad one is one error that names its member.
@@ -41,7 +41,7 @@
 		Report   int64    `json:"report_ms"`
 		CatchUp  int64    `json:"catch_up_ms"`
 		Services []string `json:"services"`
-	}{Report: usualReport, CatchUp: usualCatchUp}
+	}{Report: defaultReportMS, CatchUp: defaultCatchUpMS}
 	if err := json.Unmarshal(raw, &in); err != nil {
 		return nil, err
 	}
@@ -51,12 +51,12 @@
 		return nil, fmt.Errorf("agent: %w", err)
 	case !agent.Addr().Is4() || !agent.Addr().IsLoopback() || agent.Port() == 0:
 		return nil, fmt.Errorf("agent: %v is not a port of this machine's loopback", agent)
-	case in.Report < leastReport || in.Report > mostReport:
-		return nil, fmt.Errorf("report_ms: want %d to %d, have %d", leastReport, mostReport, in.Report)
-	case in.CatchUp < 0 || in.CatchUp > mostCatchUp:
-		return nil, fmt.Errorf("catch_up_ms: want 0 to %d, have %d", mostCatchUp, in.CatchUp)
-	case len(node) > fleetName || len(s.Zone) > fleetName:
-		return nil, fmt.Errorf("the node's name and zone have %d bytes at most", fleetName)
+	case in.Report < minReportMS || in.Report > maxReportMS:
+		return nil, fmt.Errorf("report_ms: want %d to %d, have %d", minReportMS, maxReportMS, in.Report)
+	case in.CatchUp < 0 || in.CatchUp > maxCatchUpMS:
+		return nil, fmt.Errorf("catch_up_ms: want 0 to %d, have %d", maxCatchUpMS, in.CatchUp)
+	case len(node) > maxFleetNameBytes || len(s.Zone) > maxFleetNameBytes:
+		return nil, fmt.Errorf("the node's name and zone have %d bytes at most", maxFleetNameBytes)
 	case s.Zone == "":
 		return nil, errors.New("settings.zone is missing: a node of a fleet has a zone")
 	}
--- a/internal/node/fleet_scope_test.go
+++ b/internal/node/fleet_scope_test.go
@@ -90,7 +90,7 @@
 	a.handler.Store(mux)
 }
 
-// Interest in a service is dropped while a request of its tenant is open (T7): the request has its answer, new ones are refused without an
+// Interest in a service is dropped while a request of its tenant is open (T7): the request has its answer, new ones are rejected without an
 // attempt, and the other service is served all the time. Taken up again, at the same revision, the tenant is served as before.
 func TestInterestDroppedWhileRequestsAreOpen(t *testing.T) {
 	t.Parallel()
@@ -113,7 +113,7 @@
 	a := newRestartable(t)
 	a.restart("billing", "search")
 	c := &Config{Name: "n 0", Settings: settings(), Known: known(servers...), Fleet: &FleetConfig{Agent: a.address,
-		Report: leastReport * time.Millisecond, CatchUp: time.Hour, Services: []string{"billing", "search"}}}
+		Report: minReportMS * time.Millisecond, CatchUp: time.Hour, Services: []string{"billing", "search"}}}
 	for i := range c.Known.entries {
 		c.Known.entries[i].name = fmt.Sprint("s-", i)
 	}
--- a/internal/node/framing.go
+++ b/internal/node/framing.go
@@ -13,14 +13,14 @@
 	ambiguous atomic.Bool  // such a request has come
 	requests  atomic.Int64 // that have begun
 
-	part    framingPart
-	line    []byte // what has come of a line; of a long one the beginning
-	left    int64  // bytes of a body or chunk, with what ends a chunk
-	length  int64  // what the head says, -1 if it says nothing
-	chunked bool
-	begun   bool  // the head's first line has come
-	counted bool  // of the head's first line something has come
-	whole   int64 // requests that have come whole
+	part             framingPart
+	line             []byte // what has come of a line; of a long one the beginning
+	remaining        int64  // bytes of a body or chunk, with what ends a chunk
+	length           int64  // what the head says, -1 if it says nothing
+	chunked          bool
+	headStarted      bool  // the head's first line has come
+	requestCounted   bool  // of the head's first line something has come
+	completeRequests int64 // requests that have come complete
 }
 
 type framingPart int
@@ -31,66 +31,68 @@
 	inChunkSize
 	inChunk
 	inTrailer
-	lost // net/http does not take what has come, and closes the connection
+	unparsable // net/http does not take what has come, and closes the connection
 )
 
-const lineKept = 128 // bytes of a line: no header that matters here is longer
+const maxHeaderLine = 128 // bytes of a line: no header that matters here is longer
 
-// follow takes what has been read.
-func (f *framing) follow(p []byte) {
-	for len(p) > 0 && f.part != lost {
+// observe takes what has been read.
+func (f *framing) observe(p []byte) {
+	for len(p) > 0 && f.part != unparsable {
 		if f.part == inBody || f.part == inChunk {
-			n := min(int64(len(p)), f.left)
-			p, f.left = p[n:], f.left-n
-			if f.left == 0 && f.part == inChunk {
+			n := min(int64(len(p)), f.remaining)
+			p, f.remaining = p[n:], f.remaining-n
+			if f.remaining == 0 && f.part == inChunk {
 				f.part = inChunkSize
-			} else if f.left == 0 {
-				f.end()
+			} else if f.remaining == 0 {
+				f.endRequest()
 			}
 			continue
 		}
 		line, rest, ended := bytes.Cut(p, []byte("\n"))
-		if f.part == inHead && !f.counted && len(bytes.Trim(line, "\r")) > 0 {
-			f.counted = true
+		if f.part == inHead && !f.requestCounted && len(bytes.Trim(line, "\r")) > 0 {
+			f.requestCounted = true
 			f.requests.Add(1)
 		}
-		f.line = append(f.line, line[:min(len(line), max(0, lineKept-len(f.line)))]...)
+		f.line = append(f.line, line[:min(len(line), max(0, maxHeaderLine-len(f.line)))]...)
 		if p = rest; ended {
-			f.take(strings.TrimSuffix(string(f.line), "\r"))
+			f.takeLine(strings.TrimSuffix(string(f.line), "\r"))
 			f.line = f.line[:0]
 		}
 	}
 }
 
-func (f *framing) take(line string) {
+func (f *framing) takeLine(line string) {
 	switch f.part {
 	case inChunkSize:
 		size, _, _ := strings.Cut(line, ";")
 		n, err := strconv.ParseInt(strings.TrimSpace(size), 16, 63)
 		switch {
 		case err != nil || n < 0:
-			f.part = lost
+			f.part = unparsable
 		case n == 0:
 			f.part = inTrailer
 		default:
-			f.part, f.left = inChunk, n+int64(len("\r\n"))
+			f.part, f.remaining = inChunk, n+int64(len("\r\n"))
 		}
 	case inTrailer:
 		if line == "" {
-			f.end()
+			f.endRequest()
 		}
 	case inHead:
 		if line != "" {
 			f.header(line)
-		} else if f.begun { // net/http passes over empty lines before a request
+		} else if f.headStarted { // net/http passes over empty lines before a request
 			f.endHead()
 		}
 	}
 }
 
 func (f *framing) header(line string) {
-	if !f.begun {
-		f.begun, f.length, f.chunked = true, -1, false
+	if !f.headStarted {
+		f.headStarted = true
+		f.length = -1
+		f.chunked = false
 		return
 	}
 	name, value, _ := strings.Cut(line, ":")
@@ -107,22 +109,22 @@
 }
 
 func (f *framing) endHead() {
-	f.begun, f.counted = false, false
+	f.headStarted, f.requestCounted = false, false
 	switch {
 	case f.chunked && f.length >= 0:
 		f.ambiguous.Store(true)
-		f.part = lost
+		f.part = unparsable
 	case f.chunked:
 		f.part = inChunkSize
 	case f.length > 0:
-		f.part, f.left = inBody, f.length
+		f.part, f.remaining = inBody, f.length
 	default:
-		f.end()
+		f.endRequest()
 	}
 }
 
-// end is that of a request.
-func (f *framing) end() {
+// endRequest is that of a request.
+func (f *framing) endRequest() {
 	f.part = inHead
-	f.whole++
+	f.completeRequests++
 }
--- a/internal/node/frontend.go
+++ b/internal/node/frontend.go
@@ -12,66 +12,66 @@
 )
 
 const (
-	// requestWait is for a request's head, from its connection's start or its first bytes on. Peers that send no
+	// requestHeadTimeout is for a request's head, from its connection's start or its first bytes on. Peers that send no
 	// request are owed an end within 3 s of connecting, and each holds a client's place until then.
-	requestWait   = 2200 * time.Millisecond
-	writeWait     = 5 * time.Second // for the client to take its answer
-	idleWait      = 2 * time.Minute
-	idleLeast     = 2 * time.Second       // a client may count on its connection for so long
-	goneEvery     = 25 * time.Millisecond // for the client's end while its body is not read to the end
-	emptyEvery    = 100 * time.Millisecond
-	otherWait     = 2 * time.Millisecond // for a client of the other process to go
-	headerLimit   = 16 << 10
-	patienceLimit = time.Hour // no client waits longer
-	// answerMargin is kept from a client's patience: an answer has to get to it and be read by then.
-	answerMargin = 10 * time.Millisecond
-	busyHoldOff  = 500 * time.Millisecond // the hold-off for a client that the node itself has no room for
+	requestHeadTimeout      = 2200 * time.Millisecond
+	answerWriteTimeout      = 5 * time.Second // for the client to take its answer
+	idleConnTimeout         = 2 * time.Minute
+	minIdleTime             = 2 * time.Second       // a client may count on its connection for so long
+	clientCheckInterval     = 25 * time.Millisecond // for the client's end while its body is not read to the end
+	evacuationSweepInterval = 100 * time.Millisecond
+	otherProcessPoll        = 2 * time.Millisecond // for a client of the other process to go
+	maxHeaderBytes          = 16 << 10
+	maxClientTimeout        = time.Hour // no client waits longer
+	// clientTimeoutMargin is kept from a client's patience: an answer has to get to it and be read by then.
+	clientTimeoutMargin = 10 * time.Millisecond
+	busyRetryAfter      = 500 * time.Millisecond // the backoff for a client that the node itself has no capacity for
 )
 
 // frontend serves clients.
 type frontend struct {
-	loop      *loop
-	log       *slog.Logger
-	listening atomic.Bool   // for clients
-	draining  atomic.Bool   // the process ends
-	closing   chan struct{} // closed when the drain takes no more
-	givenUp   chan struct{} // closed when the drain waits for no more answers
-	emptied   atomic.Bool   // by the operators, until they want it back
-	open      atomic.Int64  // requests
-	maxOpen   int64
-	fleet     *fleetLink // nil: in no fleet
-	conns     *connections
+	loop            *eventLoop
+	log             *slog.Logger
+	listening       atomic.Bool   // for clients
+	draining        atomic.Bool   // the process ends
+	drainClosed     chan struct{} // closed when the drain takes no more
+	answersOver     chan struct{} // closed when the drain waits for no more answers
+	evacuated       atomic.Bool   // by the operators, until they want it back
+	openRequests    atomic.Int64  // requests
+	maxOpenRequests int64
+	fleet           *fleetClient // nil: in no fleet
+	connections     *connections
 }
 
-func newFrontend(l *loop, maxConns int, log *slog.Logger) *frontend {
-	f := &frontend{loop: l, log: log, closing: make(chan struct{}), givenUp: make(chan struct{}), maxOpen: int64(maxConns),
-		conns: newConnections(maxConns)}
+func newFrontend(l *eventLoop, maxConns int, log *slog.Logger) *frontend {
+	f := &frontend{loop: l, log: log, drainClosed: make(chan struct{}), answersOver: make(chan struct{}), maxOpenRequests: int64(maxConns),
+		connections: newConnections(maxConns)}
 	return f
 }
 
 func (f *frontend) server() *http.Server {
-	return &http.Server{Handler: f, ReadHeaderTimeout: requestWait, IdleTimeout: idleWait, MaxHeaderBytes: headerLimit,
-		ConnState: f.conns.track, ConnContext: func(ctx context.Context, c net.Conn) context.Context {
+	return &http.Server{Handler: f, ReadHeaderTimeout: requestHeadTimeout, IdleTimeout: idleConnTimeout, MaxHeaderBytes: maxHeaderBytes,
+		ConnState: f.connections.track, ConnContext: func(ctx context.Context, c net.Conn) context.Context {
 			return context.WithValue(ctx, connKey{}, c)
 		}, ErrorLog: slog.NewLogLogger(f.log.Handler(), slog.LevelDebug)}
 }
 
-// unready says why clients are not to come, or nothing if they may.
-func (f *frontend) unready() string {
+// notReadyReason says why clients are not to come, or nothing if they may.
+func (f *frontend) notReadyReason() string {
 	switch {
 	case f.draining.Load():
 		return "the process ends"
-	case f.emptied.Load():
+	case f.evacuated.Load():
 		return "evacuated"
-	case !f.loop.able.Load() || !f.listening.Load():
+	case !f.loop.hasReadyServer.Load() || !f.listening.Load():
 		return "no app server is known to be ready"
 	}
-	return f.fleet.unready()
+	return f.fleet.notReadyReason()
 }
 
-// shut reports whether the drain takes no more. A request that passes as it closes is one that came before: its deadline
+// isDrainClosed reports whether the drain takes no more. A request that passes as it closes is one that came before: its deadline
 // was set before the look, and so lies within the time that the drain waits for answers.
-func (f *frontend) shut() bool { return isClosed(f.closing) }
+func (f *frontend) isDrainClosed() bool { return isClosed(f.drainClosed) }
 
 // isClosed reports whether a channel that is only ever closed has been.
 func isClosed(c <-chan struct{}) bool {
@@ -83,13 +83,13 @@
 	}
 }
 
-// leaving reports whether clients are to go: each answer closes its connection.
-func (f *frontend) leaving() bool { return f.draining.Load() || f.emptied.Load() }
+// isLeaving reports whether clients are to go: each answer closes its connection.
+func (f *frontend) isLeaving() bool { return f.draining.Load() || f.evacuated.Load() }
 
-// letGo closes, while the node is emptied, connections that are idle and that their clients can't count on.
-func (f *frontend) letGo() {
-	if f.emptied.Load() {
-		f.conns.closeIdle(idleLeast)
+// closeEvacuatedIdle closes, while the node is emptied, connections that are idle and that their clients can't count on.
+func (f *frontend) closeEvacuatedIdle() {
+	if f.evacuated.Load() {
+		f.connections.closeIdle(minIdleTime)
 	}
 }
 
@@ -97,24 +97,24 @@
 
 func (f *frontend) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	conn, _ := r.Context().Value(connKey{}).(net.Conn)
-	if conn != nil && f.conns.isShed(conn) {
+	if conn != nil && f.connections.isEnded(conn) {
 		panic(http.ErrAbortHandler) // it crossed the close: its client sends it again on another connection
 	}
-	client, _ := conn.(*cappedConn)
-	client.take()
-	defer client.settle()
+	client, _ := conn.(*clientConn)
+	client.countTaken()
+	defer client.answerStarted()
 	if client != nil && client.framing.ambiguous.Load() {
 		w.Header().Set("Connection", "close")
 		http.Error(w, "both Content-Length and Transfer-Encoding", http.StatusBadRequest)
 		return
 	}
-	if f.leaving() || f.conns.crowded() {
+	if f.isLeaving() || f.connections.overLimit() {
 		w.Header().Set("Connection", "close")
 	}
 	class, rest, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
 	switch {
 	case class == "health" && (rest == "ready" || rest == "live"):
-		if why := f.unready(); rest == "ready" && why != "" {
+		if why := f.notReadyReason(); rest == "ready" && why != "" {
 			http.Error(w, "not ready: "+why, http.StatusServiceUnavailable)
 		}
 		return
@@ -123,37 +123,37 @@
 		return
 	}
 	rules := f.loop.rules.Load()
-	if open := f.open.Add(1); open > f.maxOpen || rules.MaxOpenRequests > 0 && open > int64(rules.MaxOpenRequests) || f.conns.crowded() {
-		f.open.Add(-1)
-		f.write(w, answer{status: http.StatusServiceUnavailable, holdOff: busyHoldOff})
+	if open := f.openRequests.Add(1); open > f.maxOpenRequests || rules.MaxOpenRequests > 0 && open > int64(rules.MaxOpenRequests) || f.connections.overLimit() {
+		f.openRequests.Add(-1)
+		f.writeAnswer(w, answer{status: http.StatusServiceUnavailable, retryAfter: busyRetryAfter})
 		return
 	}
-	defer f.open.Add(-1)
-	req, status, err := f.read(w, r, rules, class, client)
+	defer f.openRequests.Add(-1)
+	req, status, err := f.readRequest(w, r, rules, class, client)
 	if err != nil {
 		w.Header().Set("Connection", "close") // what follows a bad request on its connection can't be trusted
 		http.Error(w, err.Error(), status)
 		return
 	}
-	if f.shut() { // what comes whole so late may have no answer by SIGKILL; another process has room for it
+	if f.isDrainClosed() { // what comes whole so late may have no answer by SIGKILL; another process has capacity for it
 		w.Header().Set("Connection", "close")
-		f.write(w, answer{status: http.StatusServiceUnavailable})
+		f.writeAnswer(w, answer{status: http.StatusServiceUnavailable})
 		return
 	}
-	if client.left() { // the read that looks for the client's end may come only after an attempt that begins at once
+	if client.clientLeft() { // the read that looks for the client's end may come only after an attempt that begins at once
 		panic(http.ErrAbortHandler)
 	}
 	life := r.Context()
 	if req.upload != nil {
 		life = context.WithoutCancel(life) // a body that is no longer read ends the context too
 	}
-	req.life, req.end = context.WithCancel(life)
-	defer req.end()
-	queue, arrive := f.loop.happened, func() { f.loop.arrive(req) } // queue is nil once the loop has the request
-	leave := func() {                                               // nothing is begun from here on, however late the loop hears of it
-		req.end()
+	req.context, req.cancel = context.WithCancel(life)
+	defer req.cancel()
+	queue, arrive := f.loop.events, func() { f.loop.startRequest(req) } // queue is nil once the loop has the request
+	leave := func() {                                                   // nothing is begun from here on, however late the loop is notified of it
+		req.cancel()
 		if queue == nil {
-			f.loop.post(func() { f.loop.abandon(req) })
+			f.loop.post(func() { f.loop.abandonRequest(req) })
 		}
 	}
 	unanswered := func() int { // for one that the node's own end answers
@@ -162,15 +162,17 @@
 		}
 		return http.StatusBadGateway
 	}
-	late := time.NewTimer(max(0, time.Until(req.deadline)) + overdue)
+	late := time.NewTimer(max(0, time.Until(req.deadline)) + overdueDelay)
 	defer late.Stop()
 	gone := r.Context().Done()
 	var uploaded, closing <-chan struct{} // the client's time counts from uploaded
 	var look <-chan time.Time
 	if req.upload != nil {
 		defer req.upload.close()
-		uploaded, closing, gone = req.upload.finished, f.closing, nil // a body that is no longer read ends the context too
-		tick := time.NewTicker(goneEvery)
+		uploaded = req.upload.complete
+		closing = f.drainClosed
+		gone = nil // a body that is no longer read ends the context too
+		tick := time.NewTicker(clientCheckInterval)
 		defer tick.Stop()
 		look = tick.C
 	}
@@ -179,65 +181,65 @@
 		case queue <- arrive: // it may be full for long: the client may go before, or its time end
 			queue = nil
 		case a := <-req.answer:
-			f.answer(w, r, req, a)
+			f.finishRequest(w, r, req, a)
 			return
 		case <-uploaded:
 			uploaded, closing, look, gone = nil, nil, nil, r.Context().Done()
-			late.Reset(req.upload.patience + overdue)
+			late.Reset(req.upload.patience + overdueDelay)
 		case <-closing:
-			if closing = nil; !req.upload.cutShort() {
+			if closing = nil; !req.upload.stopEarly() {
 				continue
 			}
 			leave()
-			f.answer(w, r, req, answer{status: http.StatusServiceUnavailable})
+			f.finishRequest(w, r, req, answer{status: http.StatusServiceUnavailable})
 			return
 		case <-look:
-			if client.left() {
+			if client.clientLeft() {
 				leave()
 				panic(http.ErrAbortHandler)
 			}
 		case <-gone:
-			if req.upload != nil && req.upload.body.over.Load() {
+			if req.upload != nil && req.upload.body.stopped.Load() {
 				gone = nil // the end of the reading, not the client's, may have ended the context
 				continue
 			}
 			leave()
 			panic(http.ErrAbortHandler) // else net/http would answer 200 to a client that reads on
 		case <-late.C:
-			if uploaded != nil && req.upload.used() {
+			if uploaded != nil && req.upload.isTaken() {
 				continue
 			}
 			leave()
-			f.log.Warn("overdue", "id", req.arrived.ID)
-			f.answer(w, r, req, answer{status: http.StatusGatewayTimeout})
+			f.log.Warn("request overdue", "id", req.arrived.ID)
+			f.finishRequest(w, r, req, answer{status: http.StatusGatewayTimeout})
 			return
-		case <-f.givenUp:
+		case <-f.answersOver:
 			leave()
-			f.answer(w, r, req, answer{status: unanswered()})
+			f.finishRequest(w, r, req, answer{status: unanswered()})
 			return
 		case <-f.loop.ctx.Done():
 			w.Header().Set("Connection", "close")
-			f.answer(w, r, req, answer{status: unanswered()})
+			f.finishRequest(w, r, req, answer{status: unanswered()})
 			return
 		}
 	}
 }
 
-// answer gives a request its final answer.
-func (f *frontend) answer(w http.ResponseWriter, r *http.Request, req *request, a answer) {
-	client, _ := r.Context().Value(connKey{}).(*cappedConn)
-	client.settle()
-	if req.upload != nil && !req.upload.complete() || client != nil && client.flooded.Load() {
+// finishRequest returns a request its final answer.
+func (f *frontend) finishRequest(w http.ResponseWriter, r *http.Request, req *request, a answer) {
+	client, _ := r.Context().Value(connKey{}).(*clientConn)
+	client.answerStarted()
+	if req.upload != nil && !req.upload.isComplete() || client != nil && client.flooded.Load() {
 		w.Header().Set("Connection", "close") // the rest of the body, or what came behind it, is not read
 	}
-	f.write(w, a)
-	if a.rest != nil {
-		f.relay(w, r, a)
+	f.writeAnswer(w, a)
+	if a.stream != nil {
+		f.relayStream(w, r, a)
 	}
 }
 
-// write sends the final answer. It is the only one: each request comes here once.
-func (f *frontend) write(w http.ResponseWriter, a answer) {
+// writeAnswer sends the final answer. It is the only one: each request comes here once.
+func (f *frontend) writeAnswer(w http.ResponseWriter, a answer) {
 	h := w.Header()
 	if a.header != nil {
 		closing := h["Connection"]
@@ -248,21 +250,21 @@
 			h["Connection"] = closing
 		}
 	}
-	if f.leaving() { // it may have begun while the request was out
+	if f.isLeaving() { // it may have begun while the request was out
 		h.Set("Connection", "close")
 	}
 	h.Del("Content-Length")
-	if a.rest == nil {
+	if a.stream == nil {
 		h.Set("Content-Length", strconv.Itoa(len(a.body)))
 	} else if a.length >= 0 {
 		h.Set("Content-Length", strconv.FormatInt(a.length, 10))
 	}
-	if a.holdOff > 0 {
-		h.Set("Retry-After", strconv.FormatFloat(a.holdOff.Seconds(), 'f', 3, 64))
+	if a.retryAfter > 0 {
+		h.Set("Retry-After", strconv.FormatFloat(a.retryAfter.Seconds(), 'f', 3, 64))
 	}
-	http.NewResponseController(w).SetWriteDeadline(time.Now().Add(writeWait))
+	http.NewResponseController(w).SetWriteDeadline(time.Now().Add(answerWriteTimeout))
 	w.WriteHeader(a.status)
-	if a.rest == nil {
+	if a.stream == nil {
 		w.Write(a.body)
 	}
 }
--- a/internal/node/front_test.go
+++ b/internal/node/frontend_test.go
@@ -15,19 +15,19 @@
 	*frontend
 	slots chan struct{}
 	addr  string
-	conns chan *cappedConn // as they are accepted
+	conns chan *clientConn // as they are accepted
 }
 
 // noting is a listener that reports what it accepts.
 type noting struct {
-	*capped
-	conns chan *cappedConn
+	*clientListener
+	conns chan *clientConn
 }
 
 func (l noting) Accept() (net.Conn, error) {
-	c, err := l.capped.Accept()
+	c, err := l.clientListener.Accept()
 	if err == nil {
-		l.conns <- c.(*cappedConn)
+		l.conns <- c.(*clientConn)
 	}
 	return c, err
 }
@@ -40,10 +40,10 @@
 	}
 	c.Discovery = netip.MustParseAddrPort(backend(t, func(net.Conn) {}))
 	ctx, stop := context.WithCancel(context.Background())
-	b := newBackends(c, 100, quiet)
-	l := newLoop(ctx, c, b, newDiscovery(c, quiet), nil, quiet)
-	f := &testFront{frontend: newFrontend(l, 100, quiet), addr: tcp.Addr().String(), conns: make(chan *cappedConn, 100)}
-	taken := newCapped(tcp, 100, nil, f.frontend.conns)
+	b := newUpstreams(c, 100, quiet)
+	l := newEventLoop(ctx, c, b, newDiscoveryClient(c, quiet), nil, quiet)
+	f := &testFront{frontend: newFrontend(l, 100, quiet), addr: tcp.Addr().String(), conns: make(chan *clientConn, 100)}
+	taken := newClientListener(tcp, 100, nil, f.frontend.connections)
 	f.slots = taken.slots
 	srv := f.server()
 	var running sync.WaitGroup
@@ -59,7 +59,7 @@
 }
 
 // dial opens a client's connection, and gives the node's side of it too.
-func (f *testFront) dial(t *testing.T) (*net.TCPConn, *bufio.Reader, *cappedConn) {
+func (f *testFront) dial(t *testing.T) (*net.TCPConn, *bufio.Reader, *clientConn) {
 	t.Helper()
 	c, err := net.Dial("tcp", f.addr)
 	if err != nil {
@@ -73,7 +73,7 @@
 // awaitEmpty waits until no client's connection is kept. One slot is held by the Accept that waits for the next.
 func (f *testFront) awaitEmpty(t *testing.T) {
 	t.Helper()
-	await(t, "the connections are let go", func() bool { return f.frontend.conns.open() == 0 && len(f.slots) == 1 })
+	await(t, "the connections are let go", func() bool { return f.frontend.connections.open() == 0 && len(f.slots) == 1 })
 }
 
 // hold stops the loop until what it returns is called.
--- a/internal/node/golden_test.go
+++ b/internal/node/golden_test.go
@@ -92,11 +92,11 @@
 // find and read each other's.
 func TestFilesThatProcessesShare(t *testing.T) {
 	t.Parallel()
-	golden.JSON[bansFile](t, "bans")
+	golden.JSON[exclusionsFile](t, "bans")
 	dir := t.TempDir()
 	c := &Config{Name: "a/b", TempDir: dir, Settings: settings()}
-	s := openBans(c, newBackends(c, 10, quiet), quiet)
-	s.list(map[policy.ServerID]string{1: "s-00000001"})
+	s := openExclusions(c, newUpstreams(c, 10, quiet), quiet)
+	s.setServerNames(map[policy.ServerID]string{1: "s-00000001"})
 	if err := s.exclude("s-00000001"); err != nil {
 		t.Fatal(err)
 	}
@@ -118,7 +118,7 @@
 		files = append(files, fmt.Sprintf("%s %q\n", entry.Name(), content))
 	}
 	golden.Check(t, "shared-files.txt", []byte(strings.Join(files, "")))
-	if size := unsafe.Sizeof(counts{}); size != 16 {
+	if size := unsafe.Sizeof(connCounts{}); size != 16 {
 		t.Errorf("the shared counts have %d bytes", size)
 	}
 }
@@ -130,7 +130,7 @@
 	n.waitReady(t, http.StatusOK)
 	var lines strings.Builder
 	for _, line := range []string{"readyz\n", "readyz\r\n", "readyz now\n", "restart\n", "READYZ\n", "\n", " \n", "read\x00yz\n", "caf\xe9\n",
-		strings.Repeat("x", 4*lineLimit) + "\n", "exclude\n", "exclude a b\n", "exclude s-00000009\n", "include\n", "include s-00000009\n",
+		strings.Repeat("x", 4*maxAdminLine) + "\n", "exclude\n", "exclude a b\n", "exclude s-00000009\n", "include\n", "include s-00000009\n",
 		"evacuate now\n", "evacuate\n", "readyz\n", "activate please\n", "activate\n", "readyz\n"} {
 		fmt.Fprintf(&lines, "%.20q %q\n", line, n.call(t, line))
 	}
--- a/internal/node/harness_test.go
+++ b/internal/node/harness_test.go
@@ -94,7 +94,7 @@
 	}
 }
 
-// refusing is an address at which connections are refused to the test's end. It is bound, and nobody listens: a port that
+// refusing is an address at which connections are rejected to the test's end. It is bound, and nobody listens: a port that
 // is freed may become another stub's.
 func refusing(t *testing.T) string {
 	t.Helper()
@@ -113,7 +113,7 @@
 	return fmt.Sprintf("127.0.0.1:%d", at.(*syscall.SockaddrInet4).Port)
 }
 
-// wholeRequest reads a request with its body, which it drops. An error says that it has not come whole.
+// wholeRequest reads a request with its body, which it drops. An error says that it has not come complete.
 func wholeRequest(r *bufio.Reader) (req *http.Request, body int64, err error) {
 	if req, err = http.ReadRequest(r); err == nil {
 		body, err = io.Copy(io.Discard, req.Body)
@@ -125,10 +125,10 @@
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-func known(addrs ...string) list {
-	l := list{version: 1, full: true}
+func known(addrs ...string) endpointList {
+	l := endpointList{version: 1, complete: true}
 	for i, a := range addrs {
-		l.entries = append(l.entries, entry{addr: a, Server: policy.Server{ID: policy.ServerID(i + 1), Zone: "z", State: policy.Ready, Weight: 1}})
+		l.entries = append(l.entries, endpoint{addr: a, Server: policy.Server{ID: policy.ServerID(i + 1), Zone: "z", State: policy.Ready, Weight: 1}})
 	}
 	return l
 }
--- a/internal/node/hotrestart.go
+++ b/internal/node/hotrestart.go
@@ -24,16 +24,16 @@
 // here: listening on one address, and sharing the limits.
 
 const (
-	// memoryPart is for Go's heap and stacks; the kernel's buffers and the program have the rest.
-	memoryPart        = 0.6
-	otherProcessEvery = 50 * time.Millisecond // to look for another process
+	// goMemoryPart is for Go's heap and stacks; the kernel's buffers and the program have the rest.
+	goMemoryPart         = 0.6
+	otherProcessInterval = 50 * time.Millisecond // to look for another process
 )
 
 // listenClients listens for clients. With shared, another process may do so on the same address, and of two the later
 // one gets all new connections: what is in the older one's accept queue when it closes would be lost.
 func listenClients(addr netip.AddrPort, shared bool, log *slog.Logger) (*net.TCPListener, error) {
 	var config net.ListenConfig
-	config.SetMultipathTCP(false) // Go's default, under which the kernel refuses takeNew
+	config.SetMultipathTCP(false) // Go's default, under which the kernel rejects steerNewConns
 	if shared {
 		config.Control = reusePort
 	}
@@ -43,21 +43,21 @@
 	}
 	tcp := l.(*net.TCPListener)
 	if shared {
-		if err := takeNew(tcp); err != nil {
-			log.Warn("an older process goes on getting some of the connections", "err", err)
+		if err := steerNewConns(tcp); err != nil {
+			log.Warn("an older process still gets some of the connections", "err", err)
 		}
 	}
 	return tcp, nil
 }
 
-// reusePort lets a socket share its address. Where that is refused the node listens as it does without.
+// reusePort lets a socket share its address. Where that is rejected the node listens as it does without.
 func reusePort(_, _ string, raw syscall.RawConn) error {
 	return raw.Control(func(fd uintptr) { unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_REUSEPORT, 1) })
 }
 
-// takeNew has the kernel deal new connections, or datagrams, to the second listener on the address. Where there is only one it gets
+// steerNewConns has the kernel deal new connections, or datagrams, to the second listener on the address. Where there is only one it gets
 // them all, as the kernel passes over a number that no listener has.
-func takeNew(l syscall.Conn) error {
+func steerNewConns(l syscall.Conn) error {
 	raw, err := l.SyscallConn()
 	if err != nil {
 		return err
@@ -73,32 +73,32 @@
 
 // hotRestart shares the limits with the other process of an upgrade. A nil *hotRestart knows of no other.
 type hotRestart struct {
-	memoryMB int
-	log      *slog.Logger
-	files    [2]*os.File // a place each, locked as long as its process lives
-	shared   [2]*counts  // what they hold
-	present  atomic.Bool // there is another process
-
-	mu     sync.Mutex
-	place  *os.File // nil: both were taken
-	theirs *os.File // the other's place
-	own    *counts  // in nobody's sight without a place
-	others []*counts
+	memoryMB   int
+	log        *slog.Logger
+	slotFiles  [2]*os.File    // a place each, locked as long as its process lives
+	slotCounts [2]*connCounts // what they hold
+	hasOther   atomic.Bool    // there is another process
+
+	mu          sync.Mutex
+	slot        *os.File    // nil: both were taken
+	otherSlot   *os.File    // the other's place
+	ownCounts   *connCounts // in nobody's sight without a place
+	otherCounts []*connCounts
 }
 
-// counts are a process's connections, in a file that both map.
-type counts struct{ clients, backends atomic.Int64 }
+// connCounts are a process's connections, in a file that both map.
+type connCounts struct{ clients, backends atomic.Int64 }
 
 // openHotRestart takes one of two places.
 func openHotRestart(c *Config, log *slog.Logger) (*hotRestart, error) {
-	h := &hotRestart{memoryMB: c.Limits.MemoryMB, log: log, own: &counts{}}
-	for i := range h.files {
+	h := &hotRestart{memoryMB: c.Limits.MemoryMB, log: log, ownCounts: &connCounts{}}
+	for i := range h.slotFiles {
 		path := filepath.Join(c.TempDir, fmt.Sprintf("starlingvalve-%s.%d", url.PathEscape(c.Name), i))
 		f, err := os.OpenFile(path, os.O_CREATE|os.O_RDWR, 0o600)
 		if err != nil {
 			return nil, err
 		}
-		size := int(unsafe.Sizeof(counts{}))
+		size := int(unsafe.Sizeof(connCounts{}))
 		if err := f.Truncate(int64(size)); err != nil {
 			return nil, err
 		}
@@ -106,37 +106,40 @@
 		if err != nil {
 			return nil, err
 		}
-		h.files[i], h.shared[i] = f, (*counts)(unsafe.Pointer(&m[0]))
+		h.slotFiles[i], h.slotCounts[i] = f, (*connCounts)(unsafe.Pointer(&m[0]))
 	}
-	h.others = h.shared[:]
-	h.look()
+	h.otherCounts = h.slotCounts[:]
+	h.refresh()
 	return h, nil
 }
 
-// take takes a place if this process has none. Both may be locked: by two others, or one for the moment in which the
+// claimSlot takes a place if this process has none. Both may be locked: by two others, or one for the moment in which the
 // other looks, which lasts if it is stopped then. So it is tried again at each look, and what both hold counts until
 // then. What an earlier process left in a place is written over.
-func (h *hotRestart) take() bool {
+func (h *hotRestart) claimSlot() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	for i, f := range h.files {
-		if h.place == nil && syscall.Flock(int(f.Fd()), syscall.LOCK_EX|syscall.LOCK_NB) == nil {
-			h.shared[i].clients.Store(h.own.clients.Load())
-			h.shared[i].backends.Store(h.own.backends.Load())
-			h.place, h.theirs, h.own, h.others = f, h.files[1-i], h.shared[i], h.shared[1-i:2-i]
+	for i, f := range h.slotFiles {
+		if h.slot == nil && syscall.Flock(int(f.Fd()), syscall.LOCK_EX|syscall.LOCK_NB) == nil {
+			h.slotCounts[i].clients.Store(h.ownCounts.clients.Load())
+			h.slotCounts[i].backends.Store(h.ownCounts.backends.Load())
+			h.slot = f
+			h.otherSlot = h.slotFiles[1-i]
+			h.ownCounts = h.slotCounts[i]
+			h.otherCounts = h.slotCounts[1-i : 2-i]
 		}
 	}
-	return h.place != nil
+	return h.slot != nil
 }
 
-// look finds out whether there is another process, and divides the memory.
-func (h *hotRestart) look() {
+// refresh finds out whether there is another process, and divides the memory.
+func (h *hotRestart) refresh() {
 	present := true
-	if h.take() && syscall.Flock(int(h.theirs.Fd()), syscall.LOCK_SH|syscall.LOCK_NB) == nil {
-		syscall.Flock(int(h.theirs.Fd()), syscall.LOCK_UN)
+	if h.claimSlot() && syscall.Flock(int(h.otherSlot.Fd()), syscall.LOCK_SH|syscall.LOCK_NB) == nil {
+		syscall.Flock(int(h.otherSlot.Fd()), syscall.LOCK_UN)
 		present = false
 	}
-	if present != h.present.Swap(present) {
+	if present != h.hasOther.Swap(present) {
 		h.log.Info("another process of this node", "present", present)
 		limitMemory(h.memoryMB, present)
 		if present {
@@ -147,7 +150,7 @@
 
 // limitMemory has Go's memory stay under its part of the limit, or under half of that.
 func limitMemory(mb int, shared bool) {
-	limit := memoryPart * float64(mb) * (1 << 20)
+	limit := goMemoryPart * float64(mb) * (1 << 20)
 	if shared {
 		limit /= 2
 	}
@@ -156,25 +159,25 @@
 
 // clients is how many clients the other process has. After a SIGKILL it is what it had, until the next look.
 func (h *hotRestart) clients() int {
-	return h.sum(func(c *counts) int64 { return c.clients.Load() })
+	return h.sum(func(c *connCounts) int64 { return c.clients.Load() })
 }
 
 // backends is how many connections to app servers the other process has, with the sockets that are its own.
 func (h *hotRestart) backends() int {
-	if h == nil || !h.present.Load() {
+	if h == nil || !h.hasOther.Load() {
 		return 0
 	}
-	return h.sum(func(c *counts) int64 { return c.backends.Load() }) + ownSockets
+	return h.sum(func(c *connCounts) int64 { return c.backends.Load() }) + reservedSockets
 }
 
-func (h *hotRestart) sum(of func(*counts) int64) int {
-	if h == nil || !h.present.Load() {
+func (h *hotRestart) sum(of func(*connCounts) int64) int {
+	if h == nil || !h.hasOther.Load() {
 		return 0
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	n := 0
-	for _, c := range h.others {
+	for _, c := range h.otherCounts {
 		n += int(of(c))
 	}
 	return n
@@ -185,7 +188,7 @@
 	if h != nil {
 		h.mu.Lock()
 		defer h.mu.Unlock()
-		h.own.clients.Add(int64(clients))
-		h.own.backends.Add(int64(backends))
+		h.ownCounts.clients.Add(int64(clients))
+		h.ownCounts.backends.Add(int64(backends))
 	}
 }
--- a/internal/node/hotrestart_test.go
+++ b/internal/node/hotrestart_test.go
@@ -54,7 +54,7 @@
 
 // Where nodes talk, the newer process of an upgrade starts while the older one runs and hears them; the one that is left does
 // if it ends. Without an admin API the address is not shared.
-func TestLaterProcessHearsPeers(t *testing.T) {
+func TestLaterProcessGetsPeerMessages(t *testing.T) {
 	t.Parallel()
 	sender, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
@@ -63,9 +63,9 @@
 	defer sender.Close()
 	c := &Config{Settings: settings(), Admin: anyPort, PeerListen: anyPort}
 	c.Settings.MayMessagePeers = true
-	listen := func() *peers {
+	listen := func() *peerMessenger {
 		t.Helper()
-		p, err := listenPeers(c, quiet)
+		p, err := listenPeerMessages(c, quiet)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -73,7 +73,7 @@
 		c.PeerListen = p.conn.LocalAddr().(*net.UDPAddr).AddrPort()
 		return p
 	}
-	heard := func(p *peers, who string) {
+	heard := func(p *peerMessenger, who string) {
 		t.Helper()
 		for range 20 {
 			if _, err := sender.WriteToUDPAddrPort([]byte("x"), c.PeerListen); err != nil {
@@ -92,7 +92,7 @@
 	newer.conn.Close()
 	heard(older, "the older, with the newer dead")
 	c.Admin = netip.AddrPort{}
-	if p, err := listenPeers(c, quiet); err == nil {
+	if p, err := listenPeerMessages(c, quiet); err == nil {
 		p.conn.Close()
 		t.Error("without an admin API a second process listens too")
 	}
@@ -108,40 +108,40 @@
 		}
 		return b
 	}
-	end := func(b *hotRestart) { syscall.Flock(int(b.place.Fd()), syscall.LOCK_UN) } // as the kernel does at a process's end
+	end := func(b *hotRestart) { syscall.Flock(int(b.slot.Fd()), syscall.LOCK_UN) } // as the kernel does at a process's end
 	older := open()
-	if older.look(); older.present.Load() {
+	if older.refresh(); older.hasOther.Load() {
 		t.Error("alone it sees another process")
 	}
 	newer := open()
-	older.look()
+	older.refresh()
 	newer.count(2, 3)
-	conns := &connections{limit: 3, restart: older, idle: map[net.Conn]time.Time{}, shed: map[net.Conn]bool{}}
-	if conns.count = 1; conns.crowded() {
+	conns := &connections{limit: 3, restart: older, idle: map[net.Conn]time.Time{}, ended: map[net.Conn]bool{}}
+	if conns.count = 1; conns.overLimit() {
 		t.Error("crowded with 1 client here and 2 there, of 3")
 	}
-	if conns.count = 2; !conns.crowded() {
+	if conns.count = 2; !conns.overLimit() {
 		t.Error("not crowded with 2 clients here and 2 there, of 3")
 	}
-	b := newBackends(c, ownSockets+4, quiet)
+	b := newUpstreams(c, reservedSockets+4, quiet)
 	b.restart = older
 	addr := backend(t, func(net.Conn) {})
 	b.update(known(addr))
-	for i, want := range []error{nil, errTooMany} {
-		if _, err := b.connect(t.Context(), b.find(1), time.Now().Add(patient)); err != want {
+	for i, want := range []error{nil, errTooManyConns} {
+		if _, err := b.connect(t.Context(), b.host(1), time.Now().Add(patient)); err != want {
 			t.Errorf("connection %d with 3 of the other's, of 4: %v", i, err)
 		}
 	}
-	if got := newer.backends(); got != ownSockets+1 {
+	if got := newer.backends(); got != reservedSockets+1 {
 		t.Errorf("the newer process sees %d connections to servers", got)
 	}
 	end(older)
-	newer.look()
-	if newer.present.Load() || newer.backends() != 0 {
+	newer.refresh()
+	if newer.hasOther.Load() || newer.backends() != 0 {
 		t.Error("the older process has ended and is still counted")
 	}
 	next := open()
-	if got := next.backends(); got != ownSockets+3 {
+	if got := next.backends(); got != reservedSockets+3 {
 		t.Errorf("the next process sees %d connections to servers", got)
 	}
 	end(newer)
@@ -167,7 +167,7 @@
 		t.Fatal(err)
 	}
 	defer l.Close()
-	c := &connections{idle: map[net.Conn]time.Time{}, shed: map[net.Conn]bool{}}
+	c := &connections{idle: map[net.Conn]time.Time{}, ended: map[net.Conn]bool{}}
 	var conns [3]net.Conn
 	for i := range conns {
 		client, err := net.Dial("tcp", l.Addr().String())
@@ -180,14 +180,14 @@
 		}
 		defer conns[i].Close()
 		if i == 2 { // what has come has been read, but is not yet a request
-			conns[i] = &cappedConn{TCPConn: conns[i].(*net.TCPConn), free: func() {}}
+			conns[i] = &clientConn{TCPConn: conns[i].(*net.TCPConn), releaseSlot: func() {}}
 			client.Write([]byte("G"))
 			c.track(conns[i], http.StateIdle)
 			conns[i].Read(make([]byte, 1))
 		}
 		if i == 0 {
 			client.Write([]byte("G"))
-			for end := time.Now().Add(patient); quietSocket(conns[0]); time.Sleep(time.Millisecond) {
+			for end := time.Now().Add(patient); hasUnreadData(conns[0]); time.Sleep(time.Millisecond) {
 				if time.Now().After(end) {
 					t.Fatal("the byte does not come")
 				}
@@ -196,14 +196,14 @@
 		c.idle[conns[i]] = time.Now()
 	}
 	c.closeIdle(0)
-	if c.shed[conns[0]] || !c.shed[conns[1]] || c.shed[conns[2]] {
+	if c.ended[conns[0]] || !c.ended[conns[1]] || c.ended[conns[2]] {
 		t.Errorf("closed: %v with a request that waits, %v without, %v with one being read",
-			c.shed[conns[0]], c.shed[conns[1]], c.shed[conns[2]])
+			c.ended[conns[0]], c.ended[conns[1]], c.ended[conns[2]])
 	}
 }
 
-// At SIGTERM idle connections make room for the newer process's clients, also those that would have had more time.
-func TestRoomForTheNewerProcess(t *testing.T) {
+// At SIGTERM idle connections make way for the newer process's clients, also those that would have had more time.
+func TestNewerProcessGetsConnections(t *testing.T) {
 	c := &Config{Name: "n", TempDir: t.TempDir(), Limits: Limits{MemoryMB: 1 << 14}}
 	older, err := openHotRestart(c, quiet)
 	if err != nil {
@@ -213,26 +213,26 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	older.look()
-	conns := &connections{limit: 3, restart: older, idle: map[net.Conn]time.Time{}, shed: map[net.Conn]bool{}}
+	older.refresh()
+	conns := &connections{limit: 3, restart: older, idle: map[net.Conn]time.Time{}, ended: map[net.Conn]bool{}}
 	conn, _ := net.Pipe()
-	conns.came()
+	conns.accepted()
 	conns.track(conn, http.StateIdle)
 	for _, clients := range []int{2, 1} {
-		if conns.shed[conn] {
+		if conns.ended[conn] {
 			t.Error("closed with room for all")
 		}
 		newer.count(clients, 0)
-		conns.makeRoom()
+		conns.closeIdleForOthers()
 	}
-	if !conns.shed[conn] {
+	if !conns.ended[conn] {
 		t.Error("with 3 clients there and 1 here, of 3, the idle one keeps its place")
 	}
 }
 
 // A process that finds both places locked, one of them for the moment in which the other process looks, takes a place
 // later, with what it has counted by then. So does a third process once the first has ended.
-func TestPlaceTakenLater(t *testing.T) {
+func TestSlotClaimedLater(t *testing.T) {
 	c := &Config{Name: "n", TempDir: t.TempDir(), Limits: Limits{MemoryMB: 1 << 14}}
 	open := func() *hotRestart {
 		t.Helper()
@@ -250,16 +250,16 @@
 	}
 	older := open()
 	older.count(5, 6)
-	lock(older.theirs, syscall.LOCK_SH) // it is stopped as it looks
+	lock(older.otherSlot, syscall.LOCK_SH) // it is stopped as it looks
 	newer := open()
 	newer.count(2, 3)
-	if clients, backends := newer.clients(), newer.backends(); clients != 5 || backends != ownSockets+6 {
+	if clients, backends := newer.clients(), newer.backends(); clients != 5 || backends != reservedSockets+6 {
 		t.Errorf("without a place it sees %d clients and %d connections to servers", clients, backends)
 	}
-	lock(older.theirs, syscall.LOCK_UN)
-	newer.look()
-	older.look()
-	if clients, backends := older.clients(), older.backends(); clients != 2 || backends != ownSockets+3 {
+	lock(older.otherSlot, syscall.LOCK_UN)
+	newer.refresh()
+	older.refresh()
+	if clients, backends := older.clients(), older.backends(); clients != 2 || backends != reservedSockets+3 {
 		t.Errorf("with a place it is seen with %d clients and %d connections to servers", clients, backends)
 	}
 	third := open()
@@ -267,9 +267,9 @@
 	if clients := third.clients(); clients != 7 {
 		t.Errorf("the third process sees %d clients", clients)
 	}
-	lock(older.place, syscall.LOCK_UN) // it has ended, by SIGKILL: its counts stay in the file
-	third.look()
-	newer.look()
+	lock(older.slot, syscall.LOCK_UN) // it has ended, by SIGKILL: its counts stay in the file
+	third.refresh()
+	newer.refresh()
 	if seen, sees := newer.clients(), third.clients(); seen != 1 || sees != 2 {
 		t.Errorf("in the place of the first, the third process is seen with %d clients and sees %d", seen, sees)
 	}
--- a/internal/node/linger.go
+++ b/internal/node/linger.go
@@ -10,36 +10,36 @@
 // first, and reads and drops what still comes until the peer has ended too.
 
 const (
-	finWait  = 500 * time.Millisecond // for the peer's end
-	finBrief = 50 * time.Millisecond  // while places are short
-	finBytes = 256 << 10              // dropped at most: a flood is no reason to read on
-	finPiece = 4 << 10
+	finTimeout      = 500 * time.Millisecond // for the peer's end
+	finShortTimeout = 50 * time.Millisecond  // while places are short
+	maxFinBytes     = 256 << 10              // dropped at most: a flood is no reason to read on
+	finBufferSize   = 4 << 10
 )
 
-// errEnding is of a kind that net/http takes for a broken connection, and does not answer.
-var errEnding = &net.OpError{Op: "read", Net: "tcp", Err: net.ErrClosed}
+// errConnClosing is of a kind that net/http takes for a broken connection, and does not answer.
+var errConnClosing = &net.OpError{Op: "read", Net: "tcp", Err: net.ErrClosed}
 
-// hangUp ends an idle connection and wakes net/http, which waits on it for a request and closes it then. What comes
+// endIdle ends an idle connection and wakes net/http, which waits on it for a request and closes it then. What comes
 // after the mark is never given to net/http. A request that was read whole before it finds the connection shed.
-func (c *cappedConn) hangUp() {
-	c.ending.Store(true) // before the deadline: a read that begins later sees the mark, one that waits the deadline
+func (c *clientConn) endIdle() {
+	c.closing.Store(true) // before the deadline: a read that begins later sees the mark, one that waits the deadline
 	c.TCPConn.CloseWrite()
 	c.SetReadDeadline(time.Unix(1, 0))
 }
 
 // Close ends the node's side at once. The descriptor and the place go once the peer has ended too, within bounds.
-func (c *cappedConn) Close() error {
-	c.closing.Do(func() {
-		c.ending.Store(true)
-		if c.ended.Load() {
+func (c *clientConn) Close() error {
+	c.closeOnce.Do(func() {
+		c.closing.Store(true)
+		if c.peerEnded.Load() {
 			c.release()
 			return
 		}
-		c.conns.end(c)
+		c.conns.markEnded(c)
 		c.TCPConn.CloseWrite()
-		wait := finWait
-		if c.conns.short() {
-			wait = finBrief
+		wait := finTimeout
+		if c.conns.overLimitWithEnded() {
+			wait = finShortTimeout
 		}
 		c.SetReadDeadline(time.Now().Add(wait))
 		go c.linger()
@@ -48,12 +48,12 @@
 }
 
 // CloseWrite is called by net/http, which then sleeps and closes. What comes is dropped while it sleeps.
-func (c *cappedConn) CloseWrite() error { return c.Close() }
+func (c *clientConn) CloseWrite() error { return c.Close() }
 
-func (c *cappedConn) linger() {
+func (c *clientConn) linger() {
 	defer c.release()
-	piece := make([]byte, finPiece)
-	for left := finBytes; left > 0; {
+	piece := make([]byte, finBufferSize)
+	for left := maxFinBytes; left > 0; {
 		n, err := c.TCPConn.Read(piece)
 		if err != nil {
 			return
@@ -62,23 +62,25 @@
 	}
 }
 
-func (c *cappedConn) release() {
+func (c *clientConn) release() {
 	c.TCPConn.Close()
-	c.free()
+	c.releaseSlot()
 }
 
-// heard reports whether something has come of a request that is not over, perhaps while the one before was answered.
-func (c *cappedConn) heard() bool {
-	return c.behind.Load() || c.framing.requests.Load() > c.served.Load()
+// hasPendingRequest reports whether something has come of a request that is not over, perhaps while the one before was answered.
+func (c *clientConn) hasPendingRequest() bool {
+	return c.hasPipelined.Load() || c.framing.requests.Load() > c.servedRequests.Load()
 }
 
-// stale reports whether what has come is a beginning that does not go on. net/http waits for the first four bytes of a
+// isStalled reports whether what has come is a beginning that does not go on. net/http waits for the first four bytes of a
 // further request as long as for none.
-func (c *cappedConn) stale() bool { return time.Since(time.Unix(0, c.last.Load())) > requestWait }
+func (c *clientConn) isStalled() bool {
+	return time.Since(time.Unix(0, c.lastReadAt.Load())) > requestHeadTimeout
+}
 
-// rest notes that a request is over. What has come of a next one by now stays heard.
-func (c *cappedConn) rest() {
-	if c.framing.requests.Load() > c.served.Load() {
-		c.served.Add(1)
+// requestDone notes that a request is over. What has come of a next one by now stays heard.
+func (c *clientConn) requestDone() {
+	if c.framing.requests.Load() > c.servedRequests.Load() {
+		c.servedRequests.Add(1)
 	}
 }
--- a/internal/node/linger_test.go
+++ b/internal/node/linger_test.go
@@ -12,13 +12,13 @@
 	"time"
 )
 
-// clientSide is the part of a node that clients meet. What asks for /hold stands in the handler until let goes on.
+// clientSide is the part of a node that clients meet. What requests /hold stands in the handler until let goes on.
 type clientSide struct {
 	*frontend
-	l      *capped
+	l      *clientListener
 	srv    *http.Server
 	served atomic.Int64 // requests, to their end
-	held   chan *cappedConn
+	held   chan *clientConn
 	let    chan struct{}
 	ended  chan error
 }
@@ -30,12 +30,12 @@
 		t.Fatal(err)
 	}
 	c := &Config{Settings: settings()}
-	f := newFrontend(newLoop(t.Context(), c, newBackends(c, 10, quiet), nil, nil, quiet), limit, quiet)
-	s := &clientSide{frontend: f, l: newCapped(tcp, slots, nil, f.conns), srv: f.server(), held: make(chan *cappedConn, 9),
+	f := newFrontend(newEventLoop(t.Context(), c, newUpstreams(c, 10, quiet), nil, nil, quiet), limit, quiet)
+	s := &clientSide{frontend: f, l: newClientListener(tcp, slots, nil, f.connections), srv: f.server(), held: make(chan *clientConn, 9),
 		let: make(chan struct{}), ended: make(chan error, 1)}
 	s.srv.Handler = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/hold" {
-			s.held <- r.Context().Value(connKey{}).(*cappedConn)
+			s.held <- r.Context().Value(connKey{}).(*clientConn)
 			<-s.let
 			return
 		}
@@ -63,10 +63,10 @@
 func (s *clientSide) rested(t *testing.T, count int) (idle []net.Conn) {
 	t.Helper()
 	await(t, "connections at rest", func() bool {
-		s.conns.mu.Lock()
-		defer s.conns.mu.Unlock()
+		s.connections.mu.Lock()
+		defer s.connections.mu.Unlock()
 		idle = idle[:0]
-		for conn := range s.conns.idle {
+		for conn := range s.connections.idle {
 			idle = append(idle, conn)
 		}
 		return len(idle) == count
@@ -101,11 +101,11 @@
 	c, r := s.dial(t)
 	io.WriteString(c, plain)
 	s.rested(t, 1)
-	s.conns.looked = func(conn net.Conn) {
+	s.connections.beforeClose = func(conn net.Conn) {
 		io.WriteString(c, strings.Repeat(plain, 1000)) // more than net/http reads at once
-		await(t, "bytes in the socket", func() bool { return conn.(*cappedConn).heard() && !quietSocket(conn) })
+		await(t, "bytes in the socket", func() bool { return conn.(*clientConn).hasPendingRequest() && !hasUnreadData(conn) })
 	}
-	s.conns.closeIdle(0)
+	s.connections.closeIdle(0)
 	toEnd(t, r, http.StatusOK)
 	if got := s.served.Load(); got != 1 {
 		t.Errorf("%d requests served, want only the one before the close", got)
@@ -122,10 +122,10 @@
 	io.WriteString(c, strings.Replace(plain, "health/live", "hold", 1))
 	conn := <-s.held
 	io.WriteString(c, plain[:1])
-	await(t, "byte read", conn.behind.Load)
+	await(t, "byte read", conn.hasPipelined.Load)
 	close(s.let)
 	s.rested(t, 1)
-	s.conns.closeIdle(0)
+	s.connections.closeIdle(0)
 	io.WriteString(c, plain[1:])
 	for range 2 {
 		if resp, err := http.ReadResponse(r, nil); err != nil || resp.StatusCode != http.StatusOK {
@@ -134,9 +134,9 @@
 	}
 	s.rested(t, 1)
 	io.WriteString(c, plain[:1])
-	await(t, "byte read", conn.heard)
-	conn.last.Store(time.Now().Add(-2 * requestWait).UnixNano())
-	s.conns.closeIdle(0)
+	await(t, "byte read", conn.hasPendingRequest)
+	conn.lastReadAt.Store(time.Now().Add(-2 * requestHeadTimeout).UnixNano())
+	s.connections.closeIdle(0)
 	if _, err := r.ReadByte(); err != io.EOF {
 		t.Errorf("a request that does not go on keeps its connection: %v", err)
 	}
@@ -149,7 +149,7 @@
 		"no request":       "nonsense\r\n\r\n",
 		"a bad request":    "GET /nowhere HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n",
 		"an unread body":   "POST /order HTTP/1.1\r\nHost: h\r\nContent-Length: 2000000\r\n\r\n",
-		"a head too large": "GET / HTTP/1.1\r\nHost: h\r\nX: " + strings.Repeat("x", 2*headerLimit),
+		"a head too large": "GET / HTTP/1.1\r\nHost: h\r\nX: " + strings.Repeat("x", 2*maxHeaderBytes),
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -168,14 +168,14 @@
 				t.Errorf("after the answer: %v, want its end", err)
 			}
 			c.Close()
-			await(t, "place free", func() bool { return s.conns.open() == 0 && len(s.l.slots) <= 1 })
+			await(t, "place free", func() bool { return s.connections.open() == 0 && len(s.l.slots) <= 1 })
 		})
 	}
 }
 
 // A connection counts from before Accept returns it, and keeps its place until its descriptor is free: at its peer's
 // end, or after a while. What comes in between is dropped.
-func TestPlaceIsHeldToTheEnd(t *testing.T) {
+func TestSlotIsHeldToTheEnd(t *testing.T) {
 	t.Parallel()
 	for _, ends := range []bool{true, false} {
 		s := newClientSide(t, 9, 9)
@@ -184,7 +184,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if got := s.conns.open(); got != 1 {
+		if got := s.connections.open(); got != 1 {
 			t.Fatalf("%d connections, not tracked yet, want 1", got)
 		}
 		conn.Close()
@@ -201,12 +201,12 @@
 		if ends {
 			c.Close()
 		}
-		await(t, "place free", func() bool { return s.conns.open() == 0 && len(s.l.slots) == 0 })
+		await(t, "place free", func() bool { return s.connections.open() == 0 && len(s.l.slots) == 0 })
 	}
 }
 
-// A connection that waits for its peer's end holds its place, but brings no request: for its sake none is refused.
-func TestEndedConnectionsAreNoCrowd(t *testing.T) {
+// A connection that waits for its peer's end holds its place, but brings no request: for its sake none is rejected.
+func TestEndedConnectionsAreNotOverLimit(t *testing.T) {
 	t.Parallel()
 	s := newClientSide(t, 1, 9)
 	for range 3 {
@@ -215,25 +215,25 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		s.conns.mu.Lock()
-		s.conns.limit = 9 // the wait is the long one
-		s.conns.mu.Unlock()
+		s.connections.mu.Lock()
+		s.connections.limit = 9 // the wait is the long one
+		s.connections.mu.Unlock()
 		conn.Close()
 	}
-	s.conns.mu.Lock()
-	s.conns.limit = 1
-	s.conns.mu.Unlock()
+	s.connections.mu.Lock()
+	s.connections.limit = 1
+	s.connections.mu.Unlock()
 	s.dial(t)
 	if _, err := s.l.Accept(); err != nil {
 		t.Fatal(err)
 	}
-	if s.conns.crowded() {
+	if s.connections.overLimit() {
 		t.Errorf("one client and three that have been ended are a crowd, with room for one")
 	}
 }
 
-// Once all places are taken nobody is accepted. Connections that are idle for long enough make room all the same.
-func TestFullNodeMakesRoom(t *testing.T) {
+// Once all places are taken nobody is accepted. Connections that are idle for long enough are closed all the same.
+func TestFullNodeFreesASlot(t *testing.T) {
 	t.Parallel()
 	s := newClientSide(t, 2, 3)
 	s.serve()
@@ -249,33 +249,33 @@
 	c, r := s.dial(t)
 	io.WriteString(c, plain)
 	idle := s.rested(t, 2)
-	s.conns.mu.Lock()
+	s.connections.mu.Lock()
 	for _, conn := range idle {
-		s.conns.idle[conn] = time.Now().Add(-idleLeast) // they came all at once, and that time has passed now
+		s.connections.idle[conn] = time.Now().Add(-minIdleTime) // they came all at once, and that time has passed now
 	}
-	s.conns.mu.Unlock()
+	s.connections.mu.Unlock()
 	if resp, err := http.ReadResponse(r, nil); err != nil || resp.StatusCode != http.StatusOK {
 		t.Errorf("%+v, %v: kept out by idle connections", resp, err)
 	}
 }
 
-// Each arrival beyond the bound makes room at once, also right after another one: no request is refused as long as there
+// Each arrival beyond the bound closes an idle one at once, also right after another one: no request is rejected as long as there
 // are connections that have rested long enough.
-func TestEachArrivalMakesRoom(t *testing.T) {
+func TestEachArrivalFreesASlot(t *testing.T) {
 	t.Parallel()
 	c := newConnections(2)
 	var conns [4]net.Conn
 	for i := range conns {
 		conns[i], _ = net.Pipe()
-		c.came()
+		c.accepted()
 		if i < 2 {
-			c.idle[conns[i]] = time.Now().Add(-2 * idleLeast)
+			c.idle[conns[i]] = time.Now().Add(-2 * minIdleTime)
 		}
-		if c.crowded() {
+		if c.overLimit() {
 			t.Errorf("a crowd at arrival %d", i)
 		}
 	}
-	if !c.shed[conns[0]] || !c.shed[conns[1]] {
-		t.Errorf("shed: %v", c.shed)
+	if !c.ended[conns[0]] || !c.ended[conns[1]] {
+		t.Errorf("shed: %v", c.ended)
 	}
 }
--- a/internal/node/shut_test.go
+++ b/internal/node/listener_close_test.go
@@ -20,13 +20,13 @@
 	for i := range silent {
 		silent[i], _ = s.dial(t)
 	}
-	await(t, "place taken", func() bool { return s.conns.open() == 2 })
+	await(t, "place taken", func() bool { return s.connections.open() == 2 })
 	waiting, r := s.dial(t)
 	io.WriteString(waiting, message("read", "9.5", ""))
 	drained := make(chan struct{})
 	go func() { s.drain(s.l, s.ended); close(drained) }()
-	<-s.closing
-	time.Sleep(3 * drainSweep) // a drain that closes the listener now has done so
+	<-s.drainClosed
+	time.Sleep(3 * drainPollInterval) // a drain that closes the listener now has done so
 	for _, c := range silent {
 		c.Close()
 	}
@@ -58,7 +58,7 @@
 			steps[0], steps[1] = steps[1], steps[0]
 		}
 		for _, step := range steps {
-			time.Sleep(3 * drainSweep) // a drain that waits for neither has ended by then
+			time.Sleep(3 * drainPollInterval) // a drain that waits for neither has ended by then
 			select {
 			case <-drained:
 				t.Fatalf("the drain has ended too early, Accept last: %v", acceptLast)
@@ -78,11 +78,11 @@
 	for i := range short.Classes {
 		short.Classes[i].Deadline = 100 * time.Millisecond
 	}
-	s.loop.rules.Store(newRules(short))
+	s.loop.rules.Store(newRequestRules(short))
 	s.serve()
 	c, r := s.dial(t)
 	io.WriteString(c, message("order", "9.5", ""))
-	await(t, "request", func() bool { return len(s.loop.happened) == 1 })
+	await(t, "request", func() bool { return len(s.loop.events) == 1 })
 	drained := make(chan struct{})
 	go func() { s.drain(s.l, s.ended); close(drained) }()
 	toEnd(t, r, http.StatusBadGateway)
@@ -120,7 +120,7 @@
 		if unanswered >= kill || unanswered > last || last < longest {
 			t.Errorf("deadline %v: unanswered until %v, SIGKILL at %v, the end at %v", longest, unanswered, kill, last)
 		}
-		if over := drainAccept + longest + overdue; longest <= 3*time.Second && over >= unanswered {
+		if over := drainAcceptTime + longest + overdueDelay; longest <= 3*time.Second && over >= unanswered {
 			t.Errorf("deadline %v: over at %v, failed already at %v", longest, over, unanswered)
 		}
 	}
@@ -129,10 +129,10 @@
 // Whatever the descriptors: there are some besides the clients' and servers', and clients may use a third of all for
 // requests, each with an attempt.
 func TestSharedSockets(t *testing.T) {
-	for sockets := leastSockets; sockets <= 4096; sockets++ {
+	for sockets := minSockets; sockets <= 4096; sockets++ {
 		clients, servers := shareSockets(sockets)
-		requests := min(int(float64(clients)*softPart), servers)
-		if clients+servers+ownSockets > sockets || sockets >= 256 && requests < sockets/3 {
+		requests := min(int(float64(clients)*softLimitPart), servers)
+		if clients+servers+reservedSockets > sockets || sockets >= 256 && requests < sockets/3 {
 			t.Fatalf("%d descriptors: %d clients, %d servers, %d requests", sockets, clients, servers, requests)
 		}
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -14,21 +14,21 @@
 
 const (
 	// Of the descriptors, a few are the process's own; clients' connections get this part of the rest, and
-	// backends what remains. From the soft limit on, clients are refused; to the hard one they are let in to be.
-	ownSockets = 24
-	clientPart = 0.6
-	softPart   = 0.85
+	// backends what remains. From the soft limit on, clients are rejected; to the hard one they are let in to be.
+	reservedSockets   = 24
+	clientSocketsPart = 0.6
+	softLimitPart     = 0.85
 
-	drainAccept = 600 * time.Millisecond // connections come for 0.4 s after SIGTERM; the rest is for the accept queue
-	drainSweep  = 10 * time.Millisecond
-	drainExtra  = 300 * time.Millisecond // beyond the longest deadline, to write the last answers
+	drainAcceptTime   = 600 * time.Millisecond // connections come for 0.4 s after SIGTERM; the rest is for the accept queue
+	drainPollInterval = 10 * time.Millisecond
+	drainExtraTime    = 300 * time.Millisecond // beyond the longest deadline, to write the last answers
 	// SIGKILL comes at the soonest that much after SIGTERM and the longest deadline, which counts as drainLongest if it
 	// is longer. What is unanswered drainMargin before is answered as failed, to be written and read by then. A request
 	// that came before drainAccept and has such a deadline is over by itself: overdue is less than what is left.
-	drainKill    = 700 * time.Millisecond
-	drainLongest = 3 * time.Second
-	drainMargin  = 60 * time.Millisecond
-	drainAnswers = 100 * time.Millisecond // for the answers of those that the end itself fails
+	drainKillDelay     = 700 * time.Millisecond
+	maxDrainDeadline   = 3 * time.Second
+	drainAnswerMargin  = 60 * time.Millisecond
+	finalAnswerTimeout = 100 * time.Millisecond // for the answers of those that the end itself fails
 )
 
 // Run serves until ctx ends and what has been taken by then is answered. On each signal of hup it takes
@@ -47,7 +47,7 @@
 		for range hup {
 			next, err := reload()
 			if err != nil {
-				log.Error("configuration not taken", "err", err)
+				log.Error("configuration rejected", "err", err)
 				continue
 			}
 			reloads <- next
@@ -72,23 +72,23 @@
 		}
 		defer tcp.Close()
 	}
-	p, err := listenPeers(c, log)
+	p, err := listenPeerMessages(c, log)
 	if err != nil {
 		return err
 	}
-	b := newBackends(c, servers, log)
-	d := newDiscovery(c, log)
-	l := newLoop(inner, c, b, d, p, log)
+	b := newUpstreams(c, servers, log)
+	d := newDiscoveryClient(c, log)
+	l := newEventLoop(inner, c, b, d, p, log)
 	if admin != nil {
-		l.bans = openBans(c, b, log)
+		l.exclusions = openExclusions(c, b, log)
 		if b.restart, err = openHotRestart(c, log); err != nil {
 			log.Error("the limits are not shared with another process", "err", err)
 		}
 	}
-	f := newFrontend(l, int(float64(clients)*softPart), log)
-	f.maxOpen = min(f.maxOpen, int64(servers)) // each finds a descriptor for an attempt
-	f.conns.restart = b.restart
-	f.fleet = newFleetLink(c, l, f.unready, log)
+	f := newFrontend(l, int(float64(clients)*softLimitPart), log)
+	f.maxOpenRequests = min(f.maxOpenRequests, int64(servers)) // each finds a descriptor for an attempt
+	f.connections.restart = b.restart
+	f.fleet = newFleetClient(c, l, f.notReadyReason, log)
 	srv := f.server()
 
 	var running sync.WaitGroup
@@ -98,12 +98,12 @@
 		for {
 			select {
 			case next := <-reloads:
-				d.move(next.Discovery)
+				d.setAddress(next.Discovery)
 				if !c.Fleet.equal(next.Fleet) {
-					log.Warn("the fleet block has changed; that is followed at a restart only")
+					log.Warn("fleet block changed: restart the node to apply it")
 				}
-				l.post(func() { l.change(next.Settings) })
-				log.Info("configuration taken", "classes", len(next.Settings.Classes), "attempts", next.Settings.MaxAttempts)
+				l.post(func() { l.changeSettings(next.Settings) })
+				log.Info("configuration applied", "classes", len(next.Settings.Classes), "attempts", next.Settings.MaxAttempts)
 			case <-inner.Done():
 				return
 			}
@@ -114,22 +114,22 @@
 	}
 	if p != nil {
 		running.Go(func() { p.write(inner) })
-		running.Go(func() { p.read(l.heard) })
+		running.Go(func() { p.read(l.receiveMessage) })
 	}
 	if admin != nil {
-		api := &adminServer{front: f, bans: l.bans, ctx: inner, log: log}
+		api := &adminServer{frontend: f, exclusions: l.exclusions, ctx: inner, log: log}
 		running.Go(func() { api.run(admin) })
-		running.Go(func() { every(inner, lookEvery(c.Settings.DrainGrace), l.bans.look) })
-		running.Go(func() { every(inner, emptyEvery, f.letGo) })
+		running.Go(func() { runEvery(inner, exclusionsPollEvery(c.Settings.DrainGrace), l.exclusions.refresh) })
+		running.Go(func() { runEvery(inner, evacuationSweepInterval, f.closeEvacuatedIdle) })
 	}
 	if b.restart != nil {
-		running.Go(func() { every(inner, otherProcessEvery, b.restart.look) })
+		running.Go(func() { runEvery(inner, otherProcessInterval, b.restart.refresh) })
 	}
 	if tcp == nil {
 		select {
-		case <-l.canServe:
+		case <-l.readyToServe:
 			select {
-			case <-f.fleet.mayServe():
+			case <-f.fleet.readyToServe():
 				tcp, err = listen()
 			case <-ctx.Done():
 			}
@@ -138,7 +138,7 @@
 	}
 	if tcp != nil {
 		served := make(chan error, 1)
-		taken := newCapped(tcp, clients, b.restart, f.conns)
+		taken := newClientListener(tcp, clients, b.restart, f.connections)
 		running.Go(func() {
 			served <- srv.Serve(taken)
 		})
@@ -154,23 +154,23 @@
 	}
 	stop()
 	// A close under the last answers would cut them off, and the process's end resets what is not closed by then.
-	f.conns.waitNone(drainAnswers)
+	f.connections.waitUntilNone(finalAnswerTimeout)
 	srv.Close()
-	f.conns.waitNone(finWait)
+	f.connections.waitUntilNone(finTimeout)
 	running.Wait()
 	return err
 }
 
-// shareSockets gives the most connections from clients and to servers, with descriptors left for all else: discovery, the
+// shareSockets returns the most connections from clients and to servers, with descriptors left for all else: discovery, the
 // admin API and the fleet's agent are reached however many clients there are.
 func shareSockets(sockets int) (clients, servers int) {
-	room := sockets - ownSockets
-	clients = int(float64(room) * clientPart)
+	room := sockets - reservedSockets
+	clients = int(float64(room) * clientSocketsPart)
 	return clients, room - clients
 }
 
-// every does something again and again until ctx ends.
-func every(ctx context.Context, interval time.Duration, do func()) {
+// runEvery does something again and again until ctx ends.
+func runEvery(ctx context.Context, interval time.Duration, do func()) {
 	tick := time.NewTicker(interval)
 	defer tick.Stop()
 	for {
@@ -187,49 +187,49 @@
 // the listener stays open for that long, and each answer closes its connection. It does not use Server.Shutdown, which
 // drops requests that are being read when it is called.
 //
-// A request that is read whole before closing is served; its deadline lies before unanswered, or it is failed then.
-// What is read whole later is refused. Answers that have begun go on until last, if SIGKILL does not come sooner.
-func (f *frontend) drain(l *capped, served <-chan error) {
+// A request that is read completely before drainClosed is closed is served; its deadline lies before unanswered, or it is failed then.
+// What is read completely later is rejected. Answers that have begun go on until last, if SIGKILL does not come sooner.
+func (f *frontend) drain(l *clientListener, served <-chan error) {
 	begun := time.Now()
 	f.draining.Store(true)
 	f.log.Info("draining")
 	forAnswers, forAll := drainTimes(f.loop.rules.Load().Classes)
 	unanswered, last := begun.Add(forAnswers), begun.Add(forAll)
 	// Idle connections go early, and at once if a newer process needs their places for its clients.
-	for ; time.Since(begun) < drainAccept; time.Sleep(drainSweep) {
-		f.conns.makeRoom()
+	for ; time.Since(begun) < drainAcceptTime; time.Sleep(drainPollInterval) {
+		f.connections.closeIdleForOthers()
 	}
-	close(f.closing)
-	// What waits for a place, or for a slow core, would be reset with the listener. It is read, and refused.
-	for ; l.waiting() && time.Now().Before(unanswered); time.Sleep(drainSweep) {
-		f.conns.closeIdle(0)
+	close(f.drainClosed)
+	// What waits for a place, or for a slow core, would be reset with the listener. It is read, and rejected.
+	for ; l.hasWaitingConn() && time.Now().Before(unanswered); time.Sleep(drainPollInterval) {
+		f.connections.closeIdle(0)
 	}
 	l.Close()
 	accepted := served // until Accept has returned the last connection none is not enough
-	for ; accepted != nil || f.conns.open() > 0; time.Sleep(drainSweep) {
+	for ; accepted != nil || f.connections.open() > 0; time.Sleep(drainPollInterval) {
 		select {
 		case <-accepted:
 			accepted = nil
 		default:
 		}
 		now := time.Now()
-		if now.After(unanswered) && !isClosed(f.givenUp) {
-			close(f.givenUp)
+		if now.After(unanswered) && !isClosed(f.answersOver) {
+			close(f.answersOver)
 		}
 		if now.After(last) {
-			f.log.Warn("drained with connections held", "connections", f.conns.open(), "requests", f.open.Load())
+			f.log.Warn("drained with open connections", "connections", f.connections.open(), "requests", f.openRequests.Load())
 			return
 		}
-		f.conns.closeIdle(0)
+		f.connections.closeIdle(0)
 	}
 	f.log.Info("drained")
 }
 
-// drainTimes gives how long after SIGTERM a request may be unanswered, and how long an answer may take that has begun.
+// drainTimes returns how long after SIGTERM a request may be unanswered, and how long an answer may take that has begun.
 func drainTimes(classes []policy.Class) (unanswered, last time.Duration) {
 	var longest time.Duration
 	for _, c := range classes {
 		longest = max(longest, c.Deadline)
 	}
-	return min(longest, drainLongest) + drainKill - drainMargin, drainAccept + longest + drainExtra
+	return min(longest, maxDrainDeadline) + drainKillDelay - drainAnswerMargin, drainAcceptTime + longest + drainExtraTime
 }
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -71,7 +71,7 @@
 	}
 }
 
-// A request whose end the node and its sender may see in different places is turned away, and so is all that
+// A request whose end the node and its sender may see in different places is rejected, and so is all that
 // follows it: nothing that stood in a body becomes a request.
 func TestNoRequestOutOfABody(t *testing.T) {
 	t.Parallel()
@@ -129,7 +129,7 @@
 func (p pipes) Close() error   { return nil }
 func (p pipes) Addr() net.Addr { return &net.TCPAddr{} }
 
-// A peer that doesn't send a whole request has an error or a close within 3 s of connecting, however it dawdles.
+// A peer that doesn't send a complete request has an error or a close within 3 s of connecting, however it dawdles.
 func TestSilentPeer(t *testing.T) {
 	head := "POST /order HTTP/1.1\r\nHost: h\r\nX-Correlation-Id: q\r\nX-Time-Left: 9\r\n"
 	for name, text := range map[string]string{"nothing": "", "half a header": head,
@@ -137,7 +137,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				c := &Config{Settings: settings()}
-				f := newFrontend(newLoop(t.Context(), c, newBackends(c, 10, quiet), nil, nil, quiet), 10, quiet)
+				f := newFrontend(newEventLoop(t.Context(), c, newUpstreams(c, 10, quiet), nil, nil, quiet), 10, quiet)
 				l, srv := make(pipes), f.server()
 				go srv.Serve(l)
 				defer srv.Close()
@@ -161,7 +161,7 @@
 }
 
 // When the client goes, its attempt's connection is closed, so that the backend can stop.
-func TestClientGone(t *testing.T) {
+func TestClientLeft(t *testing.T) {
 	t.Parallel()
 	came, gone := make(chan struct{}), make(chan struct{})
 	addr := backend(t, func(c net.Conn) {
--- a/internal/node/notified_test.go
+++ b/internal/node/notification_time_test.go
@@ -44,7 +44,9 @@
 // failed counts a call that fails, with the lock held.
 func (o *outage) failed() {
 	if o.left--; o.left == 0 {
-		o.down, o.ready, o.back = false, !o.ready, time.Now()
+		o.down = false
+		o.ready = !o.ready
+		o.back = time.Now()
 		o.version++
 		if o.onBack != nil {
 			go o.onBack()
@@ -68,7 +70,7 @@
 		return nil, syscall.ECONNREFUSED
 	}
 	if o.way == "lost" && o.fails() {
-		ctx, cancel := context.WithTimeout(ctx, dialLimit) // as the dialer has it
+		ctx, cancel := context.WithTimeout(ctx, dialTimeout) // as the dialer has it
 		defer cancel()
 		<-ctx.Done()
 		return nil, ctx.Err()
@@ -147,9 +149,11 @@
 
 func knownInTime(t *testing.T, pushed bool, nodes int, way string, moves bool, calls int) {
 	c := &Config{Settings: settings(), Discovery: netip.MustParseAddrPort("127.0.0.1:1")}
-	c.Settings.Nodes, c.Settings.NodeIndex, c.Settings.PollsEndpoints = nodes, nodes-1, !pushed
+	c.Settings.Nodes = nodes
+	c.Settings.NodeIndex = nodes - 1
+	c.Settings.PollsEndpoints = !pushed
 	c.Settings.MinTick = 100 * time.Millisecond // the module's clock; finer costs the test time
-	d := newDiscovery(c, quiet)
+	d := newDiscoveryClient(c, quiet)
 	var mu sync.Mutex
 	at := map[string]*outage{}
 	place := func(addr string) *outage {
@@ -164,23 +168,25 @@
 		return place(addr).dial(ctx)
 	}
 	ctx, stop := context.WithCancel(t.Context())
-	l := newLoop(ctx, c, newBackends(c, 10, quiet), d, nil, quiet)
+	l := newEventLoop(ctx, c, newUpstreams(c, 10, quiet), d, nil, quiet)
 	var running sync.WaitGroup
 	defer func() {
 		stop()
 		running.Wait()
 		d.client.CloseIdleConnections()
-		time.Sleep(2 * watchWait) // discovery's own goroutines end
+		time.Sleep(2 * watchTimeout) // discovery's own goroutines end
 	}()
 	limit, old := notifiedWithin, place("127.0.0.1:1")
 	awaitList := func(what string, o *outage, limit time.Duration) {
 		t.Helper()
 		for {
 			o.mu.Lock()
-			back, ready, down := o.back, o.ready, o.down
+			back := o.back
+			ready := o.ready
+			down := o.down
 			o.mu.Unlock()
 			switch took := time.Since(back); {
-			case !down && l.able.Load() == ready:
+			case !down && l.hasReadyServer.Load() == ready:
 				return
 			case !down && took > limit, took > time.Hour:
 				t.Fatalf("%s: not known %v after discovery's return from %d failed calls", what, took, calls)
@@ -194,17 +200,19 @@
 	}
 	running.Go(func() { l.run(c.Known) })
 	awaitList("start", old, limit)
-	time.Sleep(2*watchWait + time.Duration(calls)*170*time.Millisecond)
+	time.Sleep(2*watchTimeout + time.Duration(calls)*170*time.Millisecond)
 	if moves {
 		// The new address has what the old one has at the signal, and a change more.
 		moved := make(chan struct{})
 		old.onBack = func() {
 			next := place("127.0.0.1:2")
 			old.mu.Lock()
-			next.version, next.ready, next.back = old.version+1, old.ready, time.Now()
+			next.version = old.version + 1
+			next.ready = old.ready
+			next.back = time.Now()
 			old.down, old.left = true, 1<<30 // it takes nothing any more
 			old.mu.Unlock()
-			d.move(netip.MustParseAddrPort("127.0.0.1:2"))
+			d.setAddress(netip.MustParseAddrPort("127.0.0.1:2"))
 			close(moved)
 		}
 		old.fall(calls)
--- a/internal/node/peers.go
+++ b/internal/node/peer_messages.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	datagramLimit = 256 // bytes
-	datagramQueue = 64  // datagrams that wait to be sent; more are lost, as datagrams may be
+	maxDatagramBytes  = 256 // bytes
+	datagramQueueSize = 64  // datagrams that wait to be sent; more are lost, as datagrams may be
 )
 
 type datagram struct {
@@ -20,8 +20,8 @@
 	data []byte
 }
 
-// peers carries datagrams between nodes. A nil *peers carries none.
-type peers struct {
+// peerMessenger carries datagrams between nodes. A nil *peerMessenger carries none.
+type peerMessenger struct {
 	conn  *net.UDPConn
 	nodes []netip.AddrPort
 	all   netip.AddrPort
@@ -30,7 +30,7 @@
 	log   *slog.Logger
 }
 
-func listenPeers(c *Config, log *slog.Logger) (*peers, error) {
+func listenPeerMessages(c *Config, log *slog.Logger) (*peerMessenger, error) {
 	if !c.PeerListen.IsValid() || !c.Settings.MayMessagePeers {
 		return nil, nil
 	}
@@ -44,16 +44,16 @@
 	}
 	conn := packets.(*net.UDPConn)
 	if c.Admin.IsValid() {
-		if err := takeNew(conn); err != nil {
-			log.Warn("an older process goes on getting some of what nodes say", "err", err)
+		if err := steerNewConns(conn); err != nil {
+			log.Warn("an older process still gets some of the peers' datagrams", "err", err)
 		}
 	}
-	return &peers{conn: conn, nodes: c.Peers, all: c.PeersAll, self: c.Settings.NodeIndex, queue: make(chan datagram, datagramQueue), log: log}, nil
+	return &peerMessenger{conn: conn, nodes: c.Peers, all: c.PeersAll, self: c.Settings.NodeIndex, queue: make(chan datagram, datagramQueueSize), log: log}, nil
 }
 
 // send never blocks.
-func (p *peers) send(to int, toAll bool, data []byte) {
-	if p == nil || len(data) > datagramLimit {
+func (p *peerMessenger) send(to int, toAll bool, data []byte) {
+	if p == nil || len(data) > maxDatagramBytes {
 		return
 	}
 	var dest []netip.AddrPort
@@ -78,7 +78,7 @@
 }
 
 // write sends what is queued until ctx ends, and then ends read too.
-func (p *peers) write(ctx context.Context) {
+func (p *peerMessenger) write(ctx context.Context) {
 	defer p.conn.Close()
 	for {
 		select {
@@ -93,23 +93,23 @@
 }
 
 // read hands on what nodes of the tier say. Anything else is dropped.
-func (p *peers) read(heard func(from int, data []byte)) {
+func (p *peerMessenger) read(heard func(from int, data []byte)) {
 	number := map[netip.AddrPort]int{}
 	for i, a := range p.nodes {
 		number[a] = i
 	}
-	buf := make([]byte, datagramLimit+1)
+	buf := make([]byte, maxDatagramBytes+1)
 	for {
 		n, from, err := p.conn.ReadFromUDPAddrPort(buf)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		if err != nil { // an earlier datagram's refusal: no reason to stop, nor to spin
+		if err != nil { // an earlier datagram's rejection: no reason to stop, nor to spin
 			time.Sleep(time.Millisecond)
 			continue
 		}
 		i, known := number[netip.AddrPortFrom(from.Addr().Unmap(), from.Port())]
-		if known && i != p.self && n <= datagramLimit {
+		if known && i != p.self && n <= maxDatagramBytes {
 			heard(i, append([]byte(nil), buf[:n]...))
 		}
 	}
--- a/internal/node/pipelining_test.go
+++ b/internal/node/pipelining_test.go
@@ -13,8 +13,8 @@
 	"time"
 )
 
-// A client that goes behind bytes that follow its request has gone: its attempt is called off, and there is no other.
-func TestClientGoneBehindBytes(t *testing.T) {
+// A client that goes behind bytes that follow its request has been removed: its attempt is called off, and there is no other.
+func TestClientLeftBehindBytes(t *testing.T) {
 	t.Parallel()
 	for name, more := range map[string]string{"a byte": "x", "half a request": message("order", "9", "")[:60],
 		"a request": message("read", "9", ""), "a flood": strings.Repeat(message("read", "9", ""), 1e4)} {
@@ -69,11 +69,11 @@
 	c, r, conn := f.dial(t)
 	bodies := []string{"1", "second", strings.Repeat("third", 1000), "fourth"}
 	io.WriteString(c, message("order", "9.5", bodies[0]))
-	await(t, "the request is out", func() bool { return f.open.Load() == 1 })
+	await(t, "the request is out", func() bool { return f.openRequests.Load() == 1 })
 	come := func(piece string) { // each piece has been read before the next one comes
-		conn.last.Store(0)
+		conn.lastReadAt.Store(0)
 		io.WriteString(c, piece)
-		await(t, "bytes are read while a request is out", func() bool { return conn.last.Load() != 0 })
+		await(t, "bytes are read while a request is out", func() bool { return conn.lastReadAt.Load() != 0 })
 	}
 	for _, b := range []byte(message("order", "9.5", bodies[1])) {
 		come(string(b))
@@ -109,7 +109,7 @@
 	if _, err := io.WriteString(c, strings.Repeat(message("read", "9.5", ""), 1e4)); err != nil {
 		t.Fatal(err)
 	}
-	await(t, "the flood is read", func() bool { return quietSocket(conn) })
+	await(t, "the flood is read", func() bool { return hasUnreadData(conn) })
 	on()
 	resp, err := http.ReadResponse(r, nil)
 	if err != nil || resp.StatusCode != 200 || !resp.Close {
@@ -150,7 +150,7 @@
 	f := startFront(t, &Config{Settings: settings(), Known: known(addr)})
 	c, r, conn := f.dial(t)
 	var first *http.Response
-	for first == nil || first.StatusCode == http.StatusServiceUnavailable { // a refusal is harmless, and comes on a busy machine
+	for first == nil || first.StatusCode == http.StatusServiceUnavailable { // a rejection is harmless, and comes on a busy machine
 		var err error
 		io.WriteString(c, message("read", "9.5", ""))
 		if first, err = http.ReadResponse(r, nil); err != nil {
@@ -161,12 +161,12 @@
 	if _, err := io.ReadFull(first.Body, begun); err != nil {
 		t.Fatal(err)
 	}
-	conn.last.Store(0)
-	const length = 4 * pipelinedLimit
+	conn.lastReadAt.Store(0)
+	const length = 4 * maxPipelinedBytes
 	next := make(chan error, 1)
 	go func() { _, err := io.WriteString(c, message("order", "9.5", strings.Repeat("b", length))); next <- err }()
-	await(t, "the next request's bytes are read while the answer is under way", func() bool { return conn.last.Load() != 0 })
-	await(t, "more of it has come", func() bool { return !quietSocket(conn) })
+	await(t, "the next request's bytes are read while the answer is under way", func() bool { return conn.lastReadAt.Load() != 0 })
+	await(t, "more of it has come", func() bool { return !hasUnreadData(conn) })
 	on()
 	if rest, err := io.ReadAll(first.Body); len(rest) > 0 || err != nil {
 		t.Fatalf("%q, %v", rest, err)
--- a/internal/node/incoming.go
+++ b/internal/node/read_request.go
@@ -13,8 +13,8 @@
 	"meadowsill/policy"
 )
 
-// read takes in a request, or says what is wrong with it.
-func (f *frontend) read(w http.ResponseWriter, r *http.Request, rules *rules, class string, client *cappedConn) (*request, int, error) {
+// readRequest takes in a request, or says what is wrong with it.
+func (f *frontend) readRequest(w http.ResponseWriter, r *http.Request, rules *requestRules, class string, client *clientConn) (*request, int, error) {
 	settings, known := rules.classes[class]
 	id := r.Header.Get("X-Correlation-Id")
 	if !known { // an app server's answer to it would be held against the server
@@ -42,36 +42,36 @@
 		return nil, http.StatusBadRequest, errors.New("Idempotency-Key is missing")
 	}
 	left, err := strconv.ParseFloat(r.Header.Get("X-Time-Left"), 64)
-	if err != nil || math.IsNaN(left) || math.Abs(left) > patienceLimit.Seconds() {
+	if err != nil || math.IsNaN(left) || math.Abs(left) > maxClientTimeout.Seconds() {
 		return nil, http.StatusBadRequest, errors.New("X-Time-Left is not a number of seconds")
 	}
-	if r.ContentLength > longLimit {
+	if r.ContentLength > maxLongBody {
 		return nil, http.StatusRequestEntityTooLarge, errors.New("the body is too large")
 	}
 	var body []byte
 	var rest *upload
 	control := http.NewResponseController(w)
 	if r.ContentLength != 0 {
-		paced := &pacedBody{Reader: http.MaxBytesReader(w, r.Body, longLimit), control: control, by: client.bodyBy()}
+		paced := &pacedBody{Reader: http.MaxBytesReader(w, r.Body, maxLongBody), control: control, deadline: client.bodyDeadline()}
 		var more bool
 		if body, more, err = paced.readBody(r.ContentLength); err != nil {
 			status, err := bodyStatus(err)
 			return nil, status, err
 		}
 		if more {
-			rest = &upload{body: paced, length: r.ContentLength, finished: make(chan struct{}), client: client}
+			rest = &upload{body: paced, length: r.ContentLength, complete: make(chan struct{}), client: client}
 		}
 	}
 	if rest == nil {
 		control.SetReadDeadline(time.Time{}) // else it would end the wait for the client's going
 	}
-	patience := time.Duration(max(left, 0)*float64(time.Second)) - answerMargin
+	patience := time.Duration(max(left, 0)*float64(time.Second)) - clientTimeoutMargin
 	if rest != nil {
 		rest.patience = patience
 	}
 	e := policy.RequestArrived{ID: policy.RequestID(id), Class: class, Tenant: r.Header.Get("X-Account"),
-		Key: r.URL.Query().Get("obj"), IsRetry: r.Header.Get("X-Repeat") == "1", IsWrite: fact(r.Header.Get("X-Facts"), "write")}
-	if us, err := strconv.ParseFloat(r.Header.Get("X-Weight-Hint"), 64); err == nil && us >= 0 && us < patienceLimit.Seconds()*1e6 {
+		Key: r.URL.Query().Get("obj"), IsRetry: r.Header.Get("X-Repeat") == "1", IsWrite: hasFact(r.Header.Get("X-Facts"), "write")}
+	if us, err := strconv.ParseFloat(r.Header.Get("X-Weight-Hint"), 64); err == nil && us >= 0 && us < maxClientTimeout.Seconds()*1e6 {
 		e.WorkHint, e.HasWorkHint = time.Duration(us*float64(time.Microsecond)), true
 	}
 	return &request{arrived: e, class: settings, rules: rules, deadline: time.Now().Add(patience), method: r.Method, body: body, upload: rest,
@@ -79,8 +79,8 @@
 		header: endToEnd(r.Header), answer: make(chan answer, 1)}, 0, nil
 }
 
-// fact reports whether one of the further figures of a request is set.
-func fact(text, name string) bool {
+// hasFact reports whether one of the further figures of a request is set.
+func hasFact(text, name string) bool {
 	for field := range strings.SplitSeq(text, ",") {
 		if n, v, _ := strings.Cut(strings.TrimSpace(field), "="); n == name {
 			return v != "" && v != "0" && v != "false"
--- a/internal/node/writing_test.go
+++ b/internal/node/request_writer_test.go
@@ -16,10 +16,10 @@
 	"meadowsill/policy"
 )
 
-// stalling dials a backend with so little room on the way that a body of bodyLimit does not fit into it, and reports when
+// stalling dials a backend with so little buffer on the way that a body of maxBufferedBody does not fit into it, and reports when
 // there is none left.
-func stalling(full chan struct{}) func(context.Context, net.Dialer, string) (*conn, error) {
-	return func(ctx context.Context, d net.Dialer, addr string) (*conn, error) {
+func stalling(full chan struct{}) func(context.Context, net.Dialer, string) (*upstreamConn, error) {
+	return func(ctx context.Context, d net.Dialer, addr string) (*upstreamConn, error) {
 		c, err := dialTCP(ctx, d, addr)
 		if err == nil {
 			err = c.SetWriteBuffer(4 << 10)
@@ -44,7 +44,7 @@
 	})
 }
 
-// narrow is a backend with little room. It reads once it may, and reports how many requests came whole.
+// narrow is a backend with little buffer. It reads once it may, and reports how many requests came complete.
 func narrow(t *testing.T, may <-chan struct{}) (addr string, whole *atomic.Int64, end func()) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -99,19 +99,19 @@
 			t.Parallel()
 			may := make(chan struct{})
 			addr, whole, end := narrow(t, may)
-			b := newBackends(&Config{Settings: settings()}, 10, quiet)
+			b := newUpstreams(&Config{Settings: settings()}, 10, quiet)
 			full := make(chan struct{})
 			b.dial = stalling(full)
 			b.update(known(addr))
 			life, gone := context.WithCancel(t.Context())
 			ctx, off := context.WithCancel(t.Context())
-			x := &exchange{life: life, writing: new(sync.Mutex), method: "POST", url: &url.URL{Path: "/order", Host: "h"},
-				body: make([]byte, bodyLimit), deadline: time.Now().Add(patient)}
+			x := &exchange{request: life, writeLock: new(sync.Mutex), method: "POST", url: &url.URL{Path: "/order", Host: "h"},
+				body: make([]byte, maxBufferedBody), deadline: time.Now().Add(patient)}
 			if c.change != nil {
 				c.change(x)
 			}
 			got := make(chan result, 1)
-			go func() { got <- b.do(ctx, b.find(1), x) }()
+			go func() { got <- b.roundTrip(ctx, b.host(1), x) }()
 			if c.end != nil {
 				<-full
 				c.end(gone, off)
@@ -150,21 +150,21 @@
 	return h
 }
 
-func (h *held) dial(ctx context.Context, d net.Dialer, addr string) (*conn, error) {
+func (h *held) dial(ctx context.Context, d net.Dialer, addr string) (*upstreamConn, error) {
 	h.dialed <- struct{}{}
 	<-h.on
 	return dialTCP(context.WithoutCancel(ctx), d, addr)
 }
 
 // looped is a loop with a backend, whose settings give no leave to cancel.
-func looped(t *testing.T, h *held, addrs ...string) (*loop, *backends) {
+func looped(t *testing.T, h *held, addrs ...string) (*eventLoop, *upstreams) {
 	set := settings()
 	set.MayCancel = false
 	c := &Config{Settings: set, Known: known(addrs...)}
 	ctx, stop := context.WithCancel(context.Background())
-	b := newBackends(c, 10, quiet)
+	b := newUpstreams(c, 10, quiet)
 	b.dial = h.dial
-	l := newLoop(ctx, c, b, newDiscovery(c, quiet), nil, quiet)
+	l := newEventLoop(ctx, c, b, newDiscoveryClient(c, quiet), nil, quiet)
 	l.rules.Load().PollsEndpoints = true
 	var running sync.WaitGroup
 	running.Go(func() { l.run(c.Known) })
@@ -173,24 +173,24 @@
 	return l, b
 }
 
-func asked(l *loop, class string) (r *request, gone context.CancelFunc) {
+func asked(l *eventLoop, class string) (r *request, gone context.CancelFunc) {
 	rules := l.rules.Load()
 	r = &request{arrived: policy.RequestArrived{ID: "q", Class: class}, deadline: time.Now().Add(patient / 2), method: "POST",
 		class: rules.classes[class], rules: rules, url: &url.URL{Path: "/" + class, Host: "h"}, answer: make(chan answer, 1)}
 	client, gone := context.WithCancel(context.Background())
-	r.life, r.end = context.WithCancel(client)
+	r.context, r.cancel = context.WithCancel(client)
 	return r, gone
 }
 
 // in runs f in the loop.
-func in(l *loop, f func()) {
+func in(l *eventLoop, f func()) {
 	done := make(chan struct{})
 	l.post(func() { f(); close(done) })
 	<-done
 }
 
 // settled waits until the loop has forgotten all requests.
-func settled(t *testing.T, l *loop) {
+func settled(t *testing.T, l *eventLoop) {
 	t.Helper()
 	for end := time.Now().Add(patient); ; time.Sleep(time.Millisecond) {
 		open := 0
@@ -208,31 +208,31 @@
 // no leave to cancel. The event for a client that went may still be on its way to the loop.
 func TestNothingIsBegunAfterTheEnd(t *testing.T) {
 	t.Parallel()
-	for name, end := range map[string]func(l *loop, r *request, gone context.CancelFunc){
-		"the client goes":   func(_ *loop, _ *request, gone context.CancelFunc) { gone() },
-		"the loop hears it": func(l *loop, r *request, gone context.CancelFunc) { gone(); in(l, func() { l.abandon(r) }) },
-		"refused": func(l *loop, r *request, _ context.CancelFunc) {
-			in(l, func() { l.do(policy.Reject{ID: "q"}) })
+	for name, end := range map[string]func(l *eventLoop, r *request, gone context.CancelFunc){
+		"the client goes":   func(_ *eventLoop, _ *request, gone context.CancelFunc) { gone() },
+		"the loop hears it": func(l *eventLoop, r *request, gone context.CancelFunc) { gone(); in(l, func() { l.abandonRequest(r) }) },
+		"refused": func(l *eventLoop, r *request, _ context.CancelFunc) {
+			in(l, func() { l.perform(policy.Reject{ID: "q"}) })
 			<-r.answer
 		},
-		"failed": func(l *loop, r *request, _ context.CancelFunc) {
-			in(l, func() { l.do(policy.Fail{ID: "q"}) })
+		"failed": func(l *eventLoop, r *request, _ context.CancelFunc) {
+			in(l, func() { l.perform(policy.Fail{ID: "q"}) })
 			<-r.answer
 		},
-		"given up on":           func(l *loop, r *request, _ context.CancelFunc) { in(l, func() { l.abandon(r) }) },
-		"the front end answers": func(_ *loop, r *request, _ context.CancelFunc) { r.end() },
+		"given up on":           func(l *eventLoop, r *request, _ context.CancelFunc) { in(l, func() { l.abandonRequest(r) }) },
+		"the front end answers": func(_ *eventLoop, r *request, _ context.CancelFunc) { r.cancel() },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			h := hold(t)
 			l, b := looped(t, h, h.addr, h.addr)
 			r, gone := asked(l, "read")
-			in(l, func() { l.arrive(r) })
+			in(l, func() { l.startRequest(r) })
 			<-h.dialed
 			end(l, r, gone)
 			close(h.on)
 			settled(t, l)
-			b.update(list{full: true}) // closes what is idle
+			b.update(endpointList{complete: true}) // closes what is idle
 			<-h.ended
 			if n := h.bytes.Load(); n > 0 || len(h.dialed) > 0 {
 				t.Errorf("%d bytes were written after the end; %d more attempts", n, len(h.dialed))
@@ -244,19 +244,19 @@
 // A dial is let go as its request ends: it does not hold a descriptor until the server answers.
 func TestDialIsLetGo(t *testing.T) {
 	t.Parallel()
-	b := newBackends(&Config{Settings: settings()}, 10, quiet)
+	b := newUpstreams(&Config{Settings: settings()}, 10, quiet)
 	b.update(known("127.0.0.1:1"))
 	dialed := make(chan struct{})
-	b.dial = func(ctx context.Context, _ net.Dialer, _ string) (*conn, error) {
+	b.dial = func(ctx context.Context, _ net.Dialer, _ string) (*upstreamConn, error) {
 		close(dialed)
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
 	x := get(patient)
 	life, gone := context.WithCancel(t.Context())
-	x.life = life
+	x.request = life
 	got := make(chan result, 1)
-	go func() { got <- b.do(t.Context(), b.find(1), x) }()
+	go func() { got <- b.roundTrip(t.Context(), b.host(1), x) }()
 	<-dialed
 	gone()
 	if r := <-got; r.code != policy.NotSent || b.open != 0 {
@@ -265,14 +265,14 @@
 }
 
 // A client that went while its request waited for the loop: it is not taken up.
-func TestGoneBeforeTheLoop(t *testing.T) {
+func TestLeftBeforeTheLoop(t *testing.T) {
 	t.Parallel()
 	h := hold(t)
 	close(h.on)
 	l, _ := looped(t, h, h.addr)
 	r, gone := asked(l, "order")
 	gone()
-	in(l, func() { l.arrive(r) })
+	in(l, func() { l.startRequest(r) })
 	settled(t, l)
 	if len(h.dialed) > 0 {
 		t.Error("an attempt was made")
@@ -284,26 +284,26 @@
 	t.Parallel()
 	got := make(chan struct{}, 1)
 	addr := backend(t, answering(func(*http.Request, []byte) string { got <- struct{}{}; return ok("x") }))
-	b := newBackends(&Config{Settings: settings()}, 10, quiet)
+	b := newUpstreams(&Config{Settings: settings()}, 10, quiet)
 	b.update(known(addr))
-	h := b.find(1)
+	h := b.host(1)
 	c, err := b.connect(t.Context(), h, time.Now().Add(patient))
 	if err != nil {
 		t.Fatal(err)
 	}
 	r := &request{}
-	r.life, r.end = context.WithCancel(t.Context())
+	r.context, r.cancel = context.WithCancel(t.Context())
 	x := get(patient)
-	x.life, x.writing = r.life, &r.writing
+	x.request, x.writeLock = r.context, &r.writeLock
 	b.mu.Lock() // the writer stops within the piece, where it looks at its host
 	res := make(chan result, 1)
-	go func() { res <- b.on(t.Context(), h, c, x) }()
-	for r.writing.TryLock() {
-		r.writing.Unlock()
+	go func() { res <- b.exchangeOn(t.Context(), h, c, x) }()
+	for r.writeLock.TryLock() {
+		r.writeLock.Unlock()
 		time.Sleep(time.Millisecond)
 	}
 	over := make(chan struct{})
-	go func() { r.settle(); close(over) }()
+	go func() { r.markAnswered(); close(over) }()
 	select {
 	case <-over:
 		t.Error("the request ended within the piece")
@@ -322,7 +322,7 @@
 	sent := time.Now()
 	for window, want := range map[time.Duration]time.Duration{8 * time.Second: 7900 * time.Millisecond, 200 * time.Millisecond: 100 * time.Millisecond,
 		150 * time.Millisecond: 75 * time.Millisecond, 40 * time.Millisecond: 20 * time.Millisecond, 0: 0} {
-		if got := writeBy(sent, window).Sub(sent); got != want {
+		if got := idempotencyDeadline(sent, window).Sub(sent); got != want {
 			t.Errorf("a window of %v: written until %v, want %v", window, got, want)
 		}
 	}
@@ -352,18 +352,18 @@
 				}
 				seen <- err
 			})
-			b := newBackends(&Config{Settings: settings()}, 10, quiet)
+			b := newUpstreams(&Config{Settings: settings()}, 10, quiet)
 			b.update(known(addr))
 			life, gone := context.WithCancel(t.Context())
 			defer gone()
 			reached := make(chan struct{})
-			x := &exchange{life: life, writing: new(sync.Mutex), method: "POST", url: &url.URL{Path: "/order", Host: "h"},
-				body: make([]byte, bodyLimit), deadline: time.Now().Add(patient)}
-			x.sealed = func() { close(reached); c.end(x, gone) } // just before the rest is read
-			u := &upload{length: bodyLimit + 1, patience: patient, finished: make(chan struct{}),
-				body: &pacedBody{Reader: lastByte{}, by: time.Now(), set: time.Now()}}
+			x := &exchange{request: life, writeLock: new(sync.Mutex), method: "POST", url: &url.URL{Path: "/order", Host: "h"},
+				body: make([]byte, maxBufferedBody), deadline: time.Now().Add(patient)}
+			x.onBodySent = func() { close(reached); c.end(x, gone) } // just before the rest is read
+			u := &upload{length: maxBufferedBody + 1, patience: patient, complete: make(chan struct{}),
+				body: &pacedBody{Reader: lastByte{}, deadline: time.Now(), deadlineSet: time.Now()}}
 			x.upload = u
-			r := b.do(t.Context(), b.find(1), x)
+			r := b.roundTrip(t.Context(), b.host(1), x)
 			<-reached
 			if <-seen; r.code != c.want || whole.Load() > 0 {
 				t.Errorf("outcome %v (%v), want %v; %d came whole", r.code, r.err, c.want, whole.Load())
--- a/internal/node/settings.go
+++ b/internal/node/settings.go
@@ -10,23 +10,23 @@
 	"meadowsill/policy"
 )
 
-// rules are the settings as requests come under them. A request keeps those it came under.
-type rules struct {
+// requestRules are the settings as requests come under them. A request keeps those it came under.
+type requestRules struct {
 	policy.Settings
 	classes map[string]policy.Class
 }
 
-func newRules(s policy.Settings) *rules {
-	r := &rules{s, map[string]policy.Class{}}
+func newRequestRules(s policy.Settings) *requestRules {
+	r := &requestRules{s, map[string]policy.Class{}}
 	for _, c := range s.Classes {
 		r.classes[c.Name] = c
 	}
 	return r
 }
 
-// wholeConfig and wholeClass name the keys of a configuration that is whole: all that are not called optional.
+// requiredKeys and requiredClassKeys name the keys of a configuration that is complete: all that are not called optional.
 var (
-	wholeConfig = strings.Fields(`name listen discovery seed limits settings
+	requiredKeys = strings.Fields(`name listen discovery seed limits settings
 		settings.balancers settings.caps settings.charges settings.classes settings.client_habits settings.failure_domains
 		settings.family settings.goal settings.invariants settings.kinds settings.membership_mode settings.over_share_worth
 		settings.report settings.slot_no settings.specifics settings.tick_ns settings.tier settings.tiers
@@ -41,24 +41,24 @@
 		settings.invariants.answer_slack_ns settings.invariants.ask_within_ns settings.invariants.cold_from
 		settings.invariants.cold_ns settings.invariants.drain_grace_ns settings.invariants.overload_factor
 		settings.invariants.tip_after_ns settings.report.fields settings.report.how`)
-	wholeClass = strings.Fields(`name aim_ns dedup_window_ns effect give_up_ns importance key_scope late_worth streamed`)
+	requiredClassKeys = strings.Fields(`name aim_ns dedup_window_ns effect give_up_ns importance key_scope late_worth streamed`)
 )
 
-// complete reports what is missing from a configuration that is to be whole.
-func complete(raw []byte) error {
+// checkComplete reports what is missing from a configuration that is to be complete.
+func checkComplete(raw []byte) error {
 	var tree any
 	if err := json.Unmarshal(raw, &tree); err != nil {
 		return err
 	}
-	for _, path := range wholeConfig {
-		if at(tree, path) == nil {
+	for _, path := range requiredKeys {
+		if valueAt(tree, path) == nil {
 			return fmt.Errorf("%s is missing", path)
 		}
 	}
-	classes, _ := at(tree, "settings.classes").([]any)
+	classes, _ := valueAt(tree, "settings.classes").([]any)
 	for i, class := range classes {
-		for _, key := range wholeClass {
-			if at(class, key) == nil {
+		for _, key := range requiredClassKeys {
+			if valueAt(class, key) == nil {
 				return fmt.Errorf("settings.classes, entry %d: %s is missing", i, key)
 			}
 		}
@@ -66,8 +66,8 @@
 	return nil
 }
 
-// at gives the value at a path of keys, or nil if there is none or it is null.
-func at(tree any, path string) any {
+// valueAt returns the value at a path of keys, or nil if there is none or it is null.
+func valueAt(tree any, path string) any {
 	for key := range strings.SplitSeq(path, ".") {
 		object, _ := tree.(map[string]any)
 		tree = object[key]
@@ -75,8 +75,8 @@
 	return tree
 }
 
-// sensible reports what a node could not run with.
-func sensible(s policy.Settings) error {
+// checkUsable reports what a node could not run with.
+func checkUsable(s policy.Settings) error {
 	if len(s.Classes) == 0 {
 		return errors.New("classes are missing")
 	}
--- a/internal/node/settings_test.go
+++ b/internal/node/settings_test.go
@@ -28,8 +28,8 @@
 	"classes":[{"aim_ns":400000000,"dedup_window_ns":5000000000,"effect":"retryable","give_up_ns":1200000000,"importance":1,
 		"key_scope":"all","late_worth":0.25,"name":"view","streamed":false}]}}`
 
-// A configuration is taken at SIGHUP only if it is whole; what is missing or wrong is named.
-func TestReloadTakesOnlyAWholeFile(t *testing.T) {
+// A configuration is taken at SIGHUP only if it is complete; what is missing or wrong is named.
+func TestReloadTakesOnlyACompleteFile(t *testing.T) {
 	t.Parallel()
 	path := filepath.Join(t.TempDir(), "config.json")
 	reload := func(text string) (*Config, error) {
@@ -45,7 +45,7 @@
 		t.Fatalf("a whole file: %+v, %v", c, err)
 	}
 	bad := map[string]string{"": "JSON", wholeText[:len(wholeText)/2]: "JSON", wholeText + "{": "after top-level", "null": "name is missing"}
-	for _, key := range append(wholeConfig, wholeClass...) {
+	for _, key := range append(requiredKeys, requiredClassKeys...) {
 		last := key[strings.LastIndex(key, ".")+1:]
 		if strings.Count(wholeText, `"`+last+`":`) == 1 { // the others are keys at several places
 			bad[strings.Replace(wholeText, `"`+last+`":`, `"x":`, 1)] = key + " is missing"
@@ -158,18 +158,18 @@
 	}
 }
 
-// A request that was read under older rules of its class than those in force is refused: nothing of it was sent.
+// A request that was read under older rules of its class than those in force is rejected: nothing of it was sent.
 func TestRequestThatCrossesAChange(t *testing.T) {
 	t.Parallel()
 	c := &Config{Settings: settings()}
-	l := newLoop(t.Context(), c, newBackends(c, 10, quiet), nil, nil, quiet)
+	l := newEventLoop(t.Context(), c, newUpstreams(c, 10, quiet), nil, nil, quiet)
 	old := l.rules.Load()
 	changed := settings()
 	changed.Classes[0].Idempotency = policy.NonIdempotent
-	l.change(changed)
+	l.changeSettings(changed)
 	r := &request{arrived: policy.RequestArrived{ID: "a", Class: "read"}, class: old.classes["read"], rules: old,
-		deadline: time.Now().Add(patient), answer: make(chan answer, 1), life: t.Context()}
-	l.arrive(r)
+		deadline: time.Now().Add(patient), answer: make(chan answer, 1), context: t.Context()}
+	l.startRequest(r)
 	if a := <-r.answer; a.status != http.StatusServiceUnavailable || len(l.requests) > 0 {
 		t.Errorf("%+v, %d open", a, len(l.requests))
 	}
--- a/internal/node/silence_test.go
+++ b/internal/node/silence_test.go
@@ -27,7 +27,7 @@
 				var former, later = backend(t, answering(func(*http.Request, []byte) string { return ok("former") })),
 					backend(t, answering(func(*http.Request, []byte) string { return ok("later") }))
 				silent, again := make(chan time.Time, 1), make(chan time.Time, 9)
-				c := &Config{Settings: settings(), Known: list{version: 1}}
+				c := &Config{Settings: settings(), Known: endpointList{version: 1}}
 				c.Settings.PollsEndpoints = !pushed
 				c.Discovery = silentRegistry(t, former, later, silent, again)
 				n := start(t, c)
--- a/internal/node/long_test.go
+++ b/internal/node/streaming_test.go
@@ -34,7 +34,7 @@
 // A long body gets to the server as it is, in either framing, and so does the connection's next request.
 func TestLongBody(t *testing.T) {
 	t.Parallel()
-	for _, length := range []int{bodyLimit - 1, bodyLimit, bodyLimit + 1, 3 << 20} {
+	for _, length := range []int{maxBufferedBody - 1, maxBufferedBody, maxBufferedBody + 1, 3 << 20} {
 		body := bytes.Repeat([]byte("0123456789abcde\n"), length/16+1)[:length]
 		var got atomic.Int64
 		addr := backend(t, answering(func(r *http.Request, b []byte) string {
@@ -45,7 +45,7 @@
 			return ok(fmt.Sprint(len(b)))
 		}))
 		for _, chunked := range []bool{false, true} {
-			// a node for each: the module may refuse a third request, by what the first two took on a busy machine
+			// a node for each: the module may reject a third request, by what the first two took on a busy machine
 			n := start(t, &Config{Settings: settings(), Known: known(addr)})
 			c, r := n.dial(t)
 			if chunked {
@@ -111,7 +111,7 @@
 	io.WriteString(c, orderHead("Transfer-Encoding: chunked"))
 	go func() {
 		piece := "100000\r\n" + strings.Repeat("b", 1<<20) + "\r\n"
-		for range 2 * longLimit >> 20 {
+		for range 2 * maxLongBody >> 20 {
 			if _, err := io.WriteString(c, piece); err != nil {
 				return
 			}
@@ -152,7 +152,7 @@
 		if first == dead { // the other server is listed after a failure, so that the first attempt goes to the dead one
 			n.stop()
 			n = start(t, &Config{Settings: set, Known: known(dead, good)})
-			for end := time.Now().Add(patient); served.Load() < 4; { // a refusal is harmless, and comes on a busy machine
+			for end := time.Now().Add(patient); served.Load() < 4; { // a rejection is harmless, and comes on a busy machine
 				resp, _ := n.ask(t, orderHead(fmt.Sprintf("Content-Length: %d", len(body)))+body)
 				if resp.StatusCode != want && resp.StatusCode != http.StatusServiceUnavailable || time.Now().After(end) {
 					t.Fatalf("with a dead server: status %d, %d served", resp.StatusCode, served.Load())
@@ -252,7 +252,7 @@
 }
 
 // An answer that breaks off while it is held is not begun: the request gets another attempt.
-func TestHeldAnswerIsTriedAgain(t *testing.T) {
+func TestBufferedAnswerIsRetried(t *testing.T) {
 	t.Parallel()
 	var calls atomic.Int64
 	addr := backend(t, func(c net.Conn) {
@@ -330,7 +330,7 @@
 		for _, size := range []int{1, 7, len(text)} {
 			var f framing
 			for p := []byte(text); len(p) > 0; p = p[min(size, len(p)):] {
-				f.follow(p[:min(size, len(p))])
+				f.observe(p[:min(size, len(p))])
 			}
 			if f.ambiguous.Load() != want {
 				t.Errorf("%.60q in pieces of %d: two ends %v", text, size, !want)
@@ -342,15 +342,15 @@
 // How long a body may take to begin: until just before a silent peer is owed an end, but never no time at all.
 func TestBodyBy(t *testing.T) {
 	now := time.Now()
-	c := &cappedConn{came: now}
-	if by := c.bodyBy().Sub(now); by < 2*time.Second || by >= 3*time.Second {
+	c := &clientConn{acceptedAt: now}
+	if by := c.bodyDeadline().Sub(now); by < 2*time.Second || by >= 3*time.Second {
 		t.Errorf("a new connection: %v", by)
 	}
-	if by := c.bodyBy().Sub(now); by < 2*time.Second {
+	if by := c.bodyDeadline().Sub(now); by < 2*time.Second {
 		t.Errorf("a kept connection: %v", by)
 	}
-	c = &cappedConn{came: now.Add(-requestWait)}
-	if by := c.bodyBy().Sub(now); by < bodyWait || by >= 3*time.Second-requestWait {
+	c = &clientConn{acceptedAt: now.Add(-requestHeadTimeout)}
+	if by := c.bodyDeadline().Sub(now); by < bodyStartTimeout || by >= 3*time.Second-requestHeadTimeout {
 		t.Errorf("after a slow head: %v", by)
 	}
 }
--- a/internal/node/upload.go
+++ b/internal/node/upload.go
@@ -20,39 +20,39 @@
 // pacedBody reads a request's body, for as long as it comes fast enough.
 type pacedBody struct {
 	io.Reader
-	control *http.ResponseController
-	by      time.Time // at the least rate, for what has come so far
-	set     time.Time
-	over    atomic.Bool
+	control     *http.ResponseController
+	deadline    time.Time // at the least rate, for what has come so far
+	deadlineSet time.Time
+	stopped     atomic.Bool
 }
 
 func (b *pacedBody) Read(p []byte) (int, error) {
-	if b.by.Sub(b.set) > bodyWait/10 {
-		b.set = b.by
-		b.control.SetReadDeadline(b.by)
+	if b.deadline.Sub(b.deadlineSet) > bodyStartTimeout/10 {
+		b.deadlineSet = b.deadline
+		b.control.SetReadDeadline(b.deadline)
 	}
-	if b.over.Load() {
-		return 0, errUploadOver
+	if b.stopped.Load() {
+		return 0, errBodyUnavailable
 	}
 	n, err := b.Reader.Read(p)
-	b.by = b.by.Add(time.Duration(float64(n) / bodyRate * float64(time.Second)))
+	b.deadline = b.deadline.Add(time.Duration(float64(n) / minBodyRate * float64(time.Second)))
 	return n, err
 }
 
 // interrupt ends a read that waits, and any that follows.
 func (b *pacedBody) interrupt() {
-	b.over.Store(true)
+	b.stopped.Store(true)
 	b.control.SetReadDeadline(time.Unix(1, 0))
 }
 
 // readBody reads a body, or its first 64 KiB; then more is true if there may be more of it.
 func (b *pacedBody) readBody(length int64) (body []byte, more bool, err error) {
-	size := int64(bodyLimit)
+	size := int64(maxBufferedBody)
 	if length >= 0 {
 		size = min(size, length)
 	}
 	room := int(size) + 1 // the end is seen when nothing more comes
-	body = make([]byte, 0, min(room, pieceSize))
+	body = make([]byte, 0, min(room, copyBufferSize))
 	for err == nil && len(body) < room {
 		if len(body) == cap(body) {
 			body = slices.Grow(body, 1)
@@ -81,56 +81,56 @@
 // upload is the rest of a long request's body, beyond what is kept of it. It can be sent once.
 type upload struct {
 	body     *pacedBody
-	length   int64         // of the whole body; -1 if it is not known
+	length   int64         // of the complete body; -1 if it is not known
 	patience time.Duration // of the client, from the last byte on
-	client   *cappedConn
-	finished chan struct{} // closed when the last byte has been read
-
-	mu     sync.Mutex
-	taker  *requestWriter // who reads it
-	closed bool
-	failed error
-	by     time.Time // when its client waits no longer; set before finished is closed
+	client   *clientConn
+	complete chan struct{} // closed when the last byte has been read
+
+	mu             sync.Mutex
+	reader         *requestWriter // who reads it
+	closed         bool
+	clientError    error
+	clientDeadline time.Time // when its client waits no longer; set before complete is closed
 }
 
-var errUploadOver = errors.New("the rest of the body is not to be had")
+var errBodyUnavailable = errors.New("the rest of the body is not to be had")
 
 // read reads for the first that comes: of two attempts each would get a part. It is not called again after the last
 // byte or an error.
 func (u *upload) read(w *requestWriter, p []byte) (int, error) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if u.closed || u.taker != nil && u.taker != w {
-		return 0, errUploadOver
+	if u.closed || u.reader != nil && u.reader != w {
+		return 0, errBodyUnavailable
 	}
-	if u.taker == nil {
-		u.taker = w
-		w.x.sealed()
+	if u.reader == nil {
+		u.reader = w
+		w.exchange.onBodySent()
 	}
 	n, err := u.body.Read(p)
 	switch {
-	case err == io.EOF && u.client.left(): // what it sent may have lain here for long; its end lies behind
-		n, err = 0, errClient
+	case err == io.EOF && u.client.clientLeft(): // what it sent may have lain here for long; its end lies behind
+		n, err = 0, errClientGone
 	case err == io.EOF:
-		u.by = time.Now().Add(u.patience)
-		close(u.finished)
+		u.clientDeadline = time.Now().Add(u.patience)
+		close(u.complete)
 	}
 	if err != nil && err != io.EOF {
-		u.failed = err
+		u.clientError = err
 	}
 	return n, err
 }
 
-// failure is the client's error, if there was one.
-func (u *upload) failure() error {
+// readError is the client's error, if there was one.
+func (u *upload) readError() error {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return u.failed
+	return u.clientError
 }
 
 // close ends the reading, also one that waits.
 func (u *upload) close() {
-	if !u.complete() {
+	if !u.isComplete() {
 		u.body.interrupt()
 	}
 	u.mu.Lock()
@@ -138,49 +138,51 @@
 	u.closed = true
 }
 
-// cutShort ends the reading, and reports whether that came before the last byte. If it did not, the request may have run:
+// stopEarly ends the reading, and reports whether that came before the last byte. If it did not, the request may have run:
 // the last byte may come in the instant in which the drain takes no more.
-func (u *upload) cutShort() bool {
+func (u *upload) stopEarly() bool {
 	u.close()
-	return !u.complete()
+	return !u.isComplete()
 }
 
-func (u *upload) used() bool {
+func (u *upload) isTaken() bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return u.taker != nil || u.closed
+	return u.reader != nil || u.closed
 }
 
-func (u *upload) complete() bool { return isClosed(u.finished) }
+func (u *upload) isComplete() bool { return isClosed(u.complete) }
 
-// until is when its client waits no longer. Before the last byte has come there is no such time.
-func (u *upload) until() time.Time {
-	if !u.complete() {
+// answerDeadline is when its client waits no longer. Before the last byte has come there is no such time.
+func (u *upload) answerDeadline() time.Time {
+	if !u.isComplete() {
 		return time.Time{}
 	}
-	return u.by
+	return u.clientDeadline
 }
 
 // uploadError is an error of the client's.
 type uploadError struct{ error }
 
-// reader is a function that reads.
-type reader func([]byte) (int, error)
+// readFunc is a function that reads.
+type readFunc func([]byte) (int, error)
 
-func (r reader) Read(p []byte) (int, error) { return r(p) }
+func (r readFunc) Read(p []byte) (int, error) { return r(p) }
 
-// uploadTrip is roundTrip for a long body. The server may answer before it has all of it; then it has not run.
-func uploadTrip(ctx context.Context, w *requestWriter, req *http.Request) (r result, keep bool) {
-	u, c, x := w.x.upload, w.c, w.x
-	if u.used() {
-		return result{code: policy.NotSent, err: errUploadOver}, false
+// uploadAndRead is writeAndRead for a long body. The server may answer before it has all of it; then it has not run.
+func uploadAndRead(ctx context.Context, w *requestWriter, req *http.Request) (r result, keep bool) {
+	u := w.exchange.upload
+	c := w.conn
+	x := w.exchange
+	if u.isTaken() {
+		return result{code: policy.NotSent, err: errBodyUnavailable}, false
 	}
-	if c.used && !w.b.usable(c) { // later it would look like an answer within the body, which is read only once
-		return result{code: policy.ConnectFailed, err: errStale}, false
+	if c.reused && !w.upstreams.usable(c) { // later it would look like an answer within the body, which is read only once
+		return result{code: policy.ConnectFailed, err: errUnexpectedBytes}, false
 	}
-	c.SetWriteBuffer(kernelSize)
-	w.limit = u.until
-	req.ContentLength, req.Body = u.length, io.NopCloser(io.MultiReader(bytes.NewReader(x.body), reader(func(p []byte) (int, error) {
+	c.SetWriteBuffer(kernelBufferSize)
+	w.deadline = u.answerDeadline
+	req.ContentLength, req.Body = u.length, io.NopCloser(io.MultiReader(bytes.NewReader(x.body), readFunc(func(p []byte) (int, error) {
 		return u.read(w, p)
 	})))
 	deadline := func(t time.Time) { // of the wait for an answer
@@ -193,35 +195,35 @@
 	go func() {
 		err := req.Write(patientWriter{w})
 		if err == nil {
-			deadline(u.until())
+			deadline(u.answerDeadline())
 		}
 		wrote <- err
 		if err != nil {
 			deadline(time.Unix(1, 0)) // ends the wait for an answer
 		}
 	}()
-	c.left.n = answerLimit
-	_, silent := c.r.Peek(1)
-	early := len(wrote) == 0 && !u.complete()
+	c.remaining.remaining = maxBufferedAnswer
+	_, silent := c.reader.Peek(1)
+	early := len(wrote) == 0 && !u.isComplete()
 	if early { // an answer, or the connection's end, within the body
 		u.close()
-		w.cut.Store(true) // also a piece whose deadline is just being set
+		w.stopped.Store(true) // also a piece whose deadline is just being set
 		c.SetWriteDeadline(time.Unix(1, 0))
 	}
 	err := <-wrote
-	switch client := u.failure(); {
+	switch client := u.readError(); {
 	case err == nil:
 		w.unhook()
-		return answerOf(ctx, c, x, req)
-	case errors.Is(err, errUploadOver) && !early: // another attempt has it
+		return readResult(ctx, c, x, req)
+	case errors.Is(err, errBodyUnavailable) && !early: // another attempt has it
 		return result{code: policy.NotSent, err: err}, false
 	case client != nil && !early: // err hides it
 		return result{code: policy.NotSent, err: uploadError{client}}, false
 	case early && silent == nil:
-		deadline(time.Now().Add(stallWait))
-		if r, _ := answerOf(ctx, c, &exchange{}, req); r.code == policy.Rejected {
+		deadline(time.Now().Add(stallTimeout))
+		if r, _ := readResult(ctx, c, &exchange{}, req); r.code == policy.Rejected {
 			return r, false
 		}
 	}
-	return w.unsent(err), false
+	return w.unsentResult(err), false
 }
--- a/internal/node/backend.go
+++ b/internal/node/upstreams.go
@@ -16,74 +16,76 @@
 )
 
 const (
-	bodyLimit   = 64 << 10      // bytes of a body, either way
-	answerLimit = 4 * bodyLimit // with its header and framing
-	sweepEvery  = time.Second
-	idlePart    = 0.75 // of the time after which a backend closes an idle connection: well before, it is retired
-	probeWait   = 500 * time.Millisecond
-	restWait    = 20 * time.Millisecond // of a connection after an answer, if another can take the next request
+	maxBufferedBody    = 64 << 10            // bytes of a body, either way
+	maxBufferedAnswer  = 4 * maxBufferedBody // with its header and framing
+	idleSweepInterval  = time.Second
+	idleTimeoutPart    = 0.75 // of the time after which a backend closes an idle connection: well before, it is retired
+	healthCheckTimeout = 500 * time.Millisecond
+	minIdleReuseTime   = 20 * time.Millisecond // of a connection after an answer, if another can take the next request
 )
 
-// backends holds the connections to all backends. Each carries one request at a time; the most recently used
+// upstreams holds the connections to all backends. Each carries one request at a time; the most recently used
 // goes first, of those that have rested. It does not use http.Transport, which sends some requests again by itself.
-type backends struct {
-	mu             sync.Mutex
-	hosts          map[policy.ServerID]*host
-	out            map[policy.ServerID]bool // taken out by the operators, listed or not
-	open, limit    int                      // connections, also those being made
-	restart        *hotRestart              // the other process of an upgrade
+type upstreams struct {
+	mu       sync.Mutex
+	hosts    map[policy.ServerID]*upstreamHost
+	excluded map[policy.ServerID]bool // excluded by the operators, listed or not
+	// connections, also those being made
+	open           int
+	limit          int
+	restart        *hotRestart // the other process of an upgrade
 	connectTimeout time.Duration
 	idleLimit      time.Duration
-	dial           func(context.Context, net.Dialer, string) (*conn, error)
+	dial           func(context.Context, net.Dialer, string) (*upstreamConn, error)
 	log            *slog.Logger
 }
 
-// host is one backend. The fields are under the lock of backends.
-type host struct {
-	addr    string
-	started policy.Time
-	closed  bool    // it drains, is gone or taken out: nothing new is written to it
-	idle    []*conn // the least recently used first
-	heard   time.Time
+// upstreamHost is one backend. The fields are under the lock of upstreams.
+type upstreamHost struct {
+	addr         string
+	startedAt    policy.Time
+	closed       bool            // it drains, is removed or excluded: nothing new is written to it
+	idle         []*upstreamConn // the least recently used first
+	lastAnswerAt time.Time
 }
 
-type conn struct {
+type upstreamConn struct {
 	*net.TCPConn
-	raw   syscall.RawConn
-	r     *bufio.Reader
-	left  *limited  // under r: what may still come on one answer
-	since time.Time // made, or idle since
-	used  bool      // a request was on it
+	raw       syscall.RawConn
+	reader    *bufio.Reader
+	remaining *boundedReader // under r: what may still come on one answer
+	idleSince time.Time      // made, or idle since
+	reused    bool           // a request was on it
 }
 
-// limited reads no more than is left, and then fails: where a close ends an answer, a bound that looked like the end
+// boundedReader reads no more than is left, and then fails: where a close ends an answer, a bound that looked like the end
 // would pass its beginning off as the whole.
-type limited struct {
-	r io.Reader
-	n int64
+type boundedReader struct {
+	reader    io.Reader
+	remaining int64
 }
 
 var errTooLarge = errors.New("the answer is too large")
 
-func (l *limited) Read(p []byte) (int, error) {
-	if l.n <= 0 {
+func (l *boundedReader) Read(p []byte) (int, error) {
+	if l.remaining <= 0 {
 		return 0, errTooLarge
 	}
-	n, err := l.r.Read(p[:min(int64(len(p)), l.n)])
-	l.n -= int64(n)
+	n, err := l.reader.Read(p[:min(int64(len(p)), l.remaining)])
+	l.remaining -= int64(n)
 	return n, err
 }
 
-func newBackends(c *Config, limit int, log *slog.Logger) *backends {
-	b := &backends{hosts: map[policy.ServerID]*host{}, out: map[policy.ServerID]bool{}, limit: limit, dial: dialTCP, log: log}
+func newUpstreams(c *Config, limit int, log *slog.Logger) *upstreams {
+	b := &upstreams{hosts: map[policy.ServerID]*upstreamHost{}, excluded: map[policy.ServerID]bool{}, limit: limit, dial: dialTCP, log: log}
 	b.configure(c.Settings)
 	return b
 }
 
-func (b *backends) configure(s policy.Settings) {
+func (b *upstreams) configure(s policy.Settings) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.connectTimeout, b.idleLimit = s.ConnectTimeout, time.Duration(float64(s.ConnIdleTimeout)*idlePart)
+	b.connectTimeout, b.idleLimit = s.ConnectTimeout, time.Duration(float64(s.ConnIdleTimeout)*idleTimeoutPart)
 	if b.idleLimit <= 0 {
 		b.idleLimit = time.Minute
 	}
@@ -91,10 +93,10 @@
 
 // update follows the list. Connections of an address or a process that is no more are closed: a request on one
 // of them would be a reset.
-func (b *backends) update(l list) {
+func (b *upstreams) update(l endpointList) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if l.full {
+	if l.complete {
 		named := map[policy.ServerID]bool{}
 		for _, e := range l.entries {
 			named[e.ID] = true
@@ -108,67 +110,67 @@
 	}
 	for _, e := range l.entries {
 		h := b.hosts[e.ID]
-		if h != nil && (e.State != policy.Ready || h.addr != e.addr || e.StartedAt > h.started) {
+		if h != nil && (e.State != policy.Ready || h.addr != e.addr || e.StartedAt > h.startedAt) {
 			b.retire(h)
 			delete(b.hosts, e.ID) // attempts that connect to it still hold h, and find it closed
 			h = nil
 		}
 		if h == nil && e.State == policy.Ready {
-			b.hosts[e.ID] = &host{addr: e.addr, started: e.StartedAt, closed: b.out[e.ID]}
+			b.hosts[e.ID] = &upstreamHost{addr: e.addr, startedAt: e.StartedAt, closed: b.excluded[e.ID]}
 		}
 	}
 }
 
 // exclude takes a server out or back, whatever the list says of it.
-func (b *backends) exclude(id policy.ServerID, out bool) {
+func (b *upstreams) exclude(id policy.ServerID, out bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	h, was := b.hosts[id], b.out[id]
+	h, was := b.hosts[id], b.excluded[id]
 	switch {
 	case out == was:
 	case out:
-		b.out[id] = true
+		b.excluded[id] = true
 		if h != nil {
 			b.retire(h)
 		}
 	default:
-		delete(b.out, id)
+		delete(b.excluded, id)
 		if h != nil { // attempts that connect to it still hold h, and find it closed
-			b.hosts[id] = &host{addr: h.addr, started: h.started}
+			b.hosts[id] = &upstreamHost{addr: h.addr, startedAt: h.startedAt}
 		}
 	}
 }
 
-func (b *backends) retire(h *host) {
+func (b *upstreams) retire(h *upstreamHost) {
 	h.closed = true
 	b.closeAll(h)
 }
 
-func (b *backends) closeAll(h *host) {
+func (b *upstreams) closeAll(h *upstreamHost) {
 	for _, c := range h.idle {
 		b.drop(c)
 	}
 	h.idle = nil
 }
 
-func (b *backends) drop(c *conn) {
+func (b *upstreams) drop(c *upstreamConn) {
 	c.Close()
-	b.opened(-1)
+	b.countConns(-1)
 }
 
-// opened counts connections.
-func (b *backends) opened(n int) {
+// countConns counts connections.
+func (b *upstreams) countConns(n int) {
 	b.open += n
 	b.restart.count(0, n)
 }
 
-func (b *backends) find(id policy.ServerID) *host {
+func (b *upstreams) host(id policy.ServerID) *upstreamHost {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.hosts[id]
 }
 
-func (b *backends) closeIdle(id policy.ServerID) {
+func (b *upstreams) closeIdle(id policy.ServerID) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if h := b.hosts[id]; h != nil {
@@ -177,8 +179,8 @@
 }
 
 // run retires idle connections until ctx ends, and then closes them all.
-func (b *backends) run(ctx context.Context) {
-	every(ctx, sweepEvery, b.sweep)
+func (b *upstreams) run(ctx context.Context) {
+	runEvery(ctx, idleSweepInterval, b.sweep)
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, h := range b.hosts {
@@ -186,7 +188,7 @@
 	}
 }
 
-func (b *backends) sweep() {
+func (b *upstreams) sweep() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, h := range b.hosts {
@@ -206,36 +208,36 @@
 // usable reports whether an idle connection may take a request: young enough, not closed by the other side, and
 // with nothing on it that belongs to no request. A write to one that the backend has closed would succeed, and
 // then leave open whether the request ran.
-func (b *backends) usable(c *conn) bool {
-	if time.Since(c.since) >= b.idleLimit || c.r.Buffered() > 0 {
+func (b *upstreams) usable(c *upstreamConn) bool {
+	if time.Since(c.idleSince) >= b.idleLimit || c.reader.Buffered() > 0 {
 		return false
 	}
 	still := false
 	err := c.raw.Read(func(fd uintptr) bool {
-		still = nothingCame(int(fd))
+		still = isQuiet(int(fd))
 		return true
 	})
 	return err == nil && still
 }
 
-// nothingCame reports whether nothing has come on a connection, not even its end. It may take a byte of what has.
-func nothingCame(fd int) bool {
+// isQuiet reports whether nothing has come on a connection, not even its end. It may take a byte of what has.
+func isQuiet(fd int) bool {
 	var one [1]byte
 	_, err := syscall.Read(fd, one[:])
 	return err == syscall.EAGAIN
 }
 
 var (
-	errTooMany = errors.New("too many connections")
-	errClosed  = errors.New("the backend drains, is gone or taken out")
+	errTooManyConns = errors.New("too many connections")
+	errHostClosed   = errors.New("the backend drains, is gone or taken out")
 )
 
 // takeIdle takes the connection that was used last of those that have rested, or the one that has rested longest. A second
 // answer that comes a little after the first would be taken for the answer to what is written next.
-func (h *host) takeIdle() *conn {
+func (h *upstreamHost) takeIdle() *upstreamConn {
 	n := 0
 	for i, c := range h.idle { // the least recently used first
-		if time.Since(c.since) >= restWait {
+		if time.Since(c.idleSince) >= minIdleReuseTime {
 			n = i
 		}
 	}
@@ -245,11 +247,11 @@
 }
 
 // connect takes an idle connection or makes one.
-func (b *backends) connect(ctx context.Context, h *host, deadline time.Time) (*conn, error) {
+func (b *upstreams) connect(ctx context.Context, h *upstreamHost, deadline time.Time) (*upstreamConn, error) {
 	b.mu.Lock()
 	if h.closed {
 		b.mu.Unlock()
-		return nil, errClosed
+		return nil, errHostClosed
 	}
 	for len(h.idle) > 0 {
 		c := h.takeIdle()
@@ -261,22 +263,22 @@
 	}
 	if b.open+b.restart.backends() >= b.limit && !b.evict() {
 		b.mu.Unlock()
-		return nil, errTooMany
+		return nil, errTooManyConns
 	}
-	b.opened(1)
+	b.countConns(1)
 	d := net.Dialer{Timeout: b.connectTimeout, Deadline: deadline}
 	b.mu.Unlock()
 	c, err := b.dial(ctx, d, h.addr)
 	if err != nil {
 		b.mu.Lock()
-		b.opened(-1)
+		b.countConns(-1)
 		b.mu.Unlock()
 	}
 	return c, err
 }
 
 // dialTCP makes a connection.
-func dialTCP(ctx context.Context, d net.Dialer, addr string) (*conn, error) {
+func dialTCP(ctx context.Context, d net.Dialer, addr string) (*upstreamConn, error) {
 	made, err := d.DialContext(ctx, "tcp", addr)
 	if err != nil {
 		return nil, err
@@ -287,15 +289,15 @@
 		tcp.Close()
 		return nil, err
 	}
-	left := &limited{r: tcp}
-	return &conn{TCPConn: tcp, raw: raw, r: bufio.NewReader(left), left: left, since: time.Now()}, nil
+	left := &boundedReader{reader: tcp}
+	return &upstreamConn{TCPConn: tcp, raw: raw, reader: bufio.NewReader(left), remaining: left, idleSince: time.Now()}, nil
 }
 
 // evict makes room at the bound by closing the connection that has been idle longest.
-func (b *backends) evict() bool {
-	var oldest *host
+func (b *upstreams) evict() bool {
+	var oldest *upstreamHost
 	for _, h := range b.hosts {
-		if len(h.idle) > 0 && (oldest == nil || h.idle[0].since.Before(oldest.idle[0].since)) {
+		if len(h.idle) > 0 && (oldest == nil || h.idle[0].idleSince.Before(oldest.idle[0].idleSince)) {
 			oldest = h
 		}
 	}
@@ -308,7 +310,7 @@
 }
 
 // release gives a connection back, for the next request or to be closed.
-func (b *backends) release(h *host, c *conn, keep bool) {
+func (b *upstreams) release(h *upstreamHost, c *upstreamConn, keep bool) {
 	if keep {
 		keep = c.SetDeadline(time.Time{}) == nil
 	}
@@ -318,21 +320,21 @@
 		b.drop(c)
 		return
 	}
-	c.since, c.used = time.Now(), true
+	c.idleSince, c.reused = time.Now(), true
 	h.idle = append(h.idle, c)
 }
 
-// silent closes a host's idle connections if nothing has come from it since a time: a machine that was cut off
+// closeIfSilent closes a host's idle connections if nothing has come from it since a time: a machine that was cut off
 // and is back resets them, and each of them would cost a request.
-func (b *backends) silent(h *host, since time.Time) {
+func (b *upstreams) closeIfSilent(h *upstreamHost, since time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if h.heard.Before(since) {
+	if h.lastAnswerAt.Before(since) {
 		b.closeAll(h)
 	}
 }
 
-func (b *backends) closing(h *host) bool {
+func (b *upstreams) isClosed(h *upstreamHost) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return h.closed
--- a/internal/node/backend_test.go
+++ b/internal/node/upstreams_test.go
@@ -16,7 +16,7 @@
 	"meadowsill/policy"
 )
 
-// What comes back from a backend, and what the module may make of it: an unsafe request is refused only if it
+// What comes back from a backend, and what the module may make of it: a non-idempotent request is rejected only if it
 // has never run.
 func TestOutcomes(t *testing.T) {
 	t.Parallel()
@@ -39,8 +39,8 @@
 		"truncated chunk":  {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\nx", 502, policy.Reset},
 		"ended by a close": {"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nx", 200, policy.OK},
 		"huge header":      {"HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 1<<20) + "\r\nContent-Length: 1\r\n\r\nx", 502, policy.Reset},
-		"long":             {ok(strings.Repeat("x", bodyLimit+1)), 200, policy.OK},
-		"too large":        {fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", longLimit+1), 502, policy.Reset},
+		"long":             {ok(strings.Repeat("x", maxBufferedBody+1)), 200, policy.OK},
+		"too large":        {fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", maxLongBody+1), 502, policy.Reset},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -49,11 +49,11 @@
 					io.WriteString(conn, c.reply)
 				}
 			})
-			b := newBackends(&Config{Settings: settings()}, 10, quiet)
+			b := newUpstreams(&Config{Settings: settings()}, 10, quiet)
 			b.update(known(addr))
 			x := get(patient)
-			x.begin = func(_ *http.Response, _ []byte, rest *io.PipeReader) { go io.Copy(io.Discard, rest) }
-			if r := b.do(t.Context(), b.find(1), x); r.code != c.code {
+			x.onStream = func(_ *http.Response, _ []byte, rest *io.PipeReader) { go io.Copy(io.Discard, rest) }
+			if r := b.roundTrip(t.Context(), b.host(1), x); r.code != c.code {
 				t.Errorf("outcome %v (%v), want %v", r.code, r.err, c.code)
 			}
 			n := start(t, &Config{Settings: settings(), Known: known(addr)})
@@ -117,7 +117,7 @@
 	}
 }
 
-// A server that never answers does not hold up a client: its answer comes by the client's patience, and it is a refusal
+// A server that never answers does not hold up a client: its answer comes by the client's patience, and it is a rejection
 // only where a new try does no harm: the request was not sent, or its class is safe to repeat.
 func TestSilentBackend(t *testing.T) {
 	t.Parallel()
@@ -183,8 +183,8 @@
 	}
 }
 
-// An unsafe request is never a suspect's trial: with no other server it is refused without having been sent.
-func TestSuspectGetsNoUnsafeRequest(t *testing.T) {
+// A non-idempotent request is never a trial of an ejected server: with no other server it is rejected without having been sent.
+func TestEjectedServerGetsNoNonIdempotentRequest(t *testing.T) {
 	t.Parallel()
 	var received atomic.Int64
 	addr := backend(t, func(conn net.Conn) { // it closes each connection at its first request
@@ -211,29 +211,29 @@
 	t.Parallel()
 	var got atomic.Int64
 	addr := backend(t, answering(func(*http.Request, []byte) string { got.Add(1); return ok("x") }))
-	fresh := func() (*backends, *host) {
-		b := newBackends(&Config{Settings: settings()}, 10, quiet)
+	fresh := func() (*upstreams, *upstreamHost) {
+		b := newUpstreams(&Config{Settings: settings()}, 10, quiet)
 		b.update(known(addr))
-		return b, b.find(1)
+		return b, b.host(1)
 	}
 	for name, c := range map[string]struct {
-		change func(*backends, *exchange, context.CancelFunc)
+		change func(*upstreams, *exchange, context.CancelFunc)
 		want   policy.OutcomeCode
 	}{
-		"draining": {func(b *backends, _ *exchange, _ context.CancelFunc) {
+		"draining": {func(b *upstreams, _ *exchange, _ context.CancelFunc) {
 			l := known(addr)
-			l.full, l.entries[0].State = false, policy.Draining
+			l.complete, l.entries[0].State = false, policy.Draining
 			b.update(l)
 		}, policy.ConnectFailed},
-		"gone from the list": {func(b *backends, _ *exchange, _ context.CancelFunc) { b.update(list{full: true}) }, policy.ConnectFailed},
-		"restarted": {func(b *backends, _ *exchange, _ context.CancelFunc) {
+		"gone from the list": {func(b *upstreams, _ *exchange, _ context.CancelFunc) { b.update(endpointList{complete: true}) }, policy.ConnectFailed},
+		"restarted": {func(b *upstreams, _ *exchange, _ context.CancelFunc) {
 			l := known(addr)
 			l.entries[0].StartedAt = 1
 			b.update(l)
 		}, policy.ConnectFailed},
-		"window over": {func(_ *backends, x *exchange, _ context.CancelFunc) { x.writeBy = time.Now() }, policy.NotSent},
-		"too late":    {func(_ *backends, x *exchange, _ context.CancelFunc) { x.deadline = time.Now() }, policy.ConnectFailed},
-		"called off":  {func(_ *backends, _ *exchange, cancel context.CancelFunc) { cancel() }, policy.Cancelled},
+		"window over": {func(_ *upstreams, x *exchange, _ context.CancelFunc) { x.writeBy = time.Now() }, policy.NotSent},
+		"too late":    {func(_ *upstreams, x *exchange, _ context.CancelFunc) { x.deadline = time.Now() }, policy.ConnectFailed},
+		"called off":  {func(_ *upstreams, _ *exchange, cancel context.CancelFunc) { cancel() }, policy.Cancelled},
 	} {
 		b, h := fresh()
 		// An idle connection, so that connecting succeeds whatever the time.
@@ -245,11 +245,11 @@
 		x := get(patient)
 		b.release(h, c1, true)
 		c.change(b, x, cancel)
-		if r := b.do(ctx, h, x); r.code != c.want {
+		if r := b.roundTrip(ctx, h, x); r.code != c.want {
 			t.Errorf("%s: outcome %v (%v), want %v", name, r.code, r.err, c.want)
 		}
 		cancel()
-		b.update(list{full: true})
+		b.update(endpointList{complete: true})
 		if b.open != 0 {
 			t.Errorf("%s: %d connections left", name, b.open)
 		}
@@ -259,7 +259,7 @@
 	}
 }
 
-// A refused connection never ran, and the bound on connections is kept, by closing idle ones first.
+// A rejected connection never ran, and the bound on connections is kept, by closing idle ones first.
 func TestConnecting(t *testing.T) {
 	t.Parallel()
 	addr := backend(t, answering(func(*http.Request, []byte) string { return ok("x") }))
@@ -269,21 +269,21 @@
 		t.Fatal(err)
 	}
 	defer refused.Close()
-	b := newBackends(&Config{Settings: settings()}, 1, quiet)
+	b := newUpstreams(&Config{Settings: settings()}, 1, quiet)
 	b.update(known(addr, other, refused.LocalAddr().String()))
 	for i, want := range map[policy.ServerID]policy.OutcomeCode{1: policy.OK, 2: policy.OK, 3: policy.ConnectFailed, 4: policy.ConnectFailed} {
-		if r := b.do(t.Context(), b.find(i), get(patient)); r.code != want {
+		if r := b.roundTrip(t.Context(), b.host(i), get(patient)); r.code != want {
 			t.Errorf("backend %d: %v (%v)", i, r.code, r.err)
 		}
 	}
-	held, err := b.connect(t.Context(), b.find(1), time.Now().Add(patient))
+	held, err := b.connect(t.Context(), b.host(1), time.Now().Add(patient))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r := b.do(t.Context(), b.find(2), get(patient)); r.code != policy.ConnectFailed {
+	if r := b.roundTrip(t.Context(), b.host(2), get(patient)); r.code != policy.ConnectFailed {
 		t.Errorf("beyond the bound: %v", r.code)
 	}
-	b.release(b.find(1), held, true)
+	b.release(b.host(1), held, true)
 	b.closeIdle(1)
 	if b.open != 0 {
 		t.Errorf("%d connections left", b.open)
@@ -296,10 +296,10 @@
 	t.Parallel()
 	addr := backend(t, func(c net.Conn) { io.Copy(io.Discard, c) })
 	for heard, want := range map[bool]int{false: 0, true: 1} {
-		b := newBackends(&Config{Settings: settings()}, 10, quiet)
+		b := newUpstreams(&Config{Settings: settings()}, 10, quiet)
 		b.update(known(addr))
-		h := b.find(1)
-		var conns [2]*conn
+		h := b.host(1)
+		var conns [2]*upstreamConn
 		for i := range conns {
 			var err error
 			if conns[i], err = b.connect(t.Context(), h, time.Now().Add(patient)); err != nil {
@@ -310,14 +310,14 @@
 			b.release(h, c, true)
 		}
 		if heard {
-			h.heard = time.Now().Add(patient)
+			h.lastAnswerAt = time.Now().Add(patient)
 		}
-		if r := b.do(t.Context(), h, get(time.Second)); r.code != policy.TimedOut {
+		if r := b.roundTrip(t.Context(), h, get(time.Second)); r.code != policy.TimedOut {
 			t.Errorf("outcome %v (%v)", r.code, r.err)
 		}
 		if len(h.idle) != want {
 			t.Errorf("heard of it: %v; %d idle connections kept, want %d", heard, len(h.idle), want)
 		}
-		b.update(list{full: true})
+		b.update(endpointList{complete: true})
 	}
 }
--- a/internal/registry/agent/agent.go
+++ b/internal/registry/agent/agent.go
@@ -23,31 +23,31 @@
 // A watch waits so long at a replica, and is given so much more to answer in: a replica that falls silent is left after
 // both. Every answer says that the list is the newest, so a short wait also keeps its age true.
 const (
-	watchWait  = 3 * time.Second
-	watchSlack = 2 * time.Second
+	watchTimeout     = 3 * time.Second
+	watchAnswerSlack = 2 * time.Second
 )
 
 // Agent holds the list as last received.
 type Agent struct {
-	replicas    []string
-	log         *slog.Logger
-	client      http.Client
-	mu          sync.Mutex
-	version     uint64
-	floor       uint64 // watches from before it get the whole list
-	entries     map[string]registry.Entry
-	changed     map[string]uint64
-	listChanged chan struct{}
-	goodAt      time.Time
-	Dropped     int // answers dropped as failed, stale or bad
-	// Rewrite gives, by id, the address this machine reaches a server at where it is not the listed one (a
+	replicas       []string
+	log            *slog.Logger
+	client         http.Client
+	mu             sync.Mutex
+	version        uint64
+	floor          uint64 // watches from before it get the complete list
+	entries        map[string]registry.Entry
+	changed        map[string]uint64
+	listChanged    chan struct{}
+	confirmedAt    time.Time
+	AnswersDropped int // answers dropped as failed, stale or bad
+	// Addresses gives, by id, the address this machine reaches a server at where it is not the listed one (a
 	// relay or a translation); set before serving.
-	Rewrite map[string]string
+	Addresses map[string]string
 }
 
 // New makes an agent for the replicas' HTTP addresses.
 func New(replicas []string, log *slog.Logger) *Agent {
-	return &Agent{replicas: replicas, log: log, client: http.Client{Timeout: watchWait + watchSlack},
+	return &Agent{replicas: replicas, log: log, client: http.Client{Timeout: watchTimeout + watchAnswerSlack},
 		entries: map[string]registry.Entry{}, changed: map[string]uint64{}, listChanged: make(chan struct{})}
 }
 
@@ -61,13 +61,13 @@
 	rnd := rand.New(rand.NewPCG(uint64(time.Now().UnixNano()), 0xa6e7))
 	backoff, i := 50*time.Millisecond, rnd.IntN(len(a.replicas))
 	for ctx.Err() == nil {
-		err := a.once(ctx, a.replicas[i])
+		err := a.poll(ctx, a.replicas[i])
 		if err == nil {
 			backoff = 50 * time.Millisecond
 			continue
 		}
 		a.mu.Lock()
-		a.Dropped++
+		a.AnswersDropped++
 		a.mu.Unlock()
 		a.log.Warn("answer dropped", "replica", a.replicas[i], "err", err)
 		i = (i + 1) % len(a.replicas)
@@ -80,14 +80,14 @@
 	}
 }
 
-// once makes one watch call and takes its answer, or says why not.
-func (a *Agent) once(ctx context.Context, replica string) error {
+// poll makes one watch call and takes its answer, or says why not.
+func (a *Agent) poll(ctx context.Context, replica string) error {
 	a.mu.Lock()
 	since := a.version
 	a.mu.Unlock()
-	ctx, cancel := context.WithTimeout(ctx, watchWait+watchSlack)
+	ctx, cancel := context.WithTimeout(ctx, watchTimeout+watchAnswerSlack)
 	defer cancel()
-	url := fmt.Sprintf("http://%s/registry/instances?since=%d&timeout_ms=%d", replica, since, watchWait.Milliseconds())
+	url := fmt.Sprintf("http://%s/registry/instances?since=%d&timeout_ms=%d", replica, since, watchTimeout.Milliseconds())
 	req, _ := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	resp, err := a.client.Do(req)
 	if err != nil {
@@ -102,11 +102,11 @@
 	if err := dec.Decode(&ans); err != nil {
 		return fmt.Errorf("body: %w", err)
 	}
-	return a.take(ans)
+	return a.apply(ans)
 }
 
-// take applies an answer unless it would roll the list back or holds a bad entry.
-func (a *Agent) take(ans registry.Answer) error {
+// apply applies an answer unless it would roll the list back or holds a bad entry.
+func (a *Agent) apply(ans registry.Answer) error {
 	for _, e := range ans.Servers {
 		if e.ID == "" || (e.State != "ready" && e.State != "draining" && e.State != "gone") || (ans.Full && e.State == "gone") {
 			return fmt.Errorf("bad entry %+v", e)
@@ -117,7 +117,7 @@
 	if ans.Version < a.version || (ans.Version == a.version && len(ans.Servers) > 0 && !ans.Full) {
 		return fmt.Errorf("revision %d is behind the agent's %d", ans.Version, a.version)
 	}
-	a.goodAt = time.Now()
+	a.confirmedAt = time.Now()
 	if ans.Version == a.version && !ans.Full {
 		return nil
 	}
@@ -150,30 +150,30 @@
 		http.NotFound(w, r)
 		return
 	}
-	watch, err := registry.ParseWatch(r.URL.Query())
+	watch, err := registry.ParseWatchQuery(r.URL.Query())
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
 	since := watch.Since
 	a.mu.Lock()
-	if watch.Watching && since >= a.version && watch.Wait > 0 {
+	if watch.IsWatch && since >= a.version && watch.Timeout > 0 {
 		changed := a.listChanged
 		a.mu.Unlock()
-		registry.Await(r.Context(), changed, watch.Wait)
+		registry.Await(r.Context(), changed, watch.Timeout)
 		a.mu.Lock()
 	}
-	full := !watch.Watching || since > a.version || since < a.floor
+	full := !watch.IsWatch || since > a.version || since < a.floor
 	ans := registry.Answer{Version: a.version, Full: full, Servers: []registry.Entry{}}
 	for id, e := range a.entries {
 		if full && e.State != "gone" || !full && a.changed[id] > since {
-			if addr, ok := a.Rewrite[id]; ok {
+			if addr, ok := a.Addresses[id]; ok {
 				e.Addr = addr
 			}
 			ans.Servers = append(ans.Servers, e)
 		}
 	}
-	age := time.Since(a.goodAt)
+	age := time.Since(a.confirmedAt)
 	a.mu.Unlock()
 	w.Header().Set("X-List-Age-Ms", strconv.FormatInt(age.Milliseconds(), 10))
 	w.Header().Set("Content-Type", "application/json")
--- a/internal/registry/agent/agent_test.go
+++ b/internal/registry/agent/agent_test.go
@@ -53,8 +53,8 @@
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.Dropped < 4 {
-		t.Errorf("dropped %d answers", a.Dropped)
+	if a.AnswersDropped < 4 {
+		t.Errorf("dropped %d answers", a.AnswersDropped)
 	}
 }
 
@@ -70,7 +70,7 @@
 	a := New([]string{silent.Listener.Addr().String(), good.Listener.Addr().String()}, slog.New(slog.DiscardHandler))
 	ctx, cancel := context.WithCancel(t.Context())
 	start := time.Now()
-	if err := a.once(ctx, a.replicas[0]); err == nil {
+	if err := a.poll(ctx, a.replicas[0]); err == nil {
 		t.Error("an answer of a silent replica")
 	}
 	if took := time.Since(start); took > 15*time.Second {
