--- a/internal/registry/bench_test.go
+++ b/internal/registry/bench_test.go
@@ -11,7 +11,7 @@
 // benchmarkStart is the leader's clock when the servers of a benchmark register, Unix ms.
 const benchmarkStart = 1_000_000
 
-// populated gives a list of n servers with leases of 60 s that lapse one ms after another.
+// populated returns a list of n servers with leases of 60 s that lapse one ms after another.
 func populated(tb testing.TB, n int) *State {
 	tb.Helper()
 	s := New(1000)
@@ -31,7 +31,7 @@
 		b.Run(fmt.Sprintf("servers=%d", n), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				if a := s.Read(s.Rev-1, true); len(a.Servers) != 1 {
+				if a := s.Read(s.Revision-1, true); len(a.Servers) != 1 {
 					b.Fatalf("%d servers, want 1", len(a.Servers))
 				}
 			}
@@ -39,8 +39,8 @@
 	}
 }
 
-// BenchmarkReadWhole is a read of the whole list.
-func BenchmarkReadWhole(b *testing.B) {
+// BenchmarkReadComplete is a read of the complete list.
+func BenchmarkReadComplete(b *testing.B) {
 	for _, n := range benchmarkSizes {
 		s := populated(b, n)
 		b.Run(fmt.Sprintf("servers=%d", n), func(b *testing.B) {
@@ -77,7 +77,7 @@
 				if changed, err := s.Apply(Command{Op: Expire, NowMS: now}); !changed || err != nil {
 					b.Fatalf("changed %v, %v", changed, err)
 				}
-				lapsed := s.Read(s.Rev-1, true).Servers[0]
+				lapsed := s.Read(s.Revision-1, true).Servers[0]
 				lapsed.State = "ready"
 				s.Apply(Command{Op: Register, Entry: lapsed, TTLMS: MaxTTLMS, NowMS: now})
 			}
--- a/internal/registry/capacity_bench_test.go
+++ b/internal/registry/capacity_bench_test.go
@@ -34,13 +34,13 @@
 func BenchmarkCapacityReadOneChange(b *testing.B) {
 	benchEach(b, func(b *testing.B, state *State) {
 		for b.Loop() {
-			state.Read(state.Last-1, true)
+			state.Read(state.ListRevision-1, true)
 		}
 	})
 }
 
-// BenchmarkCapacityReadWhole is a read of the whole list.
-func BenchmarkCapacityReadWhole(b *testing.B) {
+// BenchmarkCapacityReadComplete is a read of the complete list.
+func BenchmarkCapacityReadComplete(b *testing.B) {
 	benchEach(b, func(b *testing.B, state *State) {
 		for b.Loop() {
 			state.Read(0, false)
@@ -48,8 +48,8 @@
 	})
 }
 
-// BenchmarkCapacityEncodeWhole is the whole list as JSON, whose size it reports.
-func BenchmarkCapacityEncodeWhole(b *testing.B) {
+// BenchmarkCapacityEncodeComplete is the complete list as JSON, whose size it reports.
+func BenchmarkCapacityEncodeComplete(b *testing.B) {
 	benchEach(b, func(b *testing.B, state *State) {
 		answer := state.Read(0, false)
 		body := 0
--- a/internal/registry/cost_test.go
+++ b/internal/registry/cost_test.go
@@ -19,7 +19,7 @@
 	var visits atomic.Int64
 	s.entries.CountVisits(&visits)
 	s.Apply(Command{Op: Drain, ID: fmt.Sprintf("server-%06d", n/2), NowMS: benchmarkStart})
-	if a := read(s.View(), s.Rev-1); a.Full || len(a.Servers) != 1 {
+	if a := read(s.View(), s.Revision-1); a.Full || len(a.Servers) != 1 {
 		tb.Fatalf("full %v, %d servers, want one change", a.Full, len(a.Servers))
 	}
 	return visits.Load()
@@ -54,8 +54,8 @@
 	}
 }
 
-// A whole read is in the order of the ids, without the gone.
-func TestWholeReadIsInOrder(t *testing.T) {
+// A complete read is in the order of the ids, without the removed.
+func TestCompleteReadIsInOrder(t *testing.T) {
 	s := populated(t, 300)
 	s.Apply(Command{Op: Deregister, ID: "server-000007", NowMS: benchmarkStart})
 	a := s.Read(0, false)
@@ -64,7 +64,7 @@
 	}
 }
 
-// Readers of views run while the list changes; each sees one whole list. The race detector watches.
+// Readers of views run while the list changes; each sees one complete list. The race detector watches.
 func TestReadersWhileTheListChanges(t *testing.T) {
 	const servers, changes, readers = 200, 500, 4
 	s := populated(t, servers)
--- a/internal/registry/index/index.go
+++ b/internal/registry/index/index.go
@@ -1,5 +1,5 @@
 // Package index is an ordered index of values by scope, key and revision. A change is found by its revision, in time that
-// depends on the number of changes asked for and not on the number of values held, and a snapshot for readers is taken in
+// depends on the number of changes requested and not on the number of values held, and a snapshot for readers is taken in
 // constant time: the trees (github.com/google/btree) are copied on write.
 package index
 
@@ -39,7 +39,7 @@
 	visits     *atomic.Int64
 }
 
-// New gives an empty index.
+// New returns an empty index.
 func New[V any]() *Index[V] {
 	return &Index[V]{byKey: btree.NewG(degree, lessByKey[V]), byRevision: btree.NewG(degree, lessByRevision[V])}
 }
@@ -64,7 +64,7 @@
 	x.byRevision.ReplaceOrInsert(entry)
 }
 
-// Remove takes a value out, and says whether there was one.
+// Remove takes a value out, and reports whether there was one.
 func (x *Index[V]) Remove(scope Scope, key string) bool {
 	old, found := x.byKey.Delete(&Entry[V]{Scope: scope, Key: key})
 	if found {
@@ -73,26 +73,26 @@
 	return found
 }
 
-// Get gives the value under a scope and key, or nil.
+// Get returns the value under a scope and key, or nil.
 func (x *Index[V]) Get(scope Scope, key string) *Entry[V] { return get(x.byKey, scope, key) }
 
-// Snapshot gives the index as it is now.
+// Snapshot returns the index as it is now.
 func (x *Index[V]) Snapshot() Snapshot[V] {
 	return Snapshot[V]{byKey: x.byKey.Clone(), byRevision: x.byRevision.Clone(), visits: x.visits}
 }
 
-// Get gives the value under a scope and key, or nil.
+// Get returns the value under a scope and key, or nil.
 func (s Snapshot[V]) Get(scope Scope, key string) *Entry[V] { return get(s.byKey, scope, key) }
 
 // Len is the number of values over all scopes.
 func (s Snapshot[V]) Len() int { return s.byKey.Len() }
 
-// All gives the values of a scope by key.
+// All returns the values of a scope by key.
 func (s Snapshot[V]) All(scope Scope) iter.Seq[*Entry[V]] {
 	return s.walk(s.byKey, &Entry[V]{Scope: scope})
 }
 
-// Changed gives the values of a scope that were set after a revision, by revision.
+// Changed returns the values of a scope that were set after a revision, by revision.
 func (s Snapshot[V]) Changed(scope Scope, after uint64) iter.Seq[*Entry[V]] {
 	if after+1 == 0 {
 		return func(func(*Entry[V]) bool) {} // there is no later revision
@@ -100,7 +100,7 @@
 	return s.walk(s.byRevision, &Entry[V]{Scope: scope, Revision: after + 1})
 }
 
-// walk gives the entries of the scope of from, from there on.
+// walk returns the entries of the scope of from, from there on.
 func (s Snapshot[V]) walk(tree *btree.BTreeG[*Entry[V]], from *Entry[V]) iter.Seq[*Entry[V]] {
 	return func(yield func(*Entry[V]) bool) {
 		tree.AscendGreaterOrEqual(from, func(entry *Entry[V]) bool {
--- a/internal/registry/index/index_test.go
+++ b/internal/registry/index/index_test.go
@@ -59,7 +59,9 @@
 // Any schedule of changes gives what a scan gives, and a snapshot stays as it was.
 func TestIndexAgainstScan(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		x, want, revision := New[int](), naive{}, uint64(0)
+		x := New[int]()
+		want := naive{}
+		revision := uint64(0)
 		var old Snapshot[int]
 		oldWant, oldRevision := naive{}, uint64(0)
 		old = x.Snapshot()
@@ -83,7 +85,9 @@
 				delete(want, [2]string{string(scope), key})
 			},
 			"snapshot": func(*rapid.T) {
-				old, oldRevision, oldWant = x.Snapshot(), revision, naive{}
+				old = x.Snapshot()
+				oldRevision = revision
+				oldWant = naive{}
 				for k, v := range want {
 					oldWant[k] = v
 				}
@@ -110,7 +114,7 @@
 	}
 }
 
-// Readers of snapshots run while the writer changes the index; each sees a whole state. The race detector watches.
+// Readers of snapshots run while the writer changes the index; each sees a complete state. The race detector watches.
 func TestReadersWhileTheIndexChanges(t *testing.T) {
 	const keys, rounds, readers = 500, 200, 4
 	x := New[int]()
--- a/internal/registry/leases.go
+++ b/internal/registry/leases.go
@@ -6,8 +6,8 @@
 	"github.com/google/btree"
 )
 
-// leasesDegree is the least number of children of an inner node of the tree of leases.
-const leasesDegree = 32
+// treeDegree is the least number of children of an inner node of the tree of leases.
+const treeDegree = 32
 
 // lease is the time, Unix ms, at which the lease on an id lapses.
 type lease struct {
@@ -15,28 +15,28 @@
 	id        string
 }
 
-// leases is every lease held, by expiry. The soonest is found without looking at the others.
-type leases struct {
+// leaseTree is every lease held, by expiry. The soonest is found without looking at the others.
+type leaseTree struct {
 	byExpiry *btree.BTreeG[lease]
 }
 
-func newLeases() *leases {
+func newLeaseTree() *leaseTree {
 	less := func(a, b lease) bool {
 		return cmp.Or(cmp.Compare(a.expiresMS, b.expiresMS), cmp.Compare(a.id, b.id)) < 0
 	}
-	return &leases{byExpiry: btree.NewG(leasesDegree, less)}
+	return &leaseTree{byExpiry: btree.NewG(treeDegree, less)}
 }
 
-func (l *leases) add(id string, expiresMS int64) {
+func (l *leaseTree) add(id string, expiresMS int64) {
 	l.byExpiry.ReplaceOrInsert(lease{expiresMS: expiresMS, id: id})
 }
 
-func (l *leases) remove(id string, expiresMS int64) {
+func (l *leaseTree) remove(id string, expiresMS int64) {
 	l.byExpiry.Delete(lease{expiresMS: expiresMS, id: id})
 }
 
-// lapsed gives the ids whose leases lapse at or before now, Unix ms, by expiry.
-func (l *leases) lapsed(nowMS int64) []string {
+// expired returns the ids whose leases lapse at or before now, Unix ms, by expiry.
+func (l *leaseTree) expired(nowMS int64) []string {
 	var ids []string
 	l.byExpiry.Ascend(func(next lease) bool {
 		if next.expiresMS > nowMS {
@@ -49,7 +49,7 @@
 }
 
 // next is the soonest expiry, Unix ms, or 0 where no lease is held.
-func (l *leases) next() int64 {
+func (l *leaseTree) next() int64 {
 	soonest, _ := l.byExpiry.Min()
 	return soonest.expiresMS
 }
--- a/internal/registry/linearizability/linearizability.go
+++ b/internal/registry/linearizability/linearizability.go
@@ -1,6 +1,6 @@
 // Package linearizability checks recorded histories of discovery's clients for linearizability with porcupine: registrations
 // and consistent reads (GET /registry/instances?consistent=1) must look as if each took effect at one instant
-// between its call and its return. The list is checked id by id: a registration sets an id, a read says whether
+// between its call and its recovery. The list is checked id by id: a registration sets an id, a read reports whether
 // it held it.
 package linearizability
 
@@ -11,8 +11,8 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// Op is one client call as recorded. Times are Unix ns.
-type Op struct {
+// Operation is one client call as recorded. Times are Unix ns.
+type Operation struct {
 	Client  int
 	Write   bool     // a registration of ID; otherwise a read that answered IDs
 	ID      string   // of a write
@@ -41,13 +41,13 @@
 
 // Result is the check's verdict over every id.
 type Result struct {
-	Ids        int
+	IDs        int
 	Violations []string // ids whose history is not linearizable
 	Unknown    []string // ids whose check ran out of time
 }
 
 // Check checks each id's projection of the history, within timeout for each.
-func Check(history []Op, timeout time.Duration) Result {
+func Check(history []Operation, timeout time.Duration) Result {
 	ids := map[string]bool{}
 	for _, o := range history {
 		if o.Write {
@@ -56,7 +56,7 @@
 	}
 	var r Result
 	for id := range ids {
-		r.Ids++
+		r.IDs++
 		var ops []porcupine.Operation
 		for _, o := range history {
 			ret := o.Return
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -23,7 +23,7 @@
 	Zone      string  `json:"zone"`
 	Kind      string  `json:"kind"`
 	Cell      int     `json:"cell"`
-	State     string  `json:"state"` // ready, draining, gone
+	State     string  `json:"state"` // ready, draining, removed
 	Weight    float64 `json:"weight"`
 	StartedMS int64   `json:"started_ms"`
 }
@@ -32,12 +32,12 @@
 type Op string
 
 const (
-	Register   Op = "register"   // puts an entry under a new lease, or renews and changes it
-	Renew      Op = "renew"      // extends a lease
-	Drain      Op = "drain"      // its owner says: finish what you have, nothing new
-	Deregister Op = "deregister" // gone at once
-	Expire     Op = "expire"     // the leader's sweep: every lease lapsed at Now is gone
-	Fleet      Op = "fleet"      // a command on the fleet's state, which this package does not read
+	Register     Op = "register"   // puts an entry under a new lease, or renews and changes it
+	Renew        Op = "renew"      // extends a lease
+	Drain        Op = "drain"      // its owner says: finish what you have, nothing new
+	Deregister   Op = "deregister" // removed at once
+	Expire       Op = "expire"     // the leader's sweep: every lease lapsed at Now is removed
+	FleetCommand Op = "fleet"      // a command on the fleet's state, which this package does not read
 )
 
 // Command is one entry of the replicated log. NowMS is the leader's clock when it proposed it, Unix ms.
@@ -64,80 +64,80 @@
 )
 
 type record struct {
-	Entry     Entry  `json:"entry"`
-	ExpiresMS int64  `json:"expires_ms"` // 0 once gone
-	Rev       uint64 `json:"rev"`        // of its last change
-	Asked     int64  `json:"asked_ms"`   // started_ms as the registrant gave it, before it was bounded
+	Entry            Entry  `json:"entry"`
+	ExpiresMS        int64  `json:"expires_ms"` // 0 once removed
+	Revision         uint64 `json:"rev"`        // of its last change
+	RequestedStartMS int64  `json:"asked_ms"`   // started_ms as the registrant gave it, before it was bounded
 }
 
-// State is the whole list. The zero State is not ready: use New. Rev is the revision of all that is replicated: the list
+// State is the complete list. The zero State is not ready: use New. Rev is the revision of all that is replicated: the list
 // shares it with the fleet's intent (docs/fleet.md). Last is that of the list's own last change, and the version
 // that reads and watches of the list show: without a fleet the two are one.
 type State struct {
-	Rev     uint64             `json:"rev"`
-	Last    uint64             `json:"last,omitempty"` // in a snapshot only where it is not Rev
-	Floor   uint64             `json:"floor"`          // changes at or below it are compacted: older watches get the whole list
-	Records map[string]*record `json:"records"`
-	keep    int
+	Revision      uint64             `json:"rev"`
+	ListRevision  uint64             `json:"last,omitempty"` // in a snapshot only where it is not Rev
+	Floor         uint64             `json:"floor"`          // changes at or below it are compacted: older watches get the complete list
+	Records       map[string]*record `json:"records"`
+	keepRevisions int
 
 	// Made from the records, so that nothing below scans them.
-	entries *index.Index[Entry] // by id and revision, for readers
-	leases  *leases             // by expiry
-	gone    []tombstone         // by revision
-	view    *View               // of the entries; nil: they have changed since the last
+	entries    *index.Index[Entry] // by id and revision, for readers
+	leases     *leaseTree          // by expiry
+	tombstones []tombstone         // by revision
+	view       *View               // of the entries; nil: they have changed since the last
 }
 
-// tombstone is an entry that is gone and may be compacted. It is void where the entry has changed since.
+// tombstone is an entry that is removed and may be compacted. It is void where the entry has changed since.
 type tombstone struct {
-	id  string
-	rev uint64
+	id       string
+	revision uint64
 }
 
-// New gives an empty list at revision 0 that keeps gone entries for keep revisions before compaction.
+// New returns an empty list at revision 0 that keeps removed entries for keep revisions before compaction.
 func New(keep int) *State {
-	s := &State{Records: map[string]*record{}, keep: max(keep, 1)}
+	s := &State{Records: map[string]*record{}, keepRevisions: max(keep, 1)}
 	s.reindex()
 	return s
 }
 
 // reindex makes the indexes anew from the records.
 func (s *State) reindex() {
-	s.entries, s.leases, s.gone, s.view = index.New[Entry](), newLeases(), nil, nil
+	s.entries, s.leases, s.tombstones, s.view = index.New[Entry](), newLeaseTree(), nil, nil
 	for id, r := range s.Records {
-		s.entries.Set("", id, r.Rev, r.Entry)
+		s.entries.Set("", id, r.Revision, r.Entry)
 		if r.ExpiresMS != 0 {
 			s.leases.add(id, r.ExpiresMS)
 		} else {
-			s.gone = append(s.gone, tombstone{id: id, rev: r.Rev})
+			s.tombstones = append(s.tombstones, tombstone{id: id, revision: r.Revision})
 		}
 	}
-	slices.SortFunc(s.gone, func(a, b tombstone) int { return cmp.Compare(a.rev, b.rev) })
+	slices.SortFunc(s.tombstones, func(a, b tombstone) int { return cmp.Compare(a.revision, b.revision) })
 }
 
-// Apply carries out one command and says whether it changed the list (and so made a new revision). Gone entries
+// Apply carries out one command and reports whether it changed the list (and so made a new revision). Gone entries
 // older than keep revisions are compacted at each sweep and every keep revisions.
 func (s *State) Apply(c Command) (bool, error) {
-	before := s.Last
+	before := s.ListRevision
 	changed, err := s.apply(c)
 	if changed {
-		s.Last = s.Rev
-		if keep := uint64(s.keep); s.Rev/keep != before/keep {
+		s.ListRevision = s.Revision
+		if keep := uint64(s.keepRevisions); s.Revision/keep != before/keep {
 			s.compact()
 		}
 	}
 	return changed, err
 }
 
-// Bump takes the next revision for a change of what is replicated together with the list. The list stays at its version.
-func (s *State) Bump() uint64 {
-	s.Rev++
-	return s.Rev
+// NextRevision takes the next revision for a change of what is replicated together with the list. The list stays at its version.
+func (s *State) NextRevision() uint64 {
+	s.Revision++
+	return s.Revision
 }
 
 func (s *State) apply(c Command) (bool, error) {
 	switch c.Op {
 	case Register:
-		if err := valid(c.Entry); err != nil {
+		if err := validate(c.Entry); err != nil {
 			return false, err
 		}
 		ttl := min(max(c.TTLMS, MinTTLMS), MaxTTLMS)
@@ -146,10 +146,10 @@
 			e.State = "ready"
 		}
 		// A registrant whose clock is fast can't start a server in the future: nodes would take it for
-		// cold until then. Its renewals keep the bounded start. Leases are counted on the leader's clock alone.
+		// warming up until then. Its renewals keep the bounded start. Leases are counted on the leader's clock alone.
 		r := s.Records[e.ID]
 		asked := e.StartedMS
-		if r != nil && r.Asked == asked {
+		if r != nil && r.RequestedStartMS == asked {
 			e.StartedMS = r.Entry.StartedMS
 		}
 		e.StartedMS = min(e.StartedMS, c.NowMS)
@@ -157,7 +157,7 @@
 			s.extend(r, c.NowMS+ttl) // a renewal by registering again is no change
 			return false, nil
 		}
-		s.put(&record{Entry: e, ExpiresMS: c.NowMS + ttl, Asked: asked})
+		s.put(&record{Entry: e, ExpiresMS: c.NowMS + ttl, RequestedStartMS: asked})
 		return true, nil
 	case Renew:
 		r := s.Records[c.ID]
@@ -178,7 +178,7 @@
 		s.change(r, state)
 		return true, nil
 	case Expire:
-		lapsed := s.leases.lapsed(c.NowMS)
+		lapsed := s.leases.expired(c.NowMS)
 		slices.Sort(lapsed)
 		for _, id := range lapsed {
 			s.change(s.Records[id], "gone")
@@ -195,15 +195,15 @@
 	if old := s.Records[id]; old != nil && old.ExpiresMS != 0 {
 		s.leases.remove(id, old.ExpiresMS)
 	}
-	s.Rev++
-	r.Rev = s.Rev
+	s.Revision++
+	r.Revision = s.Revision
 	s.Records[id] = r
 	if r.ExpiresMS != 0 {
 		s.leases.add(id, r.ExpiresMS)
 	} else {
-		s.gone = append(s.gone, tombstone{id: id, rev: r.Rev})
+		s.tombstones = append(s.tombstones, tombstone{id: id, revision: r.Revision})
 	}
-	s.entries.Set("", id, r.Rev, r.Entry)
+	s.entries.Set("", id, r.Revision, r.Entry)
 	s.view = nil
 }
 
@@ -223,20 +223,20 @@
 	s.put(&next)
 }
 
-// compact forgets gone entries older than keep revisions; watches from before them get the whole list.
+// compact forgets removed entries older than keep revisions; watches from before them get the complete list.
 func (s *State) compact() {
-	for len(s.gone) > 0 && s.gone[0].rev+uint64(s.keep) <= s.Rev {
-		oldest := s.gone[0]
-		s.gone = s.gone[1:]
-		if r := s.Records[oldest.id]; r != nil && r.Rev == oldest.rev {
+	for len(s.tombstones) > 0 && s.tombstones[0].revision+uint64(s.keepRevisions) <= s.Revision {
+		oldest := s.tombstones[0]
+		s.tombstones = s.tombstones[1:]
+		if r := s.Records[oldest.id]; r != nil && r.Revision == oldest.revision {
 			delete(s.Records, oldest.id)
 			s.entries.Remove("", oldest.id)
-			s.Floor, s.view = max(s.Floor, oldest.rev), nil
+			s.Floor, s.view = max(s.Floor, oldest.revision), nil
 		}
 	}
 }
 
-func valid(e Entry) error {
+func validate(e Entry) error {
 	if e.ID == "" || len(e.ID) > 64 {
 		return fmt.Errorf("%w: id %q", ErrInvalid, e.ID)
 	}
@@ -252,9 +252,9 @@
 	return nil
 }
 
-// withFleet is the version of a snapshot that has the fleet's state next to the list. One without has no version in it: builds
+// snapshotWithFleet is the version of a snapshot that has the fleet's state next to the list. One without has no version in it: builds
 // before the fleet wrote it so.
-const withFleet = 2
+const snapshotWithFleet = 2
 
 type snapshot struct {
 	State
@@ -266,11 +266,11 @@
 // are as they were before there was a fleet).
 func (s *State) Snapshot(fleet json.RawMessage) ([]byte, error) {
 	out := snapshot{State: *s, Fleet: fleet}
-	if s.Last == s.Rev {
-		out.Last = 0
+	if s.ListRevision == s.Revision {
+		out.ListRevision = 0
 	}
 	if fleet != nil {
-		out.Version = withFleet
+		out.Version = snapshotWithFleet
 	}
 	return json.Marshal(out)
 }
@@ -278,16 +278,16 @@
 // Restore replaces the state with a snapshot's and gives the fleet's state that was stored with it, or nil. A snapshot of a newer
 // version than this build knows is an error; an error changes nothing.
 func (s *State) Restore(raw []byte) (fleet json.RawMessage, err error) {
-	in := snapshot{State: State{keep: s.keep}}
+	in := snapshot{State: State{keepRevisions: s.keepRevisions}}
 	if err := json.Unmarshal(raw, &in); err != nil {
 		return nil, fmt.Errorf("registry snapshot: %w", err)
 	}
-	if in.Version > withFleet {
-		return nil, fmt.Errorf("registry snapshot: version %d, this build reads up to %d", in.Version, withFleet)
+	if in.Version > snapshotWithFleet {
+		return nil, fmt.Errorf("registry snapshot: version %d, this build reads up to %d", in.Version, snapshotWithFleet)
 	}
 	next := in.State
-	if next.Last == 0 {
-		next.Last = next.Rev
+	if next.ListRevision == 0 {
+		next.ListRevision = next.Revision
 	}
 	if next.Records == nil {
 		next.Records = map[string]*record{}
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -48,7 +48,7 @@
 			t.Errorf("%+v taken", e)
 		}
 	}
-	if s.Rev != 0 || len(s.Records) != 0 {
+	if s.Revision != 0 || len(s.Records) != 0 {
 		t.Errorf("state changed: %+v", s)
 	}
 }
@@ -75,7 +75,7 @@
 	}
 }
 
-// Compaction comes with writes alone, with no lease lapsing: a watch from before it gets the whole list.
+// Compaction comes with writes alone, with no lease lapsing: a watch from before it gets the complete list.
 func TestCompactionWithoutSweep(t *testing.T) {
 	s := New(4)
 	for _, id := range []string{"a", "b", "c", "d", "e", "f"} {
--- a/internal/registry/replica/fleetapi.go
+++ b/internal/registry/replica/fleetapi.go
@@ -16,9 +16,9 @@
 	"meadowsill/internal/fleet/zones"
 )
 
-// stale answers 503 where this replica can't vouch for what it has.
-func (l *leadership) stale(w http.ResponseWriter) bool {
-	age, ok := l.rep.fresh()
+// rejectStale answers 503 where this replica can't vouch for what it has.
+func (l *leadership) rejectStale(w http.ResponseWriter) bool {
+	age, ok := l.replica.staleness()
 	w.Header().Set("X-Last-Contact-Ms", strconv.FormatInt(age.Milliseconds(), 10))
 	if !ok {
 		http.Error(w, "stale: no leader heard from within the bound", http.StatusServiceUnavailable)
@@ -26,31 +26,31 @@
 	return !ok
 }
 
-func show(w http.ResponseWriter, v any) {
+func writeJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	json.NewEncoder(w).Encode(v)
 }
 
-// whileLeading runs f with the judge and the state, or answers that this replica does not lead.
+// whileLeading runs f with the controller and the state, or answers that this replica does not lead.
 func (l *leadership) whileLeading(w http.ResponseWriter, f func(j *control.Controller, s *control.State)) bool {
-	if l.rep.raft.State() != raft.Leader {
-		l.rep.notLeader(w)
+	if l.replica.raft.State() != raft.Leader {
+		l.replica.notLeader(w)
 		return false
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.judge == nil {
-		http.Error(w, errNotLeading.Error(), http.StatusServiceUnavailable)
+	if l.controller == nil {
+		http.Error(w, errNotLeader.Error(), http.StatusServiceUnavailable)
 		return false
 	}
-	l.rep.fsm.mu.Lock()
-	defer l.rep.fsm.mu.Unlock()
-	f(l.judge, l.rep.fsm.fleet)
+	l.replica.fsm.mu.Lock()
+	defer l.replica.fsm.mu.Unlock()
+	f(l.controller, l.replica.fsm.fleet)
 	return true
 }
 
-// zoneView is one zone's directive, if there is one, with the evidence it was last judged by.
-type zoneView struct {
+// zoneStatus is one zone's directive, if there is one, with the evidence it was last evaluated by.
+type zoneStatus struct {
 	Key       string          `json:"key"`
 	Rev       uint64          `json:"rev,omitempty"`
 	Directive json.RawMessage `json:"directive,omitempty"`
@@ -61,26 +61,26 @@
 	var out struct {
 		Revision uint64         `json:"revision"`
 		Present  []fleet.Member `json:"present"`
-		Zones    []zoneView     `json:"zones"`
+		Zones    []zoneStatus   `json:"zones"`
 	}
 	ok := l.whileLeading(w, func(j *control.Controller, s *control.State) {
-		out.Revision, out.Present, out.Zones = s.Revision, s.Session.List(), []zoneView{}
+		out.Revision, out.Present, out.Zones = s.Revision, s.Session.List(), []zoneStatus{}
 		at := map[string]int{}
 		for _, it := range s.Zones.Items() {
 			at[it.Key] = len(out.Zones)
-			out.Zones = append(out.Zones, zoneView{Key: it.Key, Rev: it.Revision, Directive: it.Body})
+			out.Zones = append(out.Zones, zoneStatus{Key: it.Key, Rev: it.Revision, Directive: it.Body})
 		}
 		for _, f := range j.ZoneEvidence() {
 			i, ok := at[f.Key]
 			if !ok {
 				i = len(out.Zones)
-				out.Zones = append(out.Zones, zoneView{Key: f.Key})
+				out.Zones = append(out.Zones, zoneStatus{Key: f.Key})
 			}
 			out.Zones[i].Finding = &f
 		}
 	})
 	if ok {
-		show(w, out)
+		writeJSON(w, out)
 	}
 }
 
@@ -90,34 +90,34 @@
 		Revision uint64                  `json:"revision"`
 		Tenants  map[string]fleet.Tenant `json:"tenants"`
 	}{Tenants: map[string]fleet.Tenant{}}
-	l.rep.fsm.mu.Lock()
-	out.Revision = l.rep.fsm.fleet.Revision
-	for name, e := range l.rep.fsm.fleet.Tenants.Tenants {
+	l.replica.fsm.mu.Lock()
+	out.Revision = l.replica.fsm.fleet.Revision
+	for name, e := range l.replica.fsm.fleet.Tenants.Tenants {
 		out.Tenants[name] = e.Tenant
 	}
-	l.rep.fsm.mu.Unlock()
-	if !l.stale(w) {
-		show(w, out)
+	l.replica.fsm.mu.Unlock()
+	if !l.rejectStale(w) {
+		writeJSON(w, out)
 	}
 }
 
 func (l *leadership) tenant(w http.ResponseWriter, r *http.Request) {
-	l.rep.fsm.mu.Lock()
-	t, err := l.rep.fsm.fleet.Tenants.Tenant(r.PathValue("name"))
-	l.rep.fsm.mu.Unlock()
-	if l.stale(w) {
+	l.replica.fsm.mu.Lock()
+	t, err := l.replica.fsm.fleet.Tenants.Tenant(r.PathValue("name"))
+	l.replica.fsm.mu.Unlock()
+	if l.rejectStale(w) {
 		return
 	}
 	if err != nil {
-		http.Error(w, err.Error(), code(err))
+		http.Error(w, err.Error(), statusCode(err))
 		return
 	}
-	show(w, t)
+	writeJSON(w, t)
 }
 
 // putTenant proposes a tenant's next generation.
 func (l *leadership) putTenant(w http.ResponseWriter, r *http.Request) {
-	raw, ok := l.body(w, r, "tenant", fleet.MaxTenantBytes)
+	raw, ok := l.readBody(w, r, "tenant", fleet.MaxTenantBytes)
 	if !ok {
 		return
 	}
@@ -127,41 +127,41 @@
 		err = fmt.Errorf("%w: spec.name: %.64q, the path names %.64q", fleet.ErrInvalid, spec.Name, name)
 	}
 	if err != nil {
-		l.refuse(w, "tenant", err)
+		l.rejectBody(w, "tenant", err)
 		return
 	}
-	l.operate(w, r, tenants.Command{Op: tenants.Put, Name: name, Generation: g, Spec: &spec}, g+1)
+	l.applyOperatorCommand(w, r, tenants.Command{Operation: tenants.Put, Name: name, Generation: g, Spec: &spec}, g+1)
 }
 
 // deleteTenant begins a tenant's removal at the generation that the operator read.
 func (l *leadership) deleteTenant(w http.ResponseWriter, r *http.Request) {
 	g, err := strconv.ParseUint(r.URL.Query().Get("generation"), 10, 64)
 	if err != nil {
-		l.refuse(w, "tenant", fmt.Errorf("%w: generation: %.40q is not a whole number", fleet.ErrInvalid, r.URL.Query().Get("generation")))
+		l.rejectBody(w, "tenant", fmt.Errorf("%w: generation: %.40q is not a whole number", fleet.ErrInvalid, r.URL.Query().Get("generation")))
 		return
 	}
-	l.operate(w, r, tenants.Command{Op: tenants.Delete, Name: r.PathValue("name"), Generation: g}, g)
+	l.applyOperatorCommand(w, r, tenants.Command{Operation: tenants.Delete, Name: r.PathValue("name"), Generation: g}, g)
 }
 
-// operate commits an operator's command and answers with the generation that it is about.
-func (l *leadership) operate(w http.ResponseWriter, _ *http.Request, c tenants.Command, generation uint64) {
-	if l.rep.raft.State() != raft.Leader {
-		l.rep.notLeader(w)
+// applyOperatorCommand commits an operator's command and answers with the generation that it is about.
+func (l *leadership) applyOperatorCommand(w http.ResponseWriter, _ *http.Request, c tenants.Command, generation uint64) {
+	if l.replica.raft.State() != raft.Leader {
+		l.replica.notLeader(w)
 		return
 	}
 	a, err := l.proposeFleet(control.Command{Tenants: &c})
 	switch {
 	case err != nil:
-		l.rep.notCommitted(w, err)
+		l.replica.notCommitted(w, err)
 	case a.err != nil:
 		var fe *tenants.FieldError
 		if errors.As(a.err, &fe) {
-			l.refuse(w, "tenant", a.err)
+			l.rejectBody(w, "tenant", a.err)
 			return
 		}
-		http.Error(w, a.err.Error(), code(a.err))
+		http.Error(w, a.err.Error(), statusCode(a.err))
 	default:
-		show(w, map[string]uint64{"generation": generation, "revision": a.rev})
+		writeJSON(w, map[string]uint64{"generation": generation, "revision": a.revision})
 	}
 }
 
@@ -186,8 +186,8 @@
 		return
 	}
 	if err != nil {
-		http.Error(w, strings.TrimSpace(err.Error()), code(err))
+		http.Error(w, strings.TrimSpace(err.Error()), statusCode(err))
 		return
 	}
-	show(w, out)
+	writeJSON(w, out)
 }
--- a/internal/registry/replica/fleetdrift.go
+++ b/internal/registry/replica/fleetdrift.go
@@ -11,28 +11,28 @@
 	"meadowsill/internal/registry"
 )
 
-// logShown is how many of the newest entries of the log of repairs an answer has.
-const logShown = 50
+// maxLogEntries is how many of the newest entries of the log of repairs an answer has.
+const maxLogEntries = 50
 
 // drift answers GET /fleet/v1/drift: the verdicts, of one node or in one state where asked, and as a watch those changed after
 // since (docs/drift.md).
 func (l *leadership) drift(w http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
-	watch, err := registry.ParseWatch(q)
+	watch, err := registry.ParseWatchQuery(q)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	if l.rep.raft.State() != raft.Leader {
-		l.rep.notLeader(w)
+	if l.replica.raft.State() != raft.Leader {
+		l.replica.notLeader(w)
 		return
 	}
-	f := l.rep.fsm
+	f := l.replica.fsm
 	f.mu.Lock()
-	if watch.Watching && watch.Since >= f.fleet.Drift.Revision && watch.Wait > 0 {
+	if watch.IsWatch && watch.Since >= f.fleet.Drift.Revision && watch.Timeout > 0 {
 		changed := f.driftChanged
 		f.mu.Unlock()
-		registry.Await(r.Context(), changed, watch.Wait)
+		registry.Await(r.Context(), changed, watch.Timeout)
 		f.mu.Lock()
 	}
 	f.mu.Unlock()
@@ -48,16 +48,16 @@
 			if node := q.Get("node"); node != "" && node != v.Node {
 				continue
 			}
-			if state := q.Get("state"); state != "" && state != v.State || watch.Watching && v.Revision <= watch.Since {
+			if state := q.Get("state"); state != "" && state != v.State || watch.IsWatch && v.Revision <= watch.Since {
 				continue
 			}
 			out.Verdicts = append(out.Verdicts, v)
 		}
 		if log := j.Repairs(0); len(log) > 0 {
-			out.Log = log[max(len(log)-logShown, 0):]
+			out.Log = log[max(len(log)-maxLogEntries, 0):]
 		}
 	})
 	if ok {
-		show(w, out)
+		writeJSON(w, out)
 	}
 }
--- a/internal/registry/replica/fsm.go
+++ b/internal/registry/replica/fsm.go
@@ -19,16 +19,16 @@
 // fleet's commands, whether or not it was started with the fleet's settings. Raft calls Apply, Snapshot and Restore one at a
 // time. Readers of the list and the intent take what was published and need no lock.
 type fsm struct {
-	mu           sync.Mutex
-	state        *registry.State
-	fleet        *control.State
-	driftChanged chan struct{}        // closed at each change of a verdict
-	listed       []drift.ListedServer // the list as drift compares it
-	listedOf     *registry.View       // that listed was made from
+	mu            sync.Mutex
+	state         *registry.State
+	fleet         *control.State
+	driftChanged  chan struct{}        // closed at each change of a verdict
+	driftList     []drift.ListedServer // the list as drift compares it
+	driftListView *registry.View       // that listed was made from
 
 	list     atomic.Pointer[publishedList]
 	intent   atomic.Pointer[control.View]
-	watchers *watchers // of the intent
+	watchers *watcherSet // of the intent
 }
 
 // publishedList is the list for readers, and the channel that is closed at its next change.
@@ -38,53 +38,53 @@
 }
 
 func newFSM(keep int) *fsm {
-	f := &fsm{state: registry.New(keep), fleet: control.New(), driftChanged: make(chan struct{}), watchers: newWatchers()}
+	f := &fsm{state: registry.New(keep), fleet: control.New(), driftChanged: make(chan struct{}), watchers: newWatcherSet()}
 	f.list.Store(&publishedList{view: f.state.View(), changed: make(chan struct{})})
 	f.intent.Store(f.fleet.View())
 	return f
 }
 
-type applied struct {
-	changed bool
-	rev     uint64 // that a change of the fleet took
-	err     error
+type applyResult struct {
+	changed  bool
+	revision uint64 // that a change of the fleet took
+	err      error
 }
 
 func (f *fsm) Apply(l *raft.Log) any {
 	var c registry.Command
 	if err := json.Unmarshal(l.Data, &c); err != nil {
-		return applied{err: fmt.Errorf("log entry %d: %w", l.Index, err)}
+		return applyResult{err: fmt.Errorf("log entry %d: %w", l.Index, err)}
 	}
-	if c.Op == registry.Fleet {
+	if c.Op == registry.FleetCommand {
 		return f.applyFleet(c.Fleet)
 	}
 	return f.applyList(c)
 }
 
-func (f *fsm) applyList(c registry.Command) applied {
+func (f *fsm) applyList(c registry.Command) applyResult {
 	f.mu.Lock()
 	changed, err := f.state.Apply(c)
 	view := f.state.View()
 	f.mu.Unlock()
 	f.publishList(view, changed)
-	return applied{changed: changed, err: err}
+	return applyResult{changed: changed, err: err}
 }
 
-func (f *fsm) applyFleet(raw json.RawMessage) applied {
+func (f *fsm) applyFleet(raw json.RawMessage) applyResult {
 	var c control.Command
 	if err := json.Unmarshal(raw, &c); err != nil {
-		return applied{err: fmt.Errorf("fleet command: %w", err)}
+		return applyResult{err: fmt.Errorf("fleet command: %w", err)}
 	}
 	f.mu.Lock()
-	ch, err := f.fleet.Apply(c, f.state.Bump)
+	ch, err := f.fleet.Apply(c, f.state.NextRevision)
 	view := f.fleet.View()
 	if ch.Drift {
-		renew(&f.driftChanged)
+		renewChannel(&f.driftChanged)
 	}
 	f.mu.Unlock()
 	f.intent.Store(view)
 	f.watchers.wake(ch.Scopes)
-	return applied{changed: ch.Revision != 0, rev: ch.Revision, err: err}
+	return applyResult{changed: ch.Revision != 0, revision: ch.Revision, err: err}
 }
 
 // publishList puts a view before the list's readers, and wakes its watchers where it has changed for them; compaction alone
@@ -109,13 +109,13 @@
 	if view.Len() == 0 && view.Floor == 0 {
 		return nil
 	}
-	if f.listedOf != view {
-		f.listed, f.listedOf = listed(view), view
+	if f.driftListView != view {
+		f.driftList, f.driftListView = newDriftList(view), view
 	}
-	return f.listed
+	return f.driftList
 }
 
-func listed(view *registry.View) []drift.ListedServer {
+func newDriftList(view *registry.View) []drift.ListedServer {
 	out := make([]drift.ListedServer, 0, view.Len())
 	for e, rev := range view.Each() {
 		out = append(out, drift.ListedServer{ID: e.ID, Revision: rev, Removed: e.State == "gone",
@@ -124,8 +124,8 @@
 	return out
 }
 
-// renew closes a channel that watchers wait on and puts a new one in its place.
-func renew(c *chan struct{}) {
+// renewChannel closes a channel that watchers wait on and puts a new one in its place.
+func renewChannel(c *chan struct{}) {
 	close(*c)
 	*c = make(chan struct{})
 }
@@ -146,7 +146,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var fleet json.RawMessage
-	if !f.fleet.Empty() {
+	if !f.fleet.IsEmpty() {
 		raw, err := f.fleet.Snapshot()
 		if err != nil {
 			return nil, err
@@ -178,7 +178,7 @@
 		}
 	}
 	f.state, f.fleet = list, fleet
-	renew(&f.driftChanged)
+	renewChannel(&f.driftChanged)
 	f.publishList(list.View(), true)
 	f.intent.Store(fleet.View())
 	f.watchers.wakeAll()
--- a/internal/registry/replica/golden_test.go
+++ b/internal/registry/replica/golden_test.go
@@ -16,7 +16,7 @@
 // Bodies of the HTTP API.
 func TestBodiesOnTheWire(t *testing.T) {
 	golden.JSON[writeBody](t, "write")
-	golden.JSON[zoneView](t, "zone")
+	golden.JSON[zoneStatus](t, "zone")
 }
 
 var describedMetric = regexp.MustCompile(`fqName: "([^"]*)".*constLabels: \{(.*)\}, variableLabels: \{(.*)\}`)
--- a/internal/registry/replica/intent.go
+++ b/internal/registry/replica/intent.go
@@ -15,19 +15,19 @@
 
 // intentWatch is the query of GET /fleet/v1/intent: a watch, and the scope that it hears.
 type intentWatch struct {
-	registry.Watch
+	registry.WatchQuery
 	node     string   // whose share; "": every node's
 	services []string // sorted; none: every service
 }
 
 // parseIntentWatch reads ?since=R&timeout_ms=T&node=N&service=S, the last as often as the node serves services.
 func parseIntentWatch(q url.Values) (intentWatch, error) {
-	watch, err := registry.ParseWatch(q)
+	watch, err := registry.ParseWatchQuery(q)
 	if err != nil {
 		return intentWatch{}, err
 	}
 	services := slices.Sorted(slices.Values(q["service"]))
-	return intentWatch{Watch: watch, node: q.Get("node"), services: services}, fleet.ValidScope(services)
+	return intentWatch{WatchQuery: watch, node: q.Get("node"), services: services}, fleet.ValidScope(services)
 }
 
 // intent answers a watch of the intent, from any replica that has heard from a leader within the bound. X-Waited-Ms says how
@@ -39,27 +39,27 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	view := l.rep.fsm.awaitIntent(r.Context(), watch)
+	view := l.replica.fsm.awaitIntent(r.Context(), watch)
 	waited := time.Since(start)
-	if l.stale(w) {
+	if l.rejectStale(w) {
 		return
 	}
 	w.Header().Set("X-Waited-Ms", strconv.FormatInt(waited.Milliseconds(), 10))
-	show(w, view.Read(watch.Since, watch.node, watch.services...))
+	writeJSON(w, view.Read(watch.Since, watch.node, watch.services...))
 }
 
 // awaitIntent waits until something has changed in the watch's scope, its time is over or ctx ends, and gives the intent as it is
 // then. It takes no lock of the state machine.
 func (f *fsm) awaitIntent(ctx context.Context, watch intentWatch) *control.View {
-	ctx, end := context.WithTimeout(ctx, watch.Wait)
+	ctx, end := context.WithTimeout(ctx, watch.Timeout)
 	defer end()
-	for watch.Watching && !f.hasChanges(watch) && ctx.Err() == nil {
+	for watch.IsWatch && !f.hasChanges(watch) && ctx.Err() == nil {
 		f.awaitScopes(ctx, watch)
 	}
 	return f.intent.Load()
 }
 
-// hasChanges says whether the published intent has anything for a watch.
+// hasChanges reports whether the published intent has anything for a watch.
 func (f *fsm) hasChanges(watch intentWatch) bool {
 	return f.intent.Load().HasChanges(watch.Since, watch.node, watch.services...)
 }
--- a/internal/registry/replica/list.go
+++ b/internal/registry/replica/list.go
@@ -14,10 +14,10 @@
 	"meadowsill/internal/registry"
 )
 
-// fresh says how long since this replica heard from a leader, and whether that is within the bound and the
+// staleness says how long since this replica heard from a leader, and whether that is within the bound and the
 // replica has caught up with its own log.
-func (rep *Replica) fresh() (time.Duration, bool) {
-	if rep.raft.AppliedIndex() < rep.startLast {
+func (rep *Replica) staleness() (time.Duration, bool) {
+	if rep.raft.AppliedIndex() < rep.startIndex {
 		return time.Since(rep.raft.LastContact()), false // still replaying what it had before a restart
 	}
 	if rep.raft.State() == raft.Leader {
@@ -32,7 +32,7 @@
 
 func (rep *Replica) read(w http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
-	watch, err := registry.ParseWatch(q)
+	watch, err := registry.ParseWatchQuery(q)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
@@ -50,21 +50,21 @@
 			http.Error(w, "not confirmed: "+err.Error(), http.StatusServiceUnavailable)
 			return
 		}
-		watch = registry.Watch{}
+		watch = registry.WatchQuery{}
 	}
 	list := rep.fsm.list.Load()
-	if watch.Watching && watch.Since >= list.view.Version && watch.Wait > 0 {
-		registry.Await(r.Context(), list.changed, watch.Wait)
+	if watch.IsWatch && watch.Since >= list.view.Version && watch.Timeout > 0 {
+		registry.Await(r.Context(), list.changed, watch.Timeout)
 		list = rep.fsm.list.Load()
 	}
-	age, ok := rep.fresh()
+	age, ok := rep.staleness()
 	w.Header().Set("X-Last-Contact-Ms", strconv.FormatInt(age.Milliseconds(), 10))
 	if !ok {
 		http.Error(w, "stale: no leader heard from within the bound", http.StatusServiceUnavailable)
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
-	json.NewEncoder(w).Encode(list.view.Read(watch.Since, watch.Watching))
+	json.NewEncoder(w).Encode(list.view.Read(watch.Since, watch.IsWatch))
 }
 
 type writeBody struct {
@@ -108,7 +108,7 @@
 		return
 	}
 	rep.fsm.mu.Lock()
-	rev := rep.fsm.state.Rev
+	rev := rep.fsm.state.Revision
 	rep.fsm.mu.Unlock()
 	w.Header().Set("Content-Type", "application/json")
 	fmt.Fprintf(w, `{"committed":true,"revision":%d}`+"\n", rev)
@@ -146,9 +146,9 @@
 func (rep *Replica) status(w http.ResponseWriter, _ *http.Request) {
 	_, leader := rep.raft.LeaderWithID()
 	rep.fsm.mu.Lock()
-	rev := rep.fsm.state.Rev
+	rev := rep.fsm.state.Revision
 	rep.fsm.mu.Unlock()
-	age, _ := rep.fresh()
+	age, _ := rep.staleness()
 	w.Header().Set("Content-Type", "application/json")
 	json.NewEncoder(w).Encode(map[string]any{"id": rep.cfg.Self.ID, "state": rep.raft.State().String(), "leader": string(leader),
 		"revision": rev, "applied_index": rep.raft.AppliedIndex(), "last_contact_ms": age.Milliseconds()})
--- a/internal/registry/replica/peers.go
+++ b/internal/registry/replica/peers.go
@@ -25,18 +25,18 @@
 	return Peer{parts[0], parts[1], parts[2]}, nil
 }
 
-type routed map[raft.ServerID]raft.ServerAddress
+type peerAddresses map[raft.ServerID]raft.ServerAddress
 
-func (r routed) ServerAddr(id raft.ServerID) (raft.ServerAddress, error) {
+func (r peerAddresses) ServerAddr(id raft.ServerID) (raft.ServerAddress, error) {
 	if a, ok := r[id]; ok {
 		return a, nil
 	}
 	return "", fmt.Errorf("no replica %s", id)
 }
 
-// routes gives the address each peer is dialed at: its own, or its route.
-func routes(cfg Config) routed {
-	out := routed{}
+// newPeerAddresses returns the address each peer is dialed at: its own, or its route.
+func newPeerAddresses(cfg Config) peerAddresses {
+	out := peerAddresses{}
 	for _, p := range cfg.Peers {
 		out[raft.ServerID(p.ID)] = raft.ServerAddress(p.Raft)
 		if a, ok := cfg.Routes[p.ID]; ok {
--- a/internal/registry/replica/replica.go
+++ b/internal/registry/replica/replica.go
@@ -28,16 +28,16 @@
 
 // Config places a replica.
 type Config struct {
-	Self      Peer
-	Peers     []Peer // all replicas, itself among them
-	Dir       string // raft's log, stable store and snapshots
-	Staleness time.Duration
-	KeepRevs  int               // gone entries kept for this many revisions before compaction
-	SnapAfter uint64            // entries of raft's log after which a snapshot is due; 0: 2048
-	SnapEvery time.Duration     // how often, up to twice that, it is looked whether one is; 0: 5 s
-	Routes    map[string]string // by peer id, an address to dial it at other than its raft address (a relay)
-	Log       *slog.Logger
-	Fleet     *control.Settings // nil: no fleet, and its paths answer 404
+	Self             Peer
+	Peers            []Peer // all replicas, itself among them
+	Dir              string // raft's log, stable store and snapshots
+	Staleness        time.Duration
+	KeepRevisions    int               // removed entries kept for this many revisions before compaction
+	SnapshotAfter    uint64            // entries of raft's log after which a snapshot is due; 0: 2048
+	SnapshotInterval time.Duration     // how often, up to twice that, it is looked whether one is; 0: 5 s
+	Routes           map[string]string // by peer id, an address to dial it at other than its raft address (a relay)
+	Log              *slog.Logger
+	Fleet            *control.Settings // nil: no fleet, and its paths answer 404
 }
 
 // Replica is one running discovery replica.
@@ -50,7 +50,7 @@
 	done  chan struct{}
 	// startLast is the last log index this process found in its store: until it has applied that far, its list
 	// may be older than what it had acknowledged, and it answers no reads.
-	startLast uint64
+	startIndex uint64
 }
 
 // Start opens the replica's stores, joins raft (bootstrapping the cluster from Peers where the store is new)
@@ -64,12 +64,14 @@
 	rc.LocalID = raft.ServerID(cfg.Self.ID)
 	rc.HeartbeatTimeout, rc.ElectionTimeout = 500*time.Millisecond, 500*time.Millisecond
 	rc.LeaderLeaseTimeout, rc.CommitTimeout = 250*time.Millisecond, 10*time.Millisecond
-	rc.SnapshotThreshold, rc.SnapshotInterval, rc.TrailingLogs = 2048, 5*time.Second, 4096
-	if cfg.SnapAfter > 0 {
-		rc.SnapshotThreshold, rc.TrailingLogs = cfg.SnapAfter, 2*cfg.SnapAfter
+	rc.SnapshotThreshold = 2048
+	rc.SnapshotInterval = 5 * time.Second
+	rc.TrailingLogs = 4096
+	if cfg.SnapshotAfter > 0 {
+		rc.SnapshotThreshold, rc.TrailingLogs = cfg.SnapshotAfter, 2*cfg.SnapshotAfter
 	}
-	if cfg.SnapEvery > 0 {
-		rc.SnapshotInterval = cfg.SnapEvery
+	if cfg.SnapshotInterval > 0 {
+		rc.SnapshotInterval = cfg.SnapshotInterval
 	}
 	rc.Logger = logFile
 	store, err := raftboltdb.NewBoltStore(filepath.Join(cfg.Dir, "raft.db"))
@@ -87,12 +89,12 @@
 		return nil, err
 	}
 	transport, err := raft.NewTCPTransportWithConfig(cfg.Self.Raft, addr, &raft.NetworkTransportConfig{MaxPool: 8,
-		Timeout: 2 * time.Second, Logger: logFile, ServerAddressProvider: routes(cfg)})
+		Timeout: 2 * time.Second, Logger: logFile, ServerAddressProvider: newPeerAddresses(cfg)})
 	if err != nil {
 		store.Close()
 		return nil, fmt.Errorf("raft transport: %w", err)
 	}
-	f := newFSM(cfg.KeepRevs)
+	f := newFSM(cfg.KeepRevisions)
 	existing, err := raft.HasExistingState(store, store, snaps)
 	if err != nil {
 		store.Close()
@@ -114,7 +116,7 @@
 			return nil, fmt.Errorf("bootstrap: %w", err)
 		}
 	}
-	rep := &Replica{cfg: cfg, fsm: f, raft: r, store: store, done: make(chan struct{}), startLast: r.LastIndex()}
+	rep := &Replica{cfg: cfg, fsm: f, raft: r, store: store, done: make(chan struct{}), startIndex: r.LastIndex()}
 	ln, err := net.Listen("tcp", cfg.Self.HTTP)
 	if err != nil {
 		rep.Close()
@@ -167,11 +169,11 @@
 	}
 }
 
-func (rep *Replica) propose(c registry.Command) (applied, error) {
+func (rep *Replica) propose(c registry.Command) (applyResult, error) {
 	raw, _ := json.Marshal(c)
 	fut := rep.raft.Apply(raw, 5*time.Second)
 	if err := fut.Error(); err != nil {
-		return applied{}, err
+		return applyResult{}, err
 	}
-	return fut.Response().(applied), nil
+	return fut.Response().(applyResult), nil
 }
--- a/internal/registry/replica/replica_test.go
+++ b/internal/registry/replica/replica_test.go
@@ -36,23 +36,23 @@
 		}
 	}
 	raw, _ := json.Marshal(registry.Command{Op: registry.Register, Entry: registry.Entry{ID: "s", Addr: "127.0.0.1:1"}, TTLMS: 1000, NowMS: 1})
-	if a := f.Apply(&raft.Log{Data: raw}).(applied); !a.changed || !woken(list) || woken(intent) {
+	if a := f.Apply(&raft.Log{Data: raw}).(applyResult); !a.changed || !woken(list) || woken(intent) {
 		t.Fatalf("a registration: %+v", a)
 	}
 	list = f.list.Load().changed
 	m := fleet.Member{Node: "n", Zone: "z", Incarnation: 1}
-	join := control.Command{Session: &session.Command{Op: session.Join, Member: m}, ScopeDigest: f.fleet.ScopeDigest("n", nil)}
-	if a := f.Apply(log(join)).(applied); a.rev != 2 || woken(list) || woken(intent) {
+	join := control.Command{Session: &session.Command{Operation: session.Join, Member: m}, ScopeDigest: f.fleet.ScopeDigest("n", nil)}
+	if a := f.Apply(log(join)).(applyResult); a.revision != 2 || woken(list) || woken(intent) {
 		t.Fatalf("a join: %+v", a)
 	}
-	put := control.Command{Tenants: &tenants.Command{Op: tenants.Put, Name: "b", Spec: &fleet.Spec{Name: "b", Quota: fleet.Quota{Rate: 1, Burst: 1}}}}
-	if a := f.Apply(log(put)).(applied); a.rev != 3 || woken(list) || !woken(intent) {
+	put := control.Command{Tenants: &tenants.Command{Operation: tenants.Put, Name: "b", Spec: &fleet.Spec{Name: "b", Quota: fleet.Quota{Rate: 1, Burst: 1}}}}
+	if a := f.Apply(log(put)).(applyResult); a.revision != 3 || woken(list) || !woken(intent) {
 		t.Fatalf("a tenant: %+v", a)
 	}
-	if a := f.Apply(log(put)).(applied); !errors.Is(a.err, fleet.ErrConflict) || a.changed || f.state.Rev != 3 {
+	if a := f.Apply(log(put)).(applyResult); !errors.Is(a.err, fleet.ErrConflict) || a.changed || f.state.Revision != 3 {
 		t.Fatalf("a tenant again: %+v", a)
 	}
-	if a := f.Apply(&raft.Log{Data: []byte(`{"op":"fleet","now_ms":0,"fleet":{"tenants":3}}`)}).(applied); a.err == nil || f.state.Rev != 3 {
+	if a := f.Apply(&raft.Log{Data: []byte(`{"op":"fleet","now_ms":0,"fleet":{"tenants":3}}`)}).(applyResult); a.err == nil || f.state.Revision != 3 {
 		t.Fatalf("a garbled command: %+v", a)
 	}
 	if a := f.state.Read(1, true); a.Version != 1 || a.Full || len(a.Servers) != 0 {
@@ -66,23 +66,23 @@
 	if err := g.Restore(io.NopCloser(bytes.NewReader(snap.(snapshot)))); err != nil {
 		t.Fatal(err)
 	}
-	if d := cmp.Diff(f.fleet.Read(0, ""), g.fleet.Read(0, "")); d != "" || g.state.Rev != 3 || !g.fleet.Session.Present(m) {
-		t.Errorf("restored at revision %d: %s", g.state.Rev, d)
+	if d := cmp.Diff(f.fleet.Read(0, ""), g.fleet.Read(0, "")); d != "" || g.state.Revision != 3 || !g.fleet.Session.Present(m) {
+		t.Errorf("restored at revision %d: %s", g.state.Revision, d)
 	}
-	if err := g.Restore(io.NopCloser(bytes.NewReader([]byte(`{"rev":9,"version":2,"fleet":{"zones":1}}`)))); err == nil || g.state.Rev != 3 {
-		t.Errorf("a broken snapshot: %v, revision %d", err, g.state.Rev)
+	if err := g.Restore(io.NopCloser(bytes.NewReader([]byte(`{"rev":9,"version":2,"fleet":{"zones":1}}`)))); err == nil || g.state.Revision != 3 {
+		t.Errorf("a broken snapshot: %v, revision %d", err, g.state.Revision)
 	}
 }
 
 // Every asker of a batch gets the outcome of a check that began after it asked, and many share one.
 func TestBatch(t *testing.T) {
 	var begun, checks atomic.Int64
-	b := batch{check: func() error { begun.Add(1); checks.Add(1); time.Sleep(time.Millisecond); return nil }}
+	b := batchedCheck{check: func() error { begun.Add(1); checks.Add(1); time.Sleep(time.Millisecond); return nil }}
 	var all sync.WaitGroup
 	for range 200 {
 		all.Go(func() {
 			before := begun.Load()
-			if err := b.ask(); err != nil || begun.Load() <= before {
+			if err := b.wait(); err != nil || begun.Load() <= before {
 				t.Errorf("%v: the check began before it was asked for", err)
 			}
 		})
--- a/internal/registry/replica/watchers.go
+++ b/internal/registry/replica/watchers.go
@@ -6,9 +6,9 @@
 	"meadowsill/internal/registry/index"
 )
 
-// watchers are the calls that wait for a change of the intent, by the scopes that they hear. A change costs those that it
+// watcherSet are the calls that wait for a change of the intent, by the scopes that they hear. A change costs those that it
 // wakes and no others. It is safe for concurrent use.
-type watchers struct {
+type watcherSet struct {
 	mu      sync.Mutex
 	byScope map[index.Scope]map[*watcher]struct{}
 	wakeups int // watchers woken so far
@@ -20,12 +20,12 @@
 	woken  chan struct{}
 }
 
-func newWatchers() *watchers {
-	return &watchers{byScope: map[index.Scope]map[*watcher]struct{}{}}
+func newWatcherSet() *watcherSet {
+	return &watcherSet{byScope: map[index.Scope]map[*watcher]struct{}{}}
 }
 
 // add begins a wait. The caller removes the watcher after it.
-func (w *watchers) add(scopes []index.Scope) *watcher {
+func (w *watcherSet) add(scopes []index.Scope) *watcher {
 	added := &watcher{scopes: scopes, woken: make(chan struct{})}
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -39,14 +39,14 @@
 }
 
 // remove ends a wait, whether or not the watcher was woken.
-func (w *watchers) remove(ended *watcher) {
+func (w *watcherSet) remove(ended *watcher) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.detach(ended)
 }
 
 // wake wakes the watchers that hear one of scopes, each once.
-func (w *watchers) wake(scopes []index.Scope) {
+func (w *watcherSet) wake(scopes []index.Scope) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, scope := range scopes {
@@ -55,7 +55,7 @@
 }
 
 // wakeAll wakes every watcher.
-func (w *watchers) wakeAll() {
+func (w *watcherSet) wakeAll() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for scope := range w.byScope {
@@ -63,7 +63,7 @@
 	}
 }
 
-func (w *watchers) wakeScope(scope index.Scope) {
+func (w *watcherSet) wakeScope(scope index.Scope) {
 	for woken := range w.byScope[scope] {
 		w.detach(woken)
 		close(woken.woken)
@@ -72,7 +72,7 @@
 }
 
 // detach takes a watcher out of all its scopes. The caller holds mu.
-func (w *watchers) detach(x *watcher) {
+func (w *watcherSet) detach(x *watcher) {
 	for _, scope := range x.scopes {
 		delete(w.byScope[scope], x)
 		if len(w.byScope[scope]) == 0 {
--- a/internal/registry/replica/watchers_test.go
+++ b/internal/registry/replica/watchers_test.go
@@ -27,10 +27,10 @@
 const longWait = time.Minute
 
 // putTenantOf applies the first generation of a tenant of a service.
-func putTenantOf(t *testing.T, f *fsm, name, service string) applied {
+func putTenantOf(t *testing.T, f *fsm, name, service string) applyResult {
 	t.Helper()
 	spec := &fleet.Spec{Name: name, Service: service, Quota: fleet.Quota{Rate: 1, Burst: 1}}
-	a := f.Apply(log(control.Command{Tenants: &tenants.Command{Op: tenants.Put, Name: name, Spec: spec}})).(applied)
+	a := f.Apply(log(control.Command{Tenants: &tenants.Command{Operation: tenants.Put, Name: name, Spec: spec}})).(applyResult)
 	if a.err != nil || !a.changed {
 		t.Fatalf("%s of %q: %+v", name, service, a)
 	}
@@ -38,11 +38,11 @@
 }
 
 // shareTo applies a division that gives a node a share.
-func shareTo(t *testing.T, f *fsm, node string) applied {
+func shareTo(t *testing.T, f *fsm, node string) applyResult {
 	t.Helper()
 	s := f.fleet
 	d := &tenants.Division{Slots: 8, Grants: []tenants.Grant{{Run: tenants.Run{Node: node, Incarnation: 1}}}}
-	a := f.Apply(log(control.Command{Tenants: &tenants.Command{Op: tenants.Divide, IfRevision: s.Tenants.DividedRevision, Epoch: s.Session.Epoch, Division: d}})).(applied)
+	a := f.Apply(log(control.Command{Tenants: &tenants.Command{Operation: tenants.Divide, IfRevision: s.Tenants.DividedRevision, Epoch: s.Session.Epoch, Division: d}})).(applyResult)
 	if a.err != nil || !a.changed {
 		t.Fatalf("a share to %s: %+v", node, a)
 	}
@@ -71,8 +71,9 @@
 	}
 	total := 0
 	for _, c := range []struct {
-		name, want string
-		change     func()
+		name   string
+		want   string
+		change func()
 	}{
 		{"a tenant of x", "n1 n3 n4", func() { putTenantOf(t, f, "a", "x") }},
 		{"a tenant of y", "n2 n3 n4", func() { putTenantOf(t, f, "b", "y") }},
@@ -103,14 +104,14 @@
 
 // scopedWatch is a watch of one service.
 func scopedWatch(since uint64, wait time.Duration, service string) intentWatch {
-	return intentWatch{Watch: registry.Watch{Watching: true, Since: since, Wait: wait}, node: "n", services: []string{service}}
+	return intentWatch{WatchQuery: registry.WatchQuery{IsWatch: true, Since: since, Timeout: wait}, node: "n", services: []string{service}}
 }
 
 // A watcher in whose scope nothing changes is answered at its wait's end, with nothing and the newest revision; one in whose
 // scope something has changed is answered at once.
 func TestAwaitIntentByScope(t *testing.T) {
 	f := newFSM(10)
-	since := putTenantOf(t, f, "a", "x").rev
+	since := putTenantOf(t, f, "a", "x").revision
 	ended, end := context.WithCancel(t.Context())
 	var got *control.View
 	done := make(chan struct{})
@@ -126,7 +127,7 @@
 	for watched() == 0 {
 		time.Sleep(time.Millisecond)
 	}
-	newest := putTenantOf(t, f, "b", "y").rev
+	newest := putTenantOf(t, f, "b", "y").revision
 	if f.watchers.wakeups != 0 {
 		t.Errorf("%d wake-ups by a change outside of the scope", f.watchers.wakeups)
 	}
@@ -220,7 +221,7 @@
 	}
 }
 
-// Compaction alone wakes no watcher of the list; a watch from before it gets the whole list.
+// Compaction alone wakes no watcher of the list; a watch from before it gets the complete list.
 func TestCompactionWakesNobody(t *testing.T) {
 	f := newFSM(1)
 	apply := func(c registry.Command) {
@@ -243,13 +244,13 @@
 	}
 }
 
-// A scope that can't be is refused with one line that names what is wrong.
-func TestBadScopeIsRefused(t *testing.T) {
+// A scope that can't be is rejected with one line that names what is wrong.
+func TestBadScopeIsRejected(t *testing.T) {
 	many := make([]string, fleet.MaxScopeServices+1)
 	for i := range many {
 		many[i] = fmt.Sprintf("s%04d", i)
 	}
-	l := &leadership{rep: &Replica{fsm: newFSM(10)}}
+	l := &leadership{replica: &Replica{fsm: newFSM(10)}}
 	for _, c := range []struct {
 		services []string
 		want     string
--- a/internal/registry/scan_test.go
+++ b/internal/registry/scan_test.go
@@ -78,7 +78,7 @@
 	}
 	r := s.Records[e.ID]
 	asked := e.StartedMS
-	if r != nil && r.Asked == asked {
+	if r != nil && r.RequestedStartMS == asked {
 		e.StartedMS = r.Entry.StartedMS
 	}
 	e.StartedMS = min(e.StartedMS, c.NowMS)
@@ -87,13 +87,13 @@
 		return false, nil
 	}
 	s.Rev++
-	s.Records[e.ID] = &record{Entry: e, ExpiresMS: c.NowMS + ttl, Rev: s.Rev, Asked: asked}
+	s.Records[e.ID] = &record{Entry: e, ExpiresMS: c.NowMS + ttl, Revision: s.Rev, RequestedStartMS: asked}
 	return true, nil
 }
 
 func (s *scanned) change(r *record, state string) {
 	s.Rev++
-	r.Entry.State, r.Rev = state, s.Rev
+	r.Entry.State, r.Revision = state, s.Rev
 	if state == "gone" {
 		r.ExpiresMS = 0
 	}
@@ -101,9 +101,9 @@
 
 func (s *scanned) compact() {
 	for id, r := range s.Records {
-		if r.ExpiresMS == 0 && r.Rev+uint64(s.keep) <= s.Rev {
+		if r.ExpiresMS == 0 && r.Revision+uint64(s.keep) <= s.Rev {
 			delete(s.Records, id)
-			s.Floor = max(s.Floor, r.Rev)
+			s.Floor = max(s.Floor, r.Revision)
 		}
 	}
 }
@@ -112,7 +112,7 @@
 	full := !watch || since < s.Floor || since > s.Last
 	a := Answer{Version: s.Last, Full: full, Servers: []Entry{}}
 	for _, r := range s.Records {
-		if full && r.Entry.State != "gone" || !full && r.Rev > since {
+		if full && r.Entry.State != "gone" || !full && r.Revision > since {
 			a.Servers = append(a.Servers, r.Entry)
 		}
 	}
@@ -159,7 +159,9 @@
 func TestListAgainstScan(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		keep := rapid.IntRange(1, 6).Draw(t, "keep")
-		s, want, now := New(keep), &scanned{Records: map[string]*record{}, keep: keep}, int64(1)
+		s := New(keep)
+		want := &scanned{Records: map[string]*record{}, keep: keep}
+		now := int64(1)
 		held, heldWant := s.View(), want.read(0, false)
 		t.Repeat(map[string]func(*rapid.T){
 			"apply": func(t *rapid.T) {
@@ -171,7 +173,7 @@
 				}
 			},
 			"bump": func(t *rapid.T) {
-				s.Bump()
+				s.NextRevision()
 				want.Rev++
 			},
 			"hold": func(t *rapid.T) { held, heldWant = s.View(), want.read(0, false) },
--- a/internal/registry/versions_test.go
+++ b/internal/registry/versions_test.go
@@ -51,8 +51,8 @@
 	if d := cmp.Diff(s, r, cmpopts.IgnoreUnexported(State{})); d != "" {
 		t.Error(d)
 	}
-	if r.Bump() != 8 || r.Rev != 8 {
-		t.Fatalf("the fleet's revision is %d", r.Rev)
+	if r.NextRevision() != 8 || r.Revision != 8 {
+		t.Fatalf("the fleet's revision is %d", r.Revision)
 	}
 	raw, _ := r.Snapshot(json.RawMessage(`{"a":1}`))
 	with := New(1000)
@@ -68,7 +68,7 @@
 	if a := with.Read(7, true); a.Version != 9 || a.Full || len(a.Servers) != 1 {
 		t.Errorf("the list's next change: %+v", a)
 	}
-	if _, err := with.Restore([]byte(`{"rev":1,"version":3}`)); err == nil || with.Rev != 9 {
-		t.Errorf("a newer snapshot: %v, revision %d", err, with.Rev)
+	if _, err := with.Restore([]byte(`{"rev":1,"version":3}`)); err == nil || with.Revision != 9 {
+		t.Errorf("a newer snapshot: %v, revision %d", err, with.Revision)
 	}
 }
--- a/internal/registry/view.go
+++ b/internal/registry/view.go
@@ -23,10 +23,10 @@
 	entries index.Snapshot[Entry]
 }
 
-// View gives the list as it is now. It is the same one until the list changes, and costs the same however long the list.
+// View returns the list as it is now. It is the same one until the list changes, and costs the same however long the list.
 func (s *State) View() *View {
 	if s.view == nil {
-		s.view = &View{Version: s.Last, Floor: s.Floor, entries: s.entries.Snapshot()}
+		s.view = &View{Version: s.ListRevision, Floor: s.Floor, entries: s.entries.Snapshot()}
 	}
 	return s.view
 }
@@ -34,12 +34,12 @@
 // Read answers from the list as it is now; see View.Read.
 func (s *State) Read(since uint64, watch bool) Answer { return s.View().Read(since, watch) }
 
-// Read answers a whole read (since 0, watch false) or a watch from since: the entries changed after it, or the
-// whole list where since is compacted away or newer than this list. Gone entries appear only among changes. A watch costs
+// Read answers a complete read (since 0, watch false) or a watch from since: the entries changed after it, or the
+// complete list where since is compacted away or newer than this list. Gone entries appear only among changes. A watch costs
 // what changed.
 func (v *View) Read(since uint64, watch bool) Answer {
 	if !watch || since < v.Floor || since > v.Version {
-		return v.whole()
+		return v.complete()
 	}
 	a := Answer{Version: v.Version, Servers: []Entry{}}
 	for e := range v.entries.Changed("", since) {
@@ -49,7 +49,7 @@
 	return a
 }
 
-func (v *View) whole() Answer {
+func (v *View) complete() Answer {
 	a := Answer{Version: v.Version, Full: true, Servers: make([]Entry, 0, v.entries.Len())}
 	for e := range v.entries.All("") {
 		if e.Value.State != "gone" {
@@ -59,10 +59,10 @@
 	return a
 }
 
-// Len is the number of entries known, gone ones among them.
+// Len is the number of entries known, removed ones among them.
 func (v *View) Len() int { return v.entries.Len() }
 
-// Each gives every entry that is known, gone ones too, by id, with the revision of its last change.
+// Each returns every entry that is known, removed ones too, by id, with the revision of its last change.
 func (v *View) Each() iter.Seq2[Entry, uint64] {
 	return func(yield func(Entry, uint64) bool) {
 		for e := range v.entries.All("") {
--- a/internal/scale/cores_test.go
+++ b/internal/scale/cores_test.go
@@ -61,7 +61,7 @@
 // put proposes a tenant's next generation.
 func (in *intended) put(t testing.TB, tenant int, at uint64) {
 	spec := in.load.spec(tenant, at+1)
-	in.apply(t, control.Command{Tenants: &tenants.Command{Op: tenants.Put, Name: spec.Name, Generation: at, Spec: &spec}})
+	in.apply(t, control.Command{Tenants: &tenants.Command{Operation: tenants.Put, Name: spec.Name, Generation: at, Spec: &spec}})
 }
 
 func (in *intended) apply(t testing.TB, c control.Command) {
@@ -114,19 +114,19 @@
 var coreCosts = []coreCost{
 	{"bytes of a watch's answer for one change, against servers", 0.1, func(t *testing.T, n int) float64 {
 		s := serversOf(t, n)
-		since := s.Last
+		since := s.ListRevision
 		register(t, s, n/2, 2)
 		return jsonBytes(t, s.Read(since, true))
 	}},
 	{"items of a watch's answer for one change, against servers", 0.1, func(t *testing.T, n int) float64 {
 		s := serversOf(t, n)
-		since := s.Last
+		since := s.ListRevision
 		register(t, s, n/2, 2)
 		return float64(len(s.Read(since, true).Servers))
 	}},
 	{"allocations of a watch's read for one change, against servers", 0.1, func(t *testing.T, n int) float64 {
 		s := serversOf(t, n)
-		since := s.Last
+		since := s.ListRevision
 		register(t, s, n/2, 2)
 		return allocations(func() { s.Read(since, true) })
 	}},
@@ -222,7 +222,7 @@
 func BenchmarkListRead(b *testing.B) {
 	benchmark(b, func(n int) func() {
 		s := serversOf(b, n)
-		since := s.Last
+		since := s.ListRevision
 		register(b, s, n/2, 2)
 		return func() { s.Read(since, true) }
 	})
--- a/internal/scale/hollow/intent.go
+++ b/internal/scale/hollow/intent.go
@@ -29,7 +29,7 @@
 			wait = mostCallPause
 		} else {
 			n.takeIntent(came, intent.CaughtUp)
-			if !n.mirror.News && came.Sub(asked) < intentPause {
+			if !n.mirror.Changed && came.Sub(asked) < intentPause {
 				wait = reportEvery
 			}
 		}
@@ -39,7 +39,7 @@
 
 func (n *node) askIntent(ctx context.Context) (fleet.Intent, error) {
 	wait := intentWait
-	if !n.mirror.Known {
+	if !n.mirror.Answered {
 		wait = 0
 	}
 	ctx, cancel := context.WithTimeout(ctx, wait+callSlack)
@@ -62,9 +62,9 @@
 			n.takeTenant(tenant)
 		}
 	}
-	n.revision, n.held, n.items = n.mirror.Revision, n.mirror.Held > 0, len(n.mirror.Items)
+	n.revision, n.held, n.items = n.mirror.Revision, n.mirror.LeaseLeft > 0, len(n.mirror.Items)
 	n.fleet.sawRevision(n.revision)
-	if n.mirror.News {
+	if n.mirror.Changed {
 		n.facts = nil
 	}
 	if whole {
--- a/internal/scale/hollow/node.go
+++ b/internal/scale/hollow/node.go
@@ -58,9 +58,9 @@
 
 	mu       sync.Mutex
 	module   *module
-	mirror   *agentclient.Mirror // changed by the intent loop alone
-	revision uint64              // that the module has whole
-	items    int                 // of the mirror
+	mirror   *agentclient.IntentMirror // changed by the intent loop alone
+	revision uint64                    // that the module has whole
+	items    int                       // of the mirror
 	synced   bool
 	held     bool // the newest answer said that the session is held
 	out      bool // the newest answer to a report said so
@@ -85,7 +85,7 @@
 		metrics: prometheus.NewRegistry(), connections: state.sockets.connections(), ready: map[policy.ServerID]bool{}, serving: map[string]served{}}
 	n.log = log.With("node", n.member.Node, "incarnation", n.member.Incarnation)
 	n.module = newModule(cfg, number, n.member.Incarnation)
-	n.mirror = agentclient.NewMirror(n.member)
+	n.mirror = agentclient.NewIntentMirror(n.member)
 	if err := n.startAgent(ctx, log); err != nil {
 		n.kill()
 		return nil, err
@@ -188,7 +188,7 @@
 
 // observe reads what a report is made of. What the module holds changes only by news of the intent and of the list: it is read,
 // and digested, after these alone, where a real node does both for each report.
-func (n *node) observe() *agentclient.Observed {
+func (n *node) observe() *agentclient.Observation {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if time.Since(n.began) >= catchUp {
@@ -198,14 +198,14 @@
 	window := n.module.Window(now)
 	window.Start = max(window.Start, n.module.base)
 	if n.facts == nil {
-		n.facts = agentclient.Hold(n.module.Applied(), n.began)
+		n.facts = agentclient.AppliedItems(n.module.Applied(), n.began)
 	}
-	return &agentclient.Observed{Window: window, Held: n.facts, Now: now, Revision: n.revision, List: n.version,
-		Ready: len(n.ready) > 0, Synced: n.synced, Settled: n.began}
+	return &agentclient.Observation{Window: window, Applied: n.facts, Now: now, Revision: n.revision, ListVersion: n.version,
+		Ready: len(n.ready) > 0, Synced: n.synced, SettingsSince: n.began}
 }
 
 // report posts a report. One that leaves is the last.
-func (n *node) report(ctx context.Context, observed *agentclient.Observed, want []string, leaving bool) (answer fleet.ReportAnswer, err error) {
+func (n *node) report(ctx context.Context, observed *agentclient.Observation, want []string, leaving bool) (answer fleet.ReportAnswer, err error) {
 	ctx, cancel := context.WithTimeout(ctx, reportWait)
 	defer cancel()
 	n.sequence++
--- a/internal/wire/encode.go
+++ b/internal/wire/encode.go
@@ -10,7 +10,7 @@
 
 // Reply holds the actions of one instance.
 type Reply struct {
-	Node    int
+	NodeID  int
 	Actions []policy.Action
 }
 
@@ -27,7 +27,7 @@
 		}
 		first = false
 		b = append(b, `{"node_id":`...)
-		b = strconv.AppendInt(b, int64(r.Node), 10)
+		b = strconv.AppendInt(b, int64(r.NodeID), 10)
 		b = append(b, `,"actions":[`...)
 		for i, a := range r.Actions {
 			if i > 0 {
--- a/internal/wire/list.go
+++ b/internal/wire/endpoints.go
@@ -8,8 +8,8 @@
 	"meadowsill/policy"
 )
 
-// entry is one server of a list.
-type entry struct {
+// serverEntry is one server of a list.
+type serverEntry struct {
 	Backend *uint32 `json:"backend"`
 	Zone    string  `json:"zone"`
 	Model   string  `json:"model"`
@@ -19,7 +19,7 @@
 	ReadyAt int64   `json:"ready_at_ns"`
 }
 
-var listKinds = map[string]policy.EndpointUpdateKind{
+var updateKinds = map[string]policy.EndpointUpdateKind{
 	"D": policy.EndpointsChanged, "F": policy.EndpointsComplete, "C": policy.EndpointsCached, "X": policy.EndpointsFailed,
 }
 
@@ -27,31 +27,31 @@
 	"ready": policy.Ready, "draining": policy.Draining, "gone": policy.Removed,
 }
 
-// decodeList reads the list of servers, or changes of it.
-func decodeList(raw json.RawMessage) (Happening, error) {
+// decodeEndpointUpdate reads the endpoint list, or changes of it.
+func decodeEndpointUpdate(raw json.RawMessage) (InstanceEvent, error) {
 	var e struct {
-		How     string  `json:"how"`
-		Version uint64  `json:"version"`
-		Items   []entry `json:"items"`
+		How     string        `json:"how"`
+		Version uint64        `json:"version"`
+		Items   []serverEntry `json:"items"`
 	}
 	if err := json.Unmarshal(raw, &e); err != nil {
-		return Happening{}, err
+		return InstanceEvent{}, err
 	}
-	kind, ok := listKinds[e.How]
+	kind, ok := updateKinds[e.How]
 	if !ok {
-		return Happening{}, fmt.Errorf("unknown how %q", e.How)
+		return InstanceEvent{}, fmt.Errorf("unknown how %q", e.How)
 	}
 	l := policy.EndpointUpdate{Kind: kind, Version: e.Version}
 	for i, it := range e.Items {
 		if it.Backend == nil {
-			return Happening{}, fmt.Errorf("entry %d: %w", i, missing("backend"))
+			return InstanceEvent{}, fmt.Errorf("entry %d: %w", i, missingFieldError("backend"))
 		}
 		state, ok := states[it.State]
 		if !ok {
-			return Happening{}, fmt.Errorf("entry %d: unknown state %q", i, it.State)
+			return InstanceEvent{}, fmt.Errorf("entry %d: unknown state %q", i, it.State)
 		}
 		l.Servers = append(l.Servers, policy.Server{ID: policy.ServerID(*it.Backend), Zone: it.Zone, Kind: it.Model,
 			Cell: it.Pod, State: state, Weight: it.Nominal, StartedAt: time.Duration(it.ReadyAt)})
 	}
-	return Happening{Event: l}, nil
+	return InstanceEvent{Event: l}, nil
 }
--- a/internal/wire/events.go
+++ b/internal/wire/events.go
@@ -2,44 +2,57 @@
 
 import (
 	"encoding/json"
-	"errors"
 	"time"
 
 	"meadowsill/policy"
 )
 
-// The bits of a submit's flags.
+// The names of events on the wire.
 const (
-	flagHint   = 1
-	flagRepeat = 2
-	flagWrite  = 4
+	eventArrival        = "submit"
+	eventAttemptEnd     = "attempt_end"
+	eventHealthCheckEnd = "probe_result"
+	eventStreamStart    = "streaming"
+	eventTimer          = "due"
+	eventAbandonment    = "abandoned"
+	eventMessage        = "note_from"
+	eventEndpointUpdate = "roster_change"
+	eventStart          = "up"
+	eventRetire         = "retire"
+)
+
+// The bits of an arrival's flags.
+const (
+	flagHasWorkHint = 1
+	flagIsRetry     = 2
+	flagIsWrite     = 4
 )
 
 // decodeEvent reads one event by its name on the wire.
-func decodeEvent(name string, raw json.RawMessage) (Happening, error) {
+func decodeEvent(name string, raw json.RawMessage) (InstanceEvent, error) {
 	switch name {
-	case "submit":
-		return decodeSubmit(raw)
-	case "attempt_end", "probe_result", "streaming":
+	case eventArrival:
+		return decodeArrival(raw)
+	case eventAttemptEnd, eventHealthCheckEnd, eventStreamStart:
 		return decodeOutcome(name, raw)
-	case "due":
-		return decodeDue(raw)
-	case "abandoned":
-		return decodeAbandoned(raw)
-	case "note_from":
+	case eventTimer:
+		return decodeTimer(raw)
+	case eventAbandonment:
+		return decodeAbandonment(raw)
+	case eventMessage:
 		return decodeMessage(raw)
-	case "roster_change":
-		return decodeList(raw)
-	case "up":
+	case eventEndpointUpdate:
+		return decodeEndpointUpdate(raw)
+	case eventStart:
 		return decodeStart(raw)
-	case "retire":
-		return Happening{Retire: true}, nil
+	case eventRetire:
+		return InstanceEvent{Retire: true}, nil
 	}
-	return Happening{}, errors.New("unknown event")
+	return InstanceEvent{}, errUnknownEvent
 }
 
-// decodeSubmit reads the arrival of a request.
-func decodeSubmit(raw json.RawMessage) (Happening, error) {
+// decodeArrival reads the arrival of a request.
+func decodeArrival(raw json.RawMessage) (InstanceEvent, error) {
 	var e struct {
 		Req      *string `json:"req"`
 		Band     string  `json:"band"`
@@ -50,59 +63,59 @@
 		Flags    int     `json:"flags"`
 	}
 	if err := json.Unmarshal(raw, &e); err != nil {
-		return Happening{}, err
+		return InstanceEvent{}, err
 	}
 	if e.Req == nil {
-		return Happening{}, missing("req")
+		return InstanceEvent{}, missingFieldError("req")
 	}
 	if e.Patience == nil {
-		return Happening{}, missing("patience_left_ns")
+		return InstanceEvent{}, missingFieldError("patience_left_ns")
 	}
 	tenant, _ := e.Group.(string)
-	return Happening{Event: policy.RequestArrived{ID: policy.RequestID(*e.Req), Class: e.Band, Tenant: tenant,
+	return InstanceEvent{Event: policy.RequestArrived{ID: policy.RequestID(*e.Req), Class: e.Band, Tenant: tenant,
 		Key: e.Key, Timeout: time.Duration(*e.Patience), WorkHint: time.Duration(e.Cost),
-		HasWorkHint: e.Flags&flagHint != 0, IsRetry: e.Flags&flagRepeat != 0, IsWrite: e.Flags&flagWrite != 0}}, nil
+		HasWorkHint: e.Flags&flagHasWorkHint != 0, IsRetry: e.Flags&flagIsRetry != 0, IsWrite: e.Flags&flagIsWrite != 0}}, nil
 }
 
-// decodeDue reads the end of a timer.
-func decodeDue(raw json.RawMessage) (Happening, error) {
+// decodeTimer reads the end of a timer.
+func decodeTimer(raw json.RawMessage) (InstanceEvent, error) {
 	var e struct {
 		Label *int64 `json:"label"`
 	}
 	if err := json.Unmarshal(raw, &e); err != nil {
-		return Happening{}, err
+		return InstanceEvent{}, err
 	}
 	if e.Label == nil {
-		return Happening{}, missing("label")
+		return InstanceEvent{}, missingFieldError("label")
 	}
-	return Happening{Event: policy.TimerFired{Token: *e.Label}}, nil
+	return InstanceEvent{Event: policy.TimerFired{Token: *e.Label}}, nil
 }
 
-// decodeAbandoned reads that a request's client has gone.
-func decodeAbandoned(raw json.RawMessage) (Happening, error) {
+// decodeAbandonment reads that a request's client has been removed.
+func decodeAbandonment(raw json.RawMessage) (InstanceEvent, error) {
 	var e struct {
 		Req *string `json:"req"`
 	}
 	if err := json.Unmarshal(raw, &e); err != nil {
-		return Happening{}, err
+		return InstanceEvent{}, err
 	}
 	if e.Req == nil {
-		return Happening{}, missing("req")
+		return InstanceEvent{}, missingFieldError("req")
 	}
-	return Happening{Event: policy.RequestAbandoned{ID: policy.RequestID(*e.Req)}}, nil
+	return InstanceEvent{Event: policy.RequestAbandoned{ID: policy.RequestID(*e.Req)}}, nil
 }
 
 // decodeMessage reads a message from another node.
-func decodeMessage(raw json.RawMessage) (Happening, error) {
+func decodeMessage(raw json.RawMessage) (InstanceEvent, error) {
 	var e struct {
 		From  *int   `json:"from"`
 		Bytes []byte `json:"bytes"`
 	}
 	if err := json.Unmarshal(raw, &e); err != nil {
-		return Happening{}, err
+		return InstanceEvent{}, err
 	}
 	if e.From == nil {
-		return Happening{}, missing("from")
+		return InstanceEvent{}, missingFieldError("from")
 	}
-	return Happening{Event: policy.MessageReceived{From: *e.From, Data: e.Bytes}}, nil
+	return InstanceEvent{Event: policy.MessageReceived{From: *e.From, Data: e.Bytes}}, nil
 }
--- a/internal/wire/outcomes.go
+++ b/internal/wire/outcomes.go
@@ -14,21 +14,21 @@
 	codeOK            = 0
 	codeCancelled     = 1
 	codeTimeout       = 4
-	codeFull          = 8
-	codeMoot          = 9
+	codeRejected      = 8
+	codeNotSent       = 9
 	codeReset         = 10
 	codeError         = 13
 	codeConnectFailed = 14
 )
 
 var outcomes = map[int]policy.OutcomeCode{
-	codeOK: policy.OK, codeCancelled: policy.Cancelled, codeTimeout: policy.TimedOut, codeFull: policy.Rejected,
-	codeMoot: policy.NotSent, codeReset: policy.Reset, codeError: policy.ServerError,
+	codeOK: policy.OK, codeCancelled: policy.Cancelled, codeTimeout: policy.TimedOut, codeRejected: policy.Rejected,
+	codeNotSent: policy.NotSent, codeReset: policy.Reset, codeError: policy.ServerError,
 	codeConnectFailed: policy.ConnectFailed,
 }
 
-// decodeOutcome reads what came of an attempt or a probe, or the beginning of a streamed answer.
-func decodeOutcome(name string, raw json.RawMessage) (Happening, error) {
+// decodeOutcome reads what came of an attempt or a health check, or the beginning of a streamed answer.
+func decodeOutcome(name string, raw json.RawMessage) (InstanceEvent, error) {
 	var e struct {
 		Req         *string                    `json:"req"`
 		Leg         *int                       `json:"leg"`
@@ -39,42 +39,42 @@
 		Feedback    map[string]json.RawMessage `json:"feedback"`
 	}
 	if err := json.Unmarshal(raw, &e); err != nil {
-		return Happening{}, err
+		return InstanceEvent{}, err
 	}
 	if e.Backend == nil {
-		return Happening{}, missing("backend")
+		return InstanceEvent{}, missingFieldError("backend")
 	}
 	server, took := policy.ServerID(*e.Backend), time.Duration(e.Delay)
 	var id policy.RequestID
-	if name != "probe_result" {
+	if name != eventHealthCheckEnd {
 		if e.Req == nil {
-			return Happening{}, missing("req")
+			return InstanceEvent{}, missingFieldError("req")
 		}
 		if e.Leg == nil {
-			return Happening{}, missing("leg")
+			return InstanceEvent{}, missingFieldError("leg")
 		}
 		id = policy.RequestID(*e.Req)
 	}
-	if name == "streaming" {
-		return Happening{Event: policy.StreamStarted{ID: id, Attempt: *e.Leg, Server: server, Elapsed: took}}, nil
+	if name == eventStreamStart {
+		return InstanceEvent{Event: policy.StreamStarted{ID: id, Attempt: *e.Leg, Server: server, Elapsed: took}}, nil
 	}
 	if e.Disposition == nil {
-		return Happening{}, missing("disposition")
+		return InstanceEvent{}, missingFieldError("disposition")
 	}
 	code, ok := outcomes[*e.Disposition]
 	if !ok {
-		return Happening{}, fmt.Errorf("unknown disposition %d", *e.Disposition)
+		return InstanceEvent{}, fmt.Errorf("unknown disposition %d", *e.Disposition)
 	}
-	report := decodeReport(e.Feedback)
-	if name == "probe_result" {
-		return Happening{Event: policy.HealthCheckEnded{Server: server, Code: code, Elapsed: took, Report: report}}, nil
+	report := decodeLoadReport(e.Feedback)
+	if name == eventHealthCheckEnd {
+		return InstanceEvent{Event: policy.HealthCheckEnded{Server: server, Code: code, Elapsed: took, Report: report}}, nil
 	}
-	return Happening{Event: policy.AttemptEnded{ID: id, Attempt: *e.Leg, Server: server, Answered: e.Over,
+	return InstanceEvent{Event: policy.AttemptEnded{ID: id, Attempt: *e.Leg, Server: server, Answered: e.Over,
 		Elapsed: took, Code: code, Report: report}}, nil
 }
 
-// decodeReport skips the keys it does not know; a report with no known key is none.
-func decodeReport(values map[string]json.RawMessage) *policy.LoadReport {
+// decodeLoadReport skips the keys it does not know; a report with no known key is none.
+func decodeLoadReport(values map[string]json.RawMessage) *policy.LoadReport {
 	var r policy.LoadReport
 	known := false
 	for name, raw := range values {
@@ -82,7 +82,7 @@
 		if err != nil {
 			continue
 		}
-		known = SetReport(&r, name, v) || known
+		known = SetLoadReportValue(&r, name, v) || known
 	}
 	if !known {
 		return nil
@@ -90,9 +90,9 @@
 	return &r
 }
 
-// SetReport puts one value of a load report in its place, by its name here or on sockets. It tells whether
+// SetLoadReportValue puts one value of a load report in its place, by its name here or on sockets. It reports whether
 // it knows the name.
-func SetReport(r *policy.LoadReport, name string, v float64) bool {
+func SetLoadReportValue(r *policy.LoadReport, name string, v float64) bool {
 	switch name {
 	case "active", "inflight":
 		r.InFlight, r.HasInFlight = v, true
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -10,15 +10,17 @@
 	"meadowsill/policy"
 )
 
-var effects = map[string]policy.Idempotency{"retryable": policy.Idempotent, "dedup": policy.IdempotentByKey, "fragile": policy.NonIdempotent}
+var idempotencies = map[string]policy.Idempotency{"retryable": policy.Idempotent, "dedup": policy.IdempotentByKey, "fragile": policy.NonIdempotent}
 
-var scopes = map[string]policy.KeyScope{"cell": policy.KeyScopeCell, "zone": policy.KeyScopeZone, "all": policy.KeyScopeAll}
+var keyScopes = map[string]policy.KeyScope{"cell": policy.KeyScopeCell, "zone": policy.KeyScopeZone, "all": policy.KeyScopeAll}
 
-var reportVias = map[string]policy.LoadReportSource{
+var loadReportSources = map[string]policy.LoadReportSource{
 	"none": policy.LoadReportsNone, "probe": policy.LoadReportsByHealthCheck, "answers": policy.LoadReportsByAnswer,
 }
 
-// profile is the settings object as it is written.
+// profile is the settings object as the settings page writes it. The fields of its
+// nested objects keep the names of their keys, since encoding/json prints them in
+// the errors that operators read.
 type profile struct {
 	Accounts []struct {
 		Name     string  `json:"name"`
@@ -107,33 +109,33 @@
 }
 
 // decodeStart reads the start of an instance.
-func decodeStart(raw json.RawMessage) (Happening, error) {
+func decodeStart(raw json.RawMessage) (InstanceEvent, error) {
 	var e struct {
 		Seed    *json.Number    `json:"seed"`
 		Profile json.RawMessage `json:"profile_data"`
 	}
 	if err := json.Unmarshal(raw, &e); err != nil {
-		return Happening{}, err
+		return InstanceEvent{}, err
 	}
 	if e.Seed == nil {
-		return Happening{}, missing("seed")
+		return InstanceEvent{}, missingFieldError("seed")
 	}
 	if e.Profile == nil {
-		return Happening{}, missing("profile_data")
+		return InstanceEvent{}, missingFieldError("profile_data")
 	}
 	seed, err := strconv.ParseUint(e.Seed.String(), 10, 64)
 	if err != nil {
 		f, ferr := e.Seed.Float64()
 		if ferr != nil {
-			return Happening{}, fmt.Errorf("seed: %w", err)
+			return InstanceEvent{}, fmt.Errorf("seed: %w", err)
 		}
 		seed = math.Float64bits(f)
 	}
 	s, err := DecodeSettings(e.Profile)
 	if err != nil {
-		return Happening{}, err
+		return InstanceEvent{}, err
 	}
-	return Happening{Start: &Start{Settings: s, Seed: int64(seed)}}, nil
+	return InstanceEvent{Start: &InstanceStart{Settings: s, Seed: int64(seed)}}, nil
 }
 
 // DecodeSettings reads the settings object, which a real node finds in its configuration.
@@ -143,7 +145,7 @@
 		return policy.Settings{}, err
 	}
 	if p == nil {
-		return policy.Settings{}, missing("profile_data")
+		return policy.Settings{}, missingFieldError("profile_data")
 	}
 	s := p.settings()
 	var err error
@@ -154,52 +156,99 @@
 	return s, nil
 }
 
-// settings gives all but the classes and tenants.
+// settings returns all but the classes and tenants.
 func (p *profile) settings() policy.Settings {
-	return policy.Settings{Nodes: p.Balancers, NodeIndex: p.Slot, Zone: p.Zone, Zones: p.Domains, Kinds: p.Kinds,
-		MaxAttempts: p.Caps.MaxAttempts, MayHedge: p.Caps.MayDuplicate, MayCancel: p.Caps.Cancel,
-		MayHealthCheck: p.Caps.Probes, MayMessagePeers: p.Caps.Peers, SendsRetryAfter: p.Caps.RetryAfter,
-		MaxRetryAfter: time.Duration(p.Caps.MaxRetryAfter), ClientsMarkRetries: p.Habits.MarksRetry,
-		ConnectTimeout: time.Duration(p.Caps.ConnectTimeout), MinTick: time.Duration(p.Tick),
-		PollsEndpoints: p.Membership == "on_request", WeightKnown: p.WeightKind != "none",
-		WeightFallsWithLoad: p.WeightKind == "live", OverQuotaWeight: p.OverShare, WeightByWork: p.WorthBy == "work",
-		LoadReportSource: reportVias[p.Report.How], LoadReportFields: p.Report.Fields,
-		AnswerSlack: time.Duration(p.Invariants.AnswerSlack), MaxPollInterval: time.Duration(p.Invariants.AskWithin),
-		DrainGrace: time.Duration(p.Invariants.DrainGrace), SlowStartMinCapacity: p.Invariants.ColdFrom,
-		SlowStartWindow: time.Duration(p.Invariants.Cold), OverloadFactor: p.Invariants.OverloadFactor,
-		OverloadDuration: time.Duration(p.Invariants.TipAfter), Family: p.Family, TierIndex: p.Tier, Tiers: p.Tiers,
-		KeyAffinity: p.Specifics.WarmKeys, PropagatesDeadline: p.Specifics.PassesDeadline,
-		MaxStreamsPerConn: p.Caps.Multiplex, ConnIdleTimeout: time.Duration(p.Caps.ConnIdle), MaxOpenRequests: p.Caps.MostHeld,
-		CPUPerSecond:  time.Duration(p.Caps.CPUPerSecond * float64(time.Microsecond)),
-		CPUPerRequest: time.Duration(p.Caps.CPUPerRequest * float64(time.Microsecond)),
-		Goal: policy.Goal{Total: p.Goal.Whole, WorstWindow: p.Goal.WorstWindow, WorstClass: p.Goal.WorstClass,
-			WorstTenant: p.Goal.WorstTenant},
-		Prices: policy.Prices{Connection: p.Charges.Connection, Handshake: p.Charges.Handshake,
-			CrossZone: p.Charges.CrossZone, WastedWork: p.Charges.Waste, LateFailure: p.Charges.LateFail,
-			HealthCheck: p.Charges.Probe, Message: p.Charges.Peer, Migrations: p.Charges.Moves, Origin: p.Charges.Origin,
-			ListLines: p.Charges.Lines, Fleet: p.Charges.Fleet}}
+	return policy.Settings{
+		Nodes:                p.Balancers,
+		NodeIndex:            p.Slot,
+		Zone:                 p.Zone,
+		Zones:                p.Domains,
+		Kinds:                p.Kinds,
+		MaxAttempts:          p.Caps.MaxAttempts,
+		MayHedge:             p.Caps.MayDuplicate,
+		MayCancel:            p.Caps.Cancel,
+		MayHealthCheck:       p.Caps.Probes,
+		MayMessagePeers:      p.Caps.Peers,
+		SendsRetryAfter:      p.Caps.RetryAfter,
+		MaxRetryAfter:        time.Duration(p.Caps.MaxRetryAfter),
+		ClientsMarkRetries:   p.Habits.MarksRetry,
+		ConnectTimeout:       time.Duration(p.Caps.ConnectTimeout),
+		MinTick:              time.Duration(p.Tick),
+		PollsEndpoints:       p.Membership == "on_request",
+		WeightKnown:          p.WeightKind != "none",
+		WeightFallsWithLoad:  p.WeightKind == "live",
+		OverQuotaWeight:      p.OverShare,
+		WeightByWork:         p.WorthBy == "work",
+		LoadReportSource:     loadReportSources[p.Report.How],
+		LoadReportFields:     p.Report.Fields,
+		AnswerSlack:          time.Duration(p.Invariants.AnswerSlack),
+		MaxPollInterval:      time.Duration(p.Invariants.AskWithin),
+		DrainGrace:           time.Duration(p.Invariants.DrainGrace),
+		SlowStartMinCapacity: p.Invariants.ColdFrom,
+		SlowStartWindow:      time.Duration(p.Invariants.Cold),
+		OverloadFactor:       p.Invariants.OverloadFactor,
+		OverloadDuration:     time.Duration(p.Invariants.TipAfter),
+		Family:               p.Family,
+		TierIndex:            p.Tier,
+		Tiers:                p.Tiers,
+		KeyAffinity:          p.Specifics.WarmKeys,
+		PropagatesDeadline:   p.Specifics.PassesDeadline,
+		MaxStreamsPerConn:    p.Caps.Multiplex,
+		ConnIdleTimeout:      time.Duration(p.Caps.ConnIdle),
+		MaxOpenRequests:      p.Caps.MostHeld,
+		CPUPerSecond:         time.Duration(p.Caps.CPUPerSecond * float64(time.Microsecond)),
+		CPUPerRequest:        time.Duration(p.Caps.CPUPerRequest * float64(time.Microsecond)),
+		Goal: policy.Goal{
+			Total:       p.Goal.Whole,
+			WorstWindow: p.Goal.WorstWindow,
+			WorstClass:  p.Goal.WorstClass,
+			WorstTenant: p.Goal.WorstTenant,
+		},
+		Prices: policy.Prices{
+			Connection:  p.Charges.Connection,
+			Handshake:   p.Charges.Handshake,
+			CrossZone:   p.Charges.CrossZone,
+			WastedWork:  p.Charges.Waste,
+			LateFailure: p.Charges.LateFail,
+			HealthCheck: p.Charges.Probe,
+			Message:     p.Charges.Peer,
+			Migrations:  p.Charges.Moves,
+			Origin:      p.Charges.Origin,
+			ListLines:   p.Charges.Lines,
+			Fleet:       p.Charges.Fleet,
+		},
+	}
 }
 
-// classes gives the classes of requests, or why one of them can't be taken.
+// classes returns the classes of requests, or why one of them can't be read.
 func (p *profile) classes() ([]policy.Class, error) {
 	var classes []policy.Class
 	for _, c := range p.Classes {
-		effect, ok := effects[c.Effect]
+		idempotency, ok := idempotencies[c.Effect]
 		if !ok {
 			return nil, fmt.Errorf("class %s: unknown effect %q", c.Name, c.Effect)
 		}
-		scope, ok := scopes[c.KeyScope]
-		if !ok && effect == policy.IdempotentByKey {
+		scope, ok := keyScopes[c.KeyScope]
+		if !ok && idempotency == policy.IdempotentByKey {
 			return nil, fmt.Errorf("class %s: unknown key_scope %q", c.Name, c.KeyScope)
 		}
-		classes = append(classes, policy.Class{Name: c.Name, PriorityWeight: c.Importance, LatencyObjective: time.Duration(c.Aim),
-			ObjectivePerWork: c.AimStretch, Deadline: time.Duration(c.GiveUp), LateWeight: c.LateWorth, Idempotency: effect,
-			KeyScope: scope, DedupWindow: time.Duration(c.Dedup), Streamed: c.Streamed})
+		classes = append(classes, policy.Class{
+			Name:             c.Name,
+			PriorityWeight:   c.Importance,
+			LatencyObjective: time.Duration(c.Aim),
+			ObjectivePerWork: c.AimStretch,
+			Deadline:         time.Duration(c.GiveUp),
+			LateWeight:       c.LateWorth,
+			Idempotency:      idempotency,
+			KeyScope:         scope,
+			DedupWindow:      time.Duration(c.Dedup),
+			Streamed:         c.Streamed,
+		})
 	}
 	return classes, nil
 }
 
-// tenants gives the tenants with their shares.
+// tenants returns the tenants with their quotas.
 func (p *profile) tenants() []policy.Tenant {
 	var tenants []policy.Tenant
 	for _, t := range p.Accounts {
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,5 +1,4 @@
-// Package wire translates between the simulator's JSON lines and the decision
-// module's types. It decides nothing.
+// Package wire translates between the simulator's JSON lines and the types of package policy. It decides nothing.
 package wire
 
 import (
@@ -11,71 +10,90 @@
 	"meadowsill/policy"
 )
 
-// Start is an `up`: an instance begins.
-type Start struct {
+// InstanceStart begins an instance of the module.
+type InstanceStart struct {
 	Settings policy.Settings
 	Seed     int64
 }
 
-// Happening is one event for an instance: a start, an end, or one for the module.
-type Happening struct {
-	Start  *Start
+// InstanceEvent is one event for an instance: its start, its end, or an event for its module.
+type InstanceEvent struct {
+	Start  *InstanceStart
 	Retire bool
 	Event  policy.Event
 }
 
-// Group holds the events of one instance.
-type Group struct {
-	Node   int
-	Events []Happening
+// InstanceEvents holds the events of one instance, in order.
+type InstanceEvents struct {
+	NodeID int
+	Events []InstanceEvent
 }
 
 // Batch is one line from the simulator.
 type Batch struct {
-	Now    policy.Time
-	Groups []Group
+	Now       policy.Time
+	Instances []InstanceEvents
 }
 
-// DecodeBatch reads one line.
+// errUnknownEvent means that an event's name is none of the wire's.
+var errUnknownEvent = errors.New("unknown event")
+
+// missingFieldError is the error of a message that lacks the field of this name.
+type missingFieldError string
+
+// Error implements error.
+func (e missingFieldError) Error() string { return string(e) + " is missing" }
+
+// batchMessage is a line as it is written.
+type batchMessage struct {
+	Now    *int64                  `json:"sim_time_ns"`
+	Groups []instanceEventsMessage `json:"groups"`
+}
+
+// instanceEventsMessage is the events of one instance as they are written: an object with one key each, the event's name.
+type instanceEventsMessage struct {
+	NodeID *int                         `json:"node_id"`
+	Events []map[string]json.RawMessage `json:"happened"`
+}
+
+// DecodeBatch reads one line. An error names the instance and the event.
 func DecodeBatch(line []byte) (Batch, error) {
-	var in struct {
-		Now    *int64 `json:"sim_time_ns"`
-		Groups []struct {
-			Node     *int                         `json:"node_id"`
-			Happened []map[string]json.RawMessage `json:"happened"`
-		} `json:"groups"`
-	}
-	if err := json.Unmarshal(line, &in); err != nil {
+	var message batchMessage
+	if err := json.Unmarshal(line, &message); err != nil {
 		return Batch{}, fmt.Errorf("batch: %w", err)
 	}
-	if in.Now == nil {
-		return Batch{}, errors.New("batch: sim_time_ns is missing")
+	if message.Now == nil {
+		return Batch{}, fmt.Errorf("batch: %w", missingFieldError("sim_time_ns"))
 	}
-	b := Batch{Now: time.Duration(*in.Now)}
-	for i, g := range in.Groups {
-		if g.Node == nil {
-			return Batch{}, fmt.Errorf("group %d: node_id is missing", i)
+	batch := Batch{Now: time.Duration(*message.Now)}
+	for i, group := range message.Groups {
+		if group.NodeID == nil {
+			return Batch{}, fmt.Errorf("group %d: %w", i, missingFieldError("node_id"))
 		}
-		out := Group{Node: *g.Node}
-		for j, ev := range g.Happened {
-			where := fmt.Sprintf("node %d, event %d", *g.Node, j)
-			if len(ev) != 1 {
-				return Batch{}, fmt.Errorf("%s: want one key, have %d", where, len(ev))
-			}
-			for name, raw := range ev {
-				h, err := decodeEvent(name, raw)
-				if err != nil {
-					return Batch{}, fmt.Errorf("%s, %s: %w", where, name, err)
-				}
-				out.Events = append(out.Events, h)
-			}
+		events, err := group.decode()
+		if err != nil {
+			return Batch{}, err
 		}
-		b.Groups = append(b.Groups, out)
+		batch.Instances = append(batch.Instances, events)
 	}
-	return b, nil
+	return batch, nil
 }
 
-// missing is the error of a message that lacks the field of this name.
-type missing string
-
-func (m missing) Error() string { return string(m) + " is missing" }
+// decode reads the events of one instance, whose node_id is there.
+func (m *instanceEventsMessage) decode() (InstanceEvents, error) {
+	events := InstanceEvents{NodeID: *m.NodeID}
+	for i, message := range m.Events {
+		where := fmt.Sprintf("node %d, event %d", events.NodeID, i)
+		if len(message) != 1 {
+			return InstanceEvents{}, fmt.Errorf("%s: want one key, have %d", where, len(message))
+		}
+		for name, raw := range message {
+			event, err := decodeEvent(name, raw)
+			if err != nil {
+				return InstanceEvents{}, fmt.Errorf("%s, %s: %w", where, name, err)
+			}
+			events.Events = append(events.Events, event)
+		}
+	}
+	return events, nil
+}
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -23,13 +23,13 @@
 	return `{"sim_time_ns":1,"groups":[{"node_id":3,"happened":[` + events + `]}]}`
 }
 
-func one(t *testing.T, event string) Happening {
+func one(t *testing.T, event string) InstanceEvent {
 	t.Helper()
 	b, err := DecodeBatch([]byte(batch(event)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	return b.Groups[0].Events[0]
+	return b.Instances[0].Events[0]
 }
 
 func TestStart(t *testing.T) {
@@ -71,7 +71,7 @@
 
 func TestEmptyBatch(t *testing.T) {
 	b, err := DecodeBatch([]byte(`{"sim_time_ns":8412250000,"groups":[]}`))
-	if err != nil || len(b.Groups) != 0 || string(AppendReply(nil, nil)) != "{\"groups\":[]}\n" {
+	if err != nil || len(b.Instances) != 0 || string(AppendReply(nil, nil)) != "{\"groups\":[]}\n" {
 		t.Error(b, err)
 	}
 }
@@ -101,11 +101,11 @@
 }
 
 func TestReplyIsJSON(t *testing.T) {
-	line := AppendReply(nil, []Reply{{Node: 3, Actions: []policy.Action{
+	line := AppendReply(nil, []Reply{{NodeID: 3, Actions: []policy.Action{
 		policy.Forward{ID: "q", Server: 4294967295, Timeout: 80 * time.Millisecond}, policy.Reject{ID: "q", RetryAfter: 5},
 		policy.Fail{ID: "q"}, policy.CancelAttempt{ID: "q", Attempt: 1}, policy.SetTimer{After: 5, Token: 77},
 		policy.HealthCheck{Server: 1}, policy.SendMessage{ToAll: true, Data: []byte("hi")}, policy.SendMessage{To: 2},
-		policy.Subscribe{On: true}, policy.FetchEndpoints{}, policy.CloseIdleConnections{Server: 1}, policy.Log{Line: "a \"b\""}}}, {Node: 4}})
+		policy.Subscribe{On: true}, policy.FetchEndpoints{}, policy.CloseIdleConnections{Server: 1}, policy.Log{Line: "a \"b\""}}}, {NodeID: 4}})
 	var v struct {
 		Groups []struct {
 			Node    int                         `json:"node_id"`
@@ -127,7 +127,7 @@
 	f.Add([]byte(batch(`{"attempt_end":{"req":"q","leg":0,"backend":1,"disposition":0,"feedback":{"active":1e400}}}`)))
 	f.Add([]byte(`{"sim_time_ns":1,"groups":[{"node_id":3,"happened":[{"subm`))
 	f.Fuzz(func(t *testing.T, line []byte) {
-		if b, err := DecodeBatch(line); err == nil && b.Groups == nil && len(line) == 0 {
+		if b, err := DecodeBatch(line); err == nil && b.Instances == nil && len(line) == 0 {
 			t.Fatal("an empty line is no batch")
 		}
 	})
--- a/policy/attempts_test.go
+++ b/policy/attempts_test.go
@@ -189,7 +189,7 @@
 		}
 		first[id] = s
 	}
-	// again tells whether a request whose attempt failed is sent again.
+	// again reports whether a request whose attempt failed is sent again.
 	again := func(id string, attempt int) int {
 		s := first[id]
 		n, next := sends(m.Handle(now, policy.AttemptEnded{ID: s.ID, Attempt: attempt, Server: s.Server, Code: policy.ServerError}))
@@ -210,7 +210,7 @@
 			t.Errorf("the older read after %d failures: %d sends, want %d", i+1, got, want)
 		}
 	}
-	for _, id := range []string{"old order", "new read", "new order", "new"} { // unsafe, unsafe, one attempt, one attempt
+	for _, id := range []string{"old order", "new read", "new order", "new"} { // non-idempotent, non-idempotent, one attempt, one attempt
 		if again(id, 0) != 0 {
 			t.Errorf("%s is sent again", id)
 		}
--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -28,7 +28,7 @@
 	}
 }
 
-// BenchmarkCapacityTick is the module's round of checks, which its timer asks for each 25 ms, while no request is open. Every
+// BenchmarkCapacityTick is the module's round of checks, which its timer requests each 25 ms, while no request is open. Every
 // twentieth takes in what was learned.
 func BenchmarkCapacityTick(b *testing.B) {
 	for _, n := range benchServers {
@@ -103,7 +103,7 @@
 	}
 }
 
-// BenchmarkCapacityTenantsLoad is a new module that loads n tenants, one by one, as a node's start or a whole answer has it.
+// BenchmarkCapacityTenantsLoad is a new module that loads n tenants, one by one, as a node's start or a complete answer has it.
 func BenchmarkCapacityTenantsLoad(b *testing.B) {
 	for _, n := range benchTenants {
 		b.Run(fmt.Sprintf("tenants=%d", n), func(b *testing.B) {
--- a/policy/conformance_test.go
+++ b/policy/conformance_test.go
@@ -14,23 +14,37 @@
 
 // A row of testdata/conformance.toml, which says what its fields mean.
 type conformanceRow struct {
-	Clause, Event, Class, Code string
-	Servers                    []conformanceServer
-	Attempts                   []conformanceAttempt
-	Q, Q1, Q2, N1, N2          float64
-	InFlight                   float64
-	AfterMS, TimeoutMS         int
-	Budget                     *float64
-	MayHedge                   bool
-	Want                       []string
+	Clause    string
+	Event     string
+	Class     string
+	Code      string
+	Servers   []conformanceServer
+	Attempts  []conformanceAttempt
+	Q         float64
+	Q1        float64
+	Q2        float64
+	N1        float64
+	N2        float64
+	InFlight  float64
+	AfterMS   int
+	TimeoutMS int
+	Budget    *float64
+	MayHedge  bool
+	Want      []string
 }
 
 type conformanceServer struct {
-	Mode, Imposed, State, Zone             string
-	N                                      string
-	LatencyMS                              float64
-	Cell                                   int
-	Excluded, Ejected, WarmingUp, TrialDue bool
+	Mode      string
+	Imposed   string
+	State     string
+	Zone      string
+	N         string
+	LatencyMS float64
+	Cell      int
+	Excluded  bool
+	Ejected   bool
+	WarmingUp bool
+	TrialDue  bool
 }
 
 type conformanceAttempt struct {
@@ -57,7 +71,9 @@
 
 // threshold reads a count such as "H-1" or "2" at a server with L, H and R.
 func threshold(t *testing.T, text string, h float64) float64 {
-	v, sign, base := 0.0, 1.0, map[string]float64{"L": lowThresholdPart * h, "H": h, "R": blockThresholdFactor*h + 1}
+	v := 0.0
+	sign := 1.0
+	base := map[string]float64{"L": lowThresholdPart * h, "H": h, "R": blockThresholdFactor*h + 1}
 	for _, part := range strings.SplitAfter(strings.NewReplacer("-", "-|", "+", "+|").Replace(text), "|") {
 		next := 1.0
 		if strings.HasSuffix(part, "-|") {
@@ -84,7 +100,9 @@
 	}
 	m.arrivals.smoothed, m.arrivals.lastAt = 1e4, now // a busy node: its own counts tell
 	m.Handle(now, list)
-	m.latency.mean, m.retryBudget, m.weights.mean = 0.05, 1, m.weights.max
+	m.latency.mean = 0.05
+	m.retryBudget = 1
+	m.weights.mean = m.weights.max
 	var h float64
 	for i, s := range c.Servers {
 		k := m.serverByID(ServerID(i + 1))
@@ -137,7 +155,10 @@
 			m.Handle(now, ServerExcluded{Server: ServerID(i + 1)})
 		}
 	}
-	m.shedding.dropPriority, m.shedding.dropOther, m.shedding.priorityArrivals, m.shedding.otherArrivals = c.Q1, c.Q2, c.N1, c.N2
+	m.shedding.dropPriority = c.Q1
+	m.shedding.dropOther = c.Q2
+	m.shedding.priorityArrivals = c.N1
+	m.shedding.otherArrivals = c.N2
 	later := now + time.Duration(c.AfterMS)*time.Millisecond
 	last := len(c.Attempts) - 1
 	end := AttemptEnded{ID: "r", Attempt: last, Code: OutcomeCode(max(0, slices.Index(codeNames, c.Code)))}
--- a/policy/digest_test.go
+++ b/policy/digest_test.go
@@ -84,7 +84,7 @@
 	return nil
 }
 
-// feedFleet gives the module one random event of the fleet or of the operators' settings.
+// feedFleet returns the module one random event of the fleet or of the operators' settings.
 func feedFleet(w *world, i int) {
 	revision := uint64(1 + i - w.random.Intn(5)%(i+1))
 	switch w.random.Intn(4) {
--- a/policy/fleet_load_test.go
+++ b/policy/fleet_load_test.go
@@ -14,18 +14,25 @@
 
 // fleetRun is the make of a fleet and its load.
 type fleetRun struct {
-	nodes, servers, cores int
-	rate, laterRate       float64 // requests a second, over all nodes; from the warm-up's end on
-	work                  func(r *rand.Rand) time.Duration
-	tenants               []Tenant
-	tenantShares          []float64 // of the load, by tenant
+	nodes   int
+	servers int
+	cores   int
+	// requests a second, over all nodes; from the warm-up's end on
+	rate         float64
+	laterRate    float64
+	work         func(r *rand.Rand) time.Duration
+	tenants      []Tenant
+	tenantShares []float64 // of the load, by tenant
 }
 
 // fleetResult is what came of the requests that arrived after the warm-up.
 type fleetResult struct {
-	arrived, rejected map[string]int
-	inTime, offered   float64 // weight
-	maxInFlight       int     // most requests that one server held
+	arrived  map[string]int
+	rejected map[string]int
+	// weight
+	inTime      float64
+	offered     float64
+	maxInFlight int // most requests that one server held
 }
 
 func (t fleetResult) rejectedPart() float64 {
@@ -70,7 +77,11 @@
 	var nodes []*Module
 	for self := range c.nodes {
 		s := sparseSettings(c.nodes)
-		s.NodeIndex, s.Classes, s.Tenants, s.Zones, s.Zone = self, fleetClasses, c.tenants, zones, zones[self%4]
+		s.NodeIndex = self
+		s.Classes = fleetClasses
+		s.Tenants = c.tenants
+		s.Zones = zones
+		s.Zone = zones[self%4]
 		nodes = append(nodes, New(s, seed*1000+int64(self)))
 		nodes[self].Handle(time.Hour, list)
 		heap.Push(&q, queuedEvent{time.Hour + time.Duration(r.Intn(25))*time.Millisecond, self, TimerFired{}})
@@ -80,7 +91,9 @@
 	for i := range free {
 		free[i] = make([]Time, c.cores)
 	}
-	arrived, legs, over := map[RequestID]Time{}, map[RequestID]int{}, map[RequestID]bool{}
+	arrived := map[RequestID]Time{}
+	legs := map[RequestID]int{}
+	over := map[RequestID]bool{}
 	id := 0
 	heap.Push(&q, queuedEvent{time.Hour, -1, nil})
 	for now := time.Hour; now < time.Hour+length; {
@@ -104,7 +117,9 @@
 					break
 				}
 			}
-			d.node, d.event, arrived[a.ID] = r.Intn(c.nodes), a, now
+			d.node = r.Intn(c.nodes)
+			d.event = a
+			arrived[a.ID] = now
 			if now > time.Hour+warm {
 				t.arrived[class.Name]++
 				t.offered += class.PriorityWeight
--- a/policy/fleet_scope_test.go
+++ b/policy/fleet_scope_test.go
@@ -59,7 +59,9 @@
 	r := zonesHarness(t, 30)
 	at := func(revision uint64, server string) policy.TenantUpdate {
 		return policy.TenantUpdate{Name: "x", UID: 1, Revision: revision, IntentRevision: revision, Committed: rules(revision, func(g *policy.TenantRules) {
-			g.Rate, g.RejectUnrouted, g.Routes = 1e4, true, []policy.TenantRoute{{ID: server, Weight: 1}}
+			g.Rate = 1e4
+			g.RejectUnrouted = true
+			g.Routes = []policy.TenantRoute{{ID: server, Weight: 1}}
 		})}
 	}
 	r.feed(at(5, "s3"))
--- a/policy/fleet_tenants_test.go
+++ b/policy/fleet_tenants_test.go
@@ -39,7 +39,7 @@
 	return r.pending[len(r.pending)-1].event.(policy.AttemptEnded).Server
 }
 
-// TestTenantFollowsIntent: T1, T6 and the settings' tenants, as rows of facts and who is served after them.
+// TestTenantFollowsIntent: T1, T6 and the settings' tenants, as rows of items and who is served after them.
 func TestTenantFollowsIntent(t *testing.T) {
 	notified := func(uid, rev uint64, committed, staged *policy.TenantRules) policy.TenantUpdate {
 		return policy.TenantUpdate{Name: "x", UID: uid, Revision: rev, Committed: committed, Staged: staged}
@@ -47,7 +47,10 @@
 	dearOnly := func(g *policy.TenantRules) { g.Classes = []string{"priority"} }
 	none := func(g *policy.TenantRules) { g.Rate, g.Burst = 0, 0 }
 	removing, removed, unquoted := notified(1, 7, rules(1, nil), nil), notified(1, 8, nil, nil), notified(1, 8, rules(1, nil), nil)
-	removing.Removing, removed.Removed, unquoted.Removing, unquoted.QuotaWithdrawn = true, true, true, true
+	removing.Removing = true
+	removed.Removed = true
+	unquoted.Removing = true
+	unquoted.QuotaWithdrawn = true
 	ofSettings := func(e policy.TenantUpdate) policy.TenantUpdate { e.Name = "set"; return e }
 	for name, c := range map[string]struct {
 		events []policy.Event
@@ -99,16 +102,20 @@
 	}
 }
 
-// TestLeaseExpires: a node's share is floor and lease while the lease holds, then the floor; T3: with every node's
+// TestLeaseExpires: a node's quota lease is floor and lease while the lease holds, then the floor; T3: with every node's
 // lapsed, late or old, the sum stays under the quota and its burst.
 func TestLeaseExpires(t *testing.T) {
 	const slots, rate, burst = 10, 50.0, 20.0
 	start := func(t *testing.T, self int) *harness {
 		s := harnessSettings()
-		s.Fleet, s.Nodes, s.NodeIndex = true, slots, self
+		s.Fleet = true
+		s.Nodes = slots
+		s.NodeIndex = self
 		r := newHarness(t, s, 12)
 		r.feed(policy.TenantUpdate{Name: "x", UID: 1, Revision: 1, Committed: rules(1, func(g *policy.TenantRules) {
-			g.Rate, g.Burst, g.ClassRates = rate, burst, map[string]float64{"bulk": rate / 5}
+			g.Rate = rate
+			g.Burst = burst
+			g.ClassRates = map[string]float64{"bulk": rate / 5}
 		})})
 		return r
 	}
@@ -230,7 +237,7 @@
 	}
 }
 
-// A staged generation is held against what the node has; what is held is notified in the fleet's words.
+// A staged generation is held against what the node has; what is applied is notified in the fleet's words.
 func TestWindowAndApplied(t *testing.T) {
 	r := zonesHarness(t, 30)
 	r.feed(policy.ZoneDirective{Zone: "b", Revision: 4, Share: 0.5, Floor: 0.1, Rate: 2, ValidFor: 5 * time.Second})
--- a/policy/fleet_zones_test.go
+++ b/policy/fleet_zones_test.go
@@ -12,7 +12,7 @@
 	"meadowsill/policy"
 )
 
-// Without facts a fleet block changes no action: recorded events are played to a module with it and one without.
+// Without items a fleet block changes no action: recorded events are simulated to a module with it and one without.
 func TestFleetBlockAloneChangesNothing(t *testing.T) {
 	for seed := int64(1); seed <= 20; seed++ {
 		w := newWorld(seed)
@@ -38,7 +38,10 @@
 // them, one of three uses all.
 func zonesHarness(t *testing.T, nodes int) *harness {
 	s := harnessSettings()
-	s.Fleet, s.Zone, s.Zones, s.Nodes = true, "a", []string{"a", "b"}, nodes
+	s.Fleet = true
+	s.Zone = "a"
+	s.Zones = []string{"a", "b"}
+	s.Nodes = nodes
 	r := newHarness(t, s, 0)
 	l := policy.EndpointUpdate{Kind: policy.EndpointsComplete}
 	for i := range 60 {
@@ -51,7 +54,7 @@
 	return r
 }
 
-// sentTo gives the requests sent to servers of zone a, and to others.
+// sentTo returns the requests sent to servers of zone a, and to others.
 func (r *harness) sentTo() (a, other int) {
 	for id, n := range r.sent {
 		if id%2 == 1 {
@@ -63,7 +66,7 @@
 	return a, other
 }
 
-// TestZoneDirectiveExpires has directives come whole, late, twice, out of order, malformed and age beyond their validity.
+// TestZoneDirectiveExpires has directives come complete, late, twice, out of order, malformed and age beyond their validity.
 func TestZoneDirectiveExpires(t *testing.T) {
 	const valid = time.Minute
 	notified := func(rev uint64, share, floor float64, age time.Duration) policy.ZoneDirective {
@@ -165,7 +168,9 @@
 		w := newWorld(seed)
 		w.settings.Fleet, w.settings.Tenants = true, []policy.Tenant{{Name: "a", Quota: 10}, {Name: "b", Quota: 100}}
 		w.start()
-		applied, born, served := map[string]policy.ZoneDirective{}, map[string]time.Duration{}, true
+		applied := map[string]policy.ZoneDirective{}
+		born := map[string]time.Duration{}
+		served := true
 		w.capacity = testRate / 3
 		w.mutate = func(w *world, out []policy.Action) []policy.Action {
 			for _, a := range out {
@@ -210,13 +215,15 @@
 	}
 }
 
-// All nodes together stay under the slow-start rule at each server of a returning zone, however they hear of it: late, never, of
+// All nodes together stay under the slow-start rule at each server of a returning zone, however they are notified of it: late, never, of
 // two overlapping directives, idle before a rush. 300 nodes have shares that are parts of a request.
 func TestZoneReturnStaysUnderTheSlowStartRule(t *testing.T) {
 	const zones, window = 3, time.Second
 	for _, c := range []struct{ nodes, servers int }{{30, 12}, {300, 168}} {
 		s := harnessSettings()
-		s.Fleet, s.Nodes, s.Zones = true, c.nodes, []string{"z0", "z1", "z2"}
+		s.Fleet = true
+		s.Nodes = c.nodes
+		s.Zones = []string{"z0", "z1", "z2"}
 		list := policy.EndpointUpdate{Kind: policy.EndpointsCached}
 		for i := range c.servers {
 			list.Servers = append(list.Servers, policy.Server{ID: policy.ServerID(i + 1), Zone: s.Zones[i%zones]})
@@ -229,7 +236,9 @@
 			all[i].Handle(time.Hour, list)
 			all[i].Handle(time.Hour, policy.ZoneDirective{Zone: "z0", Revision: 1, ValidFor: time.Hour})
 		}
-		sent, id, total := map[policy.ServerID][]time.Duration{}, 0, 0
+		sent := map[policy.ServerID][]time.Duration{}
+		id := 0
+		total := 0
 		due := map[int][]policy.Event{}
 		for step := range 12 * 40 {
 			now := time.Hour + time.Duration(step)*25*time.Millisecond
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -20,14 +20,17 @@
 	finalAnswer map[policy.RequestID]policy.Action
 	attempts    map[policy.RequestID]int
 	answered    map[policy.RequestID]bool
-	retries     int           // of a rejected client, after its hold-off
+	retries     int           // of a rejected client, after its backoff
 	timeout     time.Duration // of a first try
 	work        func(policy.RequestID) time.Duration
 	retryAfters []time.Duration // that rejected clients were notified
 	inTime      map[string]int
 	arrivedAt   map[policy.RequestID]time.Duration
-	rejected, failed,
-	polls, lastID, logged int
+	rejected    int
+	failed      int
+	polls       int
+	lastID      int
+	logged      int
 }
 
 type harnessEvent struct {
--- a/policy/load_test.go
+++ b/policy/load_test.go
@@ -139,7 +139,9 @@
 		return r.lastID - start
 	}
 	mixed(10*time.Second, 60)
-	r.inTime, longest, r.retryAfters = map[string]int{}, 0, nil
+	r.inTime = map[string]int{}
+	longest = 0
+	r.retryAfters = nil
 	mixed(10*time.Second, 600) // 20 and 300 a second; the servers do 200
 	if r.inTime["priority"] < 170 {
 		t.Errorf("%d of 200 priority requests in time", r.inTime["priority"])
--- a/policy/polling_test.go
+++ b/policy/polling_test.go
@@ -8,11 +8,13 @@
 // pollers are nodes that ask one discovery for the list. It deals with calls in turn, takes so long for each, and fails
 // those that have waited for longer than its timeout, though they still take their turn.
 type pollers struct {
-	modules        []*Module
-	now, busyUntil Time // free: when it has dealt with all calls so far
-	callTime       time.Duration
-	answers        []pendingAnswer
-	served         []Time // when each was first served; 0: not yet
+	modules []*Module
+	// free: when it has dealt with all calls so far
+	now       Time
+	busyUntil Time
+	callTime  time.Duration
+	answers   []pendingAnswer
+	served    []Time // when each was first served; 0: not yet
 }
 
 type pendingAnswer struct {
@@ -30,7 +32,9 @@
 	w := &pollers{now: time.Hour, callTime: turn, served: make([]Time, nodes)}
 	for self := range nodes {
 		s := sparseSettings(nodes)
-		s.NodeIndex, s.PollsEndpoints, s.MaxPollInterval = self, true, 10*time.Second
+		s.NodeIndex = self
+		s.PollsEndpoints = true
+		s.MaxPollInterval = 10 * time.Second
 		w.modules = append(w.modules, New(s, int64(self)))
 		w.modules[self].Handle(w.now, sparseList(60))
 	}
--- a/policy/rollout_test.go
+++ b/policy/rollout_test.go
@@ -12,33 +12,38 @@
 
 // rollout is the make of a fleet, and what happens to it while servers warm up.
 type rollout struct {
-	settings        Settings
-	work            []time.Duration // mean work by class, on a core of speed 1
-	mix             []float64       // part of the requests by class
-	nodes, servers  int
-	cores           int
-	speeds          []float64 // by kind: every second server is of the second
-	newServerSpeed  float64   // how much faster new servers are, once warm
-	load, laterLoad float64   // part of what the warm servers can do; from 10 s before the slow-start window's end on
-	replacedPart    float64   // of the servers that are replaced, within spread
-	spread          time.Duration
-	restarts        float64       // part of the nodes that restart within the slow-start window
-	lull            float64       // load in the first half of the slow-start window, if not 0
-	early           bool          // the nodes restart as servers do, not later
-	awayTime        time.Duration // for so long servers are away before they return warming under their ids; 0: others come
-	errorPart       float64       // part of the answers of warming servers that are errors
-	length          time.Duration // of the play from the release on; 0: until all are warm
-	surge           time.Duration // from the release to the later load; 0: half of the slow-start window
+	settings       Settings
+	work           []time.Duration // mean work by class, on a core of speed 1
+	mix            []float64       // part of the requests by class
+	nodes          int
+	servers        int
+	cores          int
+	speeds         []float64 // by kind: every second server is of the second
+	newServerSpeed float64   // how much faster new servers are, once warm
+	// part of what the warm servers can do; from 10 s before the slow-start window's end on
+	load         float64
+	laterLoad    float64
+	replacedPart float64 // of the servers that are replaced, within spread
+	spread       time.Duration
+	restarts     float64       // part of the nodes that restart within the slow-start window
+	lull         float64       // load in the first half of the slow-start window, if not 0
+	early        bool          // the nodes restart as servers do, not later
+	awayTime     time.Duration // for so long servers are away before they return warming under their ids; 0: others come
+	errorPart    float64       // part of the answers of warming servers that are errors
+	length       time.Duration // of the play from the release on; 0: until all are warm
+	surge        time.Duration // from the release to the later load; 0: half of the slow-start window
 }
 
 // rolloutResult is what came of it.
 type rolloutResult struct {
-	maxExcessRoots      float64 // most calls beyond the budget N, in roots of N
-	maxExcess           float64 // most calls beyond N+2√N+2
-	overBudget, warming int     // warming servers that got more than N+2√N+2; all of them
-	servedPart          float64 // of the requests' weight that was answered in time, from the release on
-	usedCapacity        float64 // part of the warming servers' capacity that was used
-	maxRatio            float64 // most calls as a part of N
+	maxExcessRoots float64 // most calls beyond the budget N, in roots of N
+	maxExcess      float64 // most calls beyond N+2√N+2
+	// warming servers that got more than N+2√N+2; all of them
+	overBudget   int
+	warming      int
+	servedPart   float64 // of the requests' weight that was answered in time, from the release on
+	usedCapacity float64 // part of the warming servers' capacity that was used
+	maxRatio     float64 // most calls as a part of N
 }
 
 type warmingSend struct {
@@ -106,7 +111,10 @@
 	}
 	boot := func(self int, now Time) {
 		s := c.settings
-		s.Nodes, s.NodeIndex, s.Zones, s.Zone = c.nodes, self, zones, zones[self%4]
+		s.Nodes = c.nodes
+		s.NodeIndex = self
+		s.Zones = zones
+		s.Zone = zones[self%4]
 		began[self]++
 		nodes[self] = New(s, seed*100003+int64(self)*17+int64(began[self]))
 		nodes[self].Handle(now, full())
@@ -188,7 +196,11 @@
 		timed    []bool
 	}
 	reqs := map[RequestID]*live{}
-	id, asked, inTime, done, could := 0, 0.0, 0.0, 0.0, 0.0
+	id := 0
+	asked := 0.0
+	inTime := 0.0
+	done := 0.0
+	could := 0.0
 	at(start, -1, nil)
 	weight := make([]float64, c.nodes)
 	sum := 0.0
@@ -234,7 +246,9 @@
 					}
 				}
 				work := time.Duration(r.ExpFloat64() * float64(c.work[q.class]) / sv.speed / part)
-				began, took, code := max(now, sv.free[first]), a.Timeout, TimedOut
+				began := max(now, sv.free[first])
+				took := a.Timeout
+				code := TimedOut
 				switch {
 				case sv.away:
 					took, code = 3*time.Millisecond, Reset
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -46,19 +46,28 @@
 	weak.settings.OverloadFactor, weak.settings.SlowStartMinCapacity = 3, 0.14
 	sites["weak"] = weak
 	for i, c := range []struct {
-		nodes, servers int
-		site           string
-		load, restarts float64
-		sick           float64
-		seed           int64
+		nodes    int
+		servers  int
+		site     string
+		load     float64
+		restarts float64
+		sick     float64
+		seed     int64
 	}{{4, 12, "views", 0.33, 0.5, 0, 1}, {4, 12, "weak", 1.2, 0, 0, 1}, {20, 16, "orders", 0.6, 0.5, 0, 1},
 		{20, 16, "weak", 1.1, 0, 0.5, 2}, {30, 8, "short", 0.4, 0.5, 0, 1}, {30, 16, "weak", 1.1, 0.7, 0, 6},
 		{30, 12, "long", 0.6, 0, 0, 1}, {100, 18, "weak", 1.1, 0.5, 0, 5}, {300, 18, "weak", 1.1, 0.5, 0, 2}} {
 		t.Run(fmt.Sprint(c.nodes, c.site, i), func(t *testing.T) {
 			t.Parallel()
 			w := sites[c.site]
-			w.nodes, w.servers, w.load, w.restarts, w.errorPart = c.nodes, c.servers, c.load, c.restarts, c.sick
-			w.replacedPart, w.newServerSpeed, w.early, w.length = 0.5, 1, true, 5*time.Second
+			w.nodes = c.nodes
+			w.servers = c.servers
+			w.load = c.load
+			w.restarts = c.restarts
+			w.errorPart = c.sick
+			w.replacedPart = 0.5
+			w.newServerSpeed = 1
+			w.early = true
+			w.length = 5 * time.Second
 			if c.nodes == 300 {
 				w.length = 8 * time.Second // the worst comes late
 			}
@@ -75,7 +84,9 @@
 	m := New(sparseSettings(300), 1)
 	m.Handle(time.Hour, EndpointUpdate{Kind: EndpointsComplete, Servers: []Server{{ID: 1, StartedAt: time.Hour}}})
 	s := m.subset.servers[0]
-	s.outlier.ejected, s.outlier.nextTrialAt, s.slowStart.tokens = true, time.Hour, 0
+	s.outlier.ejected = true
+	s.outlier.nextTrialAt = time.Hour
+	s.slowStart.tokens = 0
 	if m.Handle(time.Hour+time.Second, RequestArrived{ID: "a", Class: "priority", Timeout: time.Second}); s.inFlight != 0 {
 		t.Error("tried with its budget spent")
 	}
--- a/policy/subset_test.go
+++ b/policy/subset_test.go
@@ -99,10 +99,14 @@
 	for i := range l.Servers {
 		l.Servers[i].Zone = []string{"a", "a", "a", "b", "b", "c", "c", "c", "d", "d", "d", "d"}[i%12]
 	}
-	use, own, all := map[ServerID]int{}, 0, 0
+	use := map[ServerID]int{}
+	own := 0
+	all := 0
 	for self := range 80 {
 		s := sparseSettings(80)
-		s.NodeIndex, s.Zones, s.Zone = self, zones, zones[self%4]
+		s.NodeIndex = self
+		s.Zones = zones
+		s.Zone = zones[self%4]
 		m := New(s, int64(self))
 		m.Handle(time.Hour, l)
 		driveAt(m, time.Hour, 5, 20, func(ServerID) time.Duration { return 50 * time.Millisecond }, nil)
@@ -324,7 +328,9 @@
 		var all []*Module
 		for self := range nodes {
 			s := sparseSettings(nodes)
-			s.NodeIndex, s.PollsEndpoints, s.MaxPollInterval = self, true, 10*time.Second
+			s.NodeIndex = self
+			s.PollsEndpoints = true
+			s.MaxPollInterval = 10 * time.Second
 			all = append(all, New(s, int64(self)))
 			all[self].Handle(time.Hour, sparseList(60))
 		}
--- a/policy/world_test.go
+++ b/policy/world_test.go
@@ -52,7 +52,7 @@
 	servers    map[policy.ServerID]*listed
 	ids        []policy.ServerID
 	sends      map[policy.ServerID][]time.Duration
-	capacity   float64 // requests a second that this node's share of a warm server can do
+	capacity   float64 // requests a second that this node's quota lease of a warm server can do
 	module     *policy.Module
 	mutate     func(w *world, a []policy.Action) []policy.Action
 	events     []policy.Event
@@ -249,7 +249,7 @@
 	w.notify(policy.EndpointsCached, all)
 }
 
-// run runs a stretch of time; restarts says whether the node may be restarted in between.
+// run runs a stretch of time; restarts reports whether the node may be restarted in between.
 func (w *world) run(length time.Duration, rate float64, restarts bool) {
 	const step = 5 * time.Millisecond
 	for end := w.now + length; w.now < end; w.now += step {
