--- a/policy/admission.go
+++ b/policy/admission.go
@@ -25,7 +25,8 @@
 	refilledAt Time
 }
 
-// configureLocalQuotas divides the quotas of the settings' tenants, but for those that the control plane governs.
+// configureLocalQuotas divides the quotas of the settings' tenants, but for those that the control plane
+// governs.
 func (m *Module) configureLocalQuotas() {
 	earlier := m.localQuotas
 	m.localQuotas = map[string]*localQuota{}
@@ -42,8 +43,8 @@
 	}
 }
 
-// take takes a token, if there is one. Requests come in bunches: a node's part of a small quota must save up some, however
-// many nodes there are.
+// take takes a token, if there is one. Requests come in bunches: a node's part of a small quota must save up
+// some, however many nodes there are.
 func (q *localQuota) take(now Time) bool {
 	burst := math.Max(q.rate, minQuotaBurst)
 	q.tokens = math.Min(burst, q.tokens+q.rate*(now-q.refilledAt).Seconds())
@@ -94,14 +95,15 @@
 	m.shedding.countArrival(r.priority)
 }
 
-// mayReject reports whether a rejection, which promises that the request may be sent again, is true of the request.
+// mayReject reports whether a rejection, which promises that the request may be sent again, is true of the
+// request.
 func (r *request) mayReject() bool {
 	return !r.mayHaveRun() || r.class.Idempotency == Idempotent ||
 		r.class.Idempotency == IdempotentByKey && r.class.KeyScope == KeyScopeAll
 }
 
-// endUnserved gives the final answer where no server did: a rejection if the rules allow one. Its Retry-After brings the
-// client back while an answer is still worth something, else as late as it may.
+// endUnserved gives the final answer where no server did: a rejection if the rules allow one. Its Retry-After
+// brings the client back while an answer is still worth something, else as late as it may.
 func (m *Module) endUnserved(r *request) {
 	retryAfter := m.random.jitter(time.Duration(retryAfterPart * float64(r.class.LatencyObjective)))
 	retryAfter = min(retryAfter, m.settings.MaxRetryAfter)
--- a/policy/applied.go
+++ b/policy/applied.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// What the module says that it has applied, read from what it decides by. The JSON names are those of the messages of
-// package fleet, so that both give the same canonical form and digest.
+// What the module says that it has applied, read from what it decides by. The JSON names are those of the
+// messages of package fleet, so that both give the same canonical form and digest.
 
 type (
 	appliedZone struct {
@@ -99,8 +99,8 @@
 	stateDraining = "draining"
 )
 
-// Applied returns everything that the module decides by, in the order of the keys; nothing without Settings.Fleet. Its
-// values share nothing with the module that changes later.
+// Applied returns everything that the module decides by, in the order of the keys; nothing without
+// Settings.Fleet. Its values share nothing with the module that changes later.
 func (m *Module) Applied() []AppliedItem {
 	if m.fleet == nil {
 		return nil
@@ -137,7 +137,8 @@
 }
 
 func (t *fleetTenant) applied() appliedTenant {
-	return appliedTenant{UID: t.uid, Revision: t.revision, Committed: t.committed.applied(), Removing: t.removing,
+	return appliedTenant{UID: t.uid, Revision: t.revision, Committed: t.committed.applied(),
+		Removing:       t.removing,
 		QuotaWithdrawn: t.quotaWithdrawn}
 }
 
@@ -145,7 +146,8 @@
 	if g == nil {
 		return nil
 	}
-	rules := &appliedRules{Generation: g.Generation, Digest: g.Digest, Classes: g.Classes, Rate: g.Rate, Burst: g.Burst,
+	rules := &appliedRules{Generation: g.Generation, Digest: g.Digest, Classes: g.Classes, Rate: g.Rate,
+		Burst:      g.Burst,
 		ClassRates: g.ClassRates, RejectUnrouted: g.RejectUnrouted}
 	for _, route := range g.Routes {
 		rules.Routes = append(rules.Routes, appliedRoute(route))
--- a/policy/doc.go
+++ b/policy/doc.go
@@ -1,11 +1,16 @@
-// Package policy makes the decisions of a load-balancing proxy node: which server gets a request, when another attempt
-// is made, when a request is rejected. It does no I/O, reads no clock and starts no goroutine: the caller feeds a Module
-// events and carries out the actions that it returns. The same events and seed give the same actions, bit for bit: the
-// order of floating-point operations and of random draws is part of that.
+// Package policy makes the decisions of a load-balancing proxy node: which server gets a request, when
+// another attempt is made, when a request is rejected. It does no I/O, reads no clock and starts no
+// goroutine: the caller feeds a Module events and carries out the actions that it returns. The same events
+// and seed give the same actions, bit for bit: the order of floating-point operations and of random draws is
+// part of that.
 //
 // The interface is in settings.go, servers.go, events.go, actions.go and fleet_events.go. What decides:
 //
 //	module.go          the module, and what it does about each event
+//	request.go         what the module keeps of a request
+//	server.go          what the module keeps of a server
+//	fleet_state.go     what the module keeps of the control plane's events
+//	random.go          the seeded random numbers
 //	admission.go       arrivals: quotas, priority, rejection
 //	selection.go       which server gets an attempt, and the rules that every attempt passes
 //	retry.go           ends of attempts, and further attempts
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -46,8 +46,8 @@
 	m.rebuildEndpointLists()
 }
 
-// updateServer takes an entry of the list. A return after an exclusion is a start, whatever the list says of an earlier
-// one; after a start nothing that was learned of an older process holds.
+// updateServer takes an entry of the list. A return after an exclusion is a start, whatever the list says of
+// an earlier one; after a start nothing that was learned of an older process holds.
 func (m *Module) updateServer(entry Server) {
 	s := m.serverByID(entry.ID)
 	if entry.State == Ready {
@@ -71,7 +71,8 @@
 	s.overload.imposedUntil = m.now
 }
 
-// applyExclusion has what the operators say of a server followed. One that is not known yet is met when it is listed.
+// applyExclusion has what the operators say of a server followed. One that is not known yet is met when it is
+// listed.
 func (m *Module) applyExclusion(id ServerID) {
 	if s := m.servers[id]; s != nil {
 		m.updateServer(s.Server)
@@ -88,8 +89,11 @@
 			lists.listed = append(lists.listed, s)
 		}
 	}
-	sort.Slice(lists.listed, func(i, j int) bool { return lists.listed[i].ringPosition < lists.listed[j].ringPosition })
-	lists.ready = slices.DeleteFunc(slices.Clone(lists.listed), func(s *server) bool { return s.State != Ready || s.excluded })
+	sort.Slice(lists.listed, func(i, j int) bool {
+		return lists.listed[i].ringPosition < lists.listed[j].ringPosition
+	})
+	lists.ready = slices.DeleteFunc(slices.Clone(lists.listed),
+		func(s *server) bool { return s.State != Ready || s.excluded })
 	m.updateLocalPart()
 	m.chooseSubset()
 }
@@ -101,8 +105,9 @@
 	return pollState{backoff: window, nextAt: m.now + turn}
 }
 
-// firstPollWindow is the time in which all nodes poll once: a queue longer than discovery lets them wait serves none. A
-// change counts as notified 6 s after discovery can be reached: this, or a call of 2.5 s and a wait, must fit in.
+// firstPollWindow is the time in which all nodes poll once: a queue longer than discovery lets them wait
+// serves none. A change counts as notified 6 s after discovery can be reached: this, or a call of 2.5 s and a
+// wait, must fit in.
 func (m *Module) firstPollWindow() time.Duration {
 	slots := max(minFirstPolls, time.Duration(m.settings.Nodes))
 	return min(slots*pollSlot, 4*maxPollBackoff, max(minFirstPolls*pollSlot, m.settings.MaxPollInterval/2))
--- a/policy/events.go
+++ b/policy/events.go
@@ -42,8 +42,8 @@
 		Server  ServerID
 		Elapsed time.Duration
 	}
-	// BodyStarted says that a part of a long request's body that is not buffered is being forwarded: the request can't be
-	// replayed. The client's time counts from the body's end, and the caller watches it from then on.
+	// BodyStarted says that a part of a long request's body that is not buffered is being forwarded: the request
+	// can't be replayed. The client's time counts from the body's end, and the caller watches it from then on.
 	BodyStarted struct {
 		ID      RequestID
 		Attempt int
@@ -64,9 +64,11 @@
 	}
 	// TimerFired answers a SetTimer.
 	TimerFired struct{ Token int64 }
-	// ServerExcluded says that the operators exclude a server, whatever the list says of it, until a ServerIncluded.
+	// ServerExcluded says that the operators exclude a server, whatever the list says of it, until a
+	// ServerIncluded.
 	ServerExcluded struct{ Server ServerID }
-	// ServerIncluded says that the operators include a server again, and since when: it was restarted before that.
+	// ServerIncluded says that the operators include a server again, and since when: it was restarted before
+	// that.
 	ServerIncluded struct {
 		Server ServerID
 		At     Time
--- a/policy/fleet_events.go
+++ b/policy/fleet_events.go
@@ -2,12 +2,13 @@
 
 import "time"
 
-// What the control plane intends, as events, and what the module gives back for reports. These events come only where
-// Settings.Fleet is set; without them nothing is decided otherwise. docs/fleet.md tells what they mean.
+// What the control plane intends, as events, and what the module gives back for reports. These events come
+// only where Settings.Fleet is set; without them nothing is decided otherwise. docs/fleet.md tells what they
+// mean.
 
-// Events of the control plane. Age is how old an event's content was when it was delivered; the module goes on counting
-// from there. IntentRevision is the revision of the intent that it was read from, 0: Revision; an older one changes
-// nothing.
+// Events of the control plane. Age is how old an event's content was when it was delivered; the module goes
+// on counting from there. IntentRevision is the revision of the intent that it was read from, 0: Revision; an
+// older one changes nothing.
 type (
 	// ZoneDirective is the control plane's directive on a zone, as it holds for this node.
 	ZoneDirective struct {
@@ -32,8 +33,9 @@
 		Removed           bool // the tenant is no more, or no longer in the node's scope
 		Age               time.Duration
 	}
-	// QuotaLease is this node's leased part of the quotas, over the guaranteed part that it always has. It holds for
-	// ValidFor from its delivery, after that of the tenants of the same intent: it was divided by their rates.
+	// QuotaLease is this node's leased part of the quotas, over the guaranteed part that it always has. It holds
+	// for ValidFor from its delivery, after that of the tenants of the same intent: it was divided by their
+	// rates.
 	QuotaLease struct {
 		Epoch    uint64             // of the division
 		Slots    int                // nodes that the guaranteed part is divided by
@@ -100,8 +102,8 @@
 	Rate              float64
 }
 
-// AppliedItem is one thing that the module decides by, under a key of docs/drift.md ("zone/Y", "tenant/NAME", "share",
-// "server/ID", "ban/ID", "settings"). Value marshals to JSON, the same for the same content.
+// AppliedItem is one thing that the module decides by, under a key of docs/drift.md ("zone/Y", "tenant/NAME",
+// "share", "server/ID", "ban/ID", "settings"). Value marshals to JSON, the same for the same content.
 type AppliedItem struct {
 	Key   string
 	Value any
--- a/policy/fleet_state.go
+++ b/policy/fleet_state.go
@@ -27,8 +27,8 @@
 	return &fleetState{zones: map[string]*zoneState{}, tenants: map[string]*fleetTenant{}, windowStart: now}
 }
 
-// handleFleetEvent takes an event of the control plane. FleetSynced changes no decision: a tenant that is not delivered yet
-// is rejected as an unknown one.
+// handleFleetEvent takes an event of the control plane. FleetSynced changes no decision: a tenant that is not
+// delivered yet is rejected as an unknown one.
 func (m *Module) handleFleetEvent(e Event) {
 	if m.fleet == nil {
 		return
@@ -43,7 +43,8 @@
 	}
 }
 
-// adoptTenants takes the settings' tenants: each is generation 1 of the settings until intent commits one of its own.
+// adoptTenants takes the settings' tenants: each is generation 1 of the settings until intent commits one of
+// its own.
 func (f *fleetState) adoptTenants(tenants []Tenant) {
 	for _, t := range f.tenants {
 		t.fromSettings = false
@@ -60,7 +61,8 @@
 // putTenant puts a tenant in the place of the one of its name.
 func (f *fleetState) putTenant(t *fleetTenant) {
 	f.tenants[t.name] = t
-	f.tenantOrder = slices.SortedFunc(maps.Values(f.tenants), func(a, b *fleetTenant) int { return cmp.Compare(a.name, b.name) })
+	f.tenantOrder = slices.SortedFunc(maps.Values(f.tenants),
+		func(a, b *fleetTenant) int { return cmp.Compare(a.name, b.name) })
 }
 
 // governs reports whether the control plane has an intent for a tenant, which ends the settings' one.
--- a/policy/latency.go
+++ b/policy/latency.go
@@ -35,8 +35,8 @@
 	at     Time
 }
 
-// expectedLatency is a server's latency of a mean request, s. A value that is not renewed drifts to the fleet's mean, so
-// that the server is used again.
+// expectedLatency is a server's latency of a mean request, s. A value that is not renewed drifts to the
+// fleet's mean, so that the server is used again.
 func (m *Module) expectedLatency(s *server) float64 {
 	return m.latency.mean + s.latency.excess*decay(m.now-s.latency.at, staleLatencyTau)
 }
@@ -55,14 +55,17 @@
 	l.lastAnswerAt = m.now
 	c.latency += classGain * (sample - c.latency)
 	c.fleetLatency += classGain * (l.mean - c.fleetLatency)
-	c.relativeCost = c.latency / c.fleetLatency // not to the mean: a rare class must not keep a past fault's latency
+	// Not to the mean: a rare class must not keep a past fault's latency.
+	c.relativeCost = c.latency / c.fleetLatency
 	m.learnServerLatency(s, c, elapsed)
 }
 
-// learnServerLatency takes a server's latency, capped, as a heavy request tells of itself and not of its server.
+// learnServerLatency takes a server's latency, capped, as a heavy request tells of itself and not of its
+// server.
 func (m *Module) learnServerLatency(s *server, c *class, elapsed time.Duration) {
 	latency := m.expectedLatency(s)
-	gain := math.Max(serverLatencyGain, 1-decay(m.now-s.latency.at, staleLatencyTau)) // a rare answer is all that is known
+	// A rare answer is all that is known.
+	gain := math.Max(serverLatencyGain, 1-decay(m.now-s.latency.at, staleLatencyTau))
 	limit := maxLatencySampleFactor * math.Max(latency, m.latency.mean)
 	latency += gain * (math.Min(elapsed.Seconds()/c.relativeCost, limit) - latency)
 	s.latency = serverLatency{excess: latency - m.latency.mean, at: m.now}
@@ -77,7 +80,8 @@
 	}
 }
 
-// updateLatencyTargets renews the baseline, and the mean at which every class still meets its latency objective.
+// updateLatencyTargets renews the baseline, and the mean at which every class still meets its latency
+// objective.
 func (m *Module) updateLatencyTargets(growth float64) {
 	l := &m.latency
 	l.atObjective, l.baseline = math.Inf(1), l.mean
--- a/policy/limits_test.go
+++ b/policy/limits_test.go
@@ -15,7 +15,7 @@
 
 const (
 	maxFileLines     = 400
-	maxLineLength    = 130
+	maxLineLength    = 110
 	maxFunctionLines = 60
 	minPolicyFiles   = 2
 )
@@ -34,12 +34,19 @@
 	if err != nil {
 		t.Fatal(err)
 	}
+	overview, err := os.ReadFile("doc.go")
+	if err != nil {
+		t.Fatal(err)
+	}
 	deciding := 0
 	for _, file := range files {
 		if strings.HasSuffix(file, "_test.go") {
 			continue
 		}
 		checkFile(t, file)
+		if file != "doc.go" && !strings.Contains(string(overview), file) {
+			t.Errorf("doc.go doesn't name %s", file)
+		}
 		if slices.Contains(interfaceFiles, file) {
 			continue
 		}
--- a/policy/load.go
+++ b/policy/load.go
@@ -44,16 +44,16 @@
 	return l.kinds[kind]
 }
 
-// add counts a server's answers of the last seconds. They are not scaled up where less time has passed: a node that has
-// just started would take its first answers for a fast fleet.
+// add counts a server's answers of the last seconds. They are not scaled up where less time has passed: a
+// node that has just started would take its first answers for a fast fleet.
 func (k *kindLoad) add(rate float64) {
 	k.roundRate += rate
 	k.roundCount++
 }
 
-// endRound ends a round of readings. The largest rate of late is of all kinds: of one kind a node of many has few answers,
-// and the largest of few is far above their mean; so a kind's part is smoothed for long. With no server warmed up
-// the last reading holds.
+// endRound ends a round of readings. The largest rate of late is of all kinds: of one kind a node of many has
+// few answers, and the largest of few is far above their mean; so a kind's part is smoothed for long. With no
+// server warmed up the last reading holds.
 func (k *kindLoad) endRound() {
 	if k.roundCount > 0 {
 		rate := k.roundRate / k.roundCount
@@ -153,8 +153,8 @@
 	}
 }
 
-// nodesPerServer is how many nodes have a server in their subsets, on average: what all nodes together may do at a server
-// is divided among them.
+// nodesPerServer is how many nodes have a server in their subsets, on average: what all nodes together may do
+// at a server is divided among them.
 func (m *Module) nodesPerServer() float64 {
 	subset, ready := len(m.subset.servers), len(m.endpoints.ready)
 	return float64(m.settings.Nodes*max(1, subset)) / float64(max(1, ready))
@@ -166,8 +166,9 @@
 	at       Time
 }
 
-// applyLoadReport lets a server's own account of its load, which is late and counts every node's requests, impose a mode
-// until it lapses. The thresholds are this node's, scaled by its share of all that servers report.
+// applyLoadReport lets a server's own account of its load, which is late and counts every node's requests,
+// impose a mode until it lapses. The thresholds are this node's, scaled by its share of all that servers
+// report.
 func (m *Module) applyLoadReport(s *server, r *LoadReport) {
 	if r == nil || !r.HasInFlight || !(r.InFlight >= 0) { // not a number either
 		return
@@ -199,9 +200,9 @@
 	}
 }
 
-// warmServerRate is what a server of this one's kind gives this node once it has warmed up, answers/s, as far as kinds
-// differ. It is the largest rate of late: under overload servers answer less, and those that warm up and got less for
-// it would deepen the overload.
+// warmServerRate is what a server of this one's kind gives this node once it has warmed up, answers/s, as far
+// as kinds differ. It is the largest rate of late: under overload servers answer less, and those that warm up
+// and got less for it would deepen the overload.
 func (m *Module) warmServerRate(s *server) float64 {
 	if s.kindLoad.usualRate == 0 {
 		return m.load.all.maxRate
--- a/policy/module.go
+++ b/policy/module.go
@@ -8,8 +8,8 @@
 // tickInterval is the time between two rounds of checks: well under any latency objective.
 const tickInterval = 25 * time.Millisecond
 
-// logInterval is the least time between two log lines about one server, so that a server which fails and recovers all the
-// time fills no disk.
+// logInterval is the least time between two log lines about one server, so that a server which fails and
+// recovers all the time fills no disk.
 const logInterval = 5 * time.Second
 
 // Module decides for one node. It is not safe for concurrent use.
@@ -63,7 +63,8 @@
 	return m
 }
 
-// configure takes the settings of the start, or changed ones. What was learned of a class holds where it has changed.
+// configure takes the settings of the start, or changed ones. What was learned of a class holds where it has
+// changed.
 func (m *Module) configure(s Settings) {
 	s.Nodes = max(1, s.Nodes)
 	if !s.SendsRetryAfter {
@@ -175,7 +176,8 @@
 	m.shedding.rounds++
 }
 
-// checkOpenRequests ends requests whose outcome never came, forgets those that are done and marks stuck attempts.
+// checkOpenRequests ends requests whose outcome never came, forgets those that are done and marks stuck
+// attempts.
 func (m *Module) checkOpenRequests() {
 	open := m.open[:0]
 	for _, r := range m.open {
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -37,8 +37,8 @@
 	}
 }
 
-// forwardTrial forwards a request to an ejected server whose trial is due, and reports whether it did. A trial leaves time
-// for a second attempt, also where all is slow: or no ejected server would be tried again.
+// forwardTrial forwards a request to an ejected server whose trial is due, and reports whether it did. A
+// trial leaves time for a second attempt, also where all is slow: or no ejected server would be tried again.
 func (m *Module) forwardTrial(r *request) bool {
 	s := m.serverDueTrial(r)
 	patience := seconds(silenceFactor * m.latency.mean * r.class.relativeCost)
@@ -65,8 +65,8 @@
 	return nil
 }
 
-// recordOutcome takes the outcome of an attempt. Failures count as slow answers too: a server that fails fast must not
-// attract requests.
+// recordOutcome takes the outcome of an attempt. Failures count as slow answers too: a server that fails fast
+// must not attract requests.
 func (m *Module) recordOutcome(s *server, r *request, e AttemptEnded) {
 	switch e.Code {
 	case Cancelled, NotSent:
@@ -79,8 +79,8 @@
 	}
 }
 
-// recordRejection blocks a server. Rejections in a row back off: many nodes that each come back after one validity keep an
-// overload alive.
+// recordRejection blocks a server. Rejections in a row back off: many nodes that each come back after one
+// validity keep an overload alive.
 func (m *Module) recordRejection(s *server) {
 	m.imposeMode(s, Blocking)
 	s.overload.imposedUntil += m.random.jitter(s.overload.rejectionBackoff)
@@ -103,9 +103,9 @@
 	s.outlier.connectionLost = false
 }
 
-// readmit ends a server's ejection, unless most requests still fail there. One that broke connections and answers a trial
-// may have restarted unannounced: it is taken to warm up. Silence alone is no sign of that, as a process that dies resets
-// its connections.
+// readmit ends a server's ejection, unless most requests still fail there. One that broke connections and
+// answers a trial may have restarted unannounced: it is taken to warm up. Silence alone is no sign of that,
+// as a process that dies resets its connections.
 func (m *Module) readmit(s *server, r *request) {
 	if s.outlier.errorRate >= readmissionErrorRate {
 		m.scheduleFirstTrial(s)
@@ -133,8 +133,8 @@
 	}
 }
 
-// detectSilence ejects a server that has answered none of several attempts, for a time in which the fleet's mean request is
-// long done.
+// detectSilence ejects a server that has answered none of several attempts, for a time in which the fleet's
+// mean request is long done.
 func (m *Module) detectSilence(s *server) {
 	if s.outlier.unanswered < maxConsecutiveFailures || m.latency.mean <= 0 {
 		return
--- a/policy/request.go
+++ b/policy/request.go
@@ -72,8 +72,8 @@
 	return r, &r.attempts[number]
 }
 
-// release takes an attempt out of its server's count: it has ended, or lasts as long as its client takes over a long
-// body.
+// release takes an attempt out of its server's count: it has ended, or lasts as long as its client takes over
+// a long body.
 func (a *attempt) release() {
 	if a.released {
 		return
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -27,8 +27,8 @@
 	}
 }
 
-// retry makes a further attempt if rules, budget and servers allow, else it ends the request. An attempt that may have run
-// costs a part of the budget.
+// retry makes a further attempt if rules, budget and servers allow, else it ends the request. An attempt that
+// may have run costs a part of the budget.
 func (m *Module) retry(r *request, mayHaveRun bool) {
 	if m.worthRetrying(r) && (m.retryBudget >= 1 || !mayHaveRun) && m.forwardRetry(r) {
 		if mayHaveRun {
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -5,8 +5,8 @@
 // maxInFlight is the number of a request's attempts that may be in flight at once, where it may be hedged.
 const maxInFlight = 2
 
-// selectServer chooses between two random servers in Normal mode, else between two Overloaded ones: the lower expected
-// delay wins. It returns no server, and Blocking, where there is neither.
+// selectServer chooses between two random servers in Normal mode, else between two Overloaded ones: the lower
+// expected delay wins. It returns no server, and Blocking, where there is neither.
 func (m *Module) selectServer(candidates []*server, r *request) (*server, Mode) {
 	for _, zone := range m.zonesWithCredit() {
 		if s, mode := m.selectAmong(candidates, r, zone); mode == Normal {
@@ -16,7 +16,8 @@
 	return m.selectAmong(candidates, r, nil)
 }
 
-// selectAmong chooses among the servers of a zone whose traffic is limited, or among all others where limited is nil.
+// selectAmong chooses among the servers of a zone whose traffic is limited, or among all others where limited
+// is nil.
 func (m *Module) selectAmong(candidates []*server, r *request, limited *zoneState) (*server, Mode) {
 	var pools [2][]*server // by mode
 	for _, s := range candidates {
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -104,7 +104,8 @@
 
 // Prices are points off the result, each for one unit of what it names.
 type Prices struct {
-	Connection, Handshake, CrossZone, WastedWork, LateFailure, HealthCheck, Message, Migrations, Origin, ListLines, Fleet float64
+	Connection, Handshake, CrossZone, WastedWork, LateFailure, HealthCheck, Message, Migrations, Origin,
+	ListLines, Fleet float64
 }
 
 // LoadReportSource is the way load reports reach a node.
--- a/policy/shedding.go
+++ b/policy/shedding.go
@@ -7,10 +7,12 @@
 
 const (
 	sheddingInterval = 500 * time.Millisecond // many arrivals, yet far shorter than a fault
-	sheddingMemory   = 0.9                    // part of the counts that a period hands on: one may see no arrival
+	// Part of the counts that a period hands on: one may see no arrival.
+	sheddingMemory = 0.9
 )
 
-// sheddingState is what is counted over a shedding period, and the drop probabilities that follow from the last one.
+// sheddingState is what is counted over a shedding period, and the drop probabilities that follow from the
+// last one.
 type sheddingState struct {
 	periodStart      Time
 	priorityArrivals float64 // of this period and, fading, those before it
@@ -21,7 +23,8 @@
 	dropOther        float64 // q2 of the paper
 }
 
-// countArrival counts a request. The sum of a decayed count and 1 is not exact, so the order of operations is kept.
+// countArrival counts a request. The sum of a decayed count and 1 is not exact, so the order of operations is
+// kept.
 func (s *sheddingState) countArrival(priority bool) {
 	s.otherArrivals++
 	if priority {
@@ -30,8 +33,8 @@
 	}
 }
 
-// ShedSplit returns the drop probabilities of priority (q1) and other requests (q2) for an overall drop probability q, by
-// the arrivals of both.
+// ShedSplit returns the drop probabilities of priority (q1) and other requests (q2) for an overall drop
+// probability q, by the arrivals of both.
 func ShedSplit(q, priorityArrivals, otherArrivals float64) (q1, q2 float64) {
 	arrivals := priorityArrivals + otherArrivals
 	if otherArrivals == 0 {
@@ -52,8 +55,9 @@
 	return m.random.float64() < m.shedding.dropOther
 }
 
-// beginSheddingPeriod sets the drop probabilities by the period that ends. Shedding acts only with no server Normal: then all
-// other requests go first, and priority ones the more, the nearer the fleet is to R. The subset is chosen anew with it.
+// beginSheddingPeriod sets the drop probabilities by the period that ends. Shedding acts only with no server
+// Normal: then all other requests go first, and priority ones the more, the nearer the fleet is to R. The
+// subset is chosen anew with it.
 func (m *Module) beginSheddingPeriod() {
 	s := &m.shedding
 	q := 0.0
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -3,7 +3,8 @@
 import "math"
 
 const (
-	minSlowStartRate   = 4.0  // requests/s of all nodes to a server that warms up, where none has to compare with
+	// Requests/s of all nodes to a server that warms up, where none has to compare with.
+	minSlowStartRate   = 4.0
 	maxSlowStartTokens = 2.0  // attempts that the budget saves up
 	minSlowStartWindow = 1e-9 // s, where it divides
 )
@@ -16,9 +17,10 @@
 	tokensAt Time
 }
 
-// beginSlowStart gives a server that warms up since a time a budget with a random beginning: a first request from every
-// node at once would be a burst that none of them sees. What an older process answered says nothing of this one. A budget
-// that was spent stays so where the server warms up already: notice of one start may come twice, and a trial is a guess.
+// beginSlowStart gives a server that warms up since a time a budget with a random beginning: a first request
+// from every node at once would be a burst that none of them sees. What an older process answered says
+// nothing of this one. A budget that was spent stays so where the server warms up already: notice of one
+// start may come twice, and a trial is a guess.
 func (m *Module) beginSlowStart(s *server, since Time) {
 	tokens := m.random.float64()
 	if s.slowStart.active {
@@ -28,9 +30,10 @@
 	s.answers.perSecond = 0
 }
 
-// slowStartSpent reports whether a server warms up and its budget is spent. The budget is refilled with the part that the
-// server can do by now of what one that has warmed up gives this node: the budgets of all nodes then sum up to a part of
-// one server's capacity, however many servers warm up. Nodes that do not have it in their subsets send nothing.
+// slowStartSpent reports whether a server warms up and its budget is spent. The budget is refilled with the
+// part that the server can do by now of what one that has warmed up gives this node: the budgets of all nodes
+// then sum up to a part of one server's capacity, however many servers warm up. Nodes that do not have it in
+// their subsets send nothing.
 func (m *Module) slowStartSpent(s *server) bool {
 	b := &s.slowStart
 	progress := (m.now - b.since).Seconds() / math.Max(m.settings.SlowStartWindow.Seconds(), minSlowStartWindow)
--- a/policy/subset.go
+++ b/policy/subset.go
@@ -28,11 +28,11 @@
 	m.subset.localPart = local / float64(max(1, len(m.endpoints.ready)))
 }
 
-// chooseSubset chooses the servers that the ordinary path uses: one of many nodes that sent to all would know none, and its
-// connections would fill their tables. All nodes have the same ring of servers and start at even distances on it. Most of
-// the subset is in the node's own zone, as crossing has a price; not all, and less where the zone has few servers: nodes
-// must not overload them, nor depend on them alone. Ejected servers are not made up for: all nodes would open connections
-// to the rest at once.
+// chooseSubset chooses the servers that the ordinary path uses: one of many nodes that sent to all would know
+// none, and its connections would fill their tables. All nodes have the same ring of servers and start at
+// even distances on it. Most of the subset is in the node's own zone, as crossing has a price; not all, and
+// less where the zone has few servers: nodes must not overload them, nor depend on them alone. Ejected
+// servers are not made up for: all nodes would open connections to the rest at once.
 func (m *Module) chooseSubset() {
 	m.updateArrivalRate()
 	m.updateSubsetSize()
@@ -46,7 +46,8 @@
 	m.applyDirectivesToSubset(start)
 }
 
-// updateSubsetSize follows this node's arrivals, but not every change of them: a new server costs a connection.
+// updateSubsetSize follows this node's arrivals, but not every change of them: a new server costs a
+// connection.
 func (m *Module) updateSubsetSize() {
 	wanted := subsetInterval * m.arrivals.rate
 	if wanted > m.subset.size || wanted < m.subset.size/2 {
--- a/policy/tenant_quota.go
+++ b/policy/tenant_quota.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// GuaranteedPart is the part of every quota that is divided evenly among all slots for good; the rest is leased. It is the
-// control plane's, which divides by the same.
+// GuaranteedPart is the part of every quota that is divided evenly among all slots for good; the rest is
+// leased. It is the control plane's, which divides by the same.
 const GuaranteedPart = 0.2
 
 // maxLeaseTime is the longest time that a lease holds.
@@ -37,8 +37,9 @@
 	return float64(m.settings.Nodes)
 }
 
-// tenantRates returns a tenant's quota here, requests/s: the guaranteed part, which it always has, and what is leased. A
-// lease that was of another tenant of its name is none: the control plane sees to it that others sum up.
+// tenantRates returns a tenant's quota here, requests/s: the guaranteed part, which it always has, and what
+// is leased. A lease that was of another tenant of its name is none: the control plane sees to it that others
+// sum up.
 func (m *Module) tenantRates(t *fleetTenant) (guaranteed, leased float64) {
 	if t.committed == nil || t.quotaWithdrawn {
 		return 0, 0
@@ -51,7 +52,8 @@
 	return GuaranteedPart * rate / m.quotaSlots(), math.Min(leased, (1-GuaranteedPart)*rate)
 }
 
-// refillTenant lets what a tenant's quota allows grow up to now, the leased part for as long as the lease held.
+// refillTenant lets what a tenant's quota allows grow up to now, the leased part for as long as the lease
+// held.
 func (m *Module) refillTenant(t *fleetTenant) {
 	g, since := t.committed, t.refilledAt
 	t.refilledAt = m.now
@@ -72,9 +74,9 @@
 	}
 }
 
-// admitTenant takes a request under its tenant's committed generation, by which it is served to its end. Over the quota,
-// which all nodes share, or outside the namespace it is rejected without an attempt, as it is where no generation is
-// committed. A request that names no tenant has no quota.
+// admitTenant takes a request under its tenant's committed generation, by which it is served to its end. Over
+// the quota, which all nodes share, or outside the namespace it is rejected without an attempt, as it is
+// where no generation is committed. A request that names no tenant has no quota.
 func (m *Module) admitTenant(r *request, name string) bool {
 	if m.fleet == nil || name == "" {
 		return true
--- a/policy/tenant_routing.go
+++ b/policy/tenant_routing.go
@@ -15,8 +15,8 @@
 	return (t.Zone == "" || t.Zone == s.Zone) && (t.Kind == "" || t.Kind == s.Kind)
 }
 
-// chooseRoute draws a request's route by weight among those that match a server in use, and reports whether the request may
-// be served. Where no route matches, the generation says so.
+// chooseRoute draws a request's route by weight among those that match a server in use, and reports whether
+// the request may be served. Where no route matches, the generation says so.
 func (m *Module) chooseRoute(r *request, t *fleetTenant) bool {
 	sum := 0.0
 	for _, route := range t.routes {
@@ -36,8 +36,8 @@
 	return true
 }
 
-// addRouteServers adds to the subset what a tenant's routes need, from the node's place on the ring on, and notes which
-// routes match a server in use.
+// addRouteServers adds to the subset what a tenant's routes need, from the node's place on the ring on, and
+// notes which routes match a server in use.
 func (m *Module) addRouteServers(t *fleetTenant) {
 	t.routes = t.routes[:0]
 	if t.committed == nil || t.removed {
--- a/policy/tenant_update.go
+++ b/policy/tenant_update.go
@@ -30,8 +30,8 @@
 	arrived, admitted int // requests of this window
 }
 
-// applyTenantUpdate takes what is intended for a tenant. An older item changes nothing, nor does what no sound control plane
-// commits. A name used again, which has another UID, has nothing of the tenant before.
+// applyTenantUpdate takes what is intended for a tenant. An older item changes nothing, nor does what no
+// sound control plane commits. A name used again, which has another UID, has nothing of the tenant before.
 func (m *Module) applyTenantUpdate(e TenantUpdate) {
 	t := m.fleet.tenants[e.Name]
 	switch {
@@ -83,8 +83,9 @@
 	}
 }
 
-// isOlderThan reports whether an update is newer than what is known. A tenant that leaves the node's scope or comes back to
-// it does so under the revision that it had: of an intent that is no older, that counts as well.
+// isOlderThan reports whether an update is newer than what is known. A tenant that leaves the node's scope or
+// comes back to it does so under the revision that it had: of an intent that is no older, that counts as
+// well.
 func (t *fleetTenant) isOlderThan(e TenantUpdate) bool {
 	if e.IntentRevision == 0 {
 		return e.Revision > t.revision
--- a/policy/window.go
+++ b/policy/window.go
@@ -7,7 +7,8 @@
 )
 
 const (
-	lostAttemptFactor  = 8.0         // multiple of the expected latency after which an attempt counts as lost: one alone is to tell
+	// Multiple of the expected latency after which an attempt counts as lost: one alone is to tell.
+	lostAttemptFactor  = 8.0
 	relatedLossTime    = time.Second // in which losses at several servers of a zone are counted together
 	initialLossTimeout = time.Second // until latencies are known
 )
@@ -60,8 +61,8 @@
 	s.lostAt = m.now
 }
 
-// Window returns what was observed since it was last called, or since the start, and begins anew. Without Settings.Fleet
-// it is empty.
+// Window returns what was observed since it was last called, or since the start, and begins anew. Without
+// Settings.Fleet it is empty.
 func (m *Module) Window(now Time) FleetWindow {
 	if m.fleet == nil {
 		return FleetWindow{Start: now}
@@ -93,8 +94,8 @@
 	}
 }
 
-// countRelatedLosses counts one more server of a zone of which but one was tried in this window, in vain: one that lost an
-// attempt of late and has answered none since. A node that sends little meets them one by one.
+// countRelatedLosses counts one more server of a zone of which but one was tried in this window, in vain: one
+// that lost an attempt of late and has answered none since. A node that sends little meets them one by one.
 func (m *Module) countRelatedLosses() {
 	tried, lost := map[string]int{}, map[string]int{}
 	for _, s := range m.endpoints.ready {
--- a/policy/zone_budget.go
+++ b/policy/zone_budget.go
@@ -17,8 +17,9 @@
 	at     Time // 0: nothing has been counted
 }
 
-// zoneBudgetAllows refills a server's budget and reports whether it has an attempt. A rate is an even part of all nodes: the
-// few that have a server in their subsets use what the others leave of its budget, but for a margin.
+// zoneBudgetAllows refills a server's budget and reports whether it has an attempt. A rate is an even part of
+// all nodes: the few that have a server in their subsets use what the others leave of its budget, but for a
+// margin.
 func (m *Module) zoneBudgetAllows(z *zoneState, s *server) bool {
 	nodesPart := subsetBudgetPart * float64(len(m.endpoints.ready)) / float64(max(1, m.fleet.fullSubsetSize))
 	rate := z.Rate * math.Max(1, nodesPart)
@@ -29,8 +30,8 @@
 	return s.zoneBudget.tokens >= 1
 }
 
-// refillZoneBudget lets a server's part of its zone's rate grow. What is not used within zoneTokenLifetime is lost, so that
-// nodes that had nothing to send save up no burst that meets at one server.
+// refillZoneBudget lets a server's part of its zone's rate grow. What is not used within zoneTokenLifetime is
+// lost, so that nodes that had nothing to send save up no burst that meets at one server.
 func (m *Module) refillZoneBudget(b *zoneBudget, rate float64) {
 	if b.at == 0 {
 		b.tokens, b.at = m.random.float64(), m.now // a first request from every node at once would be a burst
@@ -58,8 +59,8 @@
 	}
 }
 
-// accrueZoneCredit gives each zone with a directive its share of an attempt of a request: as much as the ordinary choice
-// would send there. It is counted, not drawn, and little of it is saved up.
+// accrueZoneCredit gives each zone with a directive its share of an attempt of a request: as much as the
+// ordinary choice would send there. It is counted, not drawn, and little of it is saved up.
 func (m *Module) accrueZoneCredit(r *request) {
 	if m.fleet == nil {
 		return
@@ -80,7 +81,8 @@
 	}
 }
 
-// zonesWithCredit returns the zones with a directive that an attempt may go to now, before all others: their rates soon lapse.
+// zonesWithCredit returns the zones with a directive that an attempt may go to now, before all others: their
+// rates soon lapse.
 func (m *Module) zonesWithCredit() (zones []*zoneState) {
 	if m.fleet == nil {
 		return nil
--- a/policy/zone_routing.go
+++ b/policy/zone_routing.go
@@ -6,7 +6,8 @@
 	"slices"
 )
 
-// zoneState is the control plane's directive on a zone. Without one nothing here changes a decision or draws a number.
+// zoneState is the control plane's directive on a zone. Without one nothing here changes a decision or draws
+// a number.
 type zoneState struct {
 	ZoneDirective
 	issuedAt   Time    // when it had Age 0
@@ -36,8 +37,8 @@
 	return z != nil && z.Trial && !z.Serving && m.isCurrent(z)
 }
 
-// zoneShare is the part of the ordinary attempts that may go to a zone's servers: 1 without a directive, the floor under
-// one that has outlived its validity.
+// zoneShare is the part of the ordinary attempts that may go to a zone's servers: 1 without a directive, the
+// floor under one that has outlived its validity.
 func (m *Module) zoneShare(z *zoneState) float64 {
 	switch {
 	case z == nil || z.Serving:
@@ -48,8 +49,8 @@
 	return z.Floor
 }
 
-// limitingDirective returns the directive that limits traffic to a server's zone, or nil: servers of a limited zone are no
-// part of the ordinary choice.
+// limitingDirective returns the directive that limits traffic to a server's zone, or nil: servers of a
+// limited zone are no part of the ordinary choice.
 func (m *Module) limitingDirective(s *server) *zoneState {
 	z := m.directive(s.Zone)
 	if z != nil && !z.Serving && (m.zoneShare(z) < 1 || z.Rate > 0) {
@@ -58,7 +59,8 @@
 	return nil
 }
 
-// applyZoneDirective takes a directive. One that is older than the present one changes nothing; the same again confirms it.
+// applyZoneDirective takes a directive. One that is older than the present one changes nothing; the same
+// again confirms it.
 func (m *Module) applyZoneDirective(e ZoneDirective) {
 	z := m.fleet.zones[e.Zone]
 	e.IntentRevision = max(e.IntentRevision, e.Revision)
@@ -93,9 +95,9 @@
 	return z
 }
 
-// zoneChanged follows a step of a zone's directive, which had a share and was tried or not before. What is open in a zone
-// just evacuated goes elsewhere, and each of its servers is ejected, so that it is met by a trial with a short delay; such
-// trials begin at once as the zone returns.
+// zoneChanged follows a step of a zone's directive, which had a share and was tried or not before. What is
+// open in a zone just evacuated goes elsewhere, and each of its servers is ejected, so that it is met by a
+// trial with a short delay; such trials begin at once as the zone returns.
 func (m *Module) zoneChanged(z *zoneState, share float64, tried bool) {
 	evacuated := m.zoneShare(z) == 0 && !m.triesZone(z)
 	wasEvacuated := share == 0 && !tried
@@ -120,8 +122,8 @@
 	}
 }
 
-// cancelForRetry calls off idempotent requests that are in flight in a zone just evacuated, the oldest first, as many as
-// further attempts are allowed: each end makes one elsewhere.
+// cancelForRetry calls off idempotent requests that are in flight in a zone just evacuated, the oldest first,
+// as many as further attempts are allowed: each end makes one elsewhere.
 func (m *Module) cancelForRetry(zone string) {
 	allowed := int(m.retryBudget)
 	for _, r := range m.open {
@@ -145,8 +147,8 @@
 		r.rules.MayCancel && len(r.attempts) < r.rules.MaxAttempts
 }
 
-// directiveAllows is the control plane's part of the rules on forwarding: the request's route, zones that are evacuated,
-// and their rates. A trial is an idempotent request's first attempt.
+// directiveAllows is the control plane's part of the rules on forwarding: the request's route, zones that are
+// evacuated, and their rates. A trial is an idempotent request's first attempt.
 func (m *Module) directiveAllows(r *request, s *server) bool {
 	if m.fleet == nil {
 		return true
@@ -165,8 +167,9 @@
 	return z.Rate == 0 || m.zoneBudgetAllows(z, s)
 }
 
-// applyDirectivesToSubset takes an evacuated zone's servers out of the subset, and makes up for what the node lacks there,
-// and in zones that give only a part, by as many servers of others: from the node's place on the ring on.
+// applyDirectivesToSubset takes an evacuated zone's servers out of the subset, and makes up for what the node
+// lacks there, and in zones that give only a part, by as many servers of others: from the node's place on the
+// ring on.
 func (m *Module) applyDirectivesToSubset(start int) {
 	if m.fleet == nil {
 		return
@@ -186,8 +189,8 @@
 	}
 }
 
-// removeEvacuated takes the servers of evacuated zones out of the subset, notes what part of it each zone has, and returns
-// how many servers the directives take away.
+// removeEvacuated takes the servers of evacuated zones out of the subset, notes what part of it each zone
+// has, and returns how many servers the directives take away.
 func (m *Module) removeEvacuated() (missing float64) {
 	part := 1 / float64(max(1, len(m.subset.servers)))
 	for _, z := range m.fleet.zoneOrder {
