--- a/cmd/discovery/fleet_test.go
+++ b/cmd/discovery/fleet_test.go
@@ -88,7 +88,7 @@
 	return code, text
 }
 
-// try is api that says, too, whether an earlier try may have been carried out: its outcome was not known.
+// try is api that says, too, whether an earlier attempt may have been carried out: its outcome was not known.
 func (f *fleetUp) try(method, path string, body any) (code int, text string, unknown bool) {
 	f.t.Helper()
 	code, text, unknown, err := simulated.Call(f.HTTP, method, path, body)
@@ -98,7 +98,7 @@
 	return code, text, unknown
 }
 
-// put proposes a tenant's next generation. Where an earlier try may have been the one that was taken, that is looked up: the
+// put proposes a tenant's next generation. Where an earlier attempt may have been the one that was taken, that is looked up: the
 // rate tells one proposal from another.
 func (f *fleetUp) put(name string, generation uint64, rate float64) (int, string) {
 	f.t.Helper()
--- a/cmd/discovery/tenants.go
+++ b/cmd/discovery/tenants.go
@@ -53,7 +53,7 @@
 	leader   string // as a replica named it
 }
 
-// answer is a call's final answer. Unclear says that an earlier try may have been carried out unheard.
+// answer is a call's final answer. Unclear says that an earlier attempt may have been carried out unheard.
 type answer struct {
 	status  int
 	body    []byte
@@ -155,7 +155,7 @@
 	if err != nil {
 		return fmt.Errorf("%w; whether generation %d was proposed is not known: see status", err, at+1)
 	}
-	if a.status == http.StatusConflict && a.unclear { // it may be our own first try that is in the way
+	if a.status == http.StatusConflict && a.unclear { // it may be our own first attempt that is in the way
 		now, _, err := c.present(ctx, spec.Name)
 		for _, g := range []*fleet.Generation{now.Staged, now.Committed} {
 			if err == nil && g != nil && g.Number == at+1 && g.Digest == digest {
@@ -182,7 +182,7 @@
 	if err != nil {
 		return fmt.Errorf("%w; whether its removal began is not known: see status", err)
 	}
-	if a.status != http.StatusOK && a.unclear { // an unheard try may have begun it, or it is over by now
+	if a.status != http.StatusOK && a.unclear { // an attempt without an answer may have begun it, or it is over by now
 		if now, _, err := c.present(ctx, name); err == nil && (now.UID != t.UID || now.Removing) {
 			a.status = http.StatusOK
 		}
--- a/cmd/fleetlab/main.go
+++ b/cmd/fleetlab/main.go
@@ -160,12 +160,12 @@
 	fmt.Fprintf(w, "%s: %s\n", rep.Scenario, dir)
 	fmt.Fprintf(w, "%-16s %7s %7s %7s %7s %9s %8s %8s %8s\n", "phase from", "sent", "served", "refused", "failed", "goodput/s",
 		"p50 ms", "p99 ms", "p99.9 ms")
-	for _, p := range append(rep.Phases, rep.Whole) {
+	for _, p := range append(rep.Phases, rep.Total) {
 		fmt.Fprintf(w, "%5.1f %-10s %7d %7d %7d %7d %9.1f %8.1f %8.1f %8.1f\n", p.From, p.Event, p.Sent, p.Served, p.Refused,
 			p.Failed, p.GoodputPS, p.P50MS, p.P99MS, p.P999MS)
 	}
 	fmt.Fprintf(w, "cpu: lab %.2f s, nodes %.2f s, agents %.2f s, replicas %.2f s, lab's share %.3f; links %d; descriptors %d of %d; skipped %d\n",
-		rep.CPU.LabS, rep.CPU.NodesS, rep.CPU.AgentsS, rep.CPU.ReplicasS, rep.LabShare, rep.Links, rep.NoFile[0], rep.NoFile[1], rep.Skipped)
+		rep.CPU.LabS, rep.CPU.NodesS, rep.CPU.AgentsS, rep.CPU.ReplicasS, rep.LabCPUFraction, rep.Links, rep.NoFile[0], rep.NoFile[1], rep.Skipped)
 	for _, z := range rep.Zones {
 		fmt.Fprintf(w, "zone %s at %.1f s: left after %.0f ms, served again %.0f ms; nodes stopped p50 %.0f, p95 %.0f, spread %.0f ms (%d nodes); tries %d, further %d of %d requests\n",
 			z.Zone, z.AtS, z.LeftMS, z.ServedMS, z.StopP50MS, z.StopP95MS, z.SpreadMS, z.Nodes, z.Tries, z.Further, z.Requests)
@@ -184,7 +184,7 @@
 	if len(rep.NeverUp) > 0 {
 		fmt.Fprintf(w, "never came up: %s\n", strings.Join(rep.NeverUp, " "))
 	}
-	fmt.Fprintf(w, "cold falls: %d; breaches: %d\n", rep.ColdFalls, len(rep.Breaches))
+	fmt.Fprintf(w, "cold falls: %d; breaches: %d\n", rep.WarmingOverloads, len(rep.Breaches))
 	for i, b := range rep.Breaches {
 		if i == 20 {
 			fmt.Fprintf(w, "  ... %d more in report.json\n", len(rep.Breaches)-20)
--- a/cmd/fleetlab/scale_test.go
+++ b/cmd/fleetlab/scale_test.go
@@ -55,11 +55,11 @@
 	name   string
 	limits []scale.GrowthLimit
 }{
-	{"ci-small-nodes", []scale.GrowthLimit{{Metric: scale.NodeDifference, Most: 0.1}, {Metric: scale.NodeIntentCall, Most: 0.3},
-		{Metric: scale.NodeListCall, Most: 0.2}, {Metric: scale.NodeItems, Most: 0.05}, {Metric: scale.RegistrantCall, Most: 0.1}}},
-	{"ci-small-tenants", []scale.GrowthLimit{{Metric: scale.NodeReportBody, Most: scale.Superlinear},
-		{Metric: scale.NodeReportCall, Most: scale.Superlinear}, {Metric: scale.NodeIntentCall, Most: scale.Superlinear},
-		{Metric: scale.NodeListCall, Most: 0.2}, {Metric: scale.NodeItems, Most: scale.Superlinear}, {Metric: scale.RegistrantCall, Most: 0.1}}},
+	{"ci-small-nodes", []scale.GrowthLimit{{Metric: scale.NodeDifference, Max: 0.1}, {Metric: scale.NodeIntentCall, Max: 0.3},
+		{Metric: scale.NodeListCall, Max: 0.2}, {Metric: scale.NodeItems, Max: 0.05}, {Metric: scale.RegistrantCall, Max: 0.1}}},
+	{"ci-small-tenants", []scale.GrowthLimit{{Metric: scale.NodeReportBody, Max: scale.Superlinear},
+		{Metric: scale.NodeReportCall, Max: scale.Superlinear}, {Metric: scale.NodeIntentCall, Max: scale.Superlinear},
+		{Metric: scale.NodeListCall, Max: 0.2}, {Metric: scale.NodeItems, Max: scale.Superlinear}, {Metric: scale.RegistrantCall, Max: 0.1}}},
 }
 
 // TestSmallSweepsKeepTheirGrowth runs the CI's sweeps on real replicas and hollow processes, and shows of each limit that it
--- a/cmd/fleetlab/simulate.go
+++ b/cmd/fleetlab/simulate.go
@@ -16,7 +16,7 @@
 	"meadowsill/internal/fleet/sim"
 )
 
-// simulateCmd plays the fleet's cores on seeded schedules, in this process alone.
+// simulateCmd simulates the fleet's cores on seeded schedules, in this process alone.
 func simulateCmd() *cobra.Command {
 	var seeds, nodes, workers int
 	var first uint64
@@ -54,11 +54,11 @@
 			if err != nil {
 				return err
 			}
-			fmt.Fprintf(c.OutOrStdout(), "%s\n%d plays in %v\n", raw, sum.Plays, time.Since(began).Round(time.Second))
+			fmt.Fprintf(c.OutOrStdout(), "%s\n%d plays in %v\n", raw, sum.Runs, time.Since(began).Round(time.Second))
 			if len(sum.Breaches) > 0 {
 				b := sum.Breaches[0]
 				return fmt.Errorf("%d of %d plays broke a rule; again: fleetlab simulate --kind %s --nodes %d --seed %d --seeds 1",
-					len(sum.Breaches), sum.Plays, kind, nodes, b.Seed)
+					len(sum.Breaches), sum.Runs, kind, nodes, b.Seed)
 			}
 			return nil
 		}}
--- a/cmd/fleetlab/simulate_cores.go
+++ b/cmd/fleetlab/simulate_cores.go
@@ -11,13 +11,13 @@
 	zonesplay "meadowsill/internal/fleet/zones/simulation"
 )
 
-// corePlays are the plays of one core by kind. How many nodes there are, and for how long, is the play's own choice.
-var corePlays = map[string]func(seed uint64) error{
+// coreSimulations are the runs of one core by kind. How many nodes there are, and for how long, is the run's own choice.
+var coreSimulations = map[string]func(seed uint64) error{
 	"zones":   func(s uint64) error { return zonesplay.Run(zonesplay.Draw(s)) },
 	"tenants": func(s uint64) error { return tenantsplay.Run(int64(s), 40) },
 }
 
-// simulateCore plays seeds of a kind of corePlays. The error is the breach of the lowest seed.
+// simulateCore simulates seeds of a kind of coreSimulations. The error is the breach of the lowest seed.
 func simulateCore(ctx context.Context, out io.Writer, kind string, first uint64, seeds, workers int) error {
 	began, next := time.Now(), 0
 	var lock sync.Mutex
@@ -34,7 +34,7 @@
 				if over {
 					return
 				}
-				err := corePlays[kind](s)
+				err := coreSimulations[kind](s)
 				lock.Lock()
 				if plays++; err != nil {
 					broken[s] = err
--- a/cmd/fleetlab/simulate_drift.go
+++ b/cmd/fleetlab/simulate_drift.go
@@ -12,7 +12,7 @@
 	driftplay "meadowsill/internal/fleet/drift/simulation"
 )
 
-// simulateDrift plays the drift detector's core: seeds plays from first on, each of the given length. The error is the
+// simulateDrift simulates the drift detector's core: seeds runs from first on, each of the given length. The error is the
 // first breach: a false alarm, or a plant that was missed.
 func simulateDrift(ctx context.Context, out io.Writer, first uint64, seeds, nodes, workers int, length time.Duration) error {
 	const most = 0.05 // of the messages lost
--- a/internal/capacity/agentchecks.go
+++ b/internal/capacity/agentchecks.go
@@ -20,8 +20,8 @@
 	return s.Get(CopyTakeChange).At(tenants) + s.Get(CopySave).At(tenants) + s.Get(CopyReadChange).At(tenants)
 }
 
-// wholeCopyNanos is one change's work on a copy that was written whole.
-func wholeCopyNanos(s Slopes, tenants float64) float64 {
+// completeCopyNanos is one change's work on a copy that was written in full.
+func completeCopyNanos(s Slopes, tenants float64) float64 {
 	return s.Get(CopyTakeChange).At(tenants) + s.Get(CopyEncode).At(tenants) + s.Get(CopyDecode).At(tenants) + s.Get(CopyReadChange).At(tenants)
 }
 
@@ -85,7 +85,7 @@
 		allowed: func(p Plan, _ Slopes) float64 { return p.Allowed.NodeCorePercent },
 		past: &past{[]ID{CopyTakeChange, CopyEncode, CopyDecode, CopyReadChange},
 			func(p Plan, s Slopes) float64 {
-				return percent * itemsPerChange * changesPerS(p) * wholeCopyNanos(s, p.Size.Tenants) / nanosPerS
+				return percent * itemsPerChange * changesPerS(p) * completeCopyNanos(s, p.Size.Tenants) / nanosPerS
 			}}},
 	{role: RoleAgent, quantity: "heap of the copy, and of the bodies while its base is written", formula: "tenants in scope × (heap + 2 × bytes)",
 		slopes: []ID{CopyHeap, CopyBytes}, unit: "MB", mechanism: ScopedState, reckoned: "garbage is not counted",
--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -200,7 +200,7 @@
 	plan, slopes := committed(t)
 	broken := 0
 	for _, row := range Rows(plan, slopes) {
-		if row.Holds() {
+		if row.IsWithinBound() {
 			if row.Part != 1 {
 				t.Errorf("%s holds, to %g", row.quantity, row.Part)
 			}
@@ -233,7 +233,7 @@
 	plan, slopes := committed(t)
 	emptied := slopes.Merge([]Slope{{ID: ReportBytes}}, slopes.Commit)
 	for _, row := range Rows(plan, emptied) {
-		if wants := slices.Contains(row.slopes, ReportBytes); row.NotRun != wants || wants && (row.Holds() || verdict(row, plan) != notRun) {
+		if wants := slices.Contains(row.slopes, ReportBytes); row.NotRun != wants || wants && (row.IsWithinBound() || verdict(row, plan) != notRun) {
 			t.Errorf("%s: not run %v, wants %v", row.quantity, row.NotRun, wants)
 		}
 	}
--- a/internal/capacity/catalog.go
+++ b/internal/capacity/catalog.go
@@ -32,7 +32,7 @@
 // The slopes. Those of benchmarks are named by the catalog's rows; the others come from pages or sweeps of whole processes.
 const (
 	ListReadChange   ID = "list.read.change"
-	ListReadWhole    ID = "list.read.whole"
+	ListReadComplete ID = "list.read.whole"
 	ListEncode       ID = "list.encode"
 	ListBytes        ID = "list.bytes"
 	ListSweep        ID = "list.sweep"
@@ -53,35 +53,35 @@
 	CopySave        ID = "copy.save.change"
 	CopySaveBytes   ID = "copy.save.change.bytes"
 
-	IntentReadChange  ID = "intent.read.change"
-	IntentReadWhole   ID = "intent.read.whole"
-	Guard             ID = "fleet.guard"
-	MayJoin           ID = "fleet.may_join"
-	FleetSnapshot     ID = "fleet.snapshot"
-	FleetSnapshotSize ID = "fleet.snapshot.bytes"
-	Step              ID = "judge.step"
-	FirstStep         ID = "judge.first_step"
-	JudgeReport       ID = "judge.report"
-	FleetHeap         ID = "fleet.heap"
-	Division          ID = "division"
-	DivisionBytes     ID = "division.bytes"
-
-	CopyReadChange ID = "copy.read.change"
-	CopyTakeChange ID = "copy.take.change"
-	CopyTakeWhole  ID = "copy.take.whole"
-	CopyEncode     ID = "copy.encode"
-	CopyBytes      ID = "copy.bytes"
-	CopyDecode     ID = "copy.decode"
-	CopyHeap       ID = "copy.heap"
-
-	ModuleList   ID = "module.list.change"
-	ModuleTick   ID = "module.tick"
-	ModuleWindow ID = "module.window"
-	ModuleHolds  ID = "module.holds"
-	ModuleLoad   ID = "module.tenants.load"
-	HoldsList    ID = "module.holds.list"
-	FillTenants  ID = "report.digests.tenants"
-	FillServers  ID = "report.digests.list"
+	IntentReadChange   ID = "intent.read.change"
+	IntentReadComplete ID = "intent.read.whole"
+	Guard              ID = "fleet.guard"
+	MayJoin            ID = "fleet.may_join"
+	FleetSnapshot      ID = "fleet.snapshot"
+	FleetSnapshotSize  ID = "fleet.snapshot.bytes"
+	Step               ID = "judge.step"
+	FirstStep          ID = "judge.first_step"
+	EvaluateReport     ID = "judge.report"
+	FleetHeap          ID = "fleet.heap"
+	Division           ID = "division"
+	DivisionBytes      ID = "division.bytes"
+
+	CopyReadChange   ID = "copy.read.change"
+	CopyTakeChange   ID = "copy.take.change"
+	CopyTakeComplete ID = "copy.take.whole"
+	CopyEncode       ID = "copy.encode"
+	CopyBytes        ID = "copy.bytes"
+	CopyDecode       ID = "copy.decode"
+	CopyHeap         ID = "copy.heap"
+
+	ModuleList        ID = "module.list.change"
+	ModuleTick        ID = "module.tick"
+	ModuleWindow      ID = "module.window"
+	ModuleApplied     ID = "module.holds"
+	ModuleLoad        ID = "module.tenants.load"
+	ModuleAppliedList ID = "module.holds.list"
+	FillTenants       ID = "report.digests.tenants"
+	FillServers       ID = "report.digests.list"
 
 	AgentBytes    ID = "agent.bytes"
 	AgentCPU      ID = "agent.cpu"
@@ -138,7 +138,7 @@
 
 var catalog = []definition{
 	timed(ListReadChange, RoleLeader, "a watch's read of one change of the list", perServer, "internal/registry", "ReadOneChange"),
-	timed(ListReadWhole, RoleLeader, "a read of the whole list", perServer, "internal/registry", "ReadComplete"),
+	timed(ListReadComplete, RoleLeader, "a read of the whole list", perServer, "internal/registry", "ReadComplete"),
 	timed(ListEncode, RoleLeader, "the whole list as JSON", perServer, "internal/registry", "EncodeComplete"),
 	sized(ListBytes, RoleLeader, "body of the whole list", perServer, "internal/registry", "EncodeComplete", "body-B"),
 	timed(ListSweep, RoleLeader, "an expiry sweep that finds nothing", perServer, "internal/registry", "Sweep"),
@@ -158,21 +158,21 @@
 	timed(MayJoinScope, RoleLeader, "MayJoin of a report in a scope", perTenant, "internal/fleet/control", "MayJoinInScope"),
 	timed(ReadScope, RoleLeader, "a read of the whole intent of a scope", perTenant, "internal/fleet/control", "ReadScope"),
 	timed(IntentReadChange, RoleLeader, "a watch's read of one change of the intent", perTenant, "internal/fleet/control", "ReadOneChange"),
-	timed(IntentReadWhole, RoleLeader, "a read of the whole intent", perTenant, "internal/fleet/control", "ReadComplete"),
+	timed(IntentReadComplete, RoleLeader, "a read of the whole intent", perTenant, "internal/fleet/control", "ReadComplete"),
 	timed(Guard, RoleLeader, "Guard of a join", perTenant, "internal/fleet/control", "Guard"),
 	timed(MayJoin, RoleLeader, "MayJoin of a report", perTenant, "internal/fleet/control", "MayJoin"),
 	timed(FleetSnapshot, RoleLeader, "snapshot of the fleet", perTenant, "internal/fleet/control", "Snapshot"),
 	sized(FleetSnapshotSize, RoleLeader, "snapshot of the fleet", perTenant, "internal/fleet/control", "Snapshot", "snapshot-B"),
 	timed(Step, RoleLeader, "the leader's step, no session", perTenant, "internal/fleet/control", "ControllerStep"),
 	timed(FirstStep, RoleLeader, "the first step of a leader", perTenant, "internal/fleet/control", "ControllerFirstStep"),
-	timed(JudgeReport, RoleLeader, "judging a report", perTenant, "internal/fleet/control", "ControllerReport"),
+	timed(EvaluateReport, RoleLeader, "judging a report", perTenant, "internal/fleet/control", "ControllerReport"),
 	sized(FleetHeap, RoleFollower, "heap of the fleet's state", perTenant, "internal/fleet/control", "Heap", "heap-B"),
 	timed(Division, RoleLeader, "a division of quotas", perPair, "internal/fleet/tenants", "Division"),
 	sized(DivisionBytes, RoleLeader, "leases in a snapshot", perPair, "internal/fleet/tenants", "Division", "leases-B"),
 
 	timed(CopyReadChange, RoleAgent, "the node's read of one change", perTenant, "internal/fleet/agent", "ReadOneChange"),
 	timed(CopyTakeChange, RoleAgent, "taking one change into the copy", perTenant, "internal/fleet/agent", "TakeOneChange"),
-	timed(CopyTakeWhole, RoleAgent, "taking a whole answer", perTenant, "internal/fleet/agent", "ApplyComplete"),
+	timed(CopyTakeComplete, RoleAgent, "taking a whole answer", perTenant, "internal/fleet/agent", "ApplyComplete"),
 	timed(CopyEncode, RoleAgent, "the copy as it is written", perTenant, "internal/fleet/agent", "Encode"),
 	timed(CopySave, RoleAgent, "one change made durable, the wait for the disk in it", perTenant, "internal/fleet/agent", "SaveOneChange"),
 	sized(CopySaveBytes, RoleAgent, "bytes written for one change", perTenant, "internal/fleet/agent", "SaveOneChange", "disk-B"),
@@ -183,8 +183,8 @@
 	timed(ModuleList, RoleNode, "the module's update for one change of the list", perServer, "policy", "ListOneChange"),
 	timed(ModuleTick, RoleNode, "the module's round of checks, no request open", perServer, "policy", "Tick"),
 	timed(ModuleWindow, RoleNode, "Window, for each report", perTenant, "policy", "Window"),
-	timed(ModuleHolds, RoleNode, "Holds, for each report", perTenant, "policy", "Applied"),
-	timed(HoldsList, RoleNode, "Holds of the list, for each report", perServer, "policy", "AppliedList"),
+	timed(ModuleApplied, RoleNode, "Holds, for each report", perTenant, "policy", "Applied"),
+	timed(ModuleAppliedList, RoleNode, "Holds of the list, for each report", perServer, "policy", "AppliedList"),
 	timed(FillTenants, RoleNode, "digests of the tenants, for each report", perTenant, "internal/fleet/drift", "FillTenants"),
 	timed(FillServers, RoleNode, "digests of the list, for each report", perServer, "internal/fleet/drift", "FillServers"),
 	timed(ModuleLoad, RoleNode, "a module's load of all tenants", perTenant, "policy", "TenantsLoad"),
--- a/internal/capacity/check.go
+++ b/internal/capacity/check.go
@@ -52,11 +52,11 @@
 	NotRun          bool    // a slope of it was never measured: there is no result
 }
 
-// Holds says whether the cost is within what is allowed at the planned size.
-func (r Row) Holds() bool { return !r.NotRun && r.Result <= r.Allowed }
+// IsWithinBound says whether the cost is within what is allowed at the planned size.
+func (r Row) IsWithinBound() bool { return !r.NotRun && r.Result <= r.Allowed }
 
 // Rows carries out every check.
-func Rows(plan Plan, slopes Slopes) []Row { return carryOut(allChecks(), plan, slopes) }
+func Rows(plan Plan, slopes Slopes) []Row { return runChecks(allChecks(), plan, slopes) }
 
 // PastRows carries out every check by the costs and the slopes of before the mechanism, in the order of Rows. A cost that was not
 // measured then is not run.
@@ -67,20 +67,20 @@
 			checks[i].slopes, checks[i].cost = past.slopes, past.cost
 		}
 	}
-	return carryOut(checks, plan, before)
+	return runChecks(checks, plan, before)
 }
 
 func allChecks() []check {
 	return slices.Concat(nodeChecks, agentChecks, leaderChecks, followerChecks, otherChecks)
 }
 
-func carryOut(checks []check, plan Plan, slopes Slopes) []Row {
+func runChecks(checks []check, plan Plan, slopes Slopes) []Row {
 	var out []Row
 	for _, c := range checks {
 		row := Row{check: c, Result: c.cost(plan, slopes), Allowed: c.allowed(plan, slopes), Part: 1}
 		row.NotRun = slices.ContainsFunc(c.slopes, func(id ID) bool { return !slopes.Get(id).Measured() })
-		if !row.NotRun && !row.Holds() {
-			row.Part = holdsTo(c, plan, slopes)
+		if !row.NotRun && !row.IsWithinBound() {
+			row.Part = largestWithinBounds(c, plan, slopes)
 		}
 		out = append(out, row)
 	}
@@ -89,8 +89,8 @@
 
 const halvings = 60 // of the interval in which a part is looked for
 
-// holdsTo is the part of the planned size up to which a cost is allowed.
-func holdsTo(c check, plan Plan, slopes Slopes) float64 {
+// largestWithinBounds is the part of the planned size up to which a cost is allowed.
+func largestWithinBounds(c check, plan Plan, slopes Slopes) float64 {
 	low, high := 0.0, 1.0
 	for range halvings {
 		middle := (low + high) / 2
@@ -115,7 +115,7 @@
 func MissingFirst(rows []Row) []Missing {
 	var out []Missing
 	for _, row := range rows {
-		if row.NotRun || row.Holds() {
+		if row.NotRun || row.IsWithinBound() {
 			continue
 		}
 		i := slices.IndexFunc(out, func(m Missing) bool { return m.Mechanism == row.mechanism })
--- a/internal/capacity/datapath.go
+++ b/internal/capacity/datapath.go
@@ -16,7 +16,7 @@
 	Runs    []DataPathRun `json:"runs"`
 }
 
-// DataPathRun is one run: percentiles of whole requests, directly and through the node, in the same run.
+// DataPathRun is one run: percentiles of complete requests, directly and through the node, in the same run.
 type DataPathRun struct {
 	RequestsPerS float64     `json:"requests_per_s"`
 	ChangesPerS  float64     `json:"changes_per_s"`
@@ -67,21 +67,21 @@
 // workMS is the stub's work on a request.
 const workMS = 5.0
 
-// quiet says whether a run can be judged: the direct call's own p99 leaves room for what is allowed to be seen.
-func (r DataPathRun) quiet(p Plan) bool { return r.Direct.P99 <= workMS+p.Allowed.AddedMS }
+// isUndisturbed says whether a run can be evaluated: the direct call's own p99 leaves room for what is allowed to be seen.
+func (r DataPathRun) isUndisturbed(p Plan) bool { return r.Direct.P99 <= workMS+p.Allowed.AddedMS }
 
-// dataPathTable gives, for each rate of requests and changes, the range over the repeats: those that can be judged by themselves.
+// dataPathTable gives, for each rate of requests and changes, the range over the repeats: those that can be evaluated by themselves.
 func dataPathTable(p Plan, d DataPath) table {
 	out := table{name: "data path", head: []string{"requests a second", "changes of the list a second", "repeats, requests, load average",
 		"direct p50, p99, p99.9", "added at p50", "at p99", "at p99.9", "not served, direct", "allowed at p99", "verdict"}}
 	runs := slices.Clone(d.Runs)
 	slices.SortStableFunc(runs, func(a, b DataPathRun) int {
-		return cmp.Or(cmp.Compare(a.RequestsPerS, b.RequestsPerS), cmp.Compare(a.ChangesPerS, b.ChangesPerS), compareBool(b.quiet(p), a.quiet(p)))
+		return cmp.Or(cmp.Compare(a.RequestsPerS, b.RequestsPerS), cmp.Compare(a.ChangesPerS, b.ChangesPerS), compareBool(b.isUndisturbed(p), a.isUndisturbed(p)))
 	})
 	for len(runs) > 0 {
 		first := runs[0]
 		n := slices.IndexFunc(runs, func(r DataPathRun) bool {
-			return r.RequestsPerS != first.RequestsPerS || r.ChangesPerS != first.ChangesPerS || r.quiet(p) != first.quiet(p)
+			return r.RequestsPerS != first.RequestsPerS || r.ChangesPerS != first.ChangesPerS || r.isUndisturbed(p) != first.isUndisturbed(p)
 		})
 		if n < 0 {
 			n = len(runs)
@@ -120,7 +120,7 @@
 	low, high, p99 := between(func(r DataPathRun) float64 { return r.Node.P99 - r.Direct.P99 })
 	verdict := "holds"
 	switch {
-	case !runs[0].quiet(p):
+	case !runs[0].isUndisturbed(p):
 		verdict = "no verdict: the direct call's own p99 shows the machine's load"
 	case low > p.Allowed.AddedMS:
 		verdict = "**does not hold**"
--- a/internal/capacity/failures.go
+++ b/internal/capacity/failures.go
@@ -71,9 +71,9 @@
 	return s.Get(CopyBytes).At(scopeTenants(p)) + s.Get(ListBytes).At(p.Size.Servers)
 }
 
-// readS is the time of one node's whole reads at a replica.
+// readS is the time of one node's complete reads at a replica.
 func readS(p Plan, s Slopes) float64 {
-	return (s.Get(ReadScope).At(scopeTenants(p)) + s.Get(ListReadWhole).At(p.Size.Servers)) / nanosPerS
+	return (s.Get(ReadScope).At(scopeTenants(p)) + s.Get(ListReadComplete).At(p.Size.Servers)) / nanosPerS
 }
 
 var starts = []start{
--- a/internal/capacity/inforce.go
+++ b/internal/capacity/inforce.go
@@ -44,8 +44,8 @@
 	return r.nodes / replicasToday * s.Get(IntentReadChange).At(r.tenants) / nanosPerS
 }
 
-// wholeCopyS is the time of a copy that was written whole, copyS that of one saved by difference.
-func wholeCopyS(_ Plan, s Slopes, r reach) float64 {
+// completeCopyS is the time of a copy that was written in full, copyS that of one saved by difference.
+func completeCopyS(_ Plan, s Slopes, r reach) float64 {
 	return diskS + (s.Get(CopyTakeChange).At(r.tenants)+s.Get(CopyEncode).At(r.tenants)+s.Get(CopyDecode).At(r.tenants))/nanosPerS
 }
 
@@ -74,8 +74,8 @@
 	return 1.5*roundTripS(p) + verifyS + r.nodes*reportNanos(s, r.tenants)/p.Input(Cores)/nanosPerS
 }
 
-func wholeLeaderReportsS(p Plan, s Slopes, r reach) float64 {
-	return 1.5*roundTripS(p) + verifyS + r.nodes*wholeReportNanos(s, r.tenants)/p.Input(Cores)/nanosPerS
+func completeLeaderReportsS(p Plan, s Slopes, r reach) float64 {
+	return 1.5*roundTripS(p) + verifyS + r.nodes*completeReportNanos(s, r.tenants)/p.Input(Cores)/nanosPerS
 }
 
 // leaderStepS goes by every tenant, whatever the reach: the step is not scoped before stage 5.
@@ -88,15 +88,15 @@
 	{name: "commit of what is staged: a round trip and a synced write", seconds: commitS},
 	{name: "fan-out: the reads of a replica's watches, one after another", seconds: fanOutS, twice: true},
 	{name: "to the agents, half a round trip", seconds: oneWayS},
-	{name: "the agent's copy: taken, made durable", seconds: copyS, past: wholeCopyS, twice: true},
+	{name: "the agent's copy: taken, made durable", seconds: copyS, past: completeCopyS, twice: true},
 	{name: "the node reads it, validates and stages", seconds: nodeReadS},
 	{name: "the node's next report", seconds: differenceReportS, past: nodeReportS},
-	{name: "the reports at the leader: half a round trip, 50 ms gathered, a confirmation, all read", seconds: leaderReportsS, past: wholeLeaderReportsS},
+	{name: "the reports at the leader: half a round trip, 50 ms gathered, a confirmation, all read", seconds: leaderReportsS, past: completeLeaderReportsS},
 	{name: "the leader's next step", seconds: leaderStepS},
 	{name: "commit of what is committed", seconds: commitS},
 	{name: "fan-out again", seconds: fanOutS, twice: true},
 	{name: "to the agents again", seconds: oneWayS},
-	{name: "the agent's copy again", seconds: copyS, past: wholeCopyS, twice: true},
+	{name: "the agent's copy again", seconds: copyS, past: completeCopyS, twice: true},
 	{name: "the node reads it and serves by it", seconds: nodeReadS},
 }
 
--- a/internal/capacity/leaderchecks.go
+++ b/internal/capacity/leaderchecks.go
@@ -7,7 +7,7 @@
 	leaseTTLS          = 6.0    // of an app server's lease and of a node's session
 	renewalsPerTTL     = 3.0    // a lease is renewed at a third of its length
 	memoryPart         = 0.5    // of a machine, for one replica
-	viewBytes          = 200.0  // of the judge's memory of one tenant in one node's report
+	viewBytes          = 200.0  // of the controller's memory of one tenant in one node's report
 	baseBytes          = 150.0  // of a tenant's row in a report that is kept as base: 104 and its texts (docs/fleet.md)
 	basesEach          = 2.0    // reports kept of a node: the newest acknowledged one, and the one that it followed
 	linkBytesPerS      = 125e6  // of a machine: 1 Gbit/s
@@ -42,24 +42,24 @@
 	return 2*s.Get(GuardScope).At(scopeTenants(p)) + s.Get(MayJoinScope).At(scopeTenants(p))
 }
 
-func wholeJoinNanos(p Plan, s Slopes) float64 {
+func completeJoinNanos(p Plan, s Slopes) float64 {
 	return 2*s.Get(Guard).At(p.Size.Tenants) + s.Get(MayJoin).At(p.Size.Tenants)
 }
 
 // reportNanos is the leader's work on one report that came as a difference.
 func reportNanos(s Slopes, tenants float64) float64 {
-	return s.Get(Apply).At(tenants) + s.Get(JudgeReport).At(tenants)
+	return s.Get(Apply).At(tenants) + s.Get(EvaluateReport).At(tenants)
 }
 
-// wholeReportNanos is the leader's work on one report that came whole.
-func wholeReportNanos(s Slopes, tenants float64) float64 {
-	return s.Get(ReportDecode).At(tenants) + s.Get(JudgeReport).At(tenants)
+// completeReportNanos is the leader's work on one report that came in full.
+func completeReportNanos(s Slopes, tenants float64) float64 {
+	return s.Get(ReportDecode).At(tenants) + s.Get(EvaluateReport).At(tenants)
 }
 
 var (
-	wholeJoin   = []ID{Guard, MayJoin}
-	scopedJoin  = []ID{GuardScope, MayJoinScope}
-	wholeReport = []ID{ReportDecode, JudgeReport}
+	completeJoin   = []ID{Guard, MayJoin}
+	scopedJoin     = []ID{GuardScope, MayJoinScope}
+	completeReport = []ID{ReportDecode, EvaluateReport}
 )
 
 func listFanOutS(p Plan, s Slopes) float64 {
@@ -85,10 +85,10 @@
 	{role: RoleLeader, quantity: "a join, under the lock", formula: "tenants in scope × (2 × guard + may join)", slopes: scopedJoin, unit: "ms",
 		mechanism: ScopedRollouts, allowed: lockMS,
 		cost: func(p Plan, s Slopes) float64 { return joinNanos(p, s) / nanosPerMS },
-		past: &past{wholeJoin, func(p Plan, s Slopes) float64 { return wholeJoinNanos(p, s) / nanosPerMS }}},
+		past: &past{completeJoin, func(p Plan, s Slopes) float64 { return completeJoinNanos(p, s) / nanosPerMS }}},
 	{role: RoleLeader, quantity: "joins of all nodes after all replicas were down, under the lock",
 		formula: "nodes × tenants in scope × (2 × guard + may join)", slopes: scopedJoin, unit: "s", mechanism: ScopedRollouts,
-		past:    &past{wholeJoin, func(p Plan, s Slopes) float64 { return p.Size.Nodes * wholeJoinNanos(p, s) / nanosPerS }},
+		past:    &past{completeJoin, func(p Plan, s Slopes) float64 { return p.Size.Nodes * completeJoinNanos(p, s) / nanosPerS }},
 		why:     "wanted until all are back",
 		cost:    func(p Plan, s Slopes) float64 { return p.Size.Nodes * joinNanos(p, s) / nanosPerS },
 		allowed: func(Plan, Slopes) float64 { return returnWantedS }},
@@ -113,12 +113,12 @@
 		cost: func(p Plan, s Slopes) float64 { return s.Get(DivisionBytes).At(scopePairs(p)) / bytesPerGB },
 		past: &past{[]ID{DivisionBytes}, func(p Plan, s Slopes) float64 { return s.Get(DivisionBytes).At(pairs(p)) / bytesPerGB }}},
 	{role: RoleLeader, quantity: "the reports of all nodes, processor time", formula: "nodes × 4 a second × tenants in scope × (apply + judge)",
-		slopes: []ID{Apply, JudgeReport}, unit: "cores", mechanism: ReportsByChange,
+		slopes: []ID{Apply, EvaluateReport}, unit: "cores", mechanism: ReportsByChange,
 		cost: func(p Plan, s Slopes) float64 {
 			return p.Size.Nodes * reportsPerS * reportNanos(s, scopeTenants(p)) / nanosPerS
 		},
-		past: &past{wholeReport, func(p Plan, s Slopes) float64 {
-			return p.Size.Nodes * reportsPerS * wholeReportNanos(s, p.Size.Tenants) / nanosPerS
+		past: &past{completeReport, func(p Plan, s Slopes) float64 {
+			return p.Size.Nodes * reportsPerS * completeReportNanos(s, p.Size.Tenants) / nanosPerS
 		}},
 		allowed: func(p Plan, _ Slopes) float64 { return p.Input(Cores) }},
 	{role: RoleLeader, quantity: "memory of the reports: the judge's, and two bases", formula: "nodes × tenants in scope × (200 + 2 × 150 B)",
@@ -150,10 +150,10 @@
 	{role: RoleFollower, quantity: "one whole read of the intent of a scope", formula: "tenants in scope × slope", slopes: []ID{ReadScope},
 		unit: "ms", mechanism: ScopedState, allowed: lockMS, why: "as for the lock, which it no longer takes",
 		cost: func(p Plan, s Slopes) float64 { return s.Get(ReadScope).At(scopeTenants(p)) / nanosPerMS },
-		past: &past{[]ID{IntentReadWhole}, func(p Plan, s Slopes) float64 { return s.Get(IntentReadWhole).At(p.Size.Tenants) / nanosPerMS }}},
-	{role: RoleFollower, quantity: "one whole read of the list", formula: "servers × slope", slopes: []ID{ListReadWhole},
+		past: &past{[]ID{IntentReadComplete}, func(p Plan, s Slopes) float64 { return s.Get(IntentReadComplete).At(p.Size.Tenants) / nanosPerMS }}},
+	{role: RoleFollower, quantity: "one whole read of the list", formula: "servers × slope", slopes: []ID{ListReadComplete},
 		unit: "ms", mechanism: ListByService, allowed: lockMS, why: "as for the lock, which it no longer takes",
-		cost: func(p Plan, s Slopes) float64 { return s.Get(ListReadWhole).At(p.Size.Servers) / nanosPerMS }},
+		cost: func(p Plan, s Slopes) float64 { return s.Get(ListReadComplete).At(p.Size.Servers) / nanosPerMS }},
 	{role: RoleFollower, quantity: "state in memory, without leases", formula: "tenants × heap + servers × 400 B", slopes: []ID{FleetHeap}, unit: "GB",
 		mechanism: None, why: "half of a machine's memory", reckoned: "400 bytes an entry of the list", allowed: halfMemory,
 		cost: func(p Plan, s Slopes) float64 {
--- a/internal/capacity/missed.go
+++ b/internal/capacity/missed.go
@@ -30,7 +30,7 @@
 	return r + max(0, leaseTTLS+r-p.Allowed.InForceS)
 }
 
-// releaseMiss is the part of the changes put during a rolling restart that miss the bound: each try to commit wants an epoch
+// releaseMiss is the part of the changes put during a rolling restart that miss the bound: each attempt to commit wants an epoch
 // that does not change between the leader's step and the commit.
 // nodes are those whose coming and going moves the epoch.
 func releaseMiss(p Plan, nodes float64) float64 {
--- a/internal/capacity/nodechecks.go
+++ b/internal/capacity/nodechecks.go
@@ -25,16 +25,16 @@
 
 // loopNanos is what a report takes of the node's loop, with so many tenants held.
 func loopNanos(p Plan, s Slopes, tenants float64) float64 {
-	return s.Get(ModuleWindow).At(tenants) + s.Get(ModuleHolds).At(tenants) + s.Get(HoldsList).At(p.Size.Servers)
+	return s.Get(ModuleWindow).At(tenants) + s.Get(ModuleApplied).At(tenants) + s.Get(ModuleAppliedList).At(p.Size.Servers)
 }
 
 // tenantNanos and listNanos are a node's work on one report, in the loop and outside it.
 func tenantNanos(s Slopes, tenants float64) float64 {
-	return s.Get(ModuleWindow).At(tenants) + s.Get(ModuleHolds).At(tenants) + s.Get(FillTenants).At(tenants) + s.Get(ReportEncode).At(tenants)
+	return s.Get(ModuleWindow).At(tenants) + s.Get(ModuleApplied).At(tenants) + s.Get(FillTenants).At(tenants) + s.Get(ReportEncode).At(tenants)
 }
 
 func listNanos(p Plan, s Slopes) float64 {
-	return s.Get(HoldsList).At(p.Size.Servers) + s.Get(FillServers).At(p.Size.Servers)
+	return s.Get(ModuleAppliedList).At(p.Size.Servers) + s.Get(FillServers).At(p.Size.Servers)
 }
 
 var nodeChecks = []check{
@@ -60,23 +60,23 @@
 		},
 		allowed: func(p Plan, _ Slopes) float64 { return p.Allowed.NodeCorePercent }},
 	{role: RoleNode, quantity: "Window and Holds for one report, in the node's loop", formula: "tenants in scope × (window + holds) + servers × holds",
-		slopes: []ID{ModuleWindow, ModuleHolds, HoldsList}, unit: "ms", mechanism: WorkAtNode,
+		slopes: []ID{ModuleWindow, ModuleApplied, ModuleAppliedList}, unit: "ms", mechanism: WorkAtNode,
 		cost: func(p Plan, s Slopes) float64 { return loopNanos(p, s, scopeTenants(p)) / nanosPerMS },
-		past: &past{[]ID{ModuleWindow, ModuleHolds, HoldsList},
+		past: &past{[]ID{ModuleWindow, ModuleApplied, ModuleAppliedList},
 			func(p Plan, s Slopes) float64 { return loopNanos(p, s, p.Size.Tenants) / nanosPerMS }},
 		allowed: func(p Plan, _ Slopes) float64 { return p.Allowed.AddedMS }},
 	{role: RoleNode, quantity: "reports: tenants, processor time", formula: "4 reports a second × tenants in scope × (window + holds + digests + encode)",
-		slopes: []ID{ModuleWindow, ModuleHolds, FillTenants, ReportEncode}, unit: "% of a core", mechanism: WorkAtNode,
+		slopes: []ID{ModuleWindow, ModuleApplied, FillTenants, ReportEncode}, unit: "% of a core", mechanism: WorkAtNode,
 		cost: func(p Plan, s Slopes) float64 {
 			return percent * reportsPerS * tenantNanos(s, scopeTenants(p)) / nanosPerS
 		},
-		past: &past{[]ID{ModuleWindow, ModuleHolds, FillTenants, ReportEncode},
+		past: &past{[]ID{ModuleWindow, ModuleApplied, FillTenants, ReportEncode},
 			func(p Plan, s Slopes) float64 {
 				return percent * reportsPerS * tenantNanos(s, p.Size.Tenants) / nanosPerS
 			}},
 		allowed: func(p Plan, _ Slopes) float64 { return p.Allowed.NodeCorePercent }},
 	{role: RoleNode, quantity: "reports: the list, processor time", formula: "4 reports a second × servers × (holds + digests)",
-		slopes: []ID{HoldsList, FillServers}, unit: "% of a core", mechanism: WorkAtNode,
+		slopes: []ID{ModuleAppliedList, FillServers}, unit: "% of a core", mechanism: WorkAtNode,
 		cost:    func(p Plan, s Slopes) float64 { return percent * reportsPerS * listNanos(p, s) / nanosPerS },
 		allowed: func(p Plan, _ Slopes) float64 { return p.Allowed.NodeCorePercent }},
 	{role: RoleNode, quantity: "load of a node's tenants at its start, in its loop", formula: "tenants in scope, by the power law",
--- a/internal/capacity/render.go
+++ b/internal/capacity/render.go
@@ -135,7 +135,7 @@
 	if r.NotRun {
 		return notRun
 	}
-	if r.Holds() {
+	if r.IsWithinBound() {
 		return "holds"
 	}
 	return "**does not hold**: to " + reached(r, p)
@@ -168,7 +168,7 @@
 		return notRun
 	}
 	result := number(r.Result, r.unit)
-	if r.Holds() {
+	if r.IsWithinBound() {
 		return result + ", held"
 	}
 	return result + ", to " + share(r.Part)
--- a/internal/fleet/agent/copy_file.go
+++ b/internal/fleet/agent/copy_file.go
@@ -110,7 +110,7 @@
 	return written, err
 }
 
-// saveBase puts a new file in the place of the old one, whole or not at all. It is not put over a newer one, as an agent that was
+// saveBase puts a new file in the place of the old one, completely or not at all. It is not put over a newer one, as an agent that was
 // stopped and went on at the same time as its successor would.
 func (d *copyFile) saveBase(in fleet.Intent, incomplete bool) (int, error) {
 	if !d.unchanged() {
--- a/internal/fleet/agent/subscription_test.go
+++ b/internal/fleet/agent/subscription_test.go
@@ -215,7 +215,7 @@
 }
 
 // A copy that can't be written is taken away and counted, and what was to be saved counts as saved: a restart would send nothing
-// older. The next change is written whole.
+// older. The next change is written in full.
 func TestDiskFull(t *testing.T) {
 	a := atRest(t, t.TempDir(), "billing")
 	receive(t, a, allServices(9))
--- a/internal/fleet/agentclient/report.go
+++ b/internal/fleet/agentclient/report.go
@@ -53,9 +53,9 @@
 }
 
 // AppliedItems makes items what a report holds, with their digests. settled is when the settings in force were taken.
-func AppliedItems(facts []policy.AppliedItem, settled time.Time) []fleet.AppliedItem {
+func AppliedItems(applied []policy.AppliedItem, settled time.Time) []fleet.AppliedItem {
 	var items []fleet.AppliedItem
-	for _, f := range facts {
+	for _, f := range applied {
 		h, ok, err := drift.AppliedItemOf(f.Key, f.Value)
 		if err != nil || !ok {
 			continue // what can't be written is missing from the root: the controller names it
--- a/internal/fleet/control/state.go
+++ b/internal/fleet/control/state.go
@@ -58,7 +58,9 @@
 func New() *State { return &State{items: newItems()} }
 
 // IsEmpty reports that no command has changed anything yet.
-func (s *State) IsEmpty() bool { return s.Revision == 0 && s.Session.Epoch == 0 && s.Drift.Revision == 0 }
+func (s *State) IsEmpty() bool {
+	return s.Revision == 0 && s.Session.Epoch == 0 && s.Drift.Revision == 0
+}
 
 // Snapshot is the state as bytes.
 func (s *State) Snapshot() ([]byte, error) { return json.Marshal(s) }
--- a/internal/fleet/decode.go
+++ b/internal/fleet/decode.go
@@ -84,8 +84,8 @@
 func fieldError(field string, v any) error { return fmt.Errorf("%w: %s: %.80v", ErrInvalid, field, v) }
 
 // checkNumber is a count or a rate that can be: nothing negative, not a number or beyond most.
-func checkNumber[T int | int64 | float64](field string, v T, most float64) error {
-	if f := float64(v); !(f >= 0 && f <= most) { // so NaN is rejected
+func checkNumber[T int | int64 | float64](field string, v T, largest float64) error {
+	if f := float64(v); !(f >= 0 && f <= largest) { // so NaN is rejected
 		return fieldError(field, v)
 	}
 	return nil
@@ -109,8 +109,8 @@
 	return nil
 }
 
-func checkText(field, s string, most int) error {
-	if len(s) > most {
+func checkText(field, s string, longest int) error {
+	if len(s) > longest {
 		return fieldError(field, fmt.Sprintf("%d bytes", len(s)))
 	}
 	return nil
--- a/internal/fleet/drift/node.go
+++ b/internal/fleet/drift/node.go
@@ -76,7 +76,7 @@
 	complete    bool // items are all known
 	differences []Difference
 	omitted     int
-	isAhead       bool
+	isAhead     bool
 }
 
 // longAgo is a time before all others.
--- a/internal/fleet/drift/repair.go
+++ b/internal/fleet/drift/repair.go
@@ -29,7 +29,7 @@
 	ActAlarm       = "alarm"  // a node is ahead
 )
 
-// delay is the time after the try-th step, doubled by each step and each relapse.
+// delay is the time after the attempt-th step, doubled by each step and each relapse.
 func (r *repairState) delay(b *Bounds, attempt int) time.Duration {
 	return min(b.InitialRepairDelay<<min(attempt+r.Relapses, 16), b.MaxRepairDelay)
 }
@@ -145,7 +145,7 @@
 // LogEntry is one line of the repair's log. At is by the leader's own clock.
 type LogEntry struct {
 	Sequence uint64     `json:"seq"`
-	LoggedAt       fleet.Time `json:"at_ns"`
+	LoggedAt fleet.Time `json:"at_ns"`
 	Node     string     `json:"node,omitempty"`
 	Action   string     `json:"act"`
 	Reason   string     `json:"why,omitempty"`
--- a/internal/fleet/drift/simulation/intent.go
+++ b/internal/fleet/drift/simulation/intent.go
@@ -12,7 +12,7 @@
 
 const ms = time.Millisecond
 
-// Intent is a control plane's items as a play makes them.
+// Intent is a control plane's items as a run makes them.
 type Intent struct{ Intended drift.Intended }
 
 // Put has an item say body from a new revision on, and gives that.
@@ -76,7 +76,7 @@
 
 func nodeName(i int) string { return fmt.Sprintf("n%03d", i) }
 
-// Module is a node's process as a play has it: what it was sent, and a planted fault over it.
+// Module is a node's process as a run has it: what it was sent, and a planted fault over it.
 type Module struct {
 	fleet.Member
 	sequence uint64
--- a/internal/fleet/drift/simulation/play.go
+++ b/internal/fleet/drift/simulation/play.go
@@ -1,5 +1,5 @@
 // Package simulation is a fleet in simulated time around the core of the drift detector: nodes that hold what they were sent
-// or something else that is planted, a network that loses, doubles and delays, and leaders that change. All of a play
+// or something else that is planted, a network that loses, doubles and delays, and leaders that change. All of a run
 // comes of its seed, so it can be simulated again. It does no I/O and reads no clock. The detector's tests and the lab's
 // simulate command are simulated on it (docs/drift.md).
 package simulation
@@ -11,7 +11,7 @@
 	"meadowsill/internal/fleet/drift"
 )
 
-// Outcome is what a play came to.
+// Outcome is what a run came to.
 type Outcome struct {
 	Seed    uint64
 	Planted string        // the drift that was planted, as text
--- a/internal/fleet/drift/simulation/world.go
+++ b/internal/fleet/drift/simulation/world.go
@@ -12,7 +12,7 @@
 	"meadowsill/internal/fleet/drift"
 )
 
-// Rules are what a play holds the controller to.
+// Rules are what a run holds the controller to.
 type Rules struct {
 	Bounds drift.Bounds
 	Rows   map[string]bool // "state|evidence" of every verdict that may be said; nil: any
--- a/internal/fleet/session/lease.go
+++ b/internal/fleet/session/lease.go
@@ -80,7 +80,7 @@
 // AgentLease is the agent's count of its node's session, by the agent's own clock. The zero AgentLease holds nothing.
 type AgentLease struct {
 	validUntil fleet.Time
-	active  bool
+	active     bool
 }
 
 // Renew takes an answer to the report whose sending began after t0 was read: the session is held for AgentLeasePart of
--- a/internal/fleet/session/session.go
+++ b/internal/fleet/session/session.go
@@ -49,10 +49,10 @@
 // Command is one change of who is present. Slots is the most nodes that may be, from the leader's settings, so that
 // every replica decides alike; 0 means no bound.
 type Command struct {
-	Operation       string       `json:"op"`
-	Member   fleet.Member `json:"member"`
-	Services []string     `json:"services,omitempty"` // join: the run's scope; none: every service
-	Slots    int          `json:"slots,omitempty"`
+	Operation string       `json:"op"`
+	Member    fleet.Member `json:"member"`
+	Services  []string     `json:"services,omitempty"` // join: the run's scope; none: every service
+	Slots     int          `json:"slots,omitempty"`
 }
 
 // Check reports whether m may be present: nil where it is present or may join, fleet.ErrFenced for an older run,
--- a/internal/fleet/sim/leader.go
+++ b/internal/fleet/sim/leader.go
@@ -38,13 +38,13 @@
 	rev      uint64
 	intent   *intent
 
-	term      int // of the leader; 0 while there is none
-	terms     int
-	clock     clock
-	judge     *zones.Controller
-	tjudge    *tenants.Controller
-	leadSince time.Duration            // by its clock
-	leases    map[string]time.Duration // until, by its clock
+	term             int // of the leader; 0 while there is none
+	terms            int
+	clock            clock
+	zoneController   *zones.Controller
+	tenantController *tenants.Controller
+	leadSince        time.Duration            // by its clock
+	leases           map[string]time.Duration // until, by its clock
 }
 
 // lead elects a new leader.
@@ -52,10 +52,10 @@
 	c.terms++
 	c.term, c.clock = c.terms, newClock(c.s.rng)
 	c.leadSince, c.leases = c.clock.read(c.s.now), map[string]time.Duration{}
-	c.judge = zones.NewController(c.s.set)
-	c.judge.Lead(c.leadSince)
-	c.tjudge = tenants.NewController(tenants.Config{Slots: c.s.plan.Nodes, TTL: ttl})
-	c.tjudge.Lead(c.leadSince)
+	c.zoneController = zones.NewController(c.s.set)
+	c.zoneController.Lead(c.leadSince)
+	c.tenantController = tenants.NewController(tenants.Config{Slots: c.s.plan.Nodes, TTL: ttl})
+	c.tenantController.Lead(c.leadSince)
 	c.tick(c.term)
 }
 
@@ -69,10 +69,10 @@
 			c.sessions.Apply(session.Command{Operation: session.Expire, Member: m})
 		}
 	}
-	for _, cmd := range c.tjudge.Step(now, &c.tenants, c.present()) {
+	for _, cmd := range c.tenantController.Step(now, &c.tenants, c.present()) {
 		c.log(term, func() { c.applyTenants(cmd) })
 	}
-	commands := c.judge.Step(now, &c.state, c.sessions.List())
+	commands := c.zoneController.Step(now, &c.state, c.sessions.List())
 	for _, cmd := range commands {
 		if s.plan.Alone {
 			break
@@ -149,8 +149,8 @@
 		delete(c.leases, r.Node)
 	}
 	c.leases[r.Node] = max(c.leases[r.Node], now+ttl)
-	c.judge.Observe(now, fleet.NodeView{Member: r.Member, ReceivedAt: now, Report: r})
-	c.tjudge.Observe(now, fleet.NodeView{Member: r.Member, ReceivedAt: now, Report: r})
+	c.zoneController.Observe(now, fleet.NodeView{Member: r.Member, ReceivedAt: now, Report: r})
+	c.tenantController.Observe(now, fleet.NodeView{Member: r.Member, ReceivedAt: now, Report: r})
 	if c.s.hooks.observe != nil {
 		c.s.hooks.observe(c, now, r)
 	}
--- a/internal/fleet/sim/many.go
+++ b/internal/fleet/sim/many.go
@@ -11,7 +11,7 @@
 
 // Summary is what many runs gave together.
 type Summary struct {
-	Plays    int      `json:"plays"`
+	Runs     int      `json:"plays"`
 	Nodes    int      `json:"nodes"`
 	Stop95   Quantile `json:"stop95_ms"`
 	Spread   Quantile `json:"spread_ms"`
@@ -23,7 +23,7 @@
 	Wrong    int      `json:"wrong_leaves"`
 	Steps    int      `json:"steps"`
 	Answered int      `json:"answered"`
-	Refused  int      `json:"refused"`
+	Rejected int      `json:"refused"`
 	Lost     int      `json:"lost"`
 	Further  int      `json:"further"`
 	Breaches []Result `json:"breaches,omitempty"` // by seed
@@ -31,11 +31,11 @@
 
 // Quantile is a figure over all losses.
 type Quantile struct {
-	Least int64
-	P50   int64
-	P95   int64
-	P99   int64
-	Most  int64
+	Min int64
+	P50 int64
+	P95 int64
+	P99 int64
+	Max int64
 }
 
 func quantile(all []int64) (q Quantile) {
@@ -61,7 +61,7 @@
 				p := plan(seed)
 				r := Run(p)
 				mu.Lock()
-				sum.Plays += 1
+				sum.Runs += 1
 				sum.Nodes = p.Nodes
 				sum.Losses = sum.Losses + len(r.Stop95) + r.Unheard
 				stop = append(stop, r.Stop95...)
@@ -73,7 +73,7 @@
 				sum.Wrong += r.Wrong
 				sum.Steps += r.Steps
 				sum.Answered += r.Answered
-				sum.Refused += r.Refused
+				sum.Rejected += r.Rejected
 				sum.Lost += r.Lost
 				sum.Further += r.Further
 				if r.Breach != nil {
--- a/internal/fleet/sim/module.go
+++ b/internal/fleet/sim/module.go
@@ -31,7 +31,7 @@
 func (n *node) decides() {
 	set := policy.Settings{Nodes: n.s.plan.Nodes, NodeIndex: n.i, Zone: n.s.zones[n.zone], Zones: n.s.zones, MaxAttempts: 3, MayCancel: true,
 		MinTick: time.Millisecond, MaxPollInterval: time.Hour, ConnectTimeout: lostTime, SlowStartMinCapacity: n.s.set.SlowStartMinCapacity, SlowStartWindow: n.s.set.SlowStartWindow,
-		OverloadFactor: 1, OverloadDuration: coldSpan, SendsRetryAfter: true, MaxRetryAfter: time.Second, Fleet: true,
+		OverloadFactor: 1, OverloadDuration: warmingInterval, SendsRetryAfter: true, MaxRetryAfter: time.Second, Fleet: true,
 		Classes: []policy.Class{{Name: "browse", PriorityWeight: 1, LatencyObjective: time.Second, Deadline: patience, Idempotency: policy.Idempotent}}}
 	d := &module{n: n, run: n.run, m: policy.New(set, int64(n.s.plan.Seed)*1000+int64(n.i)), open: map[policy.RequestID]int{},
 		over: map[policy.RequestID]bool{}, directed: map[string]bool{}}
@@ -84,7 +84,7 @@
 			}
 			at := int(a.Server) - 1
 			ended := policy.AttemptEnded{ID: a.ID, Attempt: leg, Server: a.Server, Elapsed: answerTime, Code: policy.OK}
-			if s.ask(d.n, at/s.plan.Servers, at%s.plan.Servers) {
+			if s.request(d.n, at/s.plan.Servers, at%s.plan.Servers) {
 				s.res.Answered++
 			} else {
 				s.res.Lost++
@@ -102,10 +102,10 @@
 				d.feed(policy.AttemptEnded{ID: a.ID, Attempt: a.Attempt, Code: policy.Cancelled, Answered: d.over[a.ID]})
 			})
 		case policy.Reject:
-			s.res.Refused++
+			s.res.Rejected++
 			d.over[a.ID] = true
 		case policy.Fail:
-			s.res.Refused++
+			s.res.Rejected++
 			d.over[a.ID] = true
 		case policy.SetTimer:
 			d.soon(a.After, func() { d.feed(policy.TimerFired{Token: a.Token}) })
@@ -118,15 +118,15 @@
 	n := d.n
 	age := n.clock.read(n.s.now) - n.confirmed
 	for z, y := range n.s.zones {
-		update := policy.ZoneDirective{Zone: y, Revision: n.held.rev, IntentRevision: n.held.rev, Serving: true, Share: 1, Floor: 1, Age: age}
-		e, every := n.held.directives[n.keys[z][0]]
-		own, has := n.held.directives[n.keys[z][1]]
+		update := policy.ZoneDirective{Zone: y, Revision: n.intent.rev, IntentRevision: n.intent.rev, Serving: true, Share: 1, Floor: 1, Age: age}
+		e, every := n.intent.directives[n.keys[z][0]]
+		own, has := n.intent.directives[n.keys[z][1]]
 		if has && (!every || fleet.IsNarrower(e.Directive, own.Directive)) {
 			e = own
 		}
 		if every || has {
 			h := fleet.AppliedZoneOf(e.Revision, e.Directive, n.name)
-			update = policy.ZoneDirective{Zone: y, Revision: e.Revision, IntentRevision: n.held.rev, Share: h.Share, Floor: h.Floor, Rate: h.Rate, Trial: h.Trial,
+			update = policy.ZoneDirective{Zone: y, Revision: e.Revision, IntentRevision: n.intent.rev, Share: h.Share, Floor: h.Floor, Rate: h.Rate, Trial: h.Trial,
 				Age: age, ValidFor: time.Duration(h.ValidMS) * time.Millisecond}
 		} else if !d.directed[y] {
 			continue
@@ -136,7 +136,7 @@
 	}
 	if !d.synced {
 		d.synced = true
-		d.feed(policy.FleetSynced{Revision: n.held.rev})
+		d.feed(policy.FleetSynced{Revision: n.intent.rev})
 	}
 }
 
--- a/internal/fleet/sim/node.go
+++ b/internal/fleet/sim/node.go
@@ -11,12 +11,12 @@
 )
 
 const (
-	ttl      = 6 * time.Second
-	holdPart = 0.96 // of ttl that the agent counts by its own clock
-	demand   = 8.0  // requests/s of a node
-	tickTime = 100 * time.Millisecond
-	lostTime = 200 * time.Millisecond // until an attempt without an answer has ended
-	avoid    = time.Second            // a server that lost two attempts running
+	ttl       = 6 * time.Second
+	leasePart = 0.96 // of ttl that the agent counts by its own clock
+	demand    = 8.0  // requests/s of a node
+	tickTime  = 100 * time.Millisecond
+	lostTime  = 200 * time.Millisecond // until an attempt without an answer has ended
+	avoid     = time.Second            // a server that lost two attempts running
 )
 
 // node is a node and its agent: one process run after another on one machine.
@@ -32,7 +32,7 @@
 	keys   [][2]string   // by zone: of its directives for all and for the node's zone
 	frozen time.Duration // stands still until then
 
-	held      *intent
+	intent    *intent
 	confirmed time.Duration // by its clock: when its intent was last confirmed
 	until     time.Duration // by its clock: its session is held until then
 	seq       uint64
@@ -67,7 +67,7 @@
 	for _, y := range s.zones {
 		keys = append(keys, [2]string{zones.Key(y, ""), zones.Key(y, s.zones[z])})
 	}
-	n := &node{s: s, keys: keys, i: i, zone: z, name: fmt.Sprintf("%s%d", s.zones[z], i), clock: newClock(s.rng), held: &intent{}}
+	n := &node{s: s, keys: keys, i: i, zone: z, name: fmt.Sprintf("%s%d", s.zones[z], i), clock: newClock(s.rng), intent: &intent{}}
 	s.nodes = append(s.nodes, n)
 	return n
 }
@@ -130,13 +130,13 @@
 		})
 		return
 	}
-	if it.rev < n.held.rev && !n.s.hooks.takeOld {
+	if it.rev < n.intent.rev && !n.s.hooks.takeOld {
 		return
 	}
-	if it.rev < n.held.rev {
-		n.s.breach("revision", "%s goes back from %d to %d", n.name, n.held.rev, it.rev)
+	if it.rev < n.intent.rev {
+		n.s.breach("revision", "%s goes back from %d to %d", n.name, n.intent.rev, it.rev)
 	}
-	n.held, n.confirmed = it.within(n.services()), n.clock.read(n.s.now)
+	n.intent, n.confirmed = it.within(n.services()), n.clock.read(n.s.now)
 	if n.module != nil {
 		n.module.updateZones()
 	}
@@ -153,7 +153,7 @@
 
 func (n *node) report() {
 	now := n.clock.read(n.s.now)
-	r := fleet.Report{Member: n.member(), Services: n.services(), Revision: n.held.rev, Ready: true, WindowMS: (now - n.since).Milliseconds()}
+	r := fleet.Report{Member: n.member(), Services: n.services(), Revision: n.intent.rev, Ready: true, WindowMS: (now - n.since).Milliseconds()}
 	n.seq++
 	r.Sequence = n.seq
 	if n.module != nil {
@@ -212,13 +212,13 @@
 
 // portion is what the node may do at a zone, and whether by a directive.
 func (n *node) portion(zone int) zones.NodeShare {
-	if len(n.held.directives) == 0 {
+	if len(n.intent.directives) == 0 {
 		return zones.NodeShare{Share: 1}
 	}
 	past := n.clock.read(n.s.now)-n.confirmed > n.s.set.DirectiveLifetime && !n.s.hooks.ageless
 	p := zones.NodeShare{Share: 1}
 	for _, key := range n.keys[zone] {
-		if e, ok := n.held.directives[key]; ok {
+		if e, ok := n.intent.directives[key]; ok {
 			p = zones.MergeShares(zones.NodeShareOf(e.Directive, n.name, past), p)
 		}
 	}
@@ -249,14 +249,14 @@
 		for attempt := range 2 {
 			zone, id, ok := n.choose(shares, now, attempt)
 			if !ok {
-				s.res.Refused++
+				s.res.Rejected++
 				break
 			}
 			if attempt > 0 {
 				s.res.Further++
 			}
 			n.counts[zone].Started++
-			if s.ask(n, zone, id) {
+			if s.request(n, zone, id) {
 				s.res.Answered++
 				n.ended(zone, id, true)
 				break
--- a/internal/fleet/sim/plan.go
+++ b/internal/fleet/sim/plan.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Plan is one play.
+// Plan is one run.
 type Plan struct {
 	Seed    uint64        `json:"seed"`
 	Nodes   int           `json:"nodes"`
--- a/internal/fleet/sim/queue.go
+++ b/internal/fleet/sim/queue.go
@@ -82,7 +82,7 @@
 
 func (b *Breach) Error() string { return fmt.Sprintf("%s at %v: %s", b.Rule, b.At, b.What) }
 
-// breach notes the first breach, which ends the play.
+// breach notes the first breach, which ends the run.
 func (s *Sim) breach(rule, format string, args ...any) {
 	if s.broken == nil {
 		s.broken = &Breach{rule, s.now, fmt.Sprintf(format, args...)}
--- a/internal/fleet/sim/rules.go
+++ b/internal/fleet/sim/rules.go
@@ -9,7 +9,7 @@
 	"meadowsill/internal/fleet/zones"
 )
 
-// bounds are what the page says, whatever the core in the play goes by.
+// bounds are what the page says, whatever the core in the run goes by.
 var bounds = zones.Default(1)
 
 // applied checks what a command did: Z1, Z2 and Z4.
@@ -99,7 +99,7 @@
 	if now-n.confirmed > bounds.DirectiveLifetime+tickTime {
 		for z := range s.zones {
 			for _, key := range n.keys[z] {
-				e, ok := n.held.directives[key]
+				e, ok := n.intent.directives[key]
 				low, returning := s.lowest[key]
 				if ok && returning && e.Phase == fleet.Recovering && e.Revision >= s.first[key] && n.portion(z).Share > low+1e-9 {
 					s.breach("Z5", "%s has not heard for %v and has %g of %s, which had %g", n.name, now-n.confirmed, n.portion(z).Share, key, low)
@@ -120,7 +120,7 @@
 	for z, y := range s.zones {
 		sum, most := 0.0, 0.0
 		for _, n := range s.nodes {
-			e, ok := n.held.directives[n.keys[z][0]]
+			e, ok := n.intent.directives[n.keys[z][0]]
 			if n.down || !ok || e.Budget <= 0 {
 				continue
 			}
--- a/internal/fleet/sim/servers.go
+++ b/internal/fleet/sim/servers.go
@@ -13,17 +13,17 @@
 	arrived []time.Duration
 }
 
-const coldSpan = time.Second // in which a warming server bears what it can
+const warmingInterval = time.Second // in which a warming server bears what it can
 
 // allowed is what a server of a rate bears in coldSpan, so long after its start.
 func (s *Sim) allowed(age time.Duration) float64 {
 	part := math.Min(1, s.set.SlowStartMinCapacity+(1-s.set.SlowStartMinCapacity)*age.Seconds()/s.set.SlowStartWindow.Seconds())
-	n := part * s.capacity * coldSpan.Seconds()
+	n := part * s.capacity * warmingInterval.Seconds()
 	return n + 3*math.Sqrt(n) + 3
 }
 
-// ask sends one attempt of node n to a server and reports whether it is answered.
-func (s *Sim) ask(n *node, zone, id int) bool {
+// request sends one attempt of node n to a server and reports whether it is answered.
+func (s *Sim) request(n *node, zone, id int) bool {
 	sv := s.servers[zone][id]
 	p := s.plan.Loss
 	for _, f := range s.plan.Faults {
@@ -39,7 +39,7 @@
 		return false
 	}
 	if age := s.now - sv.started; sv.started >= 0 && age < s.set.SlowStartWindow {
-		for len(sv.arrived) > 0 && sv.arrived[0] <= s.now-coldSpan {
+		for len(sv.arrived) > 0 && sv.arrived[0] <= s.now-warmingInterval {
 			sv.arrived = sv.arrived[1:]
 		}
 		sv.arrived = append(sv.arrived, s.now)
--- a/internal/fleet/sim/sim.go
+++ b/internal/fleet/sim/sim.go
@@ -11,7 +11,7 @@
 	"meadowsill/internal/fleet/zones"
 )
 
-// Sim is a play that goes on.
+// Sim is a run that goes on.
 type Sim struct {
 	plan     Plan
 	set      zones.Settings
@@ -60,7 +60,7 @@
 	stops map[int]time.Duration
 }
 
-// Result is what a play gave. Times are in ms.
+// Result is what a run gave. Times are in ms.
 type Result struct {
 	Seed     uint64  `json:"seed"`
 	Breach   *Breach `json:"breach,omitempty"`
@@ -74,7 +74,7 @@
 	Wrong    int     `json:"wrong_leaves"`
 	Steps    int     `json:"steps"`
 	Answered int     `json:"answered"`
-	Refused  int     `json:"refused"`
+	Rejected int     `json:"refused"`
 	Lost     int     `json:"lost"`
 	Further  int     `json:"further"`
 	Events   int     `json:"events"`
@@ -84,7 +84,7 @@
 func Run(p Plan) Result { return run(p, nil) }
 
 func run(p Plan, plant func(*Sim)) Result {
-	s := &Sim{plan: p, set: zones.Default(p.Nodes), rng: rand.New(rand.NewPCG(p.Seed, 2)), holdPart: holdPart, left: map[string]bool{},
+	s := &Sim{plan: p, set: zones.Default(p.Nodes), rng: rand.New(rand.NewPCG(p.Seed, 2)), holdPart: leasePart, left: map[string]bool{},
 		entered: map[string]time.Duration{}, lowest: map[string]float64{}, first: map[string]uint64{}, trouble: make([]time.Duration, p.Zones), committed: map[string]bool{}}
 	s.hooks.greed = 1
 	s.set.SlowStartWindow = 10 * time.Second // servers that are warming up for long, and hardly more than what is required of them
--- a/internal/fleet/sim/sim_test.go
+++ b/internal/fleet/sim/sim_test.go
@@ -38,7 +38,7 @@
 func TestCalm(t *testing.T) {
 	for _, nodes := range []int{30, 100} {
 		sum := Many(t.Context(), func(s uint64) Plan { return Calm(s, nodes) }, 1, 5, 4, io.Discard)
-		if len(sum.Breaches) > 0 || sum.Falls > 0 || sum.Wrong > 0 || sum.Unheard > 0 || sum.Stop95.Most > 2500 || sum.Spread.Most > 500 {
+		if len(sum.Breaches) > 0 || sum.Falls > 0 || sum.Wrong > 0 || sum.Unheard > 0 || sum.Stop95.Max > 2500 || sum.Spread.Max > 500 {
 			t.Errorf("%+v", sum)
 		}
 	}
@@ -79,7 +79,7 @@
 						continue
 					}
 					r.Member, r.Sequence = n.member(), uint64(s.events)+1e9
-					c.judge.Observe(now, fleet.NodeView{Member: r.Member, ReceivedAt: now, Report: r})
+					c.zoneController.Observe(now, fleet.NodeView{Member: r.Member, ReceivedAt: now, Report: r})
 				}
 			}
 		}},
--- a/internal/fleet/sim/tenants.go
+++ b/internal/fleet/sim/tenants.go
@@ -109,7 +109,7 @@
 
 // knows reports whether the newest that a node holds of a tenant has the generation staged or committed.
 func (n *node) knows(name string, uid uint64, digest string) bool {
-	t := n.held.tenants[name]
+	t := n.intent.tenants[name]
 	return t.UID == uid && (t.Staged != nil && t.Staged.Digest == digest || t.Committed != nil && t.Committed.Digest == digest)
 }
 
@@ -122,8 +122,8 @@
 
 // acknowledge puts what the node holds of its tenants into a report.
 func (n *node) acknowledge(r *fleet.Report) {
-	for _, name := range slices.Sorted(maps.Keys(n.held.tenants)) {
-		t := n.held.tenants[name]
+	for _, name := range slices.Sorted(maps.Keys(n.intent.tenants)) {
+		t := n.intent.tenants[name]
 		a := fleet.TenantAck{Name: name, UID: t.UID, Offered: float64(1 + n.i%5)}
 		if t.Committed != nil {
 			a.Committed, a.Digest = t.Committed.Number, t.Committed.Digest
@@ -140,7 +140,7 @@
 // heard notes how far a committed generation has come.
 func (s *Sim) heard(n *node) {
 	for _, r := range s.rollouts {
-		t := n.held.tenants[r.name]
+		t := n.intent.tenants[r.name]
 		if r.done > 0 || !r.committed || t.UID != r.uid || t.Committed == nil || t.Committed.Number < r.gen {
 			continue
 		}
@@ -157,7 +157,7 @@
 
 // by is the generation by which a node serves a tenant's requests now, nil for none.
 func (n *node) by(name string) *fleet.Generation {
-	t := n.held.tenants[name]
+	t := n.intent.tenants[name]
 	switch {
 	case t.Removing:
 		return nil
@@ -169,8 +169,8 @@
 
 // serves checks T1: a node serves by nothing that was not committed.
 func (s *Sim) serves(n *node) {
-	for _, name := range slices.Sorted(maps.Keys(n.held.tenants)) {
-		t := n.held.tenants[name]
+	for _, name := range slices.Sorted(maps.Keys(n.intent.tenants)) {
+		t := n.intent.tenants[name]
 		if g := n.by(name); g != nil && !s.committed[generation(name, t.UID, g)] {
 			s.breach("T1", "%s serves %s by generation %d, which is not committed", n.name, name, g.Number)
 		}
@@ -197,10 +197,10 @@
 			quota = math.Max(quota, g.Spec.Quota.Rate)
 			sum += fleet.GuaranteedPart * g.Spec.Quota.Rate / float64(s.plan.Nodes)
 			now := n.clock.read(s.now)
-			if sh := n.held.shares[n.name]; now < n.until && sh.Incarnation == n.inc && n.held.tenants[name].UID == e.UID {
+			if sh := n.intent.shares[n.name]; now < n.until && sh.Incarnation == n.inc && n.intent.tenants[name].UID == e.UID {
 				sum += sh.Rates[name]
 			}
-			if now < n.until && s.control.sessions.Present(n.member()) && n.held.tenants[name].UID == e.UID {
+			if now < n.until && s.control.sessions.Present(n.member()) && n.intent.tenants[name].UID == e.UID {
 				lo, hi = min(lo, g.Number), max(hi, g.Number)
 			}
 		}
--- a/internal/fleet/statetable/statetable.go
+++ b/internal/fleet/statetable/statetable.go
@@ -35,7 +35,7 @@
 
 // Table reads the rows of the state table in the named section of the markdown file at path: the first table whose
 // head is Header, below the heading with exactly that text and before the next one of its level or above. A file,
-// section or table that is not there, or a row that is not whole, is an error.
+// section or table that is not there, or a row that is incomplete, is an error.
 func Table(path, section string) ([]Row, error) {
 	src, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/fleet/tenants/schema.go
+++ b/internal/fleet/tenants/schema.go
@@ -117,7 +117,7 @@
 }
 
 // checkNumber takes finite numbers from 0 (above: from over 0) to most.
-func checkNumber(field string, v, most float64, above bool) error {
+func checkNumber(field string, v, largest float64, above bool) error {
 	switch {
 	case math.IsNaN(v) || math.IsInf(v, 0):
 		return fieldError(field, "must be a finite number")
@@ -125,8 +125,8 @@
 		return fieldError(field, "must be above 0")
 	case v < 0:
 		return fieldError(field, "must not be negative")
-	case v > most:
-		return fieldError(field, "must not be above %g", most)
+	case v > largest:
+		return fieldError(field, "must not be above %g", largest)
 	}
 	return nil
 }
--- a/internal/fleet/tenants/tenants.go
+++ b/internal/fleet/tenants/tenants.go
@@ -43,7 +43,7 @@
 
 // Command is one change of State, as it stands in raft's log. It carries no time.
 type Command struct {
-	Operation         string      `json:"op"`
+	Operation  string      `json:"op"`
 	Name       string      `json:"name,omitempty"`
 	Generation uint64      `json:"generation,omitempty"` // put, delete: that was read; the controller's: that is meant
 	Spec       *fleet.Spec `json:"spec,omitempty"`       // put
--- a/internal/fleet/zones/capacity.go
+++ b/internal/fleet/zones/capacity.go
@@ -17,7 +17,7 @@
 
 // rateSample is what a zone carried at one step.
 type rateSample struct {
-	takenAt       fleet.Time
+	takenAt  fleet.Time
 	answered float64 // answers/s
 	listed   int
 }
--- a/internal/fleet/zones/controller.go
+++ b/internal/fleet/zones/controller.go
@@ -33,14 +33,14 @@
 // seenRevision is a revision and when it was first seen.
 type seenRevision struct {
 	revision uint64
-	seenAt       fleet.Time
+	seenAt   fleet.Time
 }
 
 // proposal is what a change was decided from, and when.
 type proposal struct {
 	itemRevision  uint64
 	stateRevision uint64
-	proposedAt            fleet.Time
+	proposedAt    fleet.Time
 }
 
 // Evidence is what a zone is evaluated by now, for operators.
--- a/internal/fleet/zones/recovery.go
+++ b/internal/fleet/zones/recovery.go
@@ -99,14 +99,14 @@
 // recoveryCase is what the next change of one directive is decided from.
 type recoveryCase struct {
 	*recovery
-	view     fleetView
-	entry    Entry
-	change   Change     // as far as it is the same for every step
-	zone     string     // of the directive
-	observer string     // the zone that it is for; "": every node
-	elapsed  fleet.Time // since the directive was first seen, or since evidence last said that the zone fails
-	maxNodes int        // that may send to the zone
-	listedServers   int        // servers of the zone
+	view          fleetView
+	entry         Entry
+	change        Change     // as far as it is the same for every step
+	zone          string     // of the directive
+	observer      string     // the zone that it is for; "": every node
+	elapsed       fleet.Time // since the directive was first seen, or since evidence last said that the zone fails
+	maxNodes      int        // that may send to the zone
+	listedServers int        // servers of the zone
 }
 
 // nextRecoveryChange returns the next change of a zone that is evacuated or recovers, if it is time for one.
@@ -129,14 +129,14 @@
 	entry := s.Directives[key]
 	zone, observer, _ := ParseKey(key)
 	r := recoveryCase{
-		recovery: ctl.recoveries[key],
-		view:     v,
-		entry:    entry,
-		change:   Change{Key: key, IfRevision: entry.Revision, Entry: entry},
-		zone:     zone,
-		observer: observer,
-		maxNodes: v.presentCount,
-		listedServers:   1,
+		recovery:      ctl.recoveries[key],
+		view:          v,
+		entry:         entry,
+		change:        Change{Key: key, IfRevision: entry.Revision, Entry: entry},
+		zone:          zone,
+		observer:      observer,
+		maxNodes:      v.presentCount,
+		listedServers: 1,
 	}
 	r.elapsed = v.now - r.evidenceAt
 	if observer != "" {
--- a/internal/fleet/zones/simulation/judge_test.go
+++ b/internal/fleet/zones/simulation/controller_test.go
@@ -11,7 +11,7 @@
 
 // TestHardCases runs the cases that docs/fleet.md names; each is evaluated by what is left and for whom.
 func TestHardCases(t *testing.T) {
-	for name, play := range map[string]func(*testing.T){
+	for name, scenario := range map[string]func(*testing.T){
 		"two zones lost within a second, room for one": func(t *testing.T) {
 			w := started(t)
 			w.kill("a")
@@ -130,7 +130,7 @@
 			}
 		},
 	} {
-		t.Run(name, play)
+		t.Run(name, scenario)
 	}
 }
 
--- a/internal/fleet/zones/simulation/page_test.go
+++ b/internal/fleet/zones/simulation/page_test.go
@@ -26,7 +26,7 @@
 		t.Run(r.String(), func(t *testing.T) {
 			run, ok := scenes[r.State+" "+r.Event+" "+r.Condition]
 			if !ok {
-				t.Fatal("no scene plays this row")
+				t.Fatal("no scenario covers this row")
 			}
 			w, key, from := run(t)
 			if from < 0 { // nothing may have happened
--- a/internal/fleet/zones/simulation/schedule.go
+++ b/internal/fleet/zones/simulation/schedule.go
@@ -15,26 +15,26 @@
 
 // Schedule is a random course of faults over a random fleet.
 type Schedule struct {
-	Seed     uint64
-	Zones    int
-	PerZone  int
-	BaseLoss     float64 // loss everywhere
-	LyingNode     int     // a node that lies; -1: none
+	Seed      uint64
+	Zones     int
+	PerZone   int
+	BaseLoss  float64 // loss everywhere
+	LyingNode int     // a node that lies; -1: none
 	LyingZone bool    // all of its zone do
-	LieKind      int
-	Faults   []Fault
+	LieKind   int
+	Faults    []Fault
 }
 
 // Fault is one thing that happens.
 type Fault struct {
 	// ms
-	StartMS   int
-	DurationMS  int
-	Kind string
-	Zone int
-	From int
-	Node int
-	Loss    float64
+	StartMS    int
+	DurationMS int
+	Kind       string
+	Zone       int
+	From       int
+	Node       int
+	Loss       float64
 }
 
 var kinds = []string{"kill", "kill", "gray", "cut", "deaf", "slow", "restart", "new leader", "mute", "replay", "fewer", "twice"}
--- a/internal/fleet/zones/transitions.go
+++ b/internal/fleet/zones/transitions.go
@@ -18,10 +18,10 @@
 
 // Transition is a row of the state table: the core makes no other. CountsRelapse says that the row counts a relapse.
 type Transition struct {
-	Source          string
+	Source        string
 	Event         string
 	Condition     string
-	Target            string
+	Target        string
 	CountsRelapse bool
 }
 
--- a/internal/invariants/fleet.go
+++ b/internal/invariants/fleet.go
@@ -9,13 +9,13 @@
 	"time"
 )
 
-// Told is one change of the control plane's intent (docs/fleet.md) as the lab saw it come out of discovery: a zone's directive,
+// IntentChange is one change of the control plane's intent (docs/fleet.md) as the lab saw it come out of discovery: a zone's directive,
 // or a tenant. At is some ms after its commit.
-type Told struct {
-	Key  string // "zone/Y", "zone/Y@X" or "tenant/NAME"
-	Rev  uint64
-	At   time.Duration
-	Gone bool
+type IntentChange struct {
+	Key     string // "zone/Y", "zone/Y@X" or "tenant/NAME"
+	Rev     uint64
+	At      time.Duration
+	Removed bool
 	// Of a zone:
 	Phase  string
 	Share  float64
@@ -42,8 +42,8 @@
 	At   time.Duration
 }
 
-// Try is a node's sending, or connecting, to a server that could not be reached then: a relay saw it, no server did.
-type Try struct {
+// UnreachableAttempt is a node's sending, or connecting, to a server that could not be reached then: a relay saw it, no server did.
+type UnreachableAttempt struct {
 	Node   int
 	Server string
 	At     time.Duration
@@ -51,15 +51,15 @@
 
 // Fleet is what the checker reads of a run with a control plane.
 type Fleet struct {
-	Told       []Told // in the order seen
-	Verdicts   []Verdict
-	Planted    []Planted
-	Tries      []Try
-	NodeZone   []string
-	ServerZone map[string]string
-	Faulted    map[string]time.Duration // by zone: when a fault first touched its servers, or ways to them
-	Settings   map[string]bool          // tenants of the nodes' settings: served until intent names them
-	Lives      int                      // of nodes, for the tokens that each life starts with
+	IntentChanges       []IntentChange // in the order seen
+	Verdicts            []Verdict
+	Planted             []Planted
+	UnreachableAttempts []UnreachableAttempt
+	NodeZone            []string
+	ServerZone          map[string]string
+	Faulted             map[string]time.Duration // by zone: when a fault first touched its servers, or ways to them
+	Settings            map[string]bool          // tenants of the nodes' settings: served until intent names them
+	Incarnations        int                      // of nodes, for the tokens that each incarnation starts with
 }
 
 // Bounds of the pages: how long a node has to stop after a directive is sent, and drift to be found.
@@ -74,8 +74,8 @@
 		return nil
 	}
 	f := r.Fleet
-	byKey := map[string][]Told{}
-	for _, t := range f.Told {
+	byKey := map[string][]IntentChange{}
+	for _, t := range f.IntentChanges {
 		byKey[t.Key] = append(byKey[t.Key], t)
 	}
 	out := f.zonesWrong()
@@ -88,8 +88,8 @@
 // zonesWrong finds directives for zones that no fault had touched.
 func (f *Fleet) zonesWrong() []Breach {
 	var out []Breach
-	for _, t := range f.Told {
-		if key, ok := strings.CutPrefix(t.Key, "zone/"); ok && !t.Gone && t.Phase == "left" {
+	for _, t := range f.IntentChanges {
+		if key, ok := strings.CutPrefix(t.Key, "zone/"); ok && !t.Removed && t.Phase == "left" {
 			zone, _, _ := strings.Cut(key, "@")
 			if at, hit := f.Faulted[zone]; !hit || at > t.At {
 				out = append(out, Breach{"Z-wrong", "", t.At, fmt.Sprintf("%s left (revision %d) though no fault had touched it", t.Key, t.Rev)})
@@ -100,14 +100,14 @@
 }
 
 // bars says whether a directive keeps node from a zone: it was left, or is on trial by others.
-func (t Told) bars(node int) bool {
-	return !t.Gone && t.Share == 0 && (t.Phase == "left" || t.Phase == "probation" && !slices.Contains(t.Trial, node))
+func (t IntentChange) bars(node int) bool {
+	return !t.Removed && t.Share == 0 && (t.Phase == "left" || t.Phase == "probation" && !slices.Contains(t.Trial, node))
 }
 
 // barred gives the directive of key that has kept node from its zone for the bound at the time at, with none about
 // then (the nodes may hear a little before the lab) that does not.
-func barred(changes []Told, node int, at time.Duration) (Told, bool) {
-	var last Told
+func barred(changes []IntentChange, node int, at time.Duration) (IntentChange, bool) {
+	var last IntentChange
 	found := false
 	for _, t := range changes {
 		if t.At > at+zoneBound {
@@ -115,7 +115,7 @@
 		}
 		if t.At > at-zoneBound {
 			if !t.bars(node) {
-				return Told{}, false
+				return IntentChange{}, false
 			}
 			continue
 		}
@@ -126,7 +126,7 @@
 
 // zonesLeft finds attempts, and tries that reached nobody, at a zone the node was to have left; and fragile requests
 // among the trials of a zone in probation.
-func (r Run) zonesLeft(byKey map[string][]Told) []Breach {
+func (r Run) zonesLeft(byKey map[string][]IntentChange) []Breach {
 	var out []Breach
 	f := r.Fleet
 	look := func(id string, node int, server string, at time.Duration, fragile bool) {
@@ -149,24 +149,24 @@
 	for _, a := range r.Attempts {
 		look(a.ID, a.Node, a.Server, a.Start, r.Fragile[a.Class])
 	}
-	for _, t := range f.Tries {
+	for _, t := range f.UnreachableAttempts {
 		look("", t.Node, t.Server, t.At, false)
 	}
 	return out
 }
 
 // steady gives the change that has held for the bound about the time at; none where it changed.
-func steady(changes []Told, at time.Duration) (Told, bool) {
-	var last Told
+func steady(changes []IntentChange, at time.Duration) (IntentChange, bool) {
+	var last IntentChange
 	found := false
 	for _, t := range changes {
 		if t.At > at+zoneBound {
 			break
 		}
 		if t.At > at-zoneBound {
-			return Told{}, false
+			return IntentChange{}, false
 		}
-		last, found = t, !t.Gone
+		last, found = t, !t.Removed
 	}
 	return last, found
 }
@@ -174,7 +174,7 @@
 // zoneBudgets finds servers of a returning zone that got more from all nodes together than the directive's budget, in
 // any second, with chance's part as the cold rule has it. What a node sends that was deaf before the zone was left, and still is, is not
 // counted: it serves the zone as ever.
-func (r Run) zoneBudgets(byKey map[string][]Told) []Breach {
+func (r Run) zoneBudgets(byKey map[string][]IntentChange) []Breach {
 	var out []Breach
 	byServer := map[string][]Attempt{}
 	for _, a := range r.Attempts {
@@ -204,13 +204,13 @@
 }
 
 // leftAt is when the first directive of those that hold at at was seen; 0 where none holds.
-func leftAt(changes []Told, at time.Duration) time.Duration {
+func leftAt(changes []IntentChange, at time.Duration) time.Duration {
 	since := time.Duration(0)
 	for _, t := range changes {
 		switch {
 		case t.At > at:
 			return since
-		case t.Gone:
+		case t.Removed:
 			since = 0
 		case since == 0:
 			since = t.At
@@ -221,14 +221,14 @@
 
 // deafSince says whether a fault has kept the attempt's node itself from hearing from before left until the attempt.
 func (r Run) deafSince(left time.Duration, a Attempt) bool {
-	return left > 0 && slices.ContainsFunc(r.Excuses, func(e Excuse) bool {
+	return left > 0 && slices.ContainsFunc(r.Exemptions, func(e Exemption) bool {
 		return e.Node == a.Node && e.Rule == "after-grace" && e.From <= left && (e.To < 0 || a.Start <= e.To)
 	})
 }
 
 // budgetAbout is the largest budget that held from a bound before from to a bound after to; false where at some time
 // there was none.
-func budgetAbout(changes []Told, from, to time.Duration) (float64, bool) {
+func budgetAbout(changes []IntentChange, from, to time.Duration) (float64, bool) {
 	budget, bound := 0.0, false
 	for i, t := range changes {
 		if t.At > to+zoneBound {
@@ -237,7 +237,7 @@
 		if i+1 < len(changes) && changes[i+1].At <= from-zoneBound {
 			continue // over by then
 		}
-		if i == 0 && t.At > from-zoneBound || t.Gone || t.Phase == "serving" || t.Budget <= 0 && t.Share > 0 {
+		if i == 0 && t.At > from-zoneBound || t.Removed || t.Phase == "serving" || t.Budget <= 0 && t.Share > 0 {
 			return 0, false
 		}
 		budget, bound = max(budget, t.Budget), true
--- a/internal/invariants/fleet_state.go
+++ b/internal/invariants/fleet_state.go
@@ -8,7 +8,7 @@
 )
 
 // tenants finds attempts for tenants that had no committed generation, or were removed, and quotas over their sum.
-func (r Run) tenants(byKey map[string][]Told) []Breach {
+func (r Run) tenants(byKey map[string][]IntentChange) []Breach {
 	var out []Breach
 	account := map[string]string{}
 	for _, s := range r.Sent {
@@ -26,19 +26,19 @@
 			seen[a.ID] = true
 			begun[name] = append(begun[name], a.Start)
 		}
-		now, ok, ever := Told{}, false, false
+		now, ok, ever := IntentChange{}, false, false
 		soon := r.Fleet.Settings[name] && len(changes) == 0
 		for _, t := range changes {
 			if t.At <= a.Start {
 				now, ok, ever = t, true, ever || t.Committed
 			}
-			if t.At <= a.Start+zoneBound && t.At >= a.Start-r.Slack && t.Committed && !t.Removing && !t.Gone {
+			if t.At <= a.Start+zoneBound && t.At >= a.Start-r.Slack && t.Committed && !t.Removing && !t.Removed {
 				soon = true // the nodes may hear a little before the lab, and go on a little after
 			}
 		}
 		switch {
-		case soon, ok && now.Committed && !now.Removing && !now.Gone:
-		case ok && (now.Removing || now.Gone):
+		case soon, ok && now.Committed && !now.Removing && !now.Removed:
+		case ok && (now.Removing || now.Removed):
 			if a.Start > now.At+r.Slack && !r.excused("after-grace", a.Node, now.At, a.Start) {
 				out = append(out, Breach{"T-removed", a.ID, a.Start, fmt.Sprintf("node %d sent on a request of %s, removed at %v", a.Node, name, now.At)})
 			}
@@ -55,8 +55,8 @@
 }
 
 // quota plays a tenant's first attempts into a bucket that its quota drains, over all nodes: more than the burst, and a
-// token and chance's one for each life of a node, is over.
-func (r Run) quota(name string, changes []Told, begun []time.Duration) []Breach {
+// token and chance's one for each incarnation of a node, is over.
+func (r Run) quota(name string, changes []IntentChange, begun []time.Duration) []Breach {
 	sort.Slice(begun, func(i, j int) bool { return begun[i] < begun[j] })
 	level, last := 0.0, time.Duration(0)
 	for _, at := range begun {
@@ -73,8 +73,8 @@
 			continue
 		}
 		level = max(0, level-rate*(at-last).Seconds()) + 1
-		if last = at; level > burst+2*float64(r.Fleet.Lives)+0.02*rate {
-			return []Breach{{"T-quota", "", at, fmt.Sprintf("%s: %.1f requests over %.1f/s, burst %.1f, lives %d", name, level, rate, burst, r.Fleet.Lives)}}
+		if last = at; level > burst+2*float64(r.Fleet.Incarnations)+0.02*rate {
+			return []Breach{{"T-quota", "", at, fmt.Sprintf("%s: %.1f requests over %.1f/s, burst %.1f, lives %d", name, level, rate, burst, r.Fleet.Incarnations)}}
 		}
 	}
 	return nil
@@ -112,7 +112,7 @@
 			out = append(out, Breach{"D-missed", "", p.At, fmt.Sprintf("node %d was made to drift, and no verdict said so in %v", p.Node, driftBound)})
 		}
 	}
-	for _, e := range r.Excuses {
+	for _, e := range r.Exemptions {
 		if !strings.HasPrefix(e.Why, "stopped ") && !strings.HasPrefix(e.Why, "down ") {
 			continue
 		}
--- a/internal/invariants/fleet_test.go
+++ b/internal/invariants/fleet_test.go
@@ -13,19 +13,19 @@
 // settings. Node 2 is stopped from 30 to 45 s, node 1 made to drift at 30 s.
 func cleanFleet() Run {
 	f := &Fleet{NodeZone: []string{"a", "b", "c"}, ServerZone: map[string]string{"sa": "a", "sb": "b", "sc": "c"},
-		Faulted: map[string]time.Duration{"b": 9 * sec}, Settings: map[string]bool{"old": true}, Lives: 3,
-		Told: []Told{{Key: "tenant/new", Rev: 1, At: 4 * sec},
+		Faulted: map[string]time.Duration{"b": 9 * sec}, Settings: map[string]bool{"old": true}, Incarnations: 3,
+		IntentChanges: []IntentChange{{Key: "tenant/new", Rev: 1, At: 4 * sec},
 			{Key: "tenant/new", Rev: 2, At: 5 * sec, Committed: true, Rate: 20, Burst: 4},
 			{Key: "zone/b", Rev: 3, At: 10 * sec, Phase: "left"},
 			{Key: "zone/b", Rev: 4, At: 14 * sec, Phase: "probation", Trial: []int{0}, Budget: 4},
 			{Key: "zone/b", Rev: 5, At: 17 * sec, Phase: "returning", Share: 0.1, Budget: 9},
-			{Key: "zone/b", Rev: 6, At: 20 * sec, Gone: true},
+			{Key: "zone/b", Rev: 6, At: 20 * sec, Removed: true},
 			{Key: "tenant/new", Rev: 7, At: 25 * sec, Committed: true, Removing: true}},
 		Verdicts: []Verdict{{Node: 0, At: sec, State: "in-step"}, {Node: 1, At: sec, State: "in-step"}, {Node: 2, At: sec, State: "in-step"},
 			{Node: 1, At: 32 * sec, State: "overridden", What: "settings"}, {Node: 2, At: 33 * sec, State: "silent"}},
 		Planted: []Planted{{Node: 1, At: 30 * sec}}}
 	r := Run{Fleet: f, End: 60 * sec, Slack: sec, Fragile: map[string]bool{"place-order": true},
-		Excuses: []Excuse{{Node: 2, From: 30 * sec, To: 50 * sec, Back: 45 * sec, Why: "stopped n2"}}}
+		Exemptions: []Exemption{{Node: 2, From: 30 * sec, To: 50 * sec, Back: 45 * sec, Why: "stopped n2"}}}
 	add := func(at time.Duration, node int, server, account, class string) {
 		r.put(at, node, server, account, class)
 	}
@@ -66,7 +66,7 @@
 		change func(*Run)
 	}{
 		"attempt at a left zone":        {"Z-left", 1, func(r *Run) { r.put(12*sec, 2, "sb", "old", "schedule-view") }},
-		"try at a left zone":            {"Z-left", 1, func(r *Run) { r.Fleet.Tries = []Try{{2, "sb", 12 * sec}} }},
+		"try at a left zone":            {"Z-left", 1, func(r *Run) { r.Fleet.UnreachableAttempts = []UnreachableAttempt{{2, "sb", 12 * sec}} }},
 		"attempt in others' trial":      {"Z-left", 1, func(r *Run) { r.put(15*sec+500*ms, 2, "sb", "old", "schedule-view") }},
 		"order in the trial":            {"Z-trial", 1, func(r *Run) { r.put(15*sec+500*ms, 0, "sb", "old", "place-order") }},
 		"zone left for one observer":    {"Z-left", 1, func(r *Run) { r.observed(); r.put(52*sec, 0, "sc", "old", "schedule-view") }},
@@ -106,13 +106,13 @@
 // observed has zone c cut off from zone a, seen by zone a's nodes alone.
 func (r *Run) observed() {
 	r.Fleet.Faulted["c"] = 50 * sec
-	r.Fleet.Told = append(r.Fleet.Told, Told{Key: "zone/c@a", Rev: 8, At: 50*sec + 500*ms, Phase: "left"})
+	r.Fleet.IntentChanges = append(r.Fleet.IntentChanges, IntentChange{Key: "zone/c@a", Rev: 8, At: 50*sec + 500*ms, Phase: "left"})
 	r.put(52*sec, 1, "sc", "old", "schedule-view") // of zone b: stays
 }
 
 // deafRush has node 1, deaf from a time on, send more to zone b than its budget as it returns.
 func (r *Run) deafRush(from time.Duration) {
-	r.Excuses = append(r.Excuses, Excuse{Node: 1, Rule: "after-grace", From: from, To: 24 * sec, Back: 19 * sec, Why: "deaf agent:n1"})
+	r.Exemptions = append(r.Exemptions, Exemption{Node: 1, Rule: "after-grace", From: from, To: 24 * sec, Back: 19 * sec, Why: "deaf agent:n1"})
 	for i := range 20 {
 		r.put(18*sec+520*ms+time.Duration(i)*10*ms, 1, "sb", "old", "schedule-view")
 	}
@@ -123,14 +123,14 @@
 	for name, change := range map[string]func(*Run){
 		"deaf node at a left zone": func(r *Run) {
 			r.put(12*sec, 2, "sb", "old", "schedule-view")
-			r.Excuses = append(r.Excuses, Excuse{Node: 2, Rule: "after-grace", From: 9 * sec, To: 13 * sec, Back: 11 * sec, Why: "deaf n2"})
+			r.Exemptions = append(r.Exemptions, Exemption{Node: 2, Rule: "after-grace", From: 9 * sec, To: 13 * sec, Back: 11 * sec, Why: "deaf n2"})
 		},
 		"deaf before the zone was left": func(r *Run) { r.deafRush(9 * sec) },
 		"alarm on a node that is down": func(r *Run) {
 			r.Fleet.Verdicts = append(r.Fleet.Verdicts, Verdict{2, 36 * sec, "stuck", ""})
 		},
 		"settings' tenant with its first rollout": func(r *Run) {
-			r.Fleet.Told = append(r.Fleet.Told, Told{Key: "tenant/old", Rev: 9, At: 20 * sec})
+			r.Fleet.IntentChanges = append(r.Fleet.IntentChanges, IntentChange{Key: "tenant/old", Rev: 9, At: 20 * sec})
 		},
 	} {
 		r := cleanFleet()
--- a/internal/invariants/invariants.go
+++ b/internal/invariants/invariants.go
@@ -6,7 +6,7 @@
 //
 // The rules are the bench's (DESIGN, "Hard rules"): one final answer per request taken; a fragile class never runs
 // twice; one attempt out at a time per request; nothing new to a draining or gone server after the grace; no cold
-// app server pushed over by nodes that knew of its start; nothing reaches an app server that no client sent.
+// app server overloaded by nodes that knew of its start; nothing reaches an app server that no client sent.
 package invariants
 
 import (
@@ -47,7 +47,7 @@
 	At     time.Duration
 }
 
-// Fall is a cold app server pushed over: from Start it was cold, at At it got one request too many.
+// Fall is a warming app server that was overloaded: from Start it warmed up, at At it got one request too many.
 type Fall struct {
 	Server    string
 	Start, At time.Duration
@@ -61,9 +61,9 @@
 	At   time.Duration
 }
 
-// Excuse is a window in which a node, or the links round it, were made to fail by the lab: requests it loses then
-// are the fault's cost, not a breach. Node -1 excuses every node.
-type Excuse struct {
+// Exemption is a window in which a node, or the links round it, were made to fail by the lab: requests it loses then
+// are the fault's cost, not a breach. Node -1 exemptions every node.
+type Exemption struct {
 	Node     int
 	Rule     string // "answer", "after-grace", or "" for both
 	From, To time.Duration
@@ -73,17 +73,17 @@
 
 // Run is all that the checker reads.
 type Run struct {
-	Sent      []Sent
-	Attempts  []Attempt
-	Changes   []Change
-	Excuses   []Excuse
-	Falls     []Fall
-	Fleet     *Fleet          // of a run with a control plane
-	Sightings []Sighting      // of a run whose members gossip
-	Fragile   map[string]bool // classes that must never run twice
-	Grace     time.Duration   // after a change is made, how long attempts to the server may still start
-	Slack     time.Duration   // how long a change may take to reach the nodes when no fault holds it up
-	End       time.Duration   // when the load ended
+	Sent       []Sent
+	Attempts   []Attempt
+	Changes    []Change
+	Exemptions []Exemption
+	Falls      []Fall
+	Fleet      *Fleet          // of a run with a control plane
+	Sightings  []Sighting      // of a run whose members gossip
+	Fragile    map[string]bool // classes that must never run twice
+	Grace      time.Duration   // after a change is made, how long attempts to the server may still start
+	Slack      time.Duration   // how long a change may take to reach the nodes when no fault holds it up
+	End        time.Duration   // when the load ended
 }
 
 // Breach is one broken rule.
@@ -144,7 +144,7 @@
 		}
 	}
 	out = append(out, r.afterGrace()...)
-	out = append(out, r.coldFalls()...)
+	out = append(out, r.warmingOverloads()...)
 	out = append(out, r.fleet()...)
 	out = append(out, r.falseDeaths()...)
 	sort.SliceStable(out, func(i, j int) bool { return out[i].At < out[j].At })
@@ -156,7 +156,7 @@
 	if to == 0 {
 		to = r.End
 	}
-	for _, e := range r.Excuses {
+	for _, e := range r.Exemptions {
 		if (e.Node == node || e.Node == -1) && (e.Rule == "" || rule == "" || e.Rule == rule) && e.From <= to && from <= e.To {
 			return true
 		}
@@ -186,8 +186,8 @@
 	return out
 }
 
-// coldFalls finds the falls of which over two thirds came from nodes that knew of the start.
-func (r Run) coldFalls() []Breach {
+// warmingOverloads finds the falls of which over two thirds came from nodes that knew of the start.
+func (r Run) warmingOverloads() []Breach {
 	var out []Breach
 	for _, f := range r.Falls {
 		readyAt := time.Duration(-1)
--- a/internal/invariants/invariants_test.go
+++ b/internal/invariants/invariants_test.go
@@ -58,7 +58,7 @@
 func TestExcusesAndGrace(t *testing.T) {
 	r := clean()
 	r.Sent[1].Status, r.Sent[1].Err = 0, "reset"
-	r.Excuses = []Excuse{{Node: 0, From: 50 * ms, To: 70 * ms, Why: "kill"}}
+	r.Exemptions = []Exemption{{Node: 0, From: 50 * ms, To: 70 * ms, Why: "kill"}}
 	if b := Check(r); len(b) != 0 {
 		t.Errorf("an excused loss is a breach: %v", b)
 	}
@@ -98,14 +98,14 @@
 func TestFallsOfUnawareNodes(t *testing.T) {
 	fall := Fall{Server: "s3", Start: 90 * ms, At: 300 * ms, Got: []Part{{0, 140 * ms}, {0, 200 * ms}, {1, 300 * ms}}}
 	ready := []Change{{Server: "s3", State: "ready", At: 100 * ms}}
-	deaf := []Excuse{{Node: 1, Rule: "after-grace", From: 50 * ms, To: time.Second}}
+	deaf := []Exemption{{Node: 1, Rule: "after-grace", From: 50 * ms, To: time.Second}}
 	for _, c := range []struct {
 		changes []Change
-		excuses []Excuse
+		excuses []Exemption
 		n       int
 	}{{ready, nil, 0}, {[]Change{{Server: "s3", State: "ready", At: 80 * ms}}, nil, 0}, {nil, nil, 0}} {
 		r := clean()
-		r.Falls, r.Changes, r.Excuses = []Fall{fall}, c.changes, c.excuses
+		r.Falls, r.Changes, r.Exemptions = []Fall{fall}, c.changes, c.excuses
 		if b := Check(r); len(b) != c.n {
 			t.Errorf("%v: %v", c.changes, b)
 		}
@@ -116,7 +116,7 @@
 	if b := Check(r); len(b) != 1 {
 		t.Errorf("all know: %v", b)
 	}
-	if r.Excuses = deaf; len(Check(r)) != 0 {
+	if r.Exemptions = deaf; len(Check(r)) != 0 {
 		t.Errorf("a third deaf: %v", Check(r))
 	}
 }
--- a/internal/lab/bounds/bounds.go
+++ b/internal/lab/bounds/bounds.go
@@ -13,12 +13,12 @@
 	Ports       int // of connections to one replica's address
 }
 
-// MostProcesses is how many processes a run may have.
-const MostProcesses = 300
+// MaxProcesses is how many processes a run may have.
+const MaxProcesses = 300
 
 // LimitsOf gives the limits on a machine.
 func LimitsOf(m Machine) Limits {
-	return Limits{MemoryBytes: m.MemoryBytes / 2, Processes: MostProcesses, Descriptors: int(m.Descriptors), Ports: ephemeralPorts()}
+	return Limits{MemoryBytes: m.MemoryBytes / 2, Processes: MaxProcesses, Descriptors: int(m.Descriptors), Ports: ephemeralPorts()}
 }
 
 // Needs are what a run is reckoned to take.
--- a/internal/lab/control.go
+++ b/internal/lab/control.go
@@ -40,8 +40,8 @@
 	f.wg.Go(func() { f.watchDrift(ctx) })
 }
 
-// ask reads path from replica r into v, within 5 s.
-func (f *fleet) ask(ctx context.Context, r int, path string, v any) error {
+// query reads path from replica r into v, within 5 s.
+func (f *fleet) query(ctx context.Context, r int, path string, v any) error {
 	ctx, cancel := context.WithTimeout(ctx, 5*time.Second)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+f.cluster.HTTP[r]+path, nil)
@@ -69,7 +69,7 @@
 	seen := map[string]uint64{}
 	for r := 0; ctx.Err() == nil; {
 		var in messages.Intent
-		if err := f.ask(ctx, r, fmt.Sprintf("/fleet/v1/intent?since=%d&timeout_ms=1000", since), &in); err != nil || in.Revision < since {
+		if err := f.query(ctx, r, fmt.Sprintf("/fleet/v1/intent?since=%d&timeout_ms=1000", since), &in); err != nil || in.Revision < since {
 			r = (r + 1) % len(f.cluster.HTTP)
 			stub.Sleep(ctx, 50*time.Millisecond)
 			continue
@@ -96,7 +96,7 @@
 
 // recordIntent records one item of intent.
 func (f *fleet) recordIntent(it messages.Item, now time.Duration) {
-	t := invariants.Told{Key: it.Key, Rev: it.Revision, At: now, Gone: it.Removed}
+	t := invariants.IntentChange{Key: it.Key, Rev: it.Revision, At: now, Removed: it.Removed}
 	switch {
 	case strings.HasPrefix(it.Key, "zone/") && !it.Removed:
 		var d messages.Directive
@@ -121,9 +121,9 @@
 	default:
 		return // shares
 	}
-	f.opt.Log.Info("intent", "key", t.Key, "revision", t.Rev, "gone", t.Gone, "phase", t.Phase, "share", t.Share, "budget", t.Budget, "at_s", now.Seconds())
+	f.opt.Log.Info("intent", "key", t.Key, "revision", t.Rev, "gone", t.Removed, "phase", t.Phase, "share", t.Share, "budget", t.Budget, "at_s", now.Seconds())
 	f.mu.Lock()
-	f.recs.Fleet.Told = append(f.recs.Fleet.Told, t)
+	f.recs.Fleet.IntentChanges = append(f.recs.Fleet.IntentChanges, t)
 	f.mu.Unlock()
 }
 
@@ -138,7 +138,7 @@
 				Items json.RawMessage `json:"items"`
 			} `json:"verdicts"`
 		}
-		if err := f.ask(ctx, r, "/fleet/v1/drift", &d); err != nil {
+		if err := f.query(ctx, r, "/fleet/v1/drift", &d); err != nil {
 			r = (r + 1) % len(f.cluster.HTTP)
 			continue
 		}
@@ -177,7 +177,7 @@
 func (f *fleet) putTenant(ctx context.Context, lead int, e Event) (string, error) {
 	var have messages.Tenant
 	path := "/fleet/v1/tenants/" + e.Tenant
-	if err := f.ask(ctx, lead, path, &have); err != nil && !strings.Contains(err.Error(), messages.ErrNotFound.Error()) {
+	if err := f.query(ctx, lead, path, &have); err != nil && !strings.Contains(err.Error(), messages.ErrNotFound.Error()) {
 		return "", err
 	}
 	generation := uint64(0)
@@ -257,7 +257,7 @@
 				Generation uint64 `json:"generation"`
 			} `json:"nodes"`
 		}
-		if err := f.ask(ctx, r, "/fleet/v1/tenants/"+name+"/status", &st); err != nil {
+		if err := f.query(ctx, r, "/fleet/v1/tenants/"+name+"/status", &st); err != nil {
 			r = (r + 1) % len(f.cluster.HTTP)
 			continue
 		}
@@ -284,7 +284,7 @@
 	r := f.recs.Fleet
 	for _, n := range f.nodes {
 		r.NodeZone = append(r.NodeZone, n.info.Zone)
-		r.Lives += len(n.pids)
+		r.Incarnations += len(n.pids)
 	}
 	for _, s := range f.servers {
 		r.ServerZone[s.Spec.ID] = s.Spec.Zone
@@ -292,6 +292,6 @@
 	for _, a := range f.accounts() {
 		r.Settings[a] = true
 	}
-	slices.SortStableFunc(r.Told, func(a, b invariants.Told) int { return int(a.At - b.At) })
+	slices.SortStableFunc(r.IntentChanges, func(a, b invariants.IntentChange) int { return int(a.At - b.At) })
 	return r
 }
--- a/internal/lab/control_test.go
+++ b/internal/lab/control_test.go
@@ -51,12 +51,12 @@
 	case <-time.After(30 * time.Second):
 		t.Fatal("the watch did not end")
 	}
-	got := f.recs.Fleet.Told
+	got := f.recs.Fleet.IntentChanges
 	for i := range got {
 		got[i].At = 0
 	}
-	want := []invariants.Told{{Key: "zone/b", Rev: 2, Phase: "probation", Budget: 4, Trial: []int{1}}, {Key: "tenant/t", Rev: 3},
-		{Key: "tenant/t", Rev: 5, Committed: true, Rate: 30, Burst: 5}, {Key: "zone/b", Rev: 6, Gone: true}, {Key: "share/n0", Rev: 6, Gone: true}}
+	want := []invariants.IntentChange{{Key: "zone/b", Rev: 2, Phase: "probation", Budget: 4, Trial: []int{1}}, {Key: "tenant/t", Rev: 3},
+		{Key: "tenant/t", Rev: 5, Committed: true, Rate: 30, Burst: 5}, {Key: "zone/b", Rev: 6, Removed: true}, {Key: "share/n0", Rev: 6, Removed: true}}
 	if len(got) > 3 && got[3].Key != "zone/b" {
 		got[3], got[4] = got[4], got[3]
 	}
--- a/internal/lab/datapath/datapath.go
+++ b/internal/lab/datapath/datapath.go
@@ -70,7 +70,7 @@
 	return nil
 }
 
-// Times are percentiles of whole requests, in ms.
+// Times are percentiles of complete requests, in ms.
 type Times struct {
 	Count int64   `json:"count"`
 	P50   float64 `json:"p50_ms"`
--- a/internal/lab/discoverylab/discoverylab.go
+++ b/internal/lab/discoverylab/discoverylab.go
@@ -35,12 +35,12 @@
 	peers []string
 	extra []string // more arguments of discovery serve
 	mu    sync.Mutex
-	procs []*life
+	procs []*incarnation
 	cpu   time.Duration // of lives that have ended
 }
 
-// life is one run of a replica's process.
-type life struct {
+// incarnation is one run of a replica's process.
+type incarnation struct {
 	cmd    *exec.Cmd
 	exited chan struct{}
 }
@@ -51,7 +51,7 @@
 	if err != nil {
 		return nil, err
 	}
-	c := &Cluster{Bin: bin, Network: network, Links: map[[2]int]*faults.Link{}, procs: make([]*life, n), extra: extra}
+	c := &Cluster{Bin: bin, Network: network, Links: map[[2]int]*faults.Link{}, procs: make([]*incarnation, n), extra: extra}
 	for i := range n {
 		ip := fmt.Sprintf("127.3.%d.%d", network.Number, i+1)
 		c.HTTP = append(c.HTTP, ip+":8000")
@@ -109,7 +109,7 @@
 	if err := cmd.Start(); err != nil {
 		return err
 	}
-	p := &life{cmd, make(chan struct{})}
+	p := &incarnation{cmd, make(chan struct{})}
 	c.mu.Lock()
 	c.procs[i] = p
 	c.mu.Unlock()
@@ -124,7 +124,7 @@
 }
 
 // running is replica i's present life, or nil.
-func (c *Cluster) running(i int) *life {
+func (c *Cluster) running(i int) *incarnation {
 	c.mu.Lock()
 	p := c.procs[i]
 	c.mu.Unlock()
--- a/internal/lab/events.go
+++ b/internal/lab/events.go
@@ -102,23 +102,23 @@
 			if f.drained(n) {
 				break
 			}
-			f.excuse(i, "", "down "+n.info.Name)
+			f.exempt(i, "", "down "+n.info.Name)
 			f.leaveFront(n, seconds(f.s.Fleet.NoticeS))
 		case "term":
 			f.drain(n)
 		case "stop":
-			f.excuse(i, "", "stopped "+n.info.Name)
+			f.exempt(i, "", "stopped "+n.info.Name)
 		}
 		if n.signal(sig) {
 			names = append(names, n.info.Name)
 		}
 		if e.Do == "cont" {
-			f.closeExcuse("stopped "+n.info.Name, f.rec.Since())
+			f.endExemption("stopped "+n.info.Name, f.rec.Since())
 		}
 	}
 	for _, i := range f.s.pick(e.Agents, len(f.nodes)) {
 		if e.Do != "cont" && e.Do != "hup" {
-			f.excuse(i, "after-grace", "agent "+agentName(i))
+			f.exempt(i, "after-grace", "agent "+agentName(i))
 			f.silenced(i, e.Do)
 		}
 		for _, a := range f.agentProcesses(i) {
@@ -127,18 +127,18 @@
 			}
 		}
 		if e.Do == "cont" {
-			f.closeExcuse("agent "+agentName(i), f.rec.Since())
+			f.endExemption("agent "+agentName(i), f.rec.Since())
 		}
 	}
 	for _, r := range f.replicas(e.Replicas) {
 		if e.Do != "cont" && e.Do != "hup" {
-			f.excuse(-1, "after-grace", "replica "+replicaName(r))
+			f.exempt(-1, "after-grace", "replica "+replicaName(r))
 		}
 		if f.cluster.Signal(r, sig) {
 			names = append(names, replicaName(r))
 		}
 		if e.Do == "cont" {
-			f.closeExcuse("replica "+replicaName(r), f.rec.Since())
+			f.endExemption("replica "+replicaName(r), f.rec.Since())
 		}
 	}
 	return strings.Join(names, " ")
@@ -155,7 +155,7 @@
 		names = append(names, n.info.Name)
 		f.wg.Go(func() {
 			f.launch(n)
-			f.closeExcuse("down "+n.info.Name, f.rec.Since())
+			f.endExemption("down "+n.info.Name, f.rec.Since())
 		})
 	}
 	for _, i := range f.s.pick(e.Agents, len(f.nodes)) {
@@ -166,7 +166,7 @@
 			}
 			names = append(names, a.name)
 		}
-		f.closeExcuse("agent "+agentName(i), f.rec.Since())
+		f.endExemption("agent "+agentName(i), f.rec.Since())
 	}
 	for _, r := range f.replicas(e.Replicas) {
 		if f.cluster.Pid(r) != 0 {
@@ -178,7 +178,7 @@
 		}
 		writePid(f.opt.Dir, f.cluster.Pid(r))
 		names = append(names, replicaName(r))
-		f.closeExcuse("replica "+replicaName(r), f.rec.Since())
+		f.endExemption("replica "+replicaName(r), f.rec.Since())
 	}
 	return strings.Join(names, " ")
 }
@@ -186,9 +186,9 @@
 // heal takes every link's fault away.
 func (f *fleet) heal() int {
 	count := f.net.Heal()
-	f.closeExcuse("cut ", f.rec.Since())
-	f.closeExcuse("deaf ", f.rec.Since())
-	f.closeExcuse("gossip ", f.rec.Since())
+	f.endExemption("cut ", f.rec.Since())
+	f.endExemption("deaf ", f.rec.Since())
+	f.endExemption("gossip ", f.rec.Since())
 	return count
 }
 
--- a/internal/lab/excuses.go
+++ b/internal/lab/excuses.go
@@ -7,20 +7,20 @@
 	"meadowsill/internal/invariants"
 )
 
-// excuse opens a window, unless it is open, in which node (-1: every one) may break rule ("": any of those that
-// know excuses) through the fault that key names.
-func (f *fleet) excuse(node int, rule, key string) {
+// exempt opens a window, unless it is open, in which node (-1: every one) may break rule ("": any of those that
+// know exemptions) through the fault that key names.
+func (f *fleet) exempt(node int, rule, key string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if _, on := f.open[key]; !on {
 		f.open[key] = f.rec.Since()
-		f.recs.Excuses = append(f.recs.Excuses, invariants.Excuse{Node: node, Rule: rule, From: f.rec.Since(), To: -1, Why: key})
+		f.recs.Excuses = append(f.recs.Excuses, invariants.Exemption{Node: node, Rule: rule, From: f.rec.Since(), To: -1, Why: key})
 	}
 }
 
-// closeExcuse ends the open window of that key, or those that begin with it where it ends in a space (all for ""),
+// endExemption ends the open window of that key, or those that begin with it where it ends in a space (all for ""),
 // after the front's notice and the longest wait of a client.
-func (f *fleet) closeExcuse(name string, at time.Duration) {
+func (f *fleet) endExemption(name string, at time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	tail := seconds(f.s.Fleet.NoticeS) + 3*time.Second
@@ -37,7 +37,7 @@
 	}
 }
 
-func (f *fleet) closeExcuses(at time.Duration) { f.closeExcuse("", at) }
+func (f *fleet) endExemptions(at time.Duration) { f.endExemption("", at) }
 
 // The front at a planned restart, as PROTOCOL has it: new connections go on coming for 0.2 to 0.4 s after SIGTERM; clients go
 // on using those that stay open. SIGKILL comes no sooner than the longest deadline, or 3 s, and 0.7 s more.
--- a/internal/lab/faults/fault.go
+++ b/internal/lab/faults/fault.go
@@ -14,7 +14,7 @@
 type Fault struct {
 	Delay, Jitter time.Duration // added before each piece or datagram is passed on, one way
 	BytesPerS     int           // a cap on each direction of each connection, or of a link's datagrams; 0 for none
-	Refuse        bool          // new connections are reset at once; datagrams are dropped
+	Reject        bool          // new connections are reset at once; datagrams are dropped
 	Blackhole     bool          // nothing passes either way; new connections hang; all are reset at the heal
 	Duplicate     bool          // a connection's first piece goes a second time on a connection of its own; each datagram goes twice
 	Loss          float64       // share lost, 0 to 1. A datagram is gone; a stream's piece, or a new connection, comes late as TCP sends it again
@@ -28,7 +28,7 @@
 	repeatPiece   = 200 * time.Millisecond
 	repeatConnect = time.Second
 	repeatRounds  = 5
-	heldBack      = 30 * time.Millisecond // a reordered datagram, beyond Delay and Jitter
+	reorderDelay  = 30 * time.Millisecond // a reordered datagram, beyond Delay and Jitter
 )
 
 // dice is a link's own seeded chance.
--- a/internal/lab/faults/faults_test.go
+++ b/internal/lab/faults/faults_test.go
@@ -65,7 +65,7 @@
 		"delay":     {fault: Fault{Delay: 100 * time.Millisecond}, got: 1000, ends: "open", atLeast: 200 * time.Millisecond, conns: 1},
 		"cap":       {fault: Fault{BytesPerS: 10000}, got: 1000, ends: "open", atLeast: 200 * time.Millisecond, conns: 1},
 		"truncate":  {fault: Fault{Truncate: 300}, got: 300, ends: "end", conns: 1},
-		"refuse":    {fault: Fault{Refuse: true}, ends: "reset"},
+		"refuse":    {fault: Fault{Reject: true}, ends: "reset"},
 		"blackhole": {fault: Fault{Blackhole: true}, ends: "open"},
 		"duplicate": {fault: Fault{Duplicate: true}, got: 1000, ends: "open", conns: 2},
 	} {
--- a/internal/lab/faults/link.go
+++ b/internal/lab/faults/link.go
@@ -12,27 +12,27 @@
 // Link relays TCP from its own loopback address to a target (or, behind a Relay, both TCP and UDP of one caller).
 // From and To name the groups at its ends.
 type Link struct {
-	From, To string
-	Addr     string
-	target   string
-	source   net.IP // the address it dials from, so the far end can tell who calls; nil for any
-	ln       net.Listener
-	fault    atomic.Pointer[Fault]
-	dice     *dice
-	mu       sync.Mutex
-	conns    map[net.Conn]bool
-	refused  map[string]bool // callers whose connection found nobody at the target
-	closed   chan struct{}
-	lost     atomic.Pointer[func()]
-	Dials    atomic.Int64
-	Bytes    atomic.Int64 // both ways
+	From, To    string
+	Addr        string
+	target      string
+	source      net.IP // the address it dials from, so the far end can tell who calls; nil for any
+	ln          net.Listener
+	fault       atomic.Pointer[Fault]
+	dice        *dice
+	mu          sync.Mutex
+	conns       map[net.Conn]bool
+	unreachable map[string]bool // callers whose connection found nobody at the target
+	closed      chan struct{}
+	lost        atomic.Pointer[func()]
+	Dials       atomic.Int64
+	Bytes       atomic.Int64 // both ways
 }
 
-// mostRefused bounds the callers remembered as refused.
-const mostRefused = 1 << 16
+// maxUnreachable bounds the callers remembered as refused.
+const maxUnreachable = 1 << 16
 
 func newLink(from, to, target, source string, seed uint64) *Link {
-	l := &Link{From: from, To: to, target: target, conns: map[net.Conn]bool{}, refused: map[string]bool{},
+	l := &Link{From: from, To: to, target: target, conns: map[net.Conn]bool{}, unreachable: map[string]bool{},
 		closed: make(chan struct{}), dice: newDice(seed), source: net.ParseIP(source)}
 	l.fault.Store(&Fault{})
 	return l
@@ -66,7 +66,7 @@
 func (l *Link) Refused(caller string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.refused[caller]
+	return l.unreachable[caller]
 }
 
 // OnLost has f called for each new connection that reaches nobody, by the fault or for want of a listener, and for each
@@ -172,10 +172,10 @@
 // comesUp holds a new connection as the fault has it, and says whether it is to go on.
 func (l *Link) comesUp(in net.Conn) bool {
 	f := l.Fault()
-	if f.Refuse || f.Blackhole {
+	if f.Reject || f.Blackhole {
 		l.tellLost()
 	}
-	if f.Refuse {
+	if f.Reject {
 		return false
 	}
 	for f.Blackhole { // it never comes up: it hangs until the heal resets it
@@ -203,8 +203,8 @@
 	if err != nil {
 		l.tellLost()
 		l.mu.Lock()
-		if len(l.refused) < mostRefused {
-			l.refused[in.RemoteAddr().String()] = true
+		if len(l.unreachable) < maxUnreachable {
+			l.unreachable[in.RemoteAddr().String()] = true
 		}
 		l.mu.Unlock()
 		reset(in)
--- a/internal/lab/faults/relay.go
+++ b/internal/lab/faults/relay.go
@@ -19,8 +19,8 @@
 	flows  map[string]*flow // by the caller's UDP address
 }
 
-// mostFlows bounds the UDP callers of a relay at one time; one more ends them all, and they start anew.
-const mostFlows = 1024
+// maxFlows bounds the UDP callers of a relay at one time; one more ends them all, and they start anew.
+const maxFlows = 1024
 
 // flow is one caller's datagrams, both ways.
 type flow struct {
@@ -115,7 +115,7 @@
 	key := caller.String()
 	r.mu.Lock()
 	f := r.flows[key]
-	full := len(r.flows) >= mostFlows
+	full := len(r.flows) >= maxFlows
 	r.mu.Unlock()
 	if f != nil {
 		return f, nil
@@ -144,7 +144,7 @@
 		for {
 			n, err := out.Read(buf)
 			if ne, ok := err.(net.Error); err != nil && (!ok || !ne.Timeout()) {
-				if r.gone(key, f) {
+				if r.remove(key, f) {
 					return
 				}
 				time.Sleep(time.Millisecond) // refused by a target that is down: the flow stays
@@ -156,7 +156,7 @@
 	return f, nil
 }
 
-func (r *Relay) gone(key string, f *flow) bool {
+func (r *Relay) remove(key string, f *flow) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.flows[key] != f
@@ -165,7 +165,7 @@
 // pass sends one datagram on under the link's fault of the moment, at once or later.
 func (r *Relay) pass(l *Link, w *flow, way int, p []byte, send func([]byte)) {
 	f := l.Fault()
-	if f.Blackhole || f.Refuse || l.dice.hit(f.Loss) {
+	if f.Blackhole || f.Reject || l.dice.hit(f.Loss) {
 		return
 	}
 	l.Bytes.Add(int64(len(p)))
@@ -174,7 +174,7 @@
 	}
 	late := f.Delay + l.dice.upTo(f.Jitter)
 	if l.dice.hit(f.Reorder) {
-		late += heldBack
+		late += reorderDelay
 	}
 	if f.BytesPerS > 0 {
 		r.mu.Lock()
--- a/internal/lab/links.go
+++ b/internal/lab/links.go
@@ -72,7 +72,7 @@
 	return f.s.pick(sel, f.s.Fleet.Replicas)
 }
 
-// fault puts one on every link between two selectors, with the excuses that go with it.
+// fault puts one on every link between two selectors, with the exemptions that go with it.
 func (f *fleet) fault(e Event) string {
 	a, b := e.Between[0], e.Between[1]
 	if e.Do == "partition" && a == "" {
@@ -93,14 +93,14 @@
 		}
 	}
 	fault := faults.Fault{Delay: seconds(e.DelayMS / 1000), Jitter: seconds(e.JitterMS / 1000), BytesPerS: e.BytesPerS,
-		Refuse: e.Refuse, Blackhole: e.Blackhole || e.Do == "partition", Duplicate: e.Duplicate,
+		Reject: e.Refuse, Blackhole: e.Blackhole || e.Do == "partition", Duplicate: e.Duplicate,
 		Loss: e.Loss, Reorder: e.Reorder, Truncate: e.Truncate}
-	cuts := fault.Blackhole || fault.Refuse || fault.Truncate > 0 || fault.Loss > 0
+	cuts := fault.Blackhole || fault.Reject || fault.Truncate > 0 || fault.Loss > 0
 	var servers []int
 	count := f.net.Each(func(l *faults.Link) bool {
 		hit := f.in(a, l.From) && f.in(b, l.To) || f.in(b, l.From) && f.in(a, l.To)
 		if hit && cuts {
-			f.excuseLink(l, fault)
+			f.exemptLink(l, fault)
 			if id, ok := strings.CutPrefix(l.To, "server:"); ok {
 				servers = append(servers, slices.IndexFunc(f.servers, func(s *stub.AppServer) bool { return s.Spec.ID == id }))
 			}
@@ -111,23 +111,23 @@
 	return fmt.Sprintf("%d links between %s and %s", count, a, b)
 }
 
-// excuseLink excuses what a cut of the link must cost: a node cut off from clients loses requests; one that its
+// exemptLink exemptions what a cut of the link must cost: a node cut off from clients loses requests; one that its
 // agent can't reach, or whose agent or replicas can't be reached, does not hear of changes.
-func (f *fleet) excuseLink(l *faults.Link, fault faults.Fault) {
+func (f *fleet) exemptLink(l *faults.Link, fault faults.Fault) {
 	agents := strings.HasPrefix(l.From, "agent:") && strings.HasPrefix(l.To, "agent:")
 	switch {
-	case agents && (f.s.Fleet.Gossip && (fault.Blackhole || fault.Refuse)):
-		f.excuse(f.index(l.From), "M-dead", "gossip "+l.From)
-		f.excuse(f.index(l.To), "M-dead", "gossip "+l.To)
+	case agents && (f.s.Fleet.Gossip && (fault.Blackhole || fault.Reject)):
+		f.exempt(f.index(l.From), "M-dead", "gossip "+l.From)
+		f.exempt(f.index(l.To), "M-dead", "gossip "+l.To)
 	case agents:
 	case l.From == "clients":
-		f.excuse(f.index(l.To), "answer", "cut "+l.To)
+		f.exempt(f.index(l.To), "answer", "cut "+l.To)
 	case l.To == "discovery", strings.HasPrefix(l.To, "agent:") && !strings.HasPrefix(l.From, "agent:"):
-		f.excuse(f.index(l.From), "after-grace", "deaf "+l.From)
+		f.exempt(f.index(l.From), "after-grace", "deaf "+l.From)
 	case strings.HasPrefix(l.From, "agent:") && !strings.HasPrefix(l.To, "agent:"):
-		f.excuse(f.index(l.From), "after-grace", "deaf "+l.From)
+		f.exempt(f.index(l.From), "after-grace", "deaf "+l.From)
 	case l.From[0] == 'r': // raft
-		f.excuse(-1, "after-grace", "deaf replicas")
+		f.exempt(-1, "after-grace", "deaf replicas")
 	}
 }
 
--- a/internal/lab/load/client.go
+++ b/internal/lab/load/client.go
@@ -44,15 +44,15 @@
 
 func (c *client) close() { c.kept.CloseIdleConnections() }
 
-// try is what was seen of one sending. The transport tells from goroutines of its own.
-type try struct {
+// attempt is what was seen of one sending. The transport tells from goroutines of its own.
+type attempt struct {
 	mu                        sync.Mutex
 	local                     string
 	reused, written, answered bool
 	at                        time.Duration // its last byte written
 }
 
-func (t *try) trace(rec *stub.Recorder) *httptrace.ClientTrace {
+func (t *attempt) trace(rec *stub.Recorder) *httptrace.ClientTrace {
 	set := func(f func()) { t.mu.Lock(); f(); t.mu.Unlock() }
 	return &httptrace.ClientTrace{
 		GotConn: func(i httptrace.GotConnInfo) {
@@ -78,7 +78,7 @@
 		if !ok {
 			return s, false
 		}
-		var t try
+		var t attempt
 		status, err := c.once(tr, addr, id, account, class, &t)
 		if errors.Is(err, errNotDealt) {
 			continue
@@ -116,7 +116,7 @@
 		errors.Is(err, syscall.EPIPE) || errors.Is(err, net.ErrClosed) || strings.Contains(err.Error(), "server closed idle connection")
 }
 
-func (c *client) once(tr *http.Transport, addr, id, account string, class Class, t *try) (int, error) {
+func (c *client) once(tr *http.Transport, addr, id, account string, class Class, t *attempt) (int, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), class.TimeLeft+2*time.Second)
 	defer cancel()
 	// An empty reader that is not NoBody: the same bytes go out, and the transport sends nothing again by itself.
--- a/internal/lab/needs_test.go
+++ b/internal/lab/needs_test.go
@@ -10,7 +10,7 @@
 )
 
 // labLimits are those of a machine of 16 GB with 20,000 descriptors.
-var labLimits = bounds.Limits{MemoryBytes: 8 << 30, Processes: bounds.MostProcesses, Descriptors: 20_000, Ports: 28_000}
+var labLimits = bounds.Limits{MemoryBytes: 8 << 30, Processes: bounds.MaxProcesses, Descriptors: 20_000, Ports: 28_000}
 
 func TestBundledScenariosAreWithinTheLimits(t *testing.T) {
 	for _, name := range scenarios.Names() {
--- a/internal/lab/node.go
+++ b/internal/lab/node.go
@@ -21,7 +21,7 @@
 	cfg       string
 	inFront   atomic.Bool  // the front knows it
 	dealt     atomic.Bool  // and deals new connections to it
-	termAt    atomic.Int64 // when this life was sent SIGTERM, by the recorder; 0 if it was not
+	termAt    atomic.Int64 // when this incarnation was sent SIGTERM, by the recorder; 0 if it was not
 	frontAddr string
 	clients   *faults.Link
 }
@@ -63,7 +63,7 @@
 	return os.WriteFile(n.cfg, raw, 0o644)
 }
 
-// launch starts a life of the node and waits until it is ready, or its time for that is over.
+// launch starts an incarnation of the node and waits until it is ready, or its time for that is over.
 func (f *fleet) launch(n *node) {
 	if err := n.begin(f.opt.Dir, &f.cpu, &f.wg); err != nil {
 		f.opt.Log.Error("node did not start", "node", n.info.Name, "err", err)
--- a/internal/lab/process.go
+++ b/internal/lab/process.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// process is one program of the run, which may have several lives: a node, or a node's agent.
+// process is one program of the run, which may have several incarnations: a node, or a node's agent.
 type process struct {
 	name   string
 	bin    string
@@ -35,7 +35,7 @@
 	return err
 }
 
-// begin starts a life; its CPU is added to cpu once it has ended. dir holds the run's list of pids.
+// begin starts an incarnation; its CPU is added to cpu once it has ended. dir holds the run's list of pids.
 func (p *process) begin(dir string, cpu *atomic.Int64, wg *sync.WaitGroup) error {
 	if !p.wait(0) {
 		return errors.New(p.name + " is still running")
--- a/internal/lab/report/fleet.go
+++ b/internal/lab/report/fleet.go
@@ -116,11 +116,11 @@
 				back = min(back, d.At)
 			}
 		}
-		for _, t := range r.Fleet.Told {
+		for _, t := range r.Fleet.IntentChanges {
 			zone, _, _ := strings.Cut(strings.TrimPrefix(t.Key, "zone/"), "@")
 			switch {
 			case zone != z || t.At < at:
-			case t.Gone:
+			case t.Removed:
 				l.ServedMS = ms(t.At - at)
 			case t.Phase == "left" && l.LeftMS < 0:
 				l.LeftMS = ms(t.At - at)
@@ -150,7 +150,7 @@
 		}
 	}
 	l.Further -= len(requests)
-	for _, t := range r.Fleet.Tries {
+	for _, t := range r.Fleet.UnreachableAttempts {
 		if within(t.At) {
 			l.Further++
 			if r.Fleet.ServerZone[t.Server] == l.Zone {
--- a/internal/lab/report/fleet_test.go
+++ b/internal/lab/report/fleet_test.go
@@ -19,9 +19,9 @@
 		Onboarded: []lab.Onboarding{{Tenant: "t", Generation: 2, Applied: map[string]time.Duration{"n0": 100 * time.Millisecond, "n1": 300 * time.Millisecond},
 			All: 300 * time.Millisecond}},
 		Fleet: &invariants.Fleet{Faulted: map[string]time.Duration{"z": 10 * sec}, ServerZone: map[string]string{"s": "z", "x": "y"},
-			Tries: []invariants.Try{{Node: 1, Server: "s", At: 12 * sec}, {Node: 1, Server: "s", At: 9 * sec}},
-			Told: []invariants.Told{{Key: "zone/z", At: 10*sec + 500*time.Millisecond, Phase: "left"}, {Key: "zone/z", At: 15 * sec, Phase: "probation"},
-				{Key: "zone/z", At: 20 * sec, Gone: true}},
+			UnreachableAttempts: []invariants.UnreachableAttempt{{Node: 1, Server: "s", At: 12 * sec}, {Node: 1, Server: "s", At: 9 * sec}},
+			IntentChanges: []invariants.IntentChange{{Key: "zone/z", At: 10*sec + 500*time.Millisecond, Phase: "left"}, {Key: "zone/z", At: 15 * sec, Phase: "probation"},
+				{Key: "zone/z", At: 20 * sec, Removed: true}},
 			Planted:  []invariants.Planted{{Node: 1, At: 5 * sec}, {Node: 0, At: 5 * sec}},
 			Verdicts: []invariants.Verdict{{Node: 1, At: 4 * sec, State: "stuck"}, {Node: 1, At: 7 * sec, State: "overridden"}}}}
 	got := Build(r)
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -35,37 +35,37 @@
 
 // Report is a run's figures.
 type Report struct {
-	Scenario  string              `json:"scenario"`
-	Phases    []Phase             `json:"phases"`
-	Whole     Phase               `json:"whole"`
-	PerNode   map[string]int      `json:"per_node"`   // requests the front dealt to each node
-	PerServer map[string]int64    `json:"per_server"` // requests each app server worked on
-	Breaches  []invariants.Breach `json:"breaches"`
-	Evidence  map[string][]string `json:"evidence"` // by request id, the log lines that name it
-	NeverUp   []string            `json:"never_up"`
-	ColdFalls int                 `json:"cold_falls"` // cold app servers pushed over, with the nodes notified or not
-	CPU       lab.CPU             `json:"cpu"`
-	LabShare  float64             `json:"lab_cpu_share"` // of all CPU: the lab's, the nodes', the agents' and the replicas'
-	Skipped   int                 `json:"skipped"`
-	Zones     []ZoneLoss          `json:"zones"`
-	Onboarded []Onboarding        `json:"onboarded"`
-	Drifts    []Detection         `json:"drifts"`
-	Deaths    Deaths              `json:"deaths"`      // of members that gossip
-	BytesPS   map[string]float64  `json:"bytes_per_s"` // through the relays, both ways, by kind of link, over the run
-	NoFile    [2]uint64           `json:"nofile"`
-	Links     int                 `json:"links"`
-	Plots     []string            `json:"plots"`
+	Scenario         string              `json:"scenario"`
+	Phases           []Phase             `json:"phases"`
+	Total            Phase               `json:"whole"`
+	PerNode          map[string]int      `json:"per_node"`   // requests the front dealt to each node
+	PerServer        map[string]int64    `json:"per_server"` // requests each app server worked on
+	Breaches         []invariants.Breach `json:"breaches"`
+	Evidence         map[string][]string `json:"evidence"` // by request id, the log lines that name it
+	NeverUp          []string            `json:"never_up"`
+	WarmingOverloads int                 `json:"cold_falls"` // overloads of warming app servers, with the nodes notified or not
+	CPU              lab.CPU             `json:"cpu"`
+	LabCPUFraction   float64             `json:"lab_cpu_share"` // of all CPU: the lab's, the nodes', the agents' and the replicas'
+	Skipped          int                 `json:"skipped"`
+	Zones            []ZoneLoss          `json:"zones"`
+	Onboarded        []Onboarding        `json:"onboarded"`
+	Drifts           []Detection         `json:"drifts"`
+	Deaths           Deaths              `json:"deaths"`      // of members that gossip
+	BytesPS          map[string]float64  `json:"bytes_per_s"` // through the relays, both ways, by kind of link, over the run
+	NoFile           [2]uint64           `json:"nofile"`
+	Links            int                 `json:"links"`
+	Plots            []string            `json:"plots"`
 }
 
 // Build computes the report.
 func Build(r *lab.Records) *Report {
 	out := &Report{Scenario: r.Scenario.Name, PerNode: map[string]int{}, PerServer: map[string]int64{}, Breaches: r.Breaches,
-		CPU: r.CPU, ColdFalls: len(r.Falls), Skipped: r.Skipped, NoFile: r.NoFile, Links: r.Links}
+		CPU: r.CPU, WarmingOverloads: len(r.Falls), Skipped: r.Skipped, NoFile: r.NoFile, Links: r.Links}
 	if out.Breaches == nil {
 		out.Breaches = []invariants.Breach{}
 	}
 	if total := r.CPU.LabS + r.CPU.NodesS + r.CPU.AgentsS + r.CPU.ReplicasS; total > 0 {
-		out.LabShare = r.CPU.LabS / total
+		out.LabCPUFraction = r.CPU.LabS / total
 	}
 	out.Zones, out.Onboarded, out.Drifts, out.BytesPS = zoneLosses(r), onboardings(r), detections(r), map[string]float64{}
 	out.Deaths = deaths(r)
@@ -82,7 +82,7 @@
 	for i := range len(cuts) - 1 {
 		out.Phases = append(out.Phases, phase(r.Sent, cuts[i], cuts[i+1], names[i]))
 	}
-	out.Whole = phase(r.Sent, 0, r.Scenario.DurationS, "whole")
+	out.Total = phase(r.Sent, 0, r.Scenario.DurationS, "whole")
 	for _, s := range r.Sent {
 		if s.Node >= 0 && s.Node < len(r.Nodes) {
 			out.PerNode[r.Nodes[s.Node].Name]++
--- a/internal/lab/run.go
+++ b/internal/lab/run.go
@@ -21,25 +21,25 @@
 
 // Records is all that a run keeps: what went in, what happened, and what the checker found.
 type Records struct {
-	Scenario  *Scenario             `json:"scenario"`
-	Sent      []invariants.Sent     `json:"sent"`
-	Attempts  []invariants.Attempt  `json:"attempts"`
-	Changes   []invariants.Change   `json:"changes"`
-	Excuses   []invariants.Excuse   `json:"excuses"`
-	Falls     []invariants.Fall     `json:"falls"` // cold app servers pushed over
-	Timeline  []Done                `json:"timeline"`
-	Nodes     []NodeInfo            `json:"nodes"`
-	Servers   []ServerInfo          `json:"servers"`
-	Skipped   int                   `json:"skipped"`
-	Fleet     *invariants.Fleet     `json:"fleet"` // what is known of zones, and of the control plane where there is one
-	Onboarded []Onboarding          `json:"onboarded"`
-	Sightings []invariants.Sighting `json:"sightings"` // what members thought of each other
-	Silenced  []Silenced            `json:"silenced"`
-	Bytes     map[string]int64      `json:"bytes"` // through the relays, both ways, by kind of link
-	Breaches  []invariants.Breach   `json:"breaches"`
-	CPU       CPU                   `json:"cpu"`
-	NoFile    [2]uint64             `json:"nofile"` // soft and hard limit on descriptors the lab ran with
-	Links     int                   `json:"links"`
+	Scenario  *Scenario              `json:"scenario"`
+	Sent      []invariants.Sent      `json:"sent"`
+	Attempts  []invariants.Attempt   `json:"attempts"`
+	Changes   []invariants.Change    `json:"changes"`
+	Excuses   []invariants.Exemption `json:"excuses"`
+	Falls     []invariants.Fall      `json:"falls"` // overloads of warming app servers
+	Timeline  []Done                 `json:"timeline"`
+	Nodes     []NodeInfo             `json:"nodes"`
+	Servers   []ServerInfo           `json:"servers"`
+	Skipped   int                    `json:"skipped"`
+	Fleet     *invariants.Fleet      `json:"fleet"` // what is known of zones, and of the control plane where there is one
+	Onboarded []Onboarding           `json:"onboarded"`
+	Sightings []invariants.Sighting  `json:"sightings"` // what members thought of each other
+	Silenced  []Silenced             `json:"silenced"`
+	Bytes     map[string]int64       `json:"bytes"` // through the relays, both ways, by kind of link
+	Breaches  []invariants.Breach    `json:"breaches"`
+	CPU       CPU                    `json:"cpu"`
+	NoFile    [2]uint64              `json:"nofile"` // soft and hard limit on descriptors the lab ran with
+	Links     int                    `json:"links"`
 }
 
 // Done is one event as it was carried out.
@@ -49,7 +49,7 @@
 	Detail string        `json:"detail"`
 }
 
-// NodeInfo is one node process (or its several lives).
+// NodeInfo is one node process (or its several incarnations).
 type NodeInfo struct {
 	Name    string          `json:"name"`
 	Zone    string          `json:"zone"`
@@ -103,7 +103,7 @@
 	members  []*process
 	mu       sync.Mutex
 	recs     Records
-	open     map[string]time.Duration // excuses not yet closed, by what opened them
+	open     map[string]time.Duration // exemptions not yet closed, by what opened them
 	cpu      atomic.Int64             // node CPU in ns, of processes waited for
 	agentCPU atomic.Int64             // the same of agents
 	wg       sync.WaitGroup
@@ -177,7 +177,7 @@
 	f.end()
 	r := &f.recs
 	r.Bytes = f.bytes()
-	f.closeExcuses(end)
+	f.endExemptions(end)
 	r.Sent, r.Skipped, r.Attempts, r.Falls = result.Sent, result.Skipped, f.rec.Attempts(), f.rec.Falls()
 	for _, n := range f.nodes {
 		n.info.Pids = n.pids
@@ -200,7 +200,7 @@
 	if !s.Fleet.Control {
 		judged = nil
 	}
-	r.Breaches = invariants.Check(invariants.Run{Sent: r.Sent, Attempts: r.Attempts, Changes: r.Changes, Excuses: r.Excuses, Falls: r.Falls, Fleet: judged, Sightings: r.Sightings,
+	r.Breaches = invariants.Check(invariants.Run{Sent: r.Sent, Attempts: r.Attempts, Changes: r.Changes, Exemptions: r.Excuses, Falls: r.Falls, Fleet: judged, Sightings: r.Sightings,
 		Fragile: fragile, Grace: time.Duration(f.setting("invariants", "drain_grace_ns")), Slack: time.Second,
 		End: seconds(s.Load.FromS + s.Load.ForS)})
 	return r, nil
--- a/internal/lab/scenario.go
+++ b/internal/lab/scenario.go
@@ -100,8 +100,8 @@
 	Truncate  int       `toml:"truncate"` // bytes a direction of a connection, or a datagram, may have
 }
 
-// coldMost is the settings' invariants.cold_ns: app servers are warm no later.
-const coldMost = 8.7e9
+// maxSlowStart is the settings' invariants.cold_ns: app servers are warm no later.
+const maxSlowStart = 8.7e9
 
 var actions = map[string]bool{"kill": true, "term": true, "hup": true, "restart": true, "stop": true, "cont": true,
 	"partition": true, "heal": true, "link": true, "degrade": true, "restart-servers": true, "list": true,
@@ -145,8 +145,8 @@
 		return nil, fmt.Errorf("scenario %s: fleet.zones is empty", name)
 	case s.checkRegions() != nil:
 		return nil, fmt.Errorf("scenario %s: %w", name, s.checkRegions())
-	case s.Servers.ColdS*1e9 > coldMost:
-		return nil, fmt.Errorf("scenario %s: servers.cold_s %v is over the settings' %v", name, s.Servers.ColdS, coldMost/1e9)
+	case s.Servers.ColdS*1e9 > maxSlowStart:
+		return nil, fmt.Errorf("scenario %s: servers.cold_s %v is over the settings' %v", name, s.Servers.ColdS, maxSlowStart/1e9)
 	case s.DurationS <= 0 || s.DurationS > 3600:
 		return nil, fmt.Errorf("scenario %s: duration_s %v is not within 0 to 3600", name, s.DurationS)
 	case s.Load.Rate <= 0 || s.Load.ForS <= 0 || s.Load.FromS+s.Load.ForS > s.DurationS:
--- a/internal/lab/setup.go
+++ b/internal/lab/setup.go
@@ -44,7 +44,7 @@
 		zone := s.Fleet.Zones[j%len(s.Fleet.Zones)]
 		spec := stub.ServerSpec{ID: serverID(j), Zone: zone, Capacity: s.Servers.Capacity,
 			Latency: seconds(s.Servers.LatencyMS / 1000), Spread: s.Servers.Spread, MaxConns: s.Servers.MaxConns,
-			IdleClose: seconds(s.Servers.IdleS), Cold: f.coldRule()}
+			IdleClose: seconds(s.Servers.IdleS), SlowStart: f.slowStart()}
 		srv, err := stub.NewAppServer(spec, "127.0.0.1:0", nodeOf, f.rec, s.Seed*1000+uint64(j))
 		if err != nil {
 			return fmt.Errorf("app server %d: %w", j, err)
@@ -80,7 +80,7 @@
 			addrs[srv.Spec.ID] = l.Addr
 			l.OnLost(func() {
 				f.mu.Lock()
-				f.recs.Fleet.Tries = append(f.recs.Fleet.Tries, invariants.Try{Node: i, Server: srv.Spec.ID, At: f.rec.Since()})
+				f.recs.Fleet.UnreachableAttempts = append(f.recs.Fleet.UnreachableAttempts, invariants.UnreachableAttempt{Node: i, Server: srv.Spec.ID, At: f.rec.Since()})
 				f.mu.Unlock()
 			})
 		}
--- a/internal/lab/simulated/call.go
+++ b/internal/lab/simulated/call.go
@@ -12,7 +12,7 @@
 )
 
 // Call makes one request of an operator: it tries the replicas in turn, following X-Leader, until one answers with a status that is
-// not 503, for a minute at most. body is sent as JSON. unknown says that an earlier try may have been carried out: its outcome was not known.
+// not 503, for a minute at most. body is sent as JSON. unknown says that an earlier attempt may have been carried out: its outcome was not known.
 func Call(replicas []string, method, path string, body any) (code int, text string, unknown bool, err error) {
 	raw, _ := json.Marshal(body)
 	to := 0
--- a/internal/lab/stub/appserver.go
+++ b/internal/lab/stub/appserver.go
@@ -48,7 +48,7 @@
 	Spread    float64
 	MaxConns  int           // connections held; more are turned away
 	IdleClose time.Duration // an idle connection is closed after this
-	Cold      ColdRule      // after a restart; its Rate is filled in from Capacity, Latency and Spread
+	SlowStart SlowStart     // after a restart; its Rate is filled in from Capacity, Latency and Spread
 }
 
 // Recorder keeps what the stubs and the load saw, as offsets from Start. Safe for concurrent use.
@@ -106,15 +106,15 @@
 	mu   sync.Mutex
 	srv  *http.Server
 	rnd  *rand.Rand
-	cold cold
+	cold slowStartState
 }
 
 // NewAppServer listens on addr ("127.0.0.1:0" for any port). nodeOf tells which node a connection's source address belongs to.
 func NewAppServer(spec ServerSpec, addr string, nodeOf func(string) int, rec *Recorder, seed uint64) (*AppServer, error) {
 	s := &AppServer{Spec: spec, nodeOf: nodeOf, rec: rec, slots: make(chan struct{}, max(spec.Capacity, 1)),
 		rnd: rand.New(rand.NewPCG(seed, 0x5e7e))}
-	spec.Cold.Rate = float64(max(spec.Capacity, 1)) / (spec.Latency.Seconds() * math.Exp(spec.Spread*spec.Spread/2))
-	s.cold.rule = spec.Cold
+	spec.SlowStart.Rate = float64(max(spec.Capacity, 1)) / (spec.Latency.Seconds() * math.Exp(spec.Spread*spec.Spread/2))
+	s.cold.rule = spec.SlowStart
 	if err := s.listen(addr); err != nil {
 		return nil, err
 	}
--- a/internal/lab/stub/cold.go
+++ b/internal/lab/stub/cold.go
@@ -7,10 +7,10 @@
 	"meadowsill/internal/invariants"
 )
 
-// ColdRule is what a cold app server bears (the standing test's cold rule): it comes up at From of its capacity
+// SlowStart is what a warming app server bears (the standing test's cold rule): it comes up at From of its capacity
 // and is warm after For; it falls when it gets more than N + 3*sqrt(N) + 3 requests of mean work within Span, N
 // being Factor times its present capacity over Span. The zero rule never fells.
-type ColdRule struct {
+type SlowStart struct {
 	From   float64       // share of its capacity at the start, above 0
 	For    time.Duration // until it is warm, in an even rise
 	Factor float64       // overload that it bears
@@ -19,7 +19,7 @@
 }
 
 // Share is the present part of its capacity, age after its start.
-func (c ColdRule) Share(age time.Duration) float64 {
+func (c SlowStart) Share(age time.Duration) float64 {
 	if age >= c.For || c.For <= 0 || c.From <= 0 {
 		return 1
 	}
@@ -27,14 +27,14 @@
 }
 
 // Allowed is how many requests it bears within Span, age after its start.
-func (c ColdRule) Allowed(age time.Duration) float64 {
+func (c SlowStart) Allowed(age time.Duration) float64 {
 	n := c.Factor * c.Rate * c.Share(age) * c.Span.Seconds()
 	return n + 3*math.Sqrt(n) + 3
 }
 
-// cold is one server's present life by the rule. Times are the recorder's.
-type cold struct {
-	rule    ColdRule
+// slowStartState is one server's present life by the rule. Times are the recorder's.
+type slowStartState struct {
+	rule    SlowStart
 	on      bool // it started in this run, so that it is or was cold
 	start   time.Duration
 	fallen  time.Duration // until when it is down; 0 if it never fell
@@ -42,12 +42,12 @@
 }
 
 // restart begins a cold life at now.
-func (c *cold) restart(now time.Duration) {
+func (c *slowStartState) restart(now time.Duration) {
 	c.on, c.start, c.fallen, c.arrived = true, now, 0, nil
 }
 
 // down says whether it lies fallen at now. Once its cold time is over it is up again, cold as at a start.
-func (c *cold) down(now time.Duration) bool {
+func (c *slowStartState) down(now time.Duration) bool {
 	if c.fallen == 0 {
 		return false
 	}
@@ -59,7 +59,7 @@
 }
 
 // arrive counts a request from node, whatever becomes of it, and gives the fall where it was one too many.
-func (c *cold) arrive(now time.Duration, node int) (invariants.Fall, bool) {
+func (c *slowStartState) arrive(now time.Duration, node int) (invariants.Fall, bool) {
 	if !c.on || c.rule.Span <= 0 || now-c.start >= c.rule.For {
 		return invariants.Fall{}, false
 	}
--- a/internal/lab/stub/cold_test.go
+++ b/internal/lab/stub/cold_test.go
@@ -11,7 +11,7 @@
 )
 
 func TestColdRuleAllows(t *testing.T) {
-	r := ColdRule{From: 0.4, For: 10 * time.Second, Factor: 4, Span: 1500 * time.Millisecond, Rate: 10}
+	r := SlowStart{From: 0.4, For: 10 * time.Second, Factor: 4, Span: 1500 * time.Millisecond, Rate: 10}
 	for age, want := range map[time.Duration]float64{0: 24, 5 * time.Second: 42, 10 * time.Second: 60, time.Minute: 60} {
 		if got := r.Allowed(age); math.Abs(got-(want+3*math.Sqrt(want)+3)) > 1e-9 {
 			t.Errorf("age %v: %v", age, got)
@@ -22,7 +22,7 @@
 // One request more than the rule allows within its span fells it, spread over the span or not; as many, or the same
 // over two spans, or once it is warm, do not. The fall names who sent what, and ends after the cold time.
 func TestColdFallIsTheRuleAtItsEdge(t *testing.T) {
-	rule := ColdRule{From: 0.4, For: 10 * time.Second, Factor: 4, Span: 1500 * time.Millisecond, Rate: 10}
+	rule := SlowStart{From: 0.4, For: 10 * time.Second, Factor: 4, Span: 1500 * time.Millisecond, Rate: 10}
 	most := int(rule.Allowed(0)) // 41
 	for name, c := range map[string]struct {
 		n     int
@@ -36,7 +36,7 @@
 		"fast enough to fell": {200, 0, time.Second / 60, true},
 		"warm":                {500, 10 * time.Second, 0, false},
 	} {
-		c2 := cold{rule: rule}
+		c2 := slowStartState{rule: rule}
 		c2.restart(time.Minute)
 		fell := false
 		for i := range c.n {
@@ -54,12 +54,12 @@
 	}
 }
 
-// The stub itself: restarted and pushed over, it resets what it has and what comes, is recorded once, and is up
+// The stub itself: restarted and overloaded, it resets what it has and what comes, is recorded once, and is up
 // again after its cold time.
 func TestAppServerFallsWhenCold(t *testing.T) {
 	rec := NewRecorder()
 	s, err := NewAppServer(ServerSpec{ID: "s", Capacity: 1, Latency: 20 * time.Millisecond, MaxConns: 500, IdleClose: time.Minute,
-		Cold: ColdRule{From: 0.4, For: 2 * time.Second, Factor: 4, Span: 500 * time.Millisecond}},
+		SlowStart: SlowStart{From: 0.4, For: 2 * time.Second, Factor: 4, Span: 500 * time.Millisecond}},
 		"127.0.0.1:0", func(string) int { return 3 }, rec, 1)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/lab/workload.go
+++ b/internal/lab/workload.go
@@ -36,10 +36,10 @@
 	return v
 }
 
-// coldRule is the cold rule of the nodes' settings, with the scenario's time until a server is warm.
-func (f *fleet) coldRule() stub.ColdRule {
+// slowStart is the cold rule of the nodes' settings, with the scenario's time until a server is warm.
+func (f *fleet) slowStart() stub.SlowStart {
 	set := func(name string) float64 { return f.setting("invariants", name) }
-	return stub.ColdRule{From: set("cold_from"), For: seconds(f.s.Servers.ColdS), Factor: set("overload_factor"),
+	return stub.SlowStart{From: set("cold_from"), For: seconds(f.s.Servers.ColdS), Factor: set("overload_factor"),
 		Span: time.Duration(set("tip_after_ns"))}
 }
 
--- a/internal/membership/gossip.go
+++ b/internal/membership/gossip.go
@@ -35,7 +35,7 @@
 	sizer       Sizer
 	states      map[string]State
 	done        chan struct{}
-	news        chan struct{} // an event came: refresh now
+	events      chan struct{} // an event came: refresh now
 
 	members     *prometheus.GaugeVec
 	suspicions  prometheus.Counter
@@ -94,7 +94,7 @@
 
 func (g *Gossip) nudge() {
 	select {
-	case g.news <- struct{}{}:
+	case g.events <- struct{}{}:
 	default:
 	}
 }
@@ -128,8 +128,8 @@
 		}
 	}
 	g := &Gossip{cfg: cfg, incarnation: time.Now().UnixMilli(), states: map[string]State{}, done: make(chan struct{}),
-		news:  make(chan struct{}, 1),
-		sizer: Sizer{Stable: cfg.Stable, Hold: cfg.Hold}}
+		events: make(chan struct{}, 1),
+		sizer:  Sizer{Stable: cfg.Stable, Hold: cfg.Hold}}
 	g.members = prometheus.NewGaugeVec(prometheus.GaugeOpts{Name: "membership_members", Help: "Members by state in this view."}, []string{"state"})
 	g.suspicions = prometheus.NewCounter(prometheus.CounterOpts{Name: "membership_suspicions_total", Help: "Members seen turn suspect."})
 	g.refutations = prometheus.NewCounter(prometheus.CounterOpts{Name: "membership_refutations_total", Help: "Suspect members seen alive again."})
@@ -183,7 +183,7 @@
 		case <-g.done:
 			return
 		case <-t.C:
-		case <-g.news:
+		case <-g.events:
 		}
 		g.refresh()
 	}
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -49,7 +49,7 @@
 	return n
 }
 
-// Sizer keeps the fleet size that is safe to divide a fleet-wide quantity by (a cold server's pace, a share of a
+// Sizer keeps the fleet size that is safe to divide a fleet-wide quantity by (the pace of a server that warms up, a share of a
 // global limit) while views disagree.
 //
 // The rule: a size that has held for Stable is agreed. While fewer are alive than agreed, a member divides by
--- a/internal/node/attempts.go
+++ b/internal/node/attempts.go
@@ -82,7 +82,7 @@
 	select {
 	case a := <-r.answer: // which nobody takes any more
 		if a.stream != nil {
-			a.stream.CloseWithError(errClientGone)
+			a.stream.CloseWithError(errClientClosed)
 		}
 	default:
 	}
@@ -162,7 +162,7 @@
 func (l *eventLoop) streamAnswer(a policy.Forward, n int, long answer) {
 	r := l.requests[a.ID]
 	if r == nil || r.answered {
-		long.stream.CloseWithError(errClientGone)
+		long.stream.CloseWithError(errClientClosed)
 		return
 	}
 	r.markAnswered()
@@ -181,10 +181,9 @@
 		r.markAnswered()
 		r.answer <- answer{status: http.StatusOK, header: res.header, body: res.body}
 	}
-	if client, ok := res.err.(uploadError); ok && !r.answered {
-		status, _ := bodyStatus(client.error)
+	if client := (uploadError{}); errors.As(res.err, &client) && !r.answered {
 		r.markAnswered()
-		r.answer <- answer{status: status}
+		r.answer <- answer{status: bodyError(client.error).status}
 		l.handle(policy.RequestAbandoned{ID: a.ID})
 	}
 	if errors.Is(res.err, errRequestOver) {
--- a/internal/node/client_left_test.go
+++ b/internal/node/client_left_test.go
@@ -52,7 +52,7 @@
 	}
 }
 
-// The same for a request whose attempt is out: the life that its attempts go by has ended while the loop is held.
+// The same for a request whose attempt is out: the incarnation that its attempts go by has ended while the loop is held.
 func TestEndOfARequestInFlight(t *testing.T) {
 	t.Parallel()
 	for _, more := range []string{"", "x"} {
--- a/internal/node/exchange.go
+++ b/internal/node/exchange.go
@@ -149,7 +149,7 @@
 	body, whole, err := readAnswer(ctx, c, x, resp)
 	if err != nil {
 		code := policy.Reset
-		if errors.Is(err, errClientGone) {
+		if errors.Is(err, errClientClosed) {
 			code = policy.Cancelled
 		}
 		return result{code: code, err: err}, false
--- a/internal/node/frontend.go
+++ b/internal/node/frontend.go
@@ -26,6 +26,8 @@
 	// clientTimeoutMargin is kept from a client's patience: an answer has to get to it and be read by then.
 	clientTimeoutMargin = 10 * time.Millisecond
 	busyRetryAfter      = 500 * time.Millisecond // the backoff for a client that the node itself has no capacity for
+
+	healthPath = "health" // of the health checks: no class has the name
 )
 
 // frontend serves clients.
@@ -95,6 +97,7 @@
 
 type connKey struct{}
 
+// ServeHTTP answers a client's request, or the health checks of the load balancer in front of the nodes.
 func (f *frontend) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	conn, _ := r.Context().Value(connKey{}).(net.Conn)
 	if conn != nil && f.connections.isEnded(conn) {
@@ -113,29 +116,33 @@
 	}
 	class, rest, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
 	switch {
-	case class == "health" && (rest == "ready" || rest == "live"):
-		if why := f.notReadyReason(); rest == "ready" && why != "" {
-			http.Error(w, "not ready: "+why, http.StatusServiceUnavailable)
+	case class == healthPath && rest == "live":
+	case class == healthPath && rest == "ready":
+		if reason := f.notReadyReason(); reason != "" {
+			http.Error(w, "not ready: "+reason, http.StatusServiceUnavailable)
 		}
-		return
-	case class == "" || class == "health":
+	case class == "" || class == healthPath:
 		http.NotFound(w, r)
-		return
+	default:
+		f.serveRequest(w, r, class, client)
 	}
+}
+
+// serveRequest answers a request of a class, if the node has capacity for it.
+func (f *frontend) serveRequest(w http.ResponseWriter, r *http.Request, class string, client *clientConn) {
 	rules := f.loop.rules.Load()
-	if open := f.openRequests.Add(1); open > f.maxOpenRequests || rules.MaxOpenRequests > 0 && open > int64(rules.MaxOpenRequests) || f.connections.overLimit() {
-		f.openRequests.Add(-1)
+	if !f.reserve(rules.MaxOpenRequests) {
 		f.writeAnswer(w, answer{status: http.StatusServiceUnavailable, retryAfter: busyRetryAfter})
 		return
 	}
 	defer f.openRequests.Add(-1)
-	req, status, err := f.readRequest(w, r, rules, class, client)
+	req, err := f.readRequest(w, r, rules, class, client)
 	if err != nil {
 		w.Header().Set("Connection", "close") // what follows a bad request on its connection can't be trusted
-		http.Error(w, err.Error(), status)
+		http.Error(w, err.Error(), statusOf(err))
 		return
 	}
-	if f.isDrainClosed() { // what comes whole so late may have no answer by SIGKILL; another process has capacity for it
+	if f.isDrainClosed() { // what comes in full so late may have no answer by SIGKILL; another process has capacity for it
 		w.Header().Set("Connection", "close")
 		f.writeAnswer(w, answer{status: http.StatusServiceUnavailable})
 		return
@@ -143,86 +150,18 @@
 	if client.clientLeft() { // the read that looks for the client's end may come only after an attempt that begins at once
 		panic(http.ErrAbortHandler)
 	}
-	life := r.Context()
-	if req.upload != nil {
-		life = context.WithoutCancel(life) // a body that is no longer read ends the context too
-	}
-	req.context, req.cancel = context.WithCancel(life)
-	defer req.cancel()
-	queue, arrive := f.loop.events, func() { f.loop.startRequest(req) } // queue is nil once the loop has the request
-	leave := func() {                                                   // nothing is begun from here on, however late the loop is notified of it
-		req.cancel()
-		if queue == nil {
-			f.loop.post(func() { f.loop.abandonRequest(req) })
-		}
-	}
-	unanswered := func() int { // for one that the node's own end answers
-		if queue != nil { // never sent on
-			return http.StatusServiceUnavailable
-		}
-		return http.StatusBadGateway
-	}
-	late := time.NewTimer(max(0, time.Until(req.deadline)) + overdueDelay)
-	defer late.Stop()
-	gone := r.Context().Done()
-	var uploaded, closing <-chan struct{} // the client's time counts from uploaded
-	var look <-chan time.Time
-	if req.upload != nil {
-		defer req.upload.close()
-		uploaded = req.upload.complete
-		closing = f.drainClosed
-		gone = nil // a body that is no longer read ends the context too
-		tick := time.NewTicker(clientCheckInterval)
-		defer tick.Stop()
-		look = tick.C
-	}
-	for {
-		select {
-		case queue <- arrive: // it may be full for long: the client may go before, or its time end
-			queue = nil
-		case a := <-req.answer:
-			f.finishRequest(w, r, req, a)
-			return
-		case <-uploaded:
-			uploaded, closing, look, gone = nil, nil, nil, r.Context().Done()
-			late.Reset(req.upload.patience + overdueDelay)
-		case <-closing:
-			if closing = nil; !req.upload.stopEarly() {
-				continue
-			}
-			leave()
-			f.finishRequest(w, r, req, answer{status: http.StatusServiceUnavailable})
-			return
-		case <-look:
-			if client.clientLeft() {
-				leave()
-				panic(http.ErrAbortHandler)
-			}
-		case <-gone:
-			if req.upload != nil && req.upload.body.stopped.Load() {
-				gone = nil // the end of the reading, not the client's, may have ended the context
-				continue
-			}
-			leave()
-			panic(http.ErrAbortHandler) // else net/http would answer 200 to a client that reads on
-		case <-late.C:
-			if uploaded != nil && req.upload.isTaken() {
-				continue
-			}
-			leave()
-			f.log.Warn("request overdue", "id", req.arrived.ID)
-			f.finishRequest(w, r, req, answer{status: http.StatusGatewayTimeout})
-			return
-		case <-f.answersOver:
-			leave()
-			f.finishRequest(w, r, req, answer{status: unanswered()})
-			return
-		case <-f.loop.ctx.Done():
-			w.Header().Set("Connection", "close")
-			f.finishRequest(w, r, req, answer{status: unanswered()})
-			return
-		}
+	f.awaitAnswer(w, r, req, client)
+}
+
+// reserve counts a request as open and reports true, unless the node has as many as it may have. The caller counts it
+// down again.
+func (f *frontend) reserve(maxOpen int) bool {
+	open := f.openRequests.Add(1)
+	if open > f.maxOpenRequests || maxOpen > 0 && open > int64(maxOpen) || f.connections.overLimit() {
+		f.openRequests.Add(-1)
+		return false
 	}
+	return true
 }
 
 // finishRequest returns a request its final answer.
--- a/internal/node/linger.go
+++ b/internal/node/linger.go
@@ -20,7 +20,7 @@
 var errConnClosing = &net.OpError{Op: "read", Net: "tcp", Err: net.ErrClosed}
 
 // endIdle ends an idle connection and wakes net/http, which waits on it for a request and closes it then. What comes
-// after the mark is never given to net/http. A request that was read whole before it finds the connection shed.
+// after the mark is never given to net/http. A request that was read in full before it finds the connection shed.
 func (c *clientConn) endIdle() {
 	c.closing.Store(true) // before the deadline: a read that begins later sees the mark, one that waits the deadline
 	c.TCPConn.CloseWrite()
--- a/internal/node/listener_close_test.go
+++ b/internal/node/listener_close_test.go
@@ -130,7 +130,7 @@
 // requests, each with an attempt.
 func TestSharedSockets(t *testing.T) {
 	for sockets := minSockets; sockets <= 4096; sockets++ {
-		clients, servers := shareSockets(sockets)
+		clients, servers := divideSockets(sockets)
 		requests := min(int(float64(clients)*softLimitPart), servers)
 		if clients+servers+reservedSockets > sockets || sockets >= 256 && requests < sockets/3 {
 			t.Fatalf("%d descriptors: %d clients, %d servers, %d requests", sockets, clients, servers, requests)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -32,7 +32,7 @@
 )
 
 // Run serves until ctx ends and what has been taken by then is answered. On each signal of hup it takes
-// discovery's address and the settings from reload; a configuration that is not whole changes nothing.
+// discovery's address and the settings from reload; a configuration that is incomplete changes nothing.
 func Run(ctx context.Context, c *Config, hup <-chan os.Signal, reload func() (*Config, error), log *slog.Logger) error {
 	limitMemory(c.Limits.MemoryMB, false)
 	var admin *net.TCPListener
@@ -57,113 +57,156 @@
 	return serve(ctx, c, listen, admin, reloads, log)
 }
 
-// serve has no admin API if admin is nil. With one, this may be an upgrade: it listens for clients once it
-// can serve them.
+// process is the parts of a running node.
+type process struct {
+	config       *Config
+	log          *slog.Logger
+	admin        *net.TCPListener // nil: no admin API
+	loop         *eventLoop
+	upstreams    *upstreams
+	discovery    *discoveryClient
+	peerMessages *peerMessenger // nil: nodes exchange no messages
+	frontend     *frontend
+	clientConns  int // connections from clients, at most
+	running      sync.WaitGroup
+}
+
+// serve runs a node until ctx ends and what has been taken by then is answered. It has no admin API if admin is nil. With
+// one, this may be an upgrade: it listens for clients once it can serve them.
 func serve(ctx context.Context, c *Config, listen func() (*net.TCPListener, error), admin *net.TCPListener,
 	reloads <-chan *Config, log *slog.Logger) error {
 	inner, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
-	clients, servers := shareSockets(c.Limits.Sockets)
-	var tcp *net.TCPListener
+	var listener *net.TCPListener
 	var err error
 	if admin == nil {
-		if tcp, err = listen(); err != nil {
+		if listener, err = listen(); err != nil {
 			return err
 		}
-		defer tcp.Close()
+		defer listener.Close()
 	}
-	p, err := listenPeerMessages(c, log)
+	p, err := newProcess(inner, c, admin, log)
 	if err != nil {
 		return err
 	}
-	b := newUpstreams(c, servers, log)
-	d := newDiscoveryClient(c, log)
-	l := newEventLoop(inner, c, b, d, p, log)
+	p.start(inner, reloads)
+	if listener == nil {
+		listener, err = p.listenOnceReady(ctx, listen)
+	}
+	if listener != nil {
+		err = p.serveClients(ctx, inner, stop, listener)
+	}
+	stop()
+	p.running.Wait()
+	return err
+}
+
+// newProcess makes the parts of a node. Nothing of it runs yet.
+func newProcess(ctx context.Context, c *Config, admin *net.TCPListener, log *slog.Logger) (*process, error) {
+	clients, servers := divideSockets(c.Limits.Sockets)
+	messages, err := listenPeerMessages(c, log)
+	if err != nil {
+		return nil, err
+	}
+	p := &process{config: c, log: log, admin: admin, clientConns: clients, peerMessages: messages}
+	p.upstreams = newUpstreams(c, servers, log)
+	p.discovery = newDiscoveryClient(c, log)
+	p.loop = newEventLoop(ctx, c, p.upstreams, p.discovery, messages, log)
 	if admin != nil {
-		l.exclusions = openExclusions(c, b, log)
-		if b.restart, err = openHotRestart(c, log); err != nil {
+		p.loop.exclusions = openExclusions(c, p.upstreams, log)
+		if p.upstreams.restart, err = openHotRestart(c, log); err != nil {
 			log.Error("the limits are not shared with another process", "err", err)
 		}
 	}
-	f := newFrontend(l, int(float64(clients)*softLimitPart), log)
+	f := newFrontend(p.loop, int(float64(clients)*softLimitPart), log)
 	f.maxOpenRequests = min(f.maxOpenRequests, int64(servers)) // each finds a descriptor for an attempt
-	f.connections.restart = b.restart
-	f.fleet = newFleetClient(c, l, f.notReadyReason, log)
-	srv := f.server()
-
-	var running sync.WaitGroup
-	running.Go(func() { l.run(c.Known) })
-	running.Go(func() { b.run(inner) })
-	running.Go(func() {
-		for {
-			select {
-			case next := <-reloads:
-				d.setAddress(next.Discovery)
-				if !c.Fleet.equal(next.Fleet) {
-					log.Warn("fleet block changed: restart the node to apply it")
-				}
-				l.post(func() { l.changeSettings(next.Settings) })
-				log.Info("configuration applied", "classes", len(next.Settings.Classes), "attempts", next.Settings.MaxAttempts)
-			case <-inner.Done():
-				return
-			}
-		}
-	})
-	if f.fleet != nil {
-		running.Go(func() { f.fleet.run(inner) })
+	f.connections.restart = p.upstreams.restart
+	f.fleet = newFleetClient(c, p.loop, f.notReadyReason, log)
+	p.frontend = f
+	return p, nil
+}
+
+// start runs every part but the clients' listener, until ctx ends.
+func (p *process) start(ctx context.Context, reloads <-chan *Config) {
+	p.running.Go(func() { p.loop.run(p.config.Known) })
+	p.running.Go(func() { p.upstreams.run(ctx) })
+	p.running.Go(func() { p.applyReloads(ctx, reloads) })
+	if p.frontend.fleet != nil {
+		p.running.Go(func() { p.frontend.fleet.run(ctx) })
 	}
-	if p != nil {
-		running.Go(func() { p.write(inner) })
-		running.Go(func() { p.read(l.receiveMessage) })
+	if p.peerMessages != nil {
+		p.running.Go(func() { p.peerMessages.write(ctx) })
+		p.running.Go(func() { p.peerMessages.read(p.loop.receiveMessage) })
 	}
-	if admin != nil {
-		api := &adminServer{frontend: f, exclusions: l.exclusions, ctx: inner, log: log}
-		running.Go(func() { api.run(admin) })
-		running.Go(func() { runEvery(inner, exclusionsPollEvery(c.Settings.DrainGrace), l.exclusions.refresh) })
-		running.Go(func() { runEvery(inner, evacuationSweepInterval, f.closeEvacuatedIdle) })
+	if p.admin != nil {
+		api := &adminServer{frontend: p.frontend, exclusions: p.loop.exclusions, ctx: ctx, log: p.log}
+		p.running.Go(func() { api.run(p.admin) })
+		pollInterval := exclusionsPollEvery(p.config.Settings.DrainGrace)
+		p.running.Go(func() { runEvery(ctx, pollInterval, p.loop.exclusions.refresh) })
+		p.running.Go(func() { runEvery(ctx, evacuationSweepInterval, p.frontend.closeEvacuatedIdle) })
 	}
-	if b.restart != nil {
-		running.Go(func() { runEvery(inner, otherProcessInterval, b.restart.refresh) })
+	if restart := p.upstreams.restart; restart != nil {
+		p.running.Go(func() { runEvery(ctx, otherProcessInterval, restart.refresh) })
 	}
-	if tcp == nil {
+}
+
+// applyReloads applies each configuration that is reloaded, until ctx ends. The fleet block needs a restart.
+func (p *process) applyReloads(ctx context.Context, reloads <-chan *Config) {
+	for {
 		select {
-		case <-l.readyToServe:
-			select {
-			case <-f.fleet.readyToServe():
-				tcp, err = listen()
-			case <-ctx.Done():
+		case next := <-reloads:
+			p.discovery.setAddress(next.Discovery)
+			if !p.config.Fleet.equal(next.Fleet) {
+				p.log.Warn("fleet block changed: restart the node to apply it")
 			}
+			p.loop.post(func() { p.loop.changeSettings(next.Settings) })
+			p.log.Info("configuration applied", "classes", len(next.Settings.Classes), "attempts", next.Settings.MaxAttempts)
 		case <-ctx.Done():
+			return
 		}
 	}
-	if tcp != nil {
-		served := make(chan error, 1)
-		taken := newClientListener(tcp, clients, b.restart, f.connections)
-		running.Go(func() {
-			served <- srv.Serve(taken)
-		})
-		log.Info("serving", "name", c.Name, "listen", tcp.Addr(), "sockets", c.Limits.Sockets)
-		f.listening.Store(true)
+}
+
+// listenOnceReady listens for clients once the node can serve them. The listener is nil if ctx ends before.
+func (p *process) listenOnceReady(ctx context.Context, listen func() (*net.TCPListener, error)) (*net.TCPListener, error) {
+	for _, ready := range []<-chan struct{}{p.loop.readyToServe, p.frontend.fleet.readyToServe()} {
 		select {
-		case err = <-served:
-			err = fmt.Errorf("serve: %w", err)
+		case <-ready:
 		case <-ctx.Done():
-			f.drain(taken, served)
-			f.fleet.leave(inner)
+			return nil, nil
 		}
 	}
+	return listen()
+}
+
+// serveClients serves clients until ctx ends, and drains. Parts that run until inner ends are stopped before the last
+// connections are closed.
+func (p *process) serveClients(ctx, inner context.Context, stop context.CancelFunc, listener *net.TCPListener) (err error) {
+	f := p.frontend
+	server := f.server()
+	served := make(chan error, 1)
+	accepting := newClientListener(listener, p.clientConns, p.upstreams.restart, f.connections)
+	p.running.Go(func() { served <- server.Serve(accepting) })
+	p.log.Info("serving", "name", p.config.Name, "listen", listener.Addr(), "sockets", p.config.Limits.Sockets)
+	f.listening.Store(true)
+	select {
+	case err = <-served:
+		err = fmt.Errorf("serve: %w", err)
+	case <-ctx.Done():
+		f.drain(accepting, served)
+		f.fleet.leave(inner)
+	}
 	stop()
 	// A close under the last answers would cut them off, and the process's end resets what is not closed by then.
 	f.connections.waitUntilNone(finalAnswerTimeout)
-	srv.Close()
+	server.Close()
 	f.connections.waitUntilNone(finTimeout)
-	running.Wait()
 	return err
 }
 
-// shareSockets returns the most connections from clients and to servers, with descriptors left for all else: discovery, the
+// divideSockets returns the most connections from clients and to servers, with descriptors left for all else: discovery, the
 // admin API and the fleet's agent are reached however many clients there are.
-func shareSockets(sockets int) (clients, servers int) {
+func divideSockets(sockets int) (clients, servers int) {
 	room := sockets - reservedSockets
 	clients = int(float64(room) * clientSocketsPart)
 	return clients, room - clients
--- a/internal/node/read_request.go
+++ b/internal/node/read_request.go
@@ -2,7 +2,6 @@
 
 import (
 	"errors"
-	"fmt"
 	"math"
 	"net/http"
 	"net/url"
@@ -13,74 +12,132 @@
 	"meadowsill/policy"
 )
 
-// readRequest takes in a request, or says what is wrong with it.
-func (f *frontend) readRequest(w http.ResponseWriter, r *http.Request, rules *requestRules, class string, client *clientConn) (*request, int, error) {
-	settings, known := rules.classes[class]
-	id := r.Header.Get("X-Correlation-Id")
-	if !known { // an app server's answer to it would be held against the server
-		return nil, http.StatusNotFound, errors.New("no such path")
-	}
-	method := http.MethodPost
-	if settings.Idempotency == policy.Idempotent {
-		method = http.MethodGet
-	}
-	if r.Method != method {
-		return nil, http.StatusMethodNotAllowed, fmt.Errorf("%s only", method)
-	}
-	// net/http drops the Content-Length of a chunked request, and the Transfer-Encoding of an HTTP/1.0 one: the
-	// peer may have meant another end of the body, and what follows here as a request to be part of it.
-	if !r.ProtoAtLeast(1, 1) {
-		return nil, http.StatusHTTPVersionNotSupported, errors.New("HTTP/1.1 only")
-	}
-	if r.ContentLength != 0 && method == http.MethodGet {
-		return nil, http.StatusBadRequest, errors.New("GET has no body")
+// requestError is why a request is rejected before it reaches the event loop.
+type requestError struct {
+	status int
+	reason string
+}
+
+// Error returns the reason, which is the answer's body.
+func (e *requestError) Error() string { return e.reason }
+
+// statusOf returns the status of the answer to a request that can't be read.
+func statusOf(err error) int {
+	if rejected := (*requestError)(nil); errors.As(err, &rejected) {
+		return rejected.status
 	}
-	if id == "" {
-		return nil, http.StatusBadRequest, errors.New("X-Correlation-Id is missing")
+	return http.StatusBadRequest
+}
+
+// readRequest takes in a request, or says in a *requestError what is wrong with it.
+func (f *frontend) readRequest(w http.ResponseWriter, r *http.Request, rules *requestRules, className string, client *clientConn) (*request, error) {
+	class, known := rules.classes[className]
+	if !known { // an app server's answer to it would be held against the server
+		return nil, &requestError{http.StatusNotFound, "no such path"}
 	}
-	if known && settings.Idempotency == policy.IdempotentByKey && r.Header.Get("Idempotency-Key") == "" {
-		return nil, http.StatusBadRequest, errors.New("Idempotency-Key is missing")
+	if err := checkHead(r, class); err != nil {
+		return nil, err
 	}
 	left, err := strconv.ParseFloat(r.Header.Get("X-Time-Left"), 64)
 	if err != nil || math.IsNaN(left) || math.Abs(left) > maxClientTimeout.Seconds() {
-		return nil, http.StatusBadRequest, errors.New("X-Time-Left is not a number of seconds")
+		return nil, &requestError{http.StatusBadRequest, "X-Time-Left is not a number of seconds"}
 	}
 	if r.ContentLength > maxLongBody {
-		return nil, http.StatusRequestEntityTooLarge, errors.New("the body is too large")
+		return nil, &requestError{http.StatusRequestEntityTooLarge, "the body is too large"}
+	}
+	body, rest, err := readBodyStart(w, r, client)
+	if err != nil {
+		return nil, err
+	}
+	patience := time.Duration(max(left, 0)*float64(time.Second)) - clientTimeoutMargin
+	if rest != nil {
+		rest.patience = patience
+	}
+	return &request{
+		arrived:  arrivedEvent(r, className),
+		class:    class,
+		rules:    rules,
+		deadline: time.Now().Add(patience),
+		method:   r.Method,
+		body:     body,
+		upload:   rest,
+		url: &url.URL{
+			Host:       r.Host,
+			Path:       r.URL.Path,
+			RawPath:    r.URL.RawPath,
+			RawQuery:   r.URL.RawQuery,
+			ForceQuery: r.URL.ForceQuery,
+		},
+		header: endToEnd(r.Header),
+		answer: make(chan answer, 1),
+	}, nil
+}
+
+// checkHead returns what is wrong with a request's method, version and required fields.
+func checkHead(r *http.Request, class policy.Class) error {
+	method := http.MethodPost
+	if class.Idempotency == policy.Idempotent {
+		method = http.MethodGet
 	}
-	var body []byte
-	var rest *upload
+	switch {
+	case r.Method != method:
+		return &requestError{http.StatusMethodNotAllowed, method + " only"}
+	// net/http drops the Content-Length of a chunked request, and the Transfer-Encoding of an HTTP/1.0 one: the
+	// peer may have meant another end of the body, and what follows here as a request to be part of it.
+	case !r.ProtoAtLeast(1, 1):
+		return &requestError{http.StatusHTTPVersionNotSupported, "HTTP/1.1 only"}
+	case r.ContentLength != 0 && method == http.MethodGet:
+		return &requestError{http.StatusBadRequest, "GET has no body"}
+	case r.Header.Get("X-Correlation-Id") == "":
+		return &requestError{http.StatusBadRequest, "X-Correlation-Id is missing"}
+	case class.Idempotency == policy.IdempotentByKey && r.Header.Get("Idempotency-Key") == "":
+		return &requestError{http.StatusBadRequest, "Idempotency-Key is missing"}
+	}
+	return nil
+}
+
+// readBodyStart reads a body, or the beginning of a long one, whose rest is nil if there is none.
+func readBodyStart(w http.ResponseWriter, r *http.Request, client *clientConn) (body []byte, rest *upload, err error) {
 	control := http.NewResponseController(w)
 	if r.ContentLength != 0 {
-		paced := &pacedBody{Reader: http.MaxBytesReader(w, r.Body, maxLongBody), control: control, deadline: client.bodyDeadline()}
+		paced := &pacedBody{
+			Reader:   http.MaxBytesReader(w, r.Body, maxLongBody),
+			control:  control,
+			deadline: client.bodyDeadline(),
+		}
 		var more bool
 		if body, more, err = paced.readBody(r.ContentLength); err != nil {
-			status, err := bodyStatus(err)
-			return nil, status, err
+			return nil, nil, bodyError(err)
 		}
 		if more {
 			rest = &upload{body: paced, length: r.ContentLength, complete: make(chan struct{}), client: client}
+			return body, rest, nil
 		}
 	}
-	if rest == nil {
-		control.SetReadDeadline(time.Time{}) // else it would end the wait for the client's going
-	}
-	patience := time.Duration(max(left, 0)*float64(time.Second)) - clientTimeoutMargin
-	if rest != nil {
-		rest.patience = patience
-	}
-	e := policy.RequestArrived{ID: policy.RequestID(id), Class: class, Tenant: r.Header.Get("X-Account"),
-		Key: r.URL.Query().Get("obj"), IsRetry: r.Header.Get("X-Repeat") == "1", IsWrite: hasFact(r.Header.Get("X-Facts"), "write")}
-	if us, err := strconv.ParseFloat(r.Header.Get("X-Weight-Hint"), 64); err == nil && us >= 0 && us < maxClientTimeout.Seconds()*1e6 {
-		e.WorkHint, e.HasWorkHint = time.Duration(us*float64(time.Microsecond)), true
-	}
-	return &request{arrived: e, class: settings, rules: rules, deadline: time.Now().Add(patience), method: r.Method, body: body, upload: rest,
-		url:    &url.URL{Host: r.Host, Path: r.URL.Path, RawPath: r.URL.RawPath, RawQuery: r.URL.RawQuery, ForceQuery: r.URL.ForceQuery},
-		header: endToEnd(r.Header), answer: make(chan answer, 1)}, 0, nil
+	control.SetReadDeadline(time.Time{}) // else it would end the wait for the client's going
+	return body, nil, nil
+}
+
+// arrivedEvent is what the policy is told of a request, but for its timeout.
+func arrivedEvent(r *http.Request, class string) policy.RequestArrived {
+	e := policy.RequestArrived{
+		ID:      policy.RequestID(r.Header.Get("X-Correlation-Id")),
+		Class:   class,
+		Tenant:  r.Header.Get("X-Account"),
+		Key:     r.URL.Query().Get("obj"),
+		IsRetry: r.Header.Get("X-Repeat") == "1",
+		IsWrite: hasFlag(r.Header.Get("X-Facts"), "write"),
+	}
+	us, err := strconv.ParseFloat(r.Header.Get("X-Weight-Hint"), 64)
+	if err == nil && us >= 0 && us < maxClientTimeout.Seconds()*1e6 {
+		e.WorkHint = time.Duration(us * float64(time.Microsecond))
+		e.HasWorkHint = true
+	}
+	return e
 }
 
-// hasFact reports whether one of the further figures of a request is set.
-func hasFact(text, name string) bool {
+// hasFlag reports whether a field of X-Facts, name=value separated by commas, is set.
+func hasFlag(text, name string) bool {
 	for field := range strings.SplitSeq(text, ",") {
 		if n, v, _ := strings.Cut(strings.TrimSpace(field), "="); n == name {
 			return v != "" && v != "0" && v != "false"
--- a/internal/node/request_writer.go
+++ b/internal/node/request_writer.go
@@ -115,7 +115,7 @@
 			return 0, errHostClosed
 		}
 		// What comes after this look and before the answer can't be distinguished from the answer.
-		if w.conn.reused && w.exchange.upload == nil && !isQuiet(fd) {
+		if w.conn.reused && w.exchange.upload == nil && !isIdle(fd) {
 			return 0, errUnexpectedBytes
 		}
 	}
--- a/internal/node/streaming.go
+++ b/internal/node/streaming.go
@@ -55,8 +55,8 @@
 	}
 }
 
-// errClientGone is an end that the server has no part in.
-var errClientGone = errors.New("the client takes no more")
+// errClientClosed is an end that the server has no part in.
+var errClientClosed = errors.New("the client takes no more")
 
 // write holds a piece back or passes it on, and then blocks until it is taken.
 func (d *streamedAnswer) write(p []byte) error {
@@ -71,7 +71,7 @@
 	}
 	d.mu.Unlock()
 	if _, err := d.pipe.Write(p); err != nil {
-		return errClientGone
+		return errClientClosed
 	}
 	return nil
 }
@@ -154,7 +154,7 @@
 
 // relayStream passes a long answer on to the client. A client that can't have it whole has its connection closed within it.
 func (f *frontend) relayStream(w http.ResponseWriter, r *http.Request, a answer) {
-	defer a.stream.CloseWithError(errClientGone) // after the end nobody sees it
+	defer a.stream.CloseWithError(errClientClosed) // after the end nobody sees it
 	if conn, ok := r.Context().Value(connKey{}).(interface{ SetWriteBuffer(int) error }); ok {
 		conn.SetWriteBuffer(kernelBufferSize)
 	}
--- a/internal/node/streaming_test.go
+++ b/internal/node/streaming_test.go
@@ -171,7 +171,7 @@
 	}
 }
 
-// A long answer gets to the client as it comes, whatever its framing, and it shows if it is not whole.
+// A long answer gets to the client as it comes, whatever its framing, and it shows if it is incomplete.
 func TestLongAnswer(t *testing.T) {
 	t.Parallel()
 	const length = 1 << 20
--- a/internal/node/upload.go
+++ b/internal/node/upload.go
@@ -67,15 +67,15 @@
 	return body, err == nil, err
 }
 
-// bodyStatus is the answer to a client whose body can't be read.
-func bodyStatus(err error) (int, error) {
+// bodyError is the answer to a client whose body can't be read.
+func bodyError(err error) *requestError {
 	if tooLarge := (*http.MaxBytesError)(nil); errors.As(err, &tooLarge) {
-		return http.StatusRequestEntityTooLarge, errors.New("the body is too large")
+		return &requestError{http.StatusRequestEntityTooLarge, "the body is too large"}
 	}
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		return http.StatusRequestTimeout, errors.New("the body does not come")
+		return &requestError{http.StatusRequestTimeout, "the body does not come"}
 	}
-	return http.StatusBadRequest, errors.New("the body is malformed")
+	return &requestError{http.StatusBadRequest, "the body is malformed"}
 }
 
 // upload is the rest of a long request's body, beyond what is kept of it. It can be sent once.
@@ -110,7 +110,7 @@
 	n, err := u.body.Read(p)
 	switch {
 	case err == io.EOF && u.client.clientLeft(): // what it sent may have lain here for long; its end lies behind
-		n, err = 0, errClientGone
+		n, err = 0, errClientClosed
 	case err == io.EOF:
 		u.clientDeadline = time.Now().Add(u.patience)
 		close(u.complete)
--- a/internal/node/upstreams.go
+++ b/internal/node/upstreams.go
@@ -214,14 +214,14 @@
 	}
 	still := false
 	err := c.raw.Read(func(fd uintptr) bool {
-		still = isQuiet(int(fd))
+		still = isIdle(int(fd))
 		return true
 	})
 	return err == nil && still
 }
 
-// isQuiet reports whether nothing has come on a connection, not even its end. It may take a byte of what has.
-func isQuiet(fd int) bool {
+// isIdle reports whether nothing has come on a connection, not even its end. It may take a byte of what has.
+func isIdle(fd int) bool {
 	var one [1]byte
 	_, err := syscall.Read(fd, one[:])
 	return err == syscall.EAGAIN
--- a/internal/registry/replica/fleetreport.go
+++ b/internal/registry/replica/fleetreport.go
@@ -17,7 +17,7 @@
 	"meadowsill/internal/fleet/zones"
 )
 
-// readBody reads a request's body up to limit. A longer one is rejected whole, counted, and said at a bounded rate.
+// readBody reads a request's body up to limit. A longer one is rejected in full, counted, and said at a bounded rate.
 func (l *leadership) readBody(w http.ResponseWriter, r *http.Request, path string, limit int64) ([]byte, bool) {
 	raw, err := io.ReadAll(io.LimitReader(r.Body, limit+1))
 	if err != nil {
--- a/internal/registry/replica/leadership.go
+++ b/internal/registry/replica/leadership.go
@@ -176,8 +176,8 @@
 }
 
 // recordDrift logs the repairs that were begun, and counts what drifts once a second. The caller holds both locks.
-func (l *leadership) recordDrift(judge *control.Controller, now fleet.Time) {
-	for _, e := range judge.Repairs(l.loggedRepairs) {
+func (l *leadership) recordDrift(controller *control.Controller, now fleet.Time) {
+	for _, e := range controller.Repairs(l.loggedRepairs) {
 		l.loggedRepairs = e.Sequence
 		l.metrics.repairs.WithLabelValues(e.Action).Inc()
 		l.replica.cfg.Log.Warn("drift", "action", e.Action, "node", e.Node, "reason", e.Reason, "keys", e.Keys)
@@ -186,7 +186,7 @@
 		return
 	}
 	l.driftCountedAt = now
-	sum := judge.DriftSummary(now, l.replica.fsm.fleet)
+	sum := controller.DriftSummary(now, l.replica.fsm.fleet)
 	l.metrics.drift.Reset()
 	for state, n := range sum.States {
 		l.metrics.drift.WithLabelValues(state).Set(float64(n))
--- a/internal/registry/replica/replica.go
+++ b/internal/registry/replica/replica.go
@@ -53,88 +53,143 @@
 	startIndex uint64
 }
 
+// Raft's timing within one network, and what it keeps on disk.
+const (
+	heartbeatTimeout         = 500 * time.Millisecond
+	electionTimeout          = 500 * time.Millisecond
+	leaderLeaseTimeout       = 250 * time.Millisecond
+	commitTimeout            = 10 * time.Millisecond
+	transportTimeout         = 2 * time.Second
+	maxPooledConns           = 8 // to each peer
+	defaultSnapshotThreshold = 2048
+	defaultSnapshotInterval  = 5 * time.Second
+	defaultTrailingLogs      = 4096 // entries kept behind a snapshot, for a replica that was away
+	retainedSnapshots        = 3
+)
+
+// headerReadTimeout is for the head of a request.
+const headerReadTimeout = 5 * time.Second
+
 // Start opens the replica's stores, joins raft (bootstrapping the cluster from Peers where the store is new)
 // and serves HTTP on Self.HTTP.
 func Start(cfg Config) (*Replica, error) {
 	if err := os.MkdirAll(cfg.Dir, 0o755); err != nil {
 		return nil, err
 	}
-	logFile := hclog.New(&hclog.LoggerOptions{Name: "raft", Output: os.Stderr, JSONFormat: true, Level: hclog.Warn})
-	rc := raft.DefaultConfig()
-	rc.LocalID = raft.ServerID(cfg.Self.ID)
-	rc.HeartbeatTimeout, rc.ElectionTimeout = 500*time.Millisecond, 500*time.Millisecond
-	rc.LeaderLeaseTimeout, rc.CommitTimeout = 250*time.Millisecond, 10*time.Millisecond
-	rc.SnapshotThreshold = 2048
-	rc.SnapshotInterval = 5 * time.Second
-	rc.TrailingLogs = 4096
-	if cfg.SnapshotAfter > 0 {
-		rc.SnapshotThreshold, rc.TrailingLogs = cfg.SnapshotAfter, 2*cfg.SnapshotAfter
-	}
-	if cfg.SnapshotInterval > 0 {
-		rc.SnapshotInterval = cfg.SnapshotInterval
-	}
-	rc.Logger = logFile
 	store, err := raftboltdb.NewBoltStore(filepath.Join(cfg.Dir, "raft.db"))
 	if err != nil {
 		return nil, fmt.Errorf("raft store: %w", err)
 	}
-	snaps, err := raft.NewFileSnapshotStoreWithLogger(cfg.Dir, 3, logFile)
+	machine := newFSM(cfg.KeepRevisions)
+	consensus, err := startRaft(cfg, machine, store)
 	if err != nil {
 		store.Close()
+		return nil, err
+	}
+	rep := &Replica{
+		cfg:        cfg,
+		fsm:        machine,
+		raft:       consensus,
+		store:      store,
+		done:       make(chan struct{}),
+		startIndex: consensus.LastIndex(),
+	}
+	listener, err := net.Listen("tcp", cfg.Self.HTTP)
+	if err != nil {
+		rep.Close()
+		return nil, err
+	}
+	rep.serve(listener)
+	return rep, nil
+}
+
+// startRaft joins raft, and bootstraps the cluster where the store is new.
+func startRaft(cfg Config, machine *fsm, store *raftboltdb.BoltStore) (*raft.Raft, error) {
+	log := hclog.New(&hclog.LoggerOptions{Name: "raft", Output: os.Stderr, JSONFormat: true, Level: hclog.Warn})
+	snapshots, err := raft.NewFileSnapshotStoreWithLogger(cfg.Dir, retainedSnapshots, log)
+	if err != nil {
 		return nil, fmt.Errorf("snapshots: %w", err)
 	}
-	addr, err := net.ResolveTCPAddr("tcp", cfg.Self.Raft)
+	address, err := net.ResolveTCPAddr("tcp", cfg.Self.Raft)
 	if err != nil {
-		store.Close()
 		return nil, err
 	}
-	transport, err := raft.NewTCPTransportWithConfig(cfg.Self.Raft, addr, &raft.NetworkTransportConfig{MaxPool: 8,
-		Timeout: 2 * time.Second, Logger: logFile, ServerAddressProvider: newPeerAddresses(cfg)})
+	transport, err := raft.NewTCPTransportWithConfig(cfg.Self.Raft, address, &raft.NetworkTransportConfig{
+		MaxPool:               maxPooledConns,
+		Timeout:               transportTimeout,
+		Logger:                log,
+		ServerAddressProvider: newPeerAddresses(cfg),
+	})
 	if err != nil {
-		store.Close()
 		return nil, fmt.Errorf("raft transport: %w", err)
 	}
-	f := newFSM(cfg.KeepRevisions)
-	existing, err := raft.HasExistingState(store, store, snaps)
+	existing, err := raft.HasExistingState(store, store, snapshots)
 	if err != nil {
-		store.Close()
 		return nil, err
 	}
-	r, err := raft.NewRaft(rc, f, store, store, snaps, transport)
+	consensus, err := raft.NewRaft(raftConfig(cfg, log), machine, store, store, snapshots, transport)
 	if err != nil {
-		store.Close()
 		return nil, fmt.Errorf("raft: %w", err)
 	}
-	if !existing {
-		var servers []raft.Server
-		for _, p := range cfg.Peers {
-			servers = append(servers, raft.Server{ID: raft.ServerID(p.ID), Address: raft.ServerAddress(p.Raft)})
-		}
-		if err := r.BootstrapCluster(raft.Configuration{Servers: servers}).Error(); err != nil && !errors.Is(err, raft.ErrCantBootstrap) {
-			r.Shutdown()
-			store.Close()
-			return nil, fmt.Errorf("bootstrap: %w", err)
-		}
+	if existing {
+		return consensus, nil
 	}
-	rep := &Replica{cfg: cfg, fsm: f, raft: r, store: store, done: make(chan struct{}), startIndex: r.LastIndex()}
-	ln, err := net.Listen("tcp", cfg.Self.HTTP)
-	if err != nil {
-		rep.Close()
-		return nil, err
+	if err := bootstrap(consensus, cfg.Peers); err != nil {
+		consensus.Shutdown()
+		return nil, fmt.Errorf("bootstrap: %w", err)
+	}
+	return consensus, nil
+}
+
+// raftConfig returns raft's configuration.
+func raftConfig(cfg Config, log hclog.Logger) *raft.Config {
+	c := raft.DefaultConfig()
+	c.LocalID = raft.ServerID(cfg.Self.ID)
+	c.HeartbeatTimeout = heartbeatTimeout
+	c.ElectionTimeout = electionTimeout
+	c.LeaderLeaseTimeout = leaderLeaseTimeout
+	c.CommitTimeout = commitTimeout
+	c.SnapshotThreshold = defaultSnapshotThreshold
+	c.SnapshotInterval = defaultSnapshotInterval
+	c.TrailingLogs = defaultTrailingLogs
+	if cfg.SnapshotAfter > 0 {
+		c.SnapshotThreshold = cfg.SnapshotAfter
+		c.TrailingLogs = 2 * cfg.SnapshotAfter
+	}
+	if cfg.SnapshotInterval > 0 {
+		c.SnapshotInterval = cfg.SnapshotInterval
+	}
+	c.Logger = log
+	return c
+}
+
+// bootstrap makes the peers the members of a new cluster. That another replica has done so is no error.
+func bootstrap(consensus *raft.Raft, peers []Peer) error {
+	var servers []raft.Server
+	for _, p := range peers {
+		servers = append(servers, raft.Server{ID: raft.ServerID(p.ID), Address: raft.ServerAddress(p.Raft)})
+	}
+	err := consensus.BootstrapCluster(raft.Configuration{Servers: servers}).Error()
+	if errors.Is(err, raft.ErrCantBootstrap) {
+		return nil
 	}
+	return err
+}
+
+// serve answers HTTP on the listener, leads the fleet when this replica is the leader, and expires leases.
+func (rep *Replica) serve(listener net.Listener) {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /registry/instances", rep.read)
 	mux.HandleFunc("POST /registry/v1/{op}", rep.write)
 	mux.HandleFunc("GET /registry/v1/status", rep.status)
-	rep.http = &http.Server{Handler: mux, ReadHeaderTimeout: 5 * time.Second}
-	if cfg.Fleet != nil {
-		l := newLeadership(rep, *cfg.Fleet)
+	rep.http = &http.Server{Handler: mux, ReadHeaderTimeout: headerReadTimeout}
+	if rep.cfg.Fleet != nil {
+		l := newLeadership(rep, *rep.cfg.Fleet)
 		l.routes(mux)
 		go l.run()
 	}
-	go rep.http.Serve(ln)
+	go rep.http.Serve(listener)
 	go rep.sweep()
-	return rep, nil
 }
 
 // Close ends the replica: HTTP, raft and its store.
--- a/internal/scale/bounds.go
+++ b/internal/scale/bounds.go
@@ -29,7 +29,7 @@
 // scope do.
 func NeedsOf(p *Plan, l Load) bounds.Needs {
 	nodeProcesses, serverProcesses := processesFor(l.Nodes, p.Hollow.NodesPerProcess), processesFor(l.Servers, p.Hollow.ServersPerProcess)
-	held := heldTenants(l)
+	held := tenantsPerNode(l)
 	node := uint64(nodeBytes + nodeTenantBytes*held + nodeServerBytes*l.Servers)
 	replica := uint64(replicaBytes + replicaTenantBytes*l.Tenants + replicaServerBytes*l.Servers + replicaNodeBytes*l.Nodes)
 	memory := uint64(runnerBytes) + uint64(p.Replicas)*replica + uint64(leaderTenantBytes*held*l.Nodes) + uint64(nodeProcesses+serverProcesses)*processBytes +
@@ -40,8 +40,8 @@
 		Descriptors: spareDescriptors + max(atLeader, inProcess), Ports: atLeader}
 }
 
-// heldTenants is how many tenants a node of the load holds, at most.
-func heldTenants(l Load) int {
+// tenantsPerNode is how many tenants a node of the load holds, at most.
+func tenantsPerNode(l Load) int {
 	if l.PerNode == 0 {
 		return l.Tenants
 	}
--- a/internal/scale/calibrate/calibrate.go
+++ b/internal/scale/calibrate/calibrate.go
@@ -63,15 +63,15 @@
 }
 
 const (
-	readyWait   = 2 * time.Minute
-	settle      = 5 * time.Second // before a window
-	turnEvery   = time.Second     // a change of a tenant, at every second one a replacement of a server
-	lookTurns   = 3               // between looks at the nodes' revisions
-	statusEvery = 10 * time.Millisecond
-	callWait    = 10 * time.Second
-	leaseTTLMS  = 6000
-	services    = 4
-	replicas    = 3
+	readyTimeout = 2 * time.Minute
+	settle       = 5 * time.Second // before a window
+	turnEvery    = time.Second     // a change of a tenant, at every second one a replacement of a server
+	lookTurns    = 3               // between looks at the nodes' revisions
+	statusEvery  = 10 * time.Millisecond
+	callTimeout  = 10 * time.Second
+	leaseTTLMS   = 6000
+	services     = 4
+	replicas     = 3
 )
 
 var zones = []string{"za", "zb", "zc"}
@@ -110,7 +110,7 @@
 		return Figures{}, err
 	}
 	defer cluster.Close()
-	if _, err := cluster.Leader(readyWait, -1); err != nil {
+	if _, err := cluster.Leader(readyTimeout, -1); err != nil {
 		return Figures{}, err
 	}
 	servers, err := hollow.Start(ctx, bin.Fleetlab, hollow.Config{Replicas: cluster.HTTP, Servers: plan.Servers, Services: services,
@@ -180,9 +180,9 @@
 	})
 }
 
-// await looks until a condition holds, and gives up after readyWait.
+// await looks until a condition holds, and gives up after readyTimeout.
 func (r *run) await(what string, holds func() (bool, error)) error {
-	for end := time.Now().Add(readyWait); time.Now().Before(end); {
+	for end := time.Now().Add(readyTimeout); time.Now().Before(end); {
 		if ok, err := holds(); ok || err != nil {
 			return err
 		}
@@ -190,7 +190,7 @@
 			return err
 		}
 	}
-	return fmt.Errorf("after %v: not yet %s", readyWait, what)
+	return fmt.Errorf("after %v: not yet %s", readyTimeout, what)
 }
 
 func (r *run) pause(d time.Duration) error {
@@ -301,7 +301,7 @@
 		return 0, fmt.Errorf("put %s: %d %s", name, code, strings.TrimSpace(text))
 	}
 	r.next[tenant]++
-	for end := began.Add(readyWait); time.Now().Before(end); {
+	for end := began.Add(readyTimeout); time.Now().Before(end); {
 		if settled, err := r.settled(name); err != nil {
 			return 0, err
 		} else if settled {
@@ -311,7 +311,7 @@
 			return 0, err
 		}
 	}
-	return 0, fmt.Errorf("%s: generation %d is not in force after %v", name, r.next[tenant], readyWait)
+	return 0, fmt.Errorf("%s: generation %d is not in force after %v", name, r.next[tenant], readyTimeout)
 }
 
 // tenantPut is the body of a tenant's PUT.
--- a/internal/scale/calibrate/kinds.go
+++ b/internal/scale/calibrate/kinds.go
@@ -227,7 +227,7 @@
 	}
 }
 
-var client = http.Client{Timeout: callWait}
+var client = http.Client{Timeout: callTimeout}
 
 func (n *realNodes) ready() (bool, error) {
 	for _, p := range n.pairs {
--- a/internal/scale/change.go
+++ b/internal/scale/change.go
@@ -14,16 +14,16 @@
 	"meadowsill/internal/scale/hollow"
 )
 
-// A change is waited for on every node for changeWait at most. A process is asked in calls of changeLook, so that others get
+// A change is waited for on every node for changeTimeout at most. A process is asked in calls of changeLook, so that others get
 // their turn; when a node came to a change is by the node's own account.
 const (
-	changeWait = 10 * time.Second
-	changeLook = 100 * time.Millisecond
-	changeRest = 20 * time.Millisecond
+	changeTimeout = 10 * time.Second
+	changeLook    = 100 * time.Millisecond
+	changeRest    = 20 * time.Millisecond
 )
 
-// mostMicroseconds is the longest time that a histogram of changes holds.
-const mostMicroseconds = int64(time.Hour / time.Microsecond)
+// maxMicroseconds is the longest time that a histogram of changes holds.
+const maxMicroseconds = int64(time.Hour / time.Microsecond)
 
 // spread is how long changes took to come into force.
 type spread struct {
@@ -33,7 +33,7 @@
 	missed  int    // pairs that did not come into force in time
 }
 
-func newSpread() *spread { return &spread{took: hdrhistogram.New(1, mostMicroseconds, 3)} }
+func newSpread() *spread { return &spread{took: hdrhistogram.New(1, maxMicroseconds, 3)} }
 
 // take brings in what the nodes of one process came to after a put.
 func (s *spread) take(f hollow.InForce, put time.Time) {
@@ -97,7 +97,7 @@
 	err := w.nodes.all(func(i int, h Hollow) (err error) {
 		for {
 			each[i], err = h.InForce(spec.Name, spec.Service, generation, changeLook)
-			if err != nil || each[i].Have == each[i].Nodes || time.Since(put) > changeWait {
+			if err != nil || each[i].Have == each[i].Nodes || time.Since(put) > changeTimeout {
 				return err
 			}
 			if err := pause(ctx, changeRest); err != nil {
--- a/internal/scale/cores_test.go
+++ b/internal/scale/cores_test.go
@@ -186,7 +186,7 @@
 func TestCoresKeepTheirGrowth(t *testing.T) {
 	for _, c := range coreCosts {
 		t.Run(c.name, func(t *testing.T) {
-			limit := GrowthLimit{Metric: Metric(c.name), Most: c.most}
+			limit := GrowthLimit{Metric: Metric(c.name), Max: c.most}
 			var samples, planted []Sample
 			for _, n := range coreSizes {
 				value := c.cost(t, n)
--- a/internal/scale/events.go
+++ b/internal/scale/events.go
@@ -32,16 +32,16 @@
 	RestartReplicas Action = "restart-replicas" // all replicas killed at once, and started again after DownS
 )
 
-// mostDownS is the longest that an event has something down.
-const mostDownS = 600
+// maxDownSeconds is the longest that an event has something down.
+const maxDownSeconds = 600
 
 // check compares an event with its bounds and the load. The sizes of a dimension are checked one by one.
 func (e Event) check(key string, p *Plan, l Load) error {
 	switch {
 	case !(e.AtS >= 0 && e.AtS < p.MeasureS):
 		return fmt.Errorf("%s.at_s: %v is not within the window of %v s", key, e.AtS, p.MeasureS)
-	case !(e.DownS >= 0 && e.DownS <= mostDownS):
-		return fmt.Errorf("%s.down_s: %v is not within 0 to %d", key, e.DownS, mostDownS)
+	case !(e.DownS >= 0 && e.DownS <= maxDownSeconds):
+		return fmt.Errorf("%s.down_s: %v is not within 0 to %d", key, e.DownS, maxDownSeconds)
 	}
 	switch e.Do {
 	case Burst:
@@ -115,7 +115,7 @@
 		switch {
 		case err == nil:
 			return w.awaitInForce(ctx, spec, generation, put, w.seen.burst)
-		case !errors.Is(err, errConflict) || put.Sub(began) > changeWait:
+		case !errors.Is(err, errConflict) || put.Sub(began) > changeTimeout:
 			return err
 		}
 		if err := pause(ctx, changeRest); err != nil {
--- a/internal/scale/fit.go
+++ b/internal/scale/fit.go
@@ -10,8 +10,8 @@
 // Superlinear is the exponent above which a cost is said to grow faster than what it is measured against.
 const Superlinear = 1.1
 
-// leastFitted is how many sizes a fit is made of at least, the one that is predicted aside.
-const leastFitted = 3
+// minFittedPoints is how many sizes a fit is made of at least, the one that is predicted aside.
+const minFittedPoints = 3
 
 // Sample is one measured value at one size.
 type Sample struct {
@@ -38,7 +38,7 @@
 // FitSamples fits the samples of one metric. ok is false where there are fewer than four sizes.
 func FitSamples(metric Metric, samples []Sample) (fit Fit, ok bool) {
 	sizes := distinctSizes(samples)
-	if len(sizes) < leastFitted+1 {
+	if len(sizes) < minFittedPoints+1 {
 		return Fit{}, false
 	}
 	largest := sizes[len(sizes)-1]
--- a/internal/scale/growth.go
+++ b/internal/scale/growth.go
@@ -6,7 +6,7 @@
 // depend on the machine: bytes, calls, items, allocations.
 type GrowthLimit struct {
 	Metric Metric
-	Most   float64
+	Max    float64
 }
 
 // OverLimits gives a line for each limit that the sweep's metrics do not keep, over all sizes, the largest among them. A metric
@@ -39,8 +39,8 @@
 	switch {
 	case !ok:
 		return fmt.Errorf("no exponent: a value is 0 or below: %v", y)
-	case exponent > g.Most:
-		return fmt.Errorf("exponent %.2f, at most %.2f: %v", exponent, g.Most, y)
+	case exponent > g.Max:
+		return fmt.Errorf("exponent %.2f, at most %.2f: %v", exponent, g.Max, y)
 	}
 	return nil
 }
--- a/internal/scale/hollow/config.go
+++ b/internal/scale/hollow/config.go
@@ -16,11 +16,11 @@
 
 // Bounds of a Config.
 const (
-	mostNodes    = 10_000  // of one process
-	mostServers  = 200_000 // of one process
-	mostNumber   = 1 << 22 // of a node or server: a server's address is made of it
-	mostServices = 100_000
-	mostRequests = 10_000 // a second, of one node
+	maxNodes    = 10_000  // of one process
+	maxServers  = 200_000 // of one process
+	maxNumber   = 1 << 22 // of a node or server: a server's address is made of it
+	maxServices = 100_000
+	maxRequests = 10_000 // a second, of one node
 )
 
 // decodeConfig reads the first line of a process's input. An error is one line that names the key.
@@ -43,9 +43,9 @@
 		key         string
 		value, most int
 	}{
-		{"first_node", c.FirstNode, mostNumber - mostNodes}, {"nodes", c.Nodes, mostNodes},
-		{"first_server", c.FirstServer, mostNumber - mostServers}, {"servers", c.Servers, mostServers},
-		{"services", c.Services, mostServices}, {"per_node", c.PerNode, fleet.MaxScopeServices},
+		{"first_node", c.FirstNode, maxNumber - maxNodes}, {"nodes", c.Nodes, maxNodes},
+		{"first_server", c.FirstServer, maxNumber - maxServers}, {"servers", c.Servers, maxServers},
+		{"services", c.Services, maxServices}, {"per_node", c.PerNode, fleet.MaxScopeServices},
 		{"active_tenants", c.ActiveTenants, math.MaxInt32},
 	} {
 		if bounded.value < 0 || bounded.value > bounded.most {
@@ -68,8 +68,8 @@
 		return fmt.Errorf("config: per_node: %d of %d services", c.PerNode, c.Services)
 	case c.Nodes > 0 && c.Dir == "":
 		return errors.New("config: dir: missing")
-	case !(c.RequestsPerS >= 0 && c.RequestsPerS <= mostRequests):
-		return fmt.Errorf("config: requests_per_s: %v, must be 0 to %d", c.RequestsPerS, mostRequests)
+	case !(c.RequestsPerS >= 0 && c.RequestsPerS <= maxRequests):
+		return fmt.Errorf("config: requests_per_s: %v, must be 0 to %d", c.RequestsPerS, maxRequests)
 	case c.Servers > 0 && (c.LeaseTTLMS < registry.MinTTLMS || c.LeaseTTLMS > registry.MaxTTLMS):
 		return fmt.Errorf("config: lease_ttl_ms: %d, must be %d to %d", c.LeaseTTLMS, registry.MinTTLMS, registry.MaxTTLMS)
 	}
--- a/internal/scale/hollow/intent.go
+++ b/internal/scale/hollow/intent.go
@@ -18,7 +18,7 @@
 func (n *node) watchIntent(ctx context.Context) {
 	for ctx.Err() == nil {
 		asked := time.Now()
-		intent, err := n.askIntent(ctx)
+		intent, err := n.fetchIntent(ctx)
 		came := time.Now()
 		if err == nil {
 			err = n.mirror.Merge(intent)
@@ -26,9 +26,9 @@
 		wait := intentPause
 		if err != nil {
 			n.fault(ctx, "intent", err)
-			wait = mostCallPause
+			wait = maxCallPause
 		} else {
-			n.takeIntent(came, intent.CaughtUp)
+			n.applyIntent(came, intent.CaughtUp)
 			if !n.mirror.Changed && came.Sub(asked) < intentPause {
 				wait = reportEvery
 			}
@@ -37,8 +37,8 @@
 	}
 }
 
-func (n *node) askIntent(ctx context.Context) (fleet.Intent, error) {
-	wait := intentWait
+func (n *node) fetchIntent(ctx context.Context) (fleet.Intent, error) {
+	wait := intentTimeout
 	if !n.mirror.Answered {
 		wait = 0
 	}
@@ -52,8 +52,8 @@
 	return fleet.DecodeIntent(raw)
 }
 
-// takeIntent has the module know of the mirror's last answer.
-func (n *node) takeIntent(came time.Time, whole bool) {
+// applyIntent has the module know of the mirror's last answer.
+func (n *node) applyIntent(came time.Time, whole bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, event := range n.mirror.Events(time.Since(came)) {
--- a/internal/scale/hollow/list.go
+++ b/internal/scale/hollow/list.go
@@ -19,7 +19,7 @@
 	var version uint64
 	for ctx.Err() == nil {
 		asked := time.Now()
-		list, err := n.askList(ctx, version)
+		list, err := n.fetchList(ctx, version)
 		if err != nil {
 			n.fault(ctx, "list", err)
 			pause(ctx, listPause)
@@ -34,10 +34,10 @@
 	}
 }
 
-func (n *node) askList(ctx context.Context, since uint64) (list registry.Answer, err error) {
-	ctx, cancel := context.WithTimeout(ctx, listWait+callSlack)
+func (n *node) fetchList(ctx context.Context, since uint64) (list registry.Answer, err error) {
+	ctx, cancel := context.WithTimeout(ctx, listTimeout+callSlack)
 	defer cancel()
-	raw, err := call(ctx, n.list, http.MethodGet, fmt.Sprintf("/registry/instances?since=%d&timeout_ms=%d", since, listWait.Milliseconds()), nil)
+	raw, err := call(ctx, n.list, http.MethodGet, fmt.Sprintf("/registry/instances?since=%d&timeout_ms=%d", since, listTimeout.Milliseconds()), nil)
 	if err == nil {
 		err = json.Unmarshal(raw, &list)
 	}
--- a/internal/scale/hollow/module.go
+++ b/internal/scale/hollow/module.go
@@ -10,13 +10,13 @@
 )
 
 const (
-	tickLeast    = 100 * time.Millisecond // between the module's ticks; a real node's is 25 ms
-	patience     = 2 * time.Second        // of the model's clients
-	answerLeast  = 5 * time.Millisecond   // of a server's answer
-	answerMean   = 15 * time.Millisecond  // over that, exponential
-	cancelTime   = time.Millisecond
-	maxAttempts  = 3
-	requestClass = "browse"
+	minTick       = 100 * time.Millisecond // between the module's ticks; a real node's is 25 ms
+	patience      = 2 * time.Second        // of the model's clients
+	minAnswerTime = 5 * time.Millisecond   // of a server's answer
+	answerMean    = 15 * time.Millisecond  // over that, exponential
+	cancelTime    = time.Millisecond
+	maxAttempts   = 3
+	requestClass  = "browse"
 )
 
 // settings are those of a hollow node's module: one class of safe requests.
@@ -142,7 +142,7 @@
 		case policy.Fail:
 			m.finish(a.ID)
 		case policy.SetTimer:
-			m.at(at+max(a.After, tickLeast), policy.TimerFired{Token: a.Token})
+			m.at(at+max(a.After, minTick), policy.TimerFired{Token: a.Token})
 		}
 	}
 }
@@ -153,7 +153,7 @@
 	if r == nil {
 		return
 	}
-	took := answerLeast + time.Duration(m.random.ExpFloat64()*float64(answerMean))
+	took := minAnswerTime + time.Duration(m.random.ExpFloat64()*float64(answerMean))
 	e := policy.AttemptEnded{ID: a.ID, Attempt: len(r.ended), Server: a.Server, Elapsed: took, Code: policy.OK}
 	if a.Timeout > 0 && took > a.Timeout {
 		e.Elapsed, e.Code = a.Timeout, policy.TimedOut
--- a/internal/scale/hollow/node.go
+++ b/internal/scale/hollow/node.go
@@ -22,18 +22,18 @@
 
 // Times of a node, as package node has them.
 const (
-	intentWait    = time.Second
-	intentPause   = 50 * time.Millisecond
-	listWait      = 3 * time.Second
-	reportEvery   = 250 * time.Millisecond
-	reportAtOnce  = 50 * time.Millisecond // where the answer wants more
-	reportMost    = time.Second           // between reports where nothing was seen
-	reportWait    = time.Second
-	leaveWait     = 500 * time.Millisecond
-	catchUp       = 10 * time.Second
-	leavePause    = 100 * time.Millisecond // for the agent to carry the last report
-	callSlack     = time.Second
-	mostCallPause = time.Second
+	intentTimeout     = time.Second
+	intentPause       = 50 * time.Millisecond
+	listTimeout       = 3 * time.Second
+	reportEvery       = 250 * time.Millisecond
+	reportAtOnce      = 50 * time.Millisecond // where the answer wants more
+	maxReportInterval = time.Second           // between reports where nothing was seen
+	reportTimeout     = time.Second
+	leaveTimeout      = 500 * time.Millisecond
+	catchUp           = 10 * time.Second
+	leavePause        = 100 * time.Millisecond // for the agent to carry the last report
+	callSlack         = time.Second
+	maxCallPause      = time.Second
 )
 
 // node is one run of a hollow node's process, with the agent beside it.
@@ -142,7 +142,7 @@
 func (n *node) leave() {
 	n.stopReports()
 	n.reporting.Wait()
-	ctx, cancel := context.WithTimeout(context.Background(), leaveWait)
+	ctx, cancel := context.WithTimeout(context.Background(), leaveTimeout)
 	defer cancel()
 	if _, err := n.report(ctx, n.observe(), nil, true); err != nil {
 		n.log.Warn("the last report is not answered", "err", err)
@@ -169,7 +169,7 @@
 		if since != 0 {
 			observed.Window.Start = since
 		}
-		if observed.Idle() && len(want) == 0 && time.Since(last) < reportMost && n.isReady() {
+		if observed.Idle() && len(want) == 0 && time.Since(last) < maxReportInterval && n.isReady() {
 			since = observed.Window.Start
 			continue
 		}
@@ -206,7 +206,7 @@
 
 // report posts a report. One that leaves is the last.
 func (n *node) report(ctx context.Context, observed *agentclient.Observation, want []string, leaving bool) (answer fleet.ReportAnswer, err error) {
-	ctx, cancel := context.WithTimeout(ctx, reportWait)
+	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
 	n.sequence++
 	r := observed.Report(n.member, n.sequence, want)
--- a/internal/scale/hollow/process.go
+++ b/internal/scale/hollow/process.go
@@ -14,8 +14,8 @@
 	"time"
 )
 
-// closeWait is how long a process may take to end by itself.
-const closeWait = 20 * time.Second
+// closeTimeout is how long a process may take to end by itself.
+const closeTimeout = 20 * time.Second
 
 // Process is a hollow process as its runner has it. Its calls are made one at a time; of several goroutines each waits its turn.
 // A call fails once the process has ended.
@@ -134,7 +134,7 @@
 	p.input.Close()
 	select {
 	case <-p.ended:
-	case <-time.After(closeWait):
+	case <-time.After(closeTimeout):
 		p.command.Process.Kill()
 		<-p.ended
 	}
