--- a/internal/scale/hollow/registrants.go
+++ b/internal/scale/hollow/registrants.go
@@ -19,11 +19,11 @@
 
 const (
 	serversPerWorker = 8
-	mostWorkers      = 1024                   // each has one connection
+	maxWorkers       = 1024                   // each has one connection
 	renewPart        = 3                      // a lease is renewed when 1/renewPart of it is over
-	registerWait     = 5 * time.Second        // for the answer to one call
+	registerTimeout  = 5 * time.Second        // for the answer to one call
 	registerPause    = 50 * time.Millisecond  // after a call that failed
-	replaceWait      = 30 * time.Second       // for one server to be replaced
+	replaceTimeout   = 30 * time.Second       // for one server to be replaced
 	serverPort       = 10_000                 // of a server's first address; its replacements' are the next ones
 	serverPorts      = 50_000                 // that it goes through
 	lateAfter        = 100 * time.Millisecond // a worker that is later than this does not wait for its next turn
@@ -56,7 +56,7 @@
 	if cfg.Servers == 0 {
 		return r
 	}
-	r.workers = min(max(1, cfg.Servers/serversPerWorker), mostWorkers)
+	r.workers = min(max(1, cfg.Servers/serversPerWorker), maxWorkers)
 	now := time.Now().UnixMilli()
 	for i := range cfg.Servers {
 		r.servers = append(r.servers, &server{number: cfg.FirstServer + i, startedMS: now})
@@ -90,7 +90,7 @@
 			}
 			s := r.servers[i]
 			s.mu.Lock()
-			if err := r.hold(ctx, client, s); err != nil && ctx.Err() == nil {
+			if err := r.renewOrRegister(ctx, client, s); err != nil && ctx.Err() == nil {
 				r.log.Debug("lease not renewed", "server", ServerName(s.number), "err", err)
 			}
 			s.mu.Unlock()
@@ -103,15 +103,15 @@
 
 // newClient makes a client that has so many connections to a replica at most.
 func newClient(connections *connections, most int) *http.Client {
-	return &http.Client{Timeout: registerWait, Transport: &http.Transport{DialContext: connections.dial, MaxConnsPerHost: most,
+	return &http.Client{Timeout: registerTimeout, Transport: &http.Transport{DialContext: connections.dial, MaxConnsPerHost: most,
 		MaxIdleConnsPerHost: most, IdleConnTimeout: time.Minute, DisableCompression: true}}
 }
 
 // errUnknown says that the lease is not held.
 var errUnknown = errors.New("no such registration")
 
-// hold extends a server's lease, or registers it where it has none. The caller holds its mu.
-func (r *registrants) hold(ctx context.Context, client *http.Client, s *server) error {
+// renewOrRegister extends a server's lease, or registers it where it has none. The caller holds its mu.
+func (r *registrants) renewOrRegister(ctx context.Context, client *http.Client, s *server) error {
 	began := time.Now()
 	err := errUnknown
 	if s.registered {
@@ -140,6 +140,7 @@
 	TTLMS int64  `json:"ttl_ms,omitempty"`
 }
 
+// register registers a server at a replica.
 func (r *registrants) register(ctx context.Context, client *http.Client, s *server) error {
 	service, zone := r.cfg.serverPlace(s.number)
 	return r.post(ctx, client, "register", registration{TTLMS: r.cfg.LeaseTTLMS,
@@ -161,7 +162,7 @@
 	for range 2 * len(r.cfg.Replicas) {
 		at := int(r.leader.Load())
 		var leader string
-		leader, err = r.try(ctx, client, r.cfg.Replicas[at], operation, raw)
+		leader, err = r.attempt(ctx, client, r.cfg.Replicas[at], operation, raw)
 		if err == nil || errors.Is(err, errUnknown) || ctx.Err() != nil {
 			return err
 		}
@@ -175,8 +176,8 @@
 	return err
 }
 
-// try makes one call at one replica; leader is where it says that the leader is.
-func (r *registrants) try(ctx context.Context, client *http.Client, replica, operation string, body []byte) (leader string, err error) {
+// attempt makes one call at one replica; leader is where it says that the leader is.
+func (r *registrants) attempt(ctx context.Context, client *http.Client, replica, operation string, body []byte) (leader string, err error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+replica+"/registry/v1/"+operation, bytes.NewReader(body))
 	if err != nil {
 		return "", err
@@ -216,7 +217,7 @@
 	defer connections.close()
 	client := newClient(connections, atOnce)
 	return each(count, func(i int) error {
-		ctx, cancel := context.WithTimeout(ctx, replaceWait)
+		ctx, cancel := context.WithTimeout(ctx, replaceTimeout)
 		defer cancel()
 		s := r.servers[first-r.cfg.FirstServer+i]
 		s.mu.Lock()
@@ -229,7 +230,7 @@
 		s.replacement++
 		s.startedMS = time.Now().UnixMilli()
 		s.renewed.Store(0)
-		if err := r.persist(ctx, func() error { return r.hold(ctx, client, s) }); err != nil {
+		if err := r.persist(ctx, func() error { return r.renewOrRegister(ctx, client, s) }); err != nil {
 			return fmt.Errorf("replace: %s: %w", ServerName(s.number), err)
 		}
 		return nil
--- a/internal/scale/load.go
+++ b/internal/scale/load.go
@@ -37,23 +37,23 @@
 
 // bound is what a key of Load may be.
 type bound struct {
-	key         Dimension
-	least, most float64
-	whole       bool
-	of          func(*Load) float64
-	set         func(*Load, float64)
+	key      Dimension
+	min, max float64
+	integer  bool
+	of       func(*Load) float64
+	set      func(*Load, float64)
 }
 
-// wholeBound is the bound of a count.
-func wholeBound(key Dimension, least, most float64, field func(*Load) *int) bound {
-	return bound{key: key, least: least, most: most, whole: true,
+// integerBound is the bound of a count.
+func integerBound(key Dimension, least, most float64, field func(*Load) *int) bound {
+	return bound{key: key, min: least, max: most, integer: true,
 		of:  func(l *Load) float64 { return float64(*field(l)) },
 		set: func(l *Load, v float64) { *field(l) = int(v) }}
 }
 
 // rateBound is the bound of something a second.
 func rateBound(key Dimension, most float64, field func(*Load) *float64) bound {
-	return bound{key: key, most: most,
+	return bound{key: key, max: most,
 		of:  func(l *Load) float64 { return *field(l) },
 		set: func(l *Load, v float64) { *field(l) = v }}
 }
@@ -61,13 +61,13 @@
 // loadBounds are those of each key of Load, in the order of the file's keys. Nodes are bounded by the slots that a fleet may
 // have, the rest with room over the plan of docs/CAPACITY.md.
 var loadBounds = []bound{
-	wholeBound(Nodes, 1, 4096, func(l *Load) *int { return &l.Nodes }),
-	wholeBound(Servers, 1, 100_000, func(l *Load) *int { return &l.Servers }),
-	wholeBound(Services, 1, 10_000, func(l *Load) *int { return &l.Services }),
-	wholeBound(PerNode, 0, 128, func(l *Load) *int { return &l.PerNode }),
-	wholeBound(Tenants, 1, 1_000_000, func(l *Load) *int { return &l.Tenants }),
-	wholeBound("tenants_per_service", 0, 100_000, func(l *Load) *int { return &l.TenantsPerService }),
-	wholeBound(Routes, 0, 1_000_000, func(l *Load) *int { return &l.Routes }),
+	integerBound(Nodes, 1, 4096, func(l *Load) *int { return &l.Nodes }),
+	integerBound(Servers, 1, 100_000, func(l *Load) *int { return &l.Servers }),
+	integerBound(Services, 1, 10_000, func(l *Load) *int { return &l.Services }),
+	integerBound(PerNode, 0, 128, func(l *Load) *int { return &l.PerNode }),
+	integerBound(Tenants, 1, 1_000_000, func(l *Load) *int { return &l.Tenants }),
+	integerBound("tenants_per_service", 0, 100_000, func(l *Load) *int { return &l.TenantsPerService }),
+	integerBound(Routes, 0, 1_000_000, func(l *Load) *int { return &l.Routes }),
 	rateBound(Changes, 1000, func(l *Load) *float64 { return &l.ChangesPerS }),
 	rateBound(Restarts, 1000, func(l *Load) *float64 { return &l.RestartsPerS }),
 	rateBound(Replacements, 10_000, func(l *Load) *float64 { return &l.ReplacementsPerS }),
@@ -86,9 +86,9 @@
 // check compares one value with the bound.
 func (b bound) check(key string, v float64) error {
 	switch {
-	case math.IsNaN(v) || v < b.least || v > b.most:
-		return fmt.Errorf("%s: %v is not within %v to %v", key, v, b.least, b.most)
-	case b.whole && v != math.Trunc(v):
+	case math.IsNaN(v) || v < b.min || v > b.max:
+		return fmt.Errorf("%s: %v is not within %v to %v", key, v, b.min, b.max)
+	case b.integer && v != math.Trunc(v):
 		return fmt.Errorf("%s: %v is not a whole number", key, v)
 	}
 	return nil
--- a/internal/scale/operator.go
+++ b/internal/scale/operator.go
@@ -46,8 +46,8 @@
 	Spec       fleet.Spec `json:"spec"`
 }
 
-// propose puts a tenant's next generation, following the leader. A try whose outcome is not known is made again; the conflict
-// that an earlier try of the same call causes is no error.
+// propose puts a tenant's next generation, following the leader. An attempt whose outcome is not known is made again; the conflict
+// that an earlier attempt of the same call causes is no error.
 func (o *operator) propose(ctx context.Context, generation uint64, spec fleet.Spec) error {
 	body, err := json.Marshal(proposal{Generation: generation, Spec: spec})
 	if err != nil {
@@ -75,7 +75,7 @@
 	}
 }
 
-// put makes one try at the replica that is taken for the leader.
+// put makes one attempt at the replica that is taken for the leader.
 func (o *operator) put(ctx context.Context, name string, body []byte) (status int, text []byte, err error) {
 	o.mu.Lock()
 	at := o.leader
--- a/internal/scale/operator_test.go
+++ b/internal/scale/operator_test.go
@@ -66,7 +66,7 @@
 	}
 }
 
-// TestOperatorTakesItsOwnConflict has the first try carried out and its answer lost.
+// TestOperatorTakesItsOwnConflict has the first attempt carried out and its answer lost.
 func TestOperatorTakesItsOwnConflict(t *testing.T) {
 	var tries atomic.Int64
 	o := newOperator([]string{replicaDouble(t, func(w http.ResponseWriter, _ *http.Request) {
--- a/internal/scale/plan.go
+++ b/internal/scale/plan.go
@@ -38,13 +38,13 @@
 
 // Bounds of a plan.
 const (
-	leastSizes   = 5
-	mostSizes    = 20
-	mostRepeats  = 20
-	mostReplicas = 7
-	mostLimitS   = 6 * 3600
-	leastStep    = 1.25 // of a size to the one before
-	mostStep     = 4.0
+	minSizes        = 5
+	maxSizes        = 20
+	maxRepeats      = 20
+	maxReplicas     = 7
+	maxLimitSeconds = 6 * 3600
+	minStep         = 1.25 // of a size to the one before
+	maxStep         = 4.0
 )
 
 // defaultPlan is what a file that says nothing of it gets.
@@ -120,10 +120,10 @@
 // checkTimes checks repeats, replicas and the times.
 func (p *Plan) checkTimes() error {
 	switch {
-	case p.Repeats < 1 || p.Repeats > mostRepeats:
-		return fmt.Errorf("repeats: %d is not within 1 to %d", p.Repeats, mostRepeats)
-	case p.Replicas < 1 || p.Replicas > mostReplicas:
-		return fmt.Errorf("replicas: %d is not within 1 to %d", p.Replicas, mostReplicas)
+	case p.Repeats < 1 || p.Repeats > maxRepeats:
+		return fmt.Errorf("repeats: %d is not within 1 to %d", p.Repeats, maxRepeats)
+	case p.Replicas < 1 || p.Replicas > maxReplicas:
+		return fmt.Errorf("replicas: %d is not within 1 to %d", p.Replicas, maxReplicas)
 	case len(p.Zones) == 0:
 		return fmt.Errorf("zones: is empty")
 	}
@@ -131,8 +131,8 @@
 		key   string
 		value float64
 	}{{"limit_s", p.LimitS}, {"ready_s", p.ReadyS}, {"settle_s", p.SettleS}, {"measure_s", p.MeasureS}} {
-		if !(t.value > 0 && t.value <= mostLimitS) {
-			return fmt.Errorf("%s: %v is not above 0 and up to %d", t.key, t.value, mostLimitS)
+		if !(t.value > 0 && t.value <= maxLimitSeconds) {
+			return fmt.Errorf("%s: %v is not above 0 and up to %d", t.key, t.value, maxLimitSeconds)
 		}
 	}
 	return nil
@@ -158,8 +158,8 @@
 
 // checkSizes checks the sizes: enough of them, in the dimension's bounds, in geometric steps upwards.
 func (p *Plan) checkSizes(dimension bound) error {
-	if len(p.Sizes) < leastSizes || len(p.Sizes) > mostSizes {
-		return fmt.Errorf("sizes: %d of them, %d to %d are needed", len(p.Sizes), leastSizes, mostSizes)
+	if len(p.Sizes) < minSizes || len(p.Sizes) > maxSizes {
+		return fmt.Errorf("sizes: %d of them, %d to %d are needed", len(p.Sizes), minSizes, maxSizes)
 	}
 	for i, size := range p.Sizes {
 		key := fmt.Sprintf("sizes[%d]", i)
@@ -174,8 +174,8 @@
 		}
 		if before := p.Sizes[i-1]; size <= before {
 			return fmt.Errorf("%s: %v is not above the one before, %v", key, size, before)
-		} else if step := size / before; step < leastStep || step > mostStep {
-			return fmt.Errorf("%s: %v is %.2f times the one before, not %v to %v times", key, size, step, leastStep, mostStep)
+		} else if step := size / before; step < minStep || step > maxStep {
+			return fmt.Errorf("%s: %v is %.2f times the one before, not %v to %v times", key, size, step, minStep, maxStep)
 		}
 	}
 	return nil
--- a/internal/scale/results.go
+++ b/internal/scale/results.go
@@ -31,7 +31,7 @@
 	Sweep     Plan           `json:"sweep"`
 	Begun     time.Time      `json:"begun"`
 	TookS     float64        `json:"took_s"`
-	Partial   string         `json:"partial,omitempty"` // why the sweep ended before its end; empty: it is whole
+	Partial   string         `json:"partial,omitempty"` // why the sweep ended before its end; empty: it is complete
 	Points    []Point        `json:"points"`
 	Fits      []Fit          `json:"fits"`
 }
@@ -140,7 +140,7 @@
 	return writeJSON(filepath.Join(dir, histogramsFile), all)
 }
 
-// writeJSON writes a value to a file, whole or not at all.
+// writeJSON writes a value to a file, completely or not at all.
 func writeJSON(path string, v any) error {
 	raw, err := json.MarshalIndent(v, "", " ")
 	if err != nil {
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -87,7 +87,7 @@
 }
 
 // run measures every size once, then all again, as often as the plan says: so what else goes on at the machine falls on all
-// sizes. A size that fails is not measured again, nor those above it. The error says why the sweep is not whole.
+// sizes. A size that fails is not measured again, nor those above it. The error says why the sweep is incomplete.
 func (s *sweep) run(ctx context.Context) error {
 	sizes := s.plan.Sizes
 	var failed error
@@ -95,7 +95,7 @@
 		for k, size := range sizes {
 			err := s.measure(ctx, k, i)
 			if ctx.Err() != nil {
-				return context.Cause(ctx) // what was measured of this repeat is not whole
+				return context.Cause(ctx) // what was measured of this repeat is incomplete
 			}
 			if err != nil {
 				failed = fmt.Errorf("%s %v: %w", s.plan.Dimension, size, err)
--- a/internal/scale/tenants.go
+++ b/internal/scale/tenants.go
@@ -77,12 +77,12 @@
 	return context.Cause(ctx)
 }
 
-// triesForOne is how many tenants are tried for one change: one that is not done with its last generation is passed over.
-const triesForOne = 20
+// maxPlacementAttempts is how many tenants are tried for one change: one that is not done with its last generation is passed over.
+const maxPlacementAttempts = 20
 
 // change proposes the next generation of a random tenant, and gives when it did.
 func (p *population) change(ctx context.Context, random *rand.Rand) (spec fleet.Spec, generation uint64, put time.Time, err error) {
-	for range triesForOne {
+	for range maxPlacementAttempts {
 		put = time.Now()
 		spec, generation, err = p.next(ctx, random.IntN(p.load.Tenants))
 		if !errors.Is(err, errConflict) {
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -21,7 +21,7 @@
 	attempts    map[policy.RequestID]int
 	answered    map[policy.RequestID]bool
 	retries     int           // of a rejected client, after its backoff
-	timeout     time.Duration // of a first try
+	timeout     time.Duration // of a first attempt
 	work        func(policy.RequestID) time.Duration
 	retryAfters []time.Duration // that rejected clients were notified
 	inTime      map[string]int
--- a/policy/rollout_test.go
+++ b/policy/rollout_test.go
@@ -30,7 +30,7 @@
 	early        bool          // the nodes restart as servers do, not later
 	awayTime     time.Duration // for so long servers are away before they return warming under their ids; 0: others come
 	errorPart    float64       // part of the answers of warming servers that are errors
-	length       time.Duration // of the play from the release on; 0: until all are warm
+	length       time.Duration // of the run from the release on; 0: until all are warm
 	surge        time.Duration // from the release to the later load; 0: half of the slow-start window
 }
 
