--- a/internal/fleet/agent/copy_file.go
+++ b/internal/fleet/agent/copy_file.go
@@ -95,7 +95,7 @@
 }
 
 // save writes every item, or the changes after d.since(), and gives the bytes written. incomplete marks every item of a scope of which some
-// services have not been read yet. After an error nothing is known of the file but with errNewer.
+// services have not been read yet. After an error nothing is known of the file but with errNewerOnDisk.
 func (d *copyFile) save(in fleet.Intent, incomplete bool) (int, error) {
 	var written int
 	var err error
--- a/internal/fleet/agent/record.go
+++ b/internal/fleet/agent/record.go
@@ -69,7 +69,7 @@
 	return raw, err
 }
 
-// nextRecord reads the record that a log begins with into record and gives the rest. The error is errTruncated where
+// nextRecord reads the record that a log begins with into record and gives the rest. The error is errTruncatedRecord where
 // the log ends before the record does; any other means damage.
 func nextRecord(log []byte, record any) (rest []byte, err error) {
 	if len(log) < recordHead {
--- a/internal/fleet/agent/serve.go
+++ b/internal/fleet/agent/serve.go
@@ -24,7 +24,7 @@
 }
 
 // intent answers the node's watch from the copy: at once where there is something new, else when there is, or when the
-// time requested is over. A node that the control plane has not counted yet is sent nothing: of a quota that it was notified of, a floor
+// time requested is over. A node that the control plane has not counted yet is sent nothing: of a quota that it was notified of, a guaranteed part
 // would be its own for good, and nobody would keep it back.
 func (a *Agent) intent(w http.ResponseWriter, r *http.Request) {
 	watch, err := registry.ParseWatchQuery(r.URL.Query())
@@ -148,7 +148,7 @@
 
 // answerForNode is the answer to a report of the node: the leader's last answer, with what it wants sent once, and what is left
 // of the session by the agent's count. That the node is out for want of a session is forgotten once the leader has been unreachable
-// for outFor: without a control plane the node's own rules hold. The caller holds mu.
+// for notReadyLifetime: without a control plane the node's own rules hold. The caller holds mu.
 func (a *Agent) answerForNode() fleet.ReportAnswer {
 	ans := a.lastAnswer
 	a.lastAnswer.WantedKeys = nil
--- a/internal/fleet/control/capacity_bench_test.go
+++ b/internal/fleet/control/capacity_bench_test.go
@@ -110,8 +110,8 @@
 	})
 }
 
-// benchJudge is a leader's controller of up to 2,200 nodes.
-func benchJudge(b *testing.B, state *State) *Controller {
+// benchController is a leader's controller of up to 2,200 nodes.
+func benchController(b *testing.B, state *State) *Controller {
 	set, err := ParseSettings("slots = 2200")
 	if err != nil {
 		b.Fatal(err)
@@ -120,18 +120,18 @@
 }
 
 // BenchmarkCapacityControllerStep is a step of the leader while no session is present and no tenant changes. The first step of a leader,
-// which looks at every item anew, is BenchmarkCapacityJudgeFirstStep.
+// which looks at every item anew, is BenchmarkCapacityControllerFirstStep.
 func BenchmarkCapacityControllerStep(b *testing.B) {
 	benchEach(b, func(b *testing.B, state *State) {
-		judge := benchJudge(b, state)
+		controller := benchController(b, state)
 		now := fleet.Time(0)
 		for range 3 {
 			now += 100 * time.Millisecond
-			judge.Step(now, state, nil)
+			controller.Step(now, state, nil)
 		}
 		for b.Loop() {
 			now += 100 * time.Millisecond
-			judge.Step(now, state, nil)
+			controller.Step(now, state, nil)
 		}
 	})
 }
@@ -140,7 +140,7 @@
 func BenchmarkCapacityControllerFirstStep(b *testing.B) {
 	benchEach(b, func(b *testing.B, state *State) {
 		for b.Loop() {
-			benchJudge(b, state).Step(100*time.Millisecond, state, nil)
+			benchController(b, state).Step(100*time.Millisecond, state, nil)
 		}
 	})
 }
@@ -152,12 +152,12 @@
 		if _, err := state.Session.Apply(session.Command{Operation: session.Join, Member: report.Member}); err != nil {
 			b.Fatal(err)
 		}
-		judge := benchJudge(b, state)
+		controller := benchController(b, state)
 		now := fleet.Time(0)
 		for b.Loop() {
 			now += time.Millisecond
 			report.Sequence++
-			if _, err := judge.Report(now, now, state, report); err != nil {
+			if _, err := controller.Report(now, now, state, report); err != nil {
 				b.Fatal(err)
 			}
 		}
--- a/internal/fleet/drift/tree_exchange.go
+++ b/internal/fleet/drift/tree_exchange.go
@@ -17,7 +17,7 @@
 // maxItemsToList is how many items may be expected below a place for its keys to be requested at once.
 const maxItemsToList = 32
 
-// Limits on one report's answers. A listing beyond listMost is answered by hashes, bodies beyond bodyMost bytes are
+// Limits on one report's answers. A listing beyond maxListed is answered by hashes, bodies beyond maxBodyBytes are
 // left out and requested again.
 const (
 	maxListed    = 2048
--- a/internal/fleet/sim/servers.go
+++ b/internal/fleet/sim/servers.go
@@ -15,7 +15,7 @@
 
 const warmingInterval = time.Second // in which a warming server bears what it can
 
-// allowed is what a server of a rate bears in coldSpan, so long after its start.
+// allowed is what a server of a rate bears in warmingInterval, so long after its start.
 func (s *Sim) allowed(age time.Duration) float64 {
 	part := math.Min(1, s.set.SlowStartMinCapacity+(1-s.set.SlowStartMinCapacity)*age.Seconds()/s.set.SlowStartWindow.Seconds())
 	n := part * s.capacity * warmingInterval.Seconds()
--- a/internal/fleet/zones/recovery.go
+++ b/internal/fleet/zones/recovery.go
@@ -66,7 +66,7 @@
 }
 
 // hasEnoughAnswers reports whether there are so many answers of counted nodes, of two of them at least where two may try, with
-// less than StepLost lost and most attempts answered, from enough of the zone's servers.
+// less than MaxStepLoss lost and most attempts answered, from enough of the zone's servers.
 func (b *recovery) hasEnoughAnswers(set *Settings, v fleetView, need, may, listed int) bool {
 	var ok, lost, attempts []float64
 	nodes, servers := 0, 0
--- a/internal/fleet/zones/simulation/page_test.go
+++ b/internal/fleet/zones/simulation/page_test.go
@@ -177,7 +177,7 @@
 		"serving lost returned in the last 60 s": func(t *testing.T) (*world, string, int) { return again(t, 1, "") },
 		"serving lost below the panic threshold": func(t *testing.T) (*world, string, int) {
 			w := started(t)
-			w.listed["a"] = 4 * serversPerZone // of 6 * perWS
+			w.listed["a"] = 4 * serversPerZone // of 6 * serversPerZone
 			w.rate /= 8
 			w.run(12*sec, nil)
 			w.kill("a")
--- a/internal/node/attempts.go
+++ b/internal/node/attempts.go
@@ -24,8 +24,8 @@
 	body     []byte
 	upload   *upload     // what follows on a long body's beginning, or nil
 	answer   chan answer // holds one: the final answer
-	// life ends as the client goes or the request is over, whichever the node sees first: from then on no attempt is
-	// begun. end is what ends it; the loop calls it as the request gets its final answer.
+	// context ends as the client goes or the request is over, whichever the node sees first: from then on no attempt is
+	// begun. cancel is what ends it; the loop calls it as the request gets its final answer.
 	context context.Context
 	cancel  context.CancelFunc
 
--- a/internal/node/fleet_client.go
+++ b/internal/node/fleet_client.go
@@ -39,7 +39,7 @@
 
 // fleetClient is a node's only tie to the fleet: it watches what is intended at the agent on its machine, has the loop tell
 // the module, and posts what the module saw and holds. Nothing that the agent says, or its silence, stops a request. A
-// nil *fleetLink is that of a node outside any fleet.
+// nil *fleetClient is that of a node outside any fleet.
 type fleetClient struct {
 	FleetConfig
 	member       fleet.Member
--- a/internal/node/fleet_config.go
+++ b/internal/node/fleet_config.go
@@ -17,7 +17,7 @@
 type FleetConfig struct {
 	Agent    netip.AddrPort // on the node's own machine
 	Report   time.Duration  // between reports
-	CatchUp  time.Duration  // a node that has not was notified of all that is intended by then serves by what it has
+	CatchUp  time.Duration  // a node that has not received all of the intent by then serves by what it has
 	Services []string       // whose tenants the node serves, sorted; none: every tenant. The agent names the same
 }
 
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -22,9 +22,9 @@
 	drainAcceptTime   = 600 * time.Millisecond // connections come for 0.4 s after SIGTERM; the rest is for the accept queue
 	drainPollInterval = 10 * time.Millisecond
 	drainExtraTime    = 300 * time.Millisecond // beyond the longest deadline, to write the last answers
-	// SIGKILL comes at the soonest that much after SIGTERM and the longest deadline, which counts as drainLongest if it
-	// is longer. What is unanswered drainMargin before is answered as failed, to be written and read by then. A request
-	// that came before drainAccept and has such a deadline is over by itself: overdue is less than what is left.
+	// SIGKILL comes at the soonest that much after SIGTERM and the longest deadline, which counts as maxDrainDeadline if it
+	// is longer. What is unanswered drainAnswerMargin before is answered as failed, to be written and read by then. A request
+	// that came before drainAcceptTime and has such a deadline is over by itself: overdueDelay is less than what is left.
 	drainKillDelay     = 700 * time.Millisecond
 	maxDrainDeadline   = 3 * time.Second
 	drainAnswerMargin  = 60 * time.Millisecond
--- a/internal/node/upstreams_test.go
+++ b/internal/node/upstreams_test.go
@@ -126,8 +126,8 @@
 			t.Parallel()
 			// On a busy machine the request may not be written within its patience, or the module may be later than
 			// overdue and the front end answers by itself. Then once more, until a request has been sent and answered
-			// in time. Each try has a node of its own: a third failure would make the server a suspect
-			// (TestSuspectGetsNoUnsafeRequest).
+			// in time. Each attempt has a node of its own: a third failure would eject the server
+			// (TestEjectedServerGetsNoNonIdempotentRequest).
 			for end := time.Now().Add(patient); time.Now().Before(end); {
 				status, received := askSilentBackend(t, class)
 				want := whenSent
@@ -193,7 +193,7 @@
 		}
 	})
 	n := start(t, &Config{Settings: settings(), Known: known(addr)})
-	for range 3 { // failures in a row: the module's suspectAt
+	for range 3 { // failures in a row: the policy's maxConsecutiveFailures
 		if resp, _ := n.ask(t, message("read", "9.5", "")); resp.StatusCode != 503 {
 			t.Fatalf("read: status %d, want 503", resp.StatusCode)
 		}
--- a/internal/registry/replica/replica.go
+++ b/internal/registry/replica/replica.go
@@ -48,7 +48,7 @@
 	store *raftboltdb.BoltStore
 	http  *http.Server
 	done  chan struct{}
-	// startLast is the last log index this process found in its store: until it has applied that far, its list
+	// startIndex is the last log index this process found in its store: until it has applied that far, its list
 	// may be older than what it had acknowledged, and it answers no reads.
 	startIndex uint64
 }
