--- a/internal/fleet/agent/agent.go
+++ b/internal/fleet/agent/agent.go
@@ -40,7 +40,7 @@
 	ownDrift   ownDrift
 	copyFile   *copyFile // of the goroutine that saves
 
-	mu            sync.Mutex
+	mu            sync.Mutex // guards the fields below, but for sender
 	copy          *IntentCopy
 	resendKeys    map[string]bool // items to send to the node again
 	joined        bool            // the control plane has counted the node: it may be sent quotas
--- a/internal/fleet/agent/own_drift.go
+++ b/internal/fleet/agent/own_drift.go
@@ -18,7 +18,7 @@
 
 // ownDrift is the agent's evaluation of its own node, by the agent's copy (docs/drift.md): a machine that is cut off still knows.
 type ownDrift struct {
-	mu       sync.Mutex
+	mu       sync.Mutex // guards the fields below
 	detector *drift.LocalDetector
 	member   fleet.Member // of the newest report; none: Node is empty
 
--- a/internal/lab/faults/fault.go
+++ b/internal/lab/faults/fault.go
@@ -33,7 +33,7 @@
 
 // dice is a link's own seeded chance.
 type dice struct {
-	mu  sync.Mutex
+	mu  sync.Mutex // guards rnd
 	rnd *rand.Rand
 }
 
--- a/internal/lab/faults/link.go
+++ b/internal/lab/faults/link.go
@@ -19,7 +19,7 @@
 	ln          net.Listener
 	fault       atomic.Pointer[Fault]
 	dice        *dice
-	mu          sync.Mutex
+	mu          sync.Mutex // guards conns and unreachable
 	conns       map[net.Conn]bool
 	unreachable map[string]bool // callers whose connection found nobody at the target
 	closed      chan struct{}
--- a/internal/lab/faults/relay.go
+++ b/internal/lab/faults/relay.go
@@ -15,7 +15,7 @@
 	others *Link            // callers of no known address: no fault of theirs can be set
 	ln     net.Listener
 	pc     *net.UDPConn
-	mu     sync.Mutex
+	mu     sync.Mutex       // guards flows
 	flows  map[string]*flow // by the caller's UDP address
 }
 
--- a/internal/membership/gossip.go
+++ b/internal/membership/gossip.go
@@ -30,7 +30,7 @@
 	cfg         Config
 	ml          *memberlist.Memberlist
 	incarnation int64
-	mu          sync.Mutex
+	mu          sync.Mutex // guards view, sizer and states
 	view        View
 	sizer       Sizer
 	states      map[string]State
--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -29,7 +29,7 @@
 	ctx        context.Context // of all that a call sets going
 	log        *slog.Logger
 
-	mu      sync.Mutex
+	mu      sync.Mutex     // guards waiting
 	waiting []*net.TCPConn // callers whose line is not read yet, the longest wait first
 	work    sync.WaitGroup
 }
--- a/internal/node/connections.go
+++ b/internal/node/connections.go
@@ -15,7 +15,7 @@
 // requests are rejected at once and those closed that have been idle longest, so that there is always a slot to read and
 // answer what has been accepted.
 type connections struct {
-	mu          sync.Mutex
+	mu          sync.Mutex // guards count, idle, ended and shedding
 	count       int
 	limit       int
 	restart     *hotRestart
--- a/internal/node/discovery.go
+++ b/internal/node/discovery.go
@@ -109,7 +109,7 @@
 	client *http.Client
 	log    *slog.Logger
 
-	mu    sync.Mutex
+	mu    sync.Mutex // guards the fields below
 	addr  netip.AddrPort
 	moved chan struct{} // closed when addr changes
 }
--- a/internal/node/exclusions.go
+++ b/internal/node/exclusions.go
@@ -44,7 +44,7 @@
 	lastContent []byte // what the file had when it was last read or written
 	loggedError error  // that has been logged
 
-	mu     sync.Mutex
+	mu     sync.Mutex // guards the fields below
 	state  exclusionsFile
 	listed map[policy.ServerID]string
 }
--- a/internal/node/hotrestart.go
+++ b/internal/node/hotrestart.go
@@ -79,7 +79,7 @@
 	slotCounts [2]*connCounts // what they hold
 	hasOther   atomic.Bool    // there is another process
 
-	mu          sync.Mutex
+	mu          sync.Mutex  // guards the fields below
 	slot        *os.File    // nil: both were taken
 	otherSlot   *os.File    // the other's place
 	ownCounts   *connCounts // in nobody's sight without a place
--- a/internal/node/streaming.go
+++ b/internal/node/streaming.go
@@ -30,7 +30,7 @@
 	onStart func(held []byte, rest *io.PipeReader)
 	ctx     context.Context
 
-	mu       sync.Mutex
+	mu       sync.Mutex // guards the fields below
 	buffered []byte
 	started  bool
 	pipe     *io.PipeWriter
--- a/internal/node/upload.go
+++ b/internal/node/upload.go
@@ -86,7 +86,7 @@
 	client   *clientConn
 	complete chan struct{} // closed when the last byte has been read
 
-	mu             sync.Mutex
+	mu             sync.Mutex     // guards the fields below
 	reader         *requestWriter // who reads it
 	closed         bool
 	clientError    error
--- a/internal/node/upstreams.go
+++ b/internal/node/upstreams.go
@@ -27,7 +27,7 @@
 // upstreams holds the connections to all backends. Each carries one request at a time; the most recently used
 // goes first, of those that have rested. It does not use http.Transport, which sends some requests again by itself.
 type upstreams struct {
-	mu       sync.Mutex
+	mu       sync.Mutex // guards hosts, excluded, open, the two times, and the fields of every host
 	hosts    map[policy.ServerID]*upstreamHost
 	excluded map[policy.ServerID]bool // excluded by the operators, listed or not
 	// connections, also those being made
--- a/internal/registry/agent/agent.go
+++ b/internal/registry/agent/agent.go
@@ -32,7 +32,7 @@
 	replicas       []string
 	log            *slog.Logger
 	client         http.Client
-	mu             sync.Mutex
+	mu             sync.Mutex // guards the fields down to confirmedAt
 	version        uint64
 	floor          uint64 // watches from before it get the complete list
 	entries        map[string]registry.Entry
--- a/internal/registry/replica/fleetmetrics.go
+++ b/internal/registry/replica/fleetmetrics.go
@@ -88,7 +88,7 @@
 
 // logLimiter lets one line a second through and counts the rest.
 type logLimiter struct {
-	mu      sync.Mutex
+	mu      sync.Mutex // guards the fields below
 	last    time.Time
 	skipped int
 }
--- a/internal/registry/replica/fsm.go
+++ b/internal/registry/replica/fsm.go
@@ -19,7 +19,7 @@
 // fleet's commands, whether or not it was started with the fleet's settings. Raft calls Apply, Snapshot and Restore one at a
 // time. Readers of the list and the intent take what was published and need no lock.
 type fsm struct {
-	mu            sync.Mutex
+	mu            sync.Mutex // guards the fields down to driftListView
 	state         *registry.State
 	fleet         *control.State
 	driftChanged  chan struct{}        // closed at each change of a verdict
--- a/internal/registry/replica/leadership.go
+++ b/internal/registry/replica/leadership.go
@@ -256,7 +256,7 @@
 // batchedCheck answers many askers by one check that begins after all of them asked.
 type batchedCheck struct {
 	check   func() error
-	mu      sync.Mutex
+	mu      sync.Mutex // guards waiting
 	waiting []chan error
 }
 
--- a/internal/registry/replica/watchers.go
+++ b/internal/registry/replica/watchers.go
@@ -9,7 +9,7 @@
 // watcherSet are the calls that wait for a change of the intent, by the scopes that they hear. A change costs those that it
 // wakes and no others. It is safe for concurrent use.
 type watcherSet struct {
-	mu      sync.Mutex
+	mu      sync.Mutex // guards the fields below
 	byScope map[index.Scope]map[*watcher]struct{}
 	wakeups int // watchers woken so far
 }
--- a/internal/scale/operator.go
+++ b/internal/scale/operator.go
@@ -21,8 +21,8 @@
 	replicas []string
 	client   *http.Client
 
-	mu     sync.Mutex
-	leader int // index of the replica that is asked first
+	mu     sync.Mutex // guards leader
+	leader int        // index of the replica that is asked first
 }
 
 // Bounds of an operator's call.
