--- a/cmd/balancer/main_test.go
+++ b/cmd/balancer/main_test.go
@@ -212,7 +212,7 @@
 	var served, wrong atomic.Int64
 	stop := make(chan struct{})
 	var clients sync.WaitGroup
-	ask := func() {
+	poll := func() {
 		req, _ := http.NewRequest(http.MethodPost, "http://"+listen+"/c", nil)
 		req.Header.Set("X-Correlation-Id", fmt.Sprint("id", served.Add(1)))
 		req.Header.Set("X-Time-Left", "1")
@@ -239,7 +239,7 @@
 				case <-stop:
 					return
 				default:
-					ask()
+					poll()
 				}
 			}
 		})
--- a/cmd/discovery/drift_test.go
+++ b/cmd/discovery/drift_test.go
@@ -56,17 +56,17 @@
 
 	odd := f.nodes[4]
 	odd.With(func() {
-		odd.Odd = func(facts []fleet.AppliedItem) []fleet.AppliedItem {
-			for i, h := range facts {
+		odd.Odd = func(items []fleet.AppliedItem) []fleet.AppliedItem {
+			for i, h := range items {
 				if h.Key != "tenant/brand" {
 					continue
 				}
 				var b fleet.AppliedTenant
 				json.Unmarshal(h.Body, &b)
 				b.Committed.Rate = 999
-				facts[i], _, _ = drift.AppliedItemOf(h.Key, b)
+				items[i], _, _ = drift.AppliedItemOf(h.Key, b)
 			}
-			return facts
+			return items
 		}
 	})
 	f.until("the node named", func() bool {
@@ -94,10 +94,10 @@
 
 	f.nodes[5].With(func() { f.nodes[5].Silent = true })
 	f.nodes[6].With(func() {
-		f.nodes[6].Odd = func(facts []fleet.AppliedItem) []fleet.AppliedItem {
+		f.nodes[6].Odd = func(items []fleet.AppliedItem) []fleet.AppliedItem {
 			ban, _, _ := drift.AppliedItemOf("ban/s-1", fleet.AppliedExclusion{Excluded: true})
 			ban.ChangedBy, ban.SinceMS = "ops", 1000
-			return append(facts, ban)
+			return append(items, ban)
 		}
 	})
 	f.until("one silent, one overridden", func() bool {
--- a/cmd/discovery/reports_test.go
+++ b/cmd/discovery/reports_test.go
@@ -86,11 +86,11 @@
 	differencesGoOn("all tenants settled")
 	for _, n := range f.nodes {
 		sent, size := sentBy(n, "difference"), bytesBy(n, "difference")
-		whole, wholeSize := sentBy(n, "whole"), bytesBy(n, "whole")
+		complete, completeSize := sentBy(n, "whole"), bytesBy(n, "whole")
 		f.until("20 more of "+n.Name, func() bool { return sentBy(n, "difference") >= sent+20 })
 		mean := (bytesBy(n, "difference") - size) / (sentBy(n, "difference") - sent)
 		t.Logf("%s: %.0f bytes a difference at %d tenants; whole before: %.0f of %.0f bytes on average; whole since: %.0f",
-			n.Name, mean, tenants, whole, wholeSize/max(whole, 1), sentBy(n, "whole")-whole)
+			n.Name, mean, tenants, complete, completeSize/max(complete, 1), sentBy(n, "whole")-complete)
 		if mean > 2000 { // a complete one is some 35 KB
 			t.Errorf("%s: %.0f bytes a difference", n.Name, mean)
 		}
@@ -116,10 +116,10 @@
 		return code == http.StatusOK && strings.Contains(text, `"states":{"in-step":3}`)
 	})
 	t.Logf("leaderships begun: %d before the kill, %d in all", before, f.leaderships())
-	received, refused := f.replicaCount(`fleet_reports_received_total{kind="difference"}`), f.replicaCount(`fleet_report_differences_refused_total{reason="digest"}`)
-	t.Logf("at the replicas left: %.0f differences taken, %.0f refused for their digest, %.0f for want of a base", received, refused,
+	received, rejected := f.replicaCount(`fleet_reports_received_total{kind="difference"}`), f.replicaCount(`fleet_report_differences_refused_total{reason="digest"}`)
+	t.Logf("at the replicas left: %.0f differences taken, %.0f refused for their digest, %.0f for want of a base", received, rejected,
 		f.replicaCount(`fleet_report_differences_refused_total{reason="base"}`))
-	if received == 0 || refused != 0 {
-		t.Errorf("%.0f differences taken, %.0f refused for their digest", received, refused)
+	if received == 0 || rejected != 0 {
+		t.Errorf("%.0f differences taken, %.0f refused for their digest", received, rejected)
 	}
 }
--- a/cmd/discovery/tenants.go
+++ b/cmd/discovery/tenants.go
@@ -63,7 +63,7 @@
 // call sends one request, following X-Leader, and again with backoff while no replica answers for the leader.
 func (c *tenantClient) call(ctx context.Context, method, path string, body []byte) (answer, error) {
 	unclear := false
-	try := func() (answer, error) {
+	attempt := func() (answer, error) {
 		addr := c.leader
 		if addr == "" {
 			addr = c.replicas[c.next%len(c.replicas)]
@@ -93,7 +93,7 @@
 		return answer{}, err
 	}
 	pace := &backoff.ExponentialBackOff{InitialInterval: 50 * time.Millisecond, RandomizationFactor: 0.5, Multiplier: 1.5, MaxInterval: time.Second}
-	a, err := backoff.Retry(ctx, try, backoff.WithBackOff(pace), backoff.WithMaxElapsedTime(c.timeout))
+	a, err := backoff.Retry(ctx, attempt, backoff.WithBackOff(pace), backoff.WithMaxElapsedTime(c.timeout))
 	if err != nil {
 		return answer{}, fmt.Errorf("no replica answers for the leader: %w", err)
 	}
--- a/cmd/discovery/tenants_test.go
+++ b/cmd/discovery/tenants_test.go
@@ -92,8 +92,8 @@
 		http.Error(w, "not the leader", http.StatusServiceUnavailable)
 	}))
 	defer follower.Close()
-	gone := httptest.NewServer(nil)
-	gone.Close()
+	removed := httptest.NewServer(nil)
+	removed.Close()
 
 	file := filepath.Join(t.TempDir(), "lulu.toml")
 	run := func(args ...string) (string, error) {
@@ -101,7 +101,7 @@
 		cmd := tenantsCmd()
 		cmd.SetOut(&out)
 		cmd.SilenceUsage, cmd.SilenceErrors = true, true
-		cmd.SetArgs(append(args, "--replica", gone.Listener.Addr().String(), "--replica", follower.Listener.Addr().String()))
+		cmd.SetArgs(append(args, "--replica", removed.Listener.Addr().String(), "--replica", follower.Listener.Addr().String()))
 		err := cmd.Execute()
 		return out.String(), err
 	}
--- a/cmd/fleetlab/cases_test.go
+++ b/cmd/fleetlab/cases_test.go
@@ -38,7 +38,7 @@
 func play(t *testing.T, scenario string, served float64) (r fleetRun) {
 	t.Helper()
 	lab, node := build(t)
-	whole, dir := run(t, lab, node, scenario)
+	complete, dir := run(t, lab, node, scenario)
 	raw, err := os.ReadFile(filepath.Join(dir, "report.json"))
 	if err == nil {
 		err = json.Unmarshal(raw, &r)
@@ -55,11 +55,11 @@
 	if err != nil || records.Fleet == nil || json.Unmarshal(*records.Fleet, &r.fleet) != nil {
 		t.Fatalf("records: %v", err)
 	}
-	if len(whole.Breaches) != 0 || r.ColdFalls != 0 || len(whole.NeverUp) != 0 {
-		t.Errorf("breaches %v, cold falls %d, never up %v (see %s)", whole.Breaches, r.ColdFalls, whole.NeverUp, dir)
+	if len(complete.Breaches) != 0 || r.ColdFalls != 0 || len(complete.NeverUp) != 0 {
+		t.Errorf("breaches %v, cold falls %d, never up %v (see %s)", complete.Breaches, r.ColdFalls, complete.NeverUp, dir)
 	}
-	if whole.Whole.Sent < 2000 || float64(whole.Whole.Served) < served*float64(whole.Whole.Sent) {
-		t.Errorf("whole run: %+v", whole.Whole)
+	if complete.Whole.Sent < 2000 || float64(complete.Whole.Served) < served*float64(complete.Whole.Sent) {
+		t.Errorf("whole run: %+v", complete.Whole)
 	}
 	return r
 }
--- a/cmd/fleetlab/simulate_drift.go
+++ b/cmd/fleetlab/simulate_drift.go
@@ -38,12 +38,12 @@
 	}
 	go func() { wg.Wait(); close(done) }()
 	took := map[bool][]time.Duration{}
-	plays := 0
+	runs := 0
 	missed := 0
 	alarms := 0
 	var breaches []driftplay.Outcome
 	for o := range done {
-		plays++
+		runs++
 		if o.Found {
 			took[o.Stuck] = append(took[o.Stuck], o.Took)
 		} else {
@@ -58,8 +58,8 @@
 			breaches = append(breaches, o)
 		}
 	}
-	fmt.Fprintf(out, "%d plays of %d nodes in %v: %d plants found, %d missed, false alarms in %d\n", plays, nodes,
-		time.Since(began).Round(time.Second), plays-missed, missed, alarms)
+	fmt.Fprintf(out, "%d plays of %d nodes in %v: %d plants found, %d missed, false alarms in %d\n", runs, nodes,
+		time.Since(began).Round(time.Second), runs-missed, missed, alarms)
 	for stuck, name := range map[bool]string{false: "other content or behaviour", true: "outstanding past the bound"} {
 		if d := took[stuck]; len(d) > 0 {
 			slices.Sort(d)
@@ -68,7 +68,7 @@
 	}
 	if len(breaches) > 0 {
 		return fmt.Errorf("%d of %d plays broke a rule; again: fleetlab simulate --kind drift --nodes %d --length %v --seed %d --seeds 1",
-			len(breaches), plays, nodes, length, slices.MinFunc(breaches, func(a, b driftplay.Outcome) int { return int(a.Seed) - int(b.Seed) }).Seed)
+			len(breaches), runs, nodes, length, slices.MinFunc(breaches, func(a, b driftplay.Outcome) int { return int(a.Seed) - int(b.Seed) }).Seed)
 	}
 	return ctx.Err()
 }
--- a/internal/capacity/measure.go
+++ b/internal/capacity/measure.go
@@ -117,15 +117,15 @@
 			return Slope{}, fmt.Errorf("%d repeats at size %g and %d at %g", len(values[0]), sizes[0], len(values[i]), size)
 		}
 	}
-	least := make([]float64, len(sizes))
+	minimum := make([]float64, len(sizes))
 	for i := range sizes {
-		least[i] = slices.Min(values[i])
-		if least[i] <= 0 {
+		minimum[i] = slices.Min(values[i])
+		if minimum[i] <= 0 {
 			return Slope{}, errors.New("a value that is not above 0")
 		}
 	}
-	slope := Slope{Repeats: len(values[0]), Largest: sizes[len(sizes)-1], Exponent: exponent(sizes, least)}
-	slope.Value = perUnit(sizes, least, slope.Exponent)
+	slope := Slope{Repeats: len(values[0]), Largest: sizes[len(sizes)-1], Exponent: exponent(sizes, minimum)}
+	slope.Value = perUnit(sizes, minimum, slope.Exponent)
 	slope.Low, slope.High = slope.Value, slope.Value
 	for repeat := range values[0] {
 		one := make([]float64, len(sizes))
--- a/internal/capacity/missed.go
+++ b/internal/capacity/missed.go
@@ -35,10 +35,10 @@
 // nodes are those whose coming and going moves the epoch.
 func releaseMiss(p Plan, nodes float64) float64 {
 	changesOfEpoch := 2 * batchPart * nodes / batchS
-	try := stepS + roundTripS(p) + diskS
-	succeeds := math.Exp(-changesOfEpoch * try)
-	tries := max(1, p.Allowed.InForceS/try)
-	return math.Pow(1-succeeds, tries)
+	attempt := stepS + roundTripS(p) + diskS
+	succeeds := math.Exp(-changesOfEpoch * attempt)
+	attempts := max(1, p.Allowed.InForceS/attempt)
+	return math.Pow(1-succeeds, attempts)
 }
 
 // heldUp is the part of the changes that are of a scope of any of so many nodes, the scopes taken as drawn at random.
--- a/internal/capacity/render.go
+++ b/internal/capacity/render.go
@@ -37,21 +37,21 @@
 // plain writes a number as the plan has it.
 func plain(v float64) string {
 	text := strconv.FormatFloat(v, 'f', -1, 64)
-	whole, rest, _ := strings.Cut(text, ".")
+	complete, rest, _ := strings.Cut(text, ".")
 	if rest != "" {
 		return text
 	}
-	return thousands(whole)
+	return thousands(complete)
 }
 
-func thousands(whole string) string {
-	if below, negative := strings.CutPrefix(whole, "-"); negative {
+func thousands(complete string) string {
+	if below, negative := strings.CutPrefix(complete, "-"); negative {
 		return "-" + thousands(below)
 	}
-	for i := len(whole) - 3; i > 0; i -= 3 {
-		whole = whole[:i] + "," + whole[i:]
+	for i := len(complete) - 3; i > 0; i -= 3 {
+		complete = complete[:i] + "," + complete[i:]
 	}
-	return whole
+	return complete
 }
 
 // figure writes a number with two significant digits, or three where it is over 100.
--- a/internal/fleet/agent/capacity_bench_test.go
+++ b/internal/fleet/agent/capacity_bench_test.go
@@ -80,8 +80,8 @@
 
 // encodeCopy is a copy as it lies on disk after its whole base was written.
 func encodeCopy(b *testing.B, held *IntentCopy) []byte {
-	whole := held.Read(0, nil)
-	raw, err := encodeBase(baseRecord{Node: "n1", Revision: whole.Revision, Items: whole.Items})
+	complete := held.Read(0, nil)
+	raw, err := encodeBase(baseRecord{Node: "n1", Revision: complete.Revision, Items: complete.Items})
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/fleet/agent/copy_test.go
+++ b/internal/fleet/agent/copy_test.go
@@ -19,10 +19,10 @@
 	items map[string]fleet.Item
 }
 
-func (s *intended) change(key string, gone bool) {
+func (s *intended) change(key string, removed bool) {
 	s.rev++
-	s.items[key] = fleet.Item{Key: key, Revision: s.rev, Removed: gone}
-	if !gone {
+	s.items[key] = fleet.Item{Key: key, Revision: s.rev, Removed: removed}
+	if !removed {
 		s.items[key] = fleet.Item{Key: key, Revision: s.rev, Body: json.RawMessage(fmt.Sprintf(`{"phase":"left","valid_ms":%d}`, s.rev))}
 	}
 }
@@ -54,7 +54,7 @@
 // copies on disk new and old, and reads by the node: the node never goes back, and once both have read it holds exactly
 // what is intended.
 func TestCopyHasNoGaps(t *testing.T) {
-	refused, differences := 0, 0
+	rejected, differences := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
 		plane := &intended{items: map[string]fleet.Item{}}
 		c := &IntentCopy{}
@@ -67,7 +67,7 @@
 			before := c.Revision
 			changed, err := c.Apply(in)
 			if err != nil {
-				refused++
+				rejected++
 			}
 			rebase = rebase || changed && in.Full
 			if c.Revision < before {
@@ -165,8 +165,8 @@
 			},
 		})
 	})
-	if refused < 20 {
-		t.Errorf("%d answers refused: too few to prove anything", refused)
+	if rejected < 20 {
+		t.Errorf("%d answers refused: too few to prove anything", rejected)
 	}
 	if differences < 20 {
 		t.Errorf("%d differences written: too few to prove anything", differences)
@@ -220,7 +220,7 @@
 					t.Fatal(err)
 				}
 			}
-			changes, gone := 0, 0
+			changes, removed := 0, 0
 			for key, item := range c.items {
 				at := revisionKey{item.Revision, key}
 				if !c.changes.Has(at) || c.removed.Has(at) != item.Removed {
@@ -228,11 +228,11 @@
 				}
 				changes++
 				if item.Removed {
-					gone++
+					removed++
 				}
 			}
-			if c.changes != nil && (c.changes.Len() != changes || c.removed.Len() != gone) {
-				t.Fatalf("%d changes and %d gone of %d and %d", c.changes.Len(), c.removed.Len(), changes, gone)
+			if c.changes != nil && (c.changes.Len() != changes || c.removed.Len() != removed) {
+				t.Fatalf("%d changes and %d gone of %d and %d", c.changes.Len(), c.removed.Len(), changes, removed)
 			}
 			if len(c.All()) != c.Len() || c.Len() != len(c.items) {
 				t.Fatalf("%d of %d items", len(c.All()), c.Len())
--- a/internal/fleet/agent/golden_test.go
+++ b/internal/fleet/agent/golden_test.go
@@ -28,11 +28,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	shares, err := json.Marshal(fleet.QuotaLease{Epoch: 3, Incarnation: 7, Slots: 4, Rates: map[string]float64{"a": 2.5}})
+	lease, err := json.Marshal(fleet.QuotaLease{Epoch: 3, Incarnation: 7, Slots: 4, Rates: map[string]float64{"a": 2.5}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	base := baseRecord{Node: "n1", Services: []string{"billing"}, Revision: 5, Items: []fleet.Item{{Key: "share/n1", Revision: 4, Body: shares}}}
+	base := baseRecord{Node: "n1", Services: []string{"billing"}, Revision: 5, Items: []fleet.Item{{Key: "share/n1", Revision: 4, Body: lease}}}
 	differences := []differenceRecord{
 		{Since: 5, Revision: 6, Items: []fleet.Item{{Key: "zone/a", Revision: 6, Body: directive}}},
 		{Since: 6, Revision: 9, Items: []fleet.Item{{Key: "zone/a", Revision: 9, Removed: true}}},
@@ -52,11 +52,11 @@
 		t.Fatalf("%+v, %v", stored, err)
 	}
 	again := stored.copy.Read(0, nil)
-	whole, err := encodeBase(baseRecord{Node: "n1", Services: stored.services, Revision: again.Revision, Items: again.Items})
-	if err != nil || !bytes.Contains(whole, shares) {
-		t.Fatalf("%v: %s", err, whole)
+	complete, err := encodeBase(baseRecord{Node: "n1", Services: stored.services, Revision: again.Revision, Items: again.Items})
+	if err != nil || !bytes.Contains(complete, lease) {
+		t.Fatalf("%v: %s", err, complete)
 	}
-	golden.Check(t, "intent.copy.base", whole)
+	golden.Check(t, "intent.copy.base", complete)
 }
 
 var describedMetric = regexp.MustCompile(`fqName: "([^"]*)".*constLabels: \{(.*)\}, variableLabels: \{(.*)\}`)
--- a/internal/fleet/agent/outgoing.go
+++ b/internal/fleet/agent/outgoing.go
@@ -37,17 +37,17 @@
 // outgoing makes the shorter body: the difference against what the leader has acknowledged, or the report as the node made
 // it.
 func (a *Agent) outgoing(c *pendingReport) outgoing {
-	whole := outgoing{kindComplete, reportPath, c.raw}
+	complete := outgoing{kindComplete, reportPath, c.raw}
 	if c.hasUnknownMembers {
-		return whole
+		return complete
 	}
 	d, ok := a.sender.Delta(c.report)
 	if !ok {
-		return whole
+		return complete
 	}
 	body, err := reportdelta.Encode(d)
 	if err != nil || len(body) >= len(c.raw) {
-		return whole
+		return complete
 	}
 	return outgoing{kindDelta, deltaPath, body}
 }
--- a/internal/fleet/agent/subscription_test.go
+++ b/internal/fleet/agent/subscription_test.go
@@ -280,8 +280,8 @@
 		a.Routes(mux)
 		raw, _ := json.Marshal(fleet.Report{Member: fleet.Member{Node: "n", Zone: "z", Incarnation: 7}, Services: row.reported, Sequence: 1})
 		mux.ServeHTTP(rec, httptest.NewRequest(http.MethodPost, "/fleet/v1/report", strings.NewReader(string(raw))))
-		refused := rec.Code == http.StatusBadRequest
-		if refused != (row.code == 400) || refused != (counter(t, a.metrics.reportsRejected) == 1) || refused && !strings.Contains(rec.Body.String(), "services") || refused == (a.report != nil) {
+		rejected := rec.Code == http.StatusBadRequest
+		if rejected != (row.code == 400) || rejected != (counter(t, a.metrics.reportsRejected) == 1) || rejected && !strings.Contains(rec.Body.String(), "services") || rejected == (a.report != nil) {
 			t.Errorf("agent %v, report %v: %d %s", row.mine, row.reported, rec.Code, rec.Body)
 		}
 	}
--- a/internal/fleet/agentclient/intent_mirror_test.go
+++ b/internal/fleet/agentclient/intent_mirror_test.go
@@ -36,7 +36,7 @@
 	share := func(held time.Duration) policy.QuotaLease {
 		return policy.QuotaLease{Epoch: 2, Slots: 4, Rates: map[string]float64{"a": 5}, Age: 30 * time.Millisecond, ValidFor: held}
 	}
-	told := policy.TenantUpdate{Name: "a", UID: 3, Revision: 4, IntentRevision: 5, Age: 30 * time.Millisecond,
+	notified := policy.TenantUpdate{Name: "a", UID: 3, Revision: 4, IntentRevision: 5, Age: 30 * time.Millisecond,
 		Committed: &policy.TenantRules{Generation: 1, Digest: "00ff", Rate: 1000, Burst: 100}}
 	m := NewIntentMirror(me)
 	for i, step := range []struct {
@@ -49,7 +49,7 @@
 			item("zone/y@x", 4, left(0)), item("zone/w", 2, fleet.Directive{Phase: fleet.Serving, Share: 1}), item("tenant/a", 4, tenant(3, 1, "a")),
 			item("share/n0", 5, fleet.QuotaLease{Epoch: 2, Incarnation: 7, Slots: 4, Rates: map[string]float64{"a": 5}}),
 			item("share/n1", 5, fleet.QuotaLease{Epoch: 3, Incarnation: 7}), item("later/q", 1, 1)}},
-			events: []policy.Event{zone("y", 3, 5, 0.25), told, share(80 * time.Millisecond)}},
+			events: []policy.Event{zone("y", 3, 5, 0.25), notified, share(80 * time.Millisecond)}},
 		{in: fleet.Intent{Revision: 4, Full: true}, bad: true},
 		{in: fleet.Intent{Revision: 5}, events: []policy.Event{zone("y", 3, 5, 0.25), share(0)}}, // confirmed; counted out
 		{in: fleet.Intent{Revision: 6, Items: []fleet.Item{{Key: "zone/y@z", Revision: 6, Removed: true}}}, events: []policy.Event{zone("y", 5, 6, 0.5), share(0)}},
--- a/internal/fleet/control/control_test.go
+++ b/internal/fleet/control/control_test.go
@@ -121,13 +121,13 @@
 					c.held = map[string]fleet.Item{}
 					maps.Copy(c.held, n.held)
 					c.read(r.state)
-					whole := map[string]fleet.Item{}
+					complete := map[string]fleet.Item{}
 					for _, it := range r.state.Read(0, n.Node).Items {
 						if n.keeps(it) {
-							whole[it.Key] = it
+							complete[it.Key] = it
 						}
 					}
-					if d := cmp.Diff(whole, c.held); d != "" {
+					if d := cmp.Diff(complete, c.held); d != "" {
 						t.Fatalf("%s, reading changes, holds otherwise: %s", n.Node, d)
 					}
 				}
--- a/internal/fleet/control/cost_test.go
+++ b/internal/fleet/control/cost_test.go
@@ -55,9 +55,9 @@
 func TestReadCostsWhatChanged(t *testing.T) {
 	small, large := newChanged(t, costSizes[0]), newChanged(t, costSizes[1])
 	growth := func(read func(v *View, since uint64) []fleet.Item) string {
-		least, most := small.visitsOf(t, read), large.visitsOf(t, read)
-		if least == 0 || most > least {
-			return fmt.Sprintf("%d items visited at %d tenants, %d at %d", least, costSizes[0], most, costSizes[1])
+		minimum, maximum := small.visitsOf(t, read), large.visitsOf(t, read)
+		if minimum == 0 || maximum > minimum {
+			return fmt.Sprintf("%d items visited at %d tenants, %d at %d", minimum, costSizes[0], maximum, costSizes[1])
 		}
 		return ""
 	}
--- a/internal/fleet/control/items_test.go
+++ b/internal/fleet/control/items_test.go
@@ -210,12 +210,12 @@
 						continue
 					}
 					checkReads(t, l.state, r, all[i].revision)
-					whole, changes := *r, *all[i]
-					whole.take(l.state)
+					complete, changes := *r, *all[i]
+					complete.take(l.state)
 					changes.held = maps.Clone(changes.held)
 					changes.take(l.state)
-					if !reflect.DeepEqual(whole.held, changes.held) {
-						t.Fatalf("%q of %q, reading changes since %d, holds %v, not %v", r.node, r.services, all[i].revision, changes.held, whole.held)
+					if !reflect.DeepEqual(complete.held, changes.held) {
+						t.Fatalf("%q of %q, reading changes since %d, holds %v, not %v", r.node, r.services, all[i].revision, changes.held, complete.held)
 					}
 				}
 				if now := held.Read(0, "n1"); !reflect.DeepEqual(heldWant, now) {
--- a/internal/fleet/control/scope_join_test.go
+++ b/internal/fleet/control/scope_join_test.go
@@ -92,9 +92,9 @@
 	}
 	back.services, back.revision = []string{"search"}, 0
 	f.until(t, "leased to the other alone", func() bool {
-		most := f.state.Tenants.Runs["n0"].MaxRates["b"] + f.state.Tenants.Runs["n1"].MaxRates["b"]
-		if pool := f.state.Tenants.Leasable("b"); most > pool*(1+1e-9) {
-			t.Fatalf("T3: %g may be held, of a pool of %g", most, pool)
+		maximum := f.state.Tenants.Runs["n0"].MaxRates["b"] + f.state.Tenants.Runs["n1"].MaxRates["b"]
+		if pool := f.state.Tenants.Leasable("b"); maximum > pool*(1+1e-9) {
+			t.Fatalf("T3: %g may be held, of a pool of %g", maximum, pool)
 		}
 		return f.leased("n0", "b") == 0 && f.leased("n1", "b") > 7
 	}, f.nodes...)
@@ -143,19 +143,19 @@
 	}
 	replayed := New()
 	revision := uint64(0)
-	refused := 0
+	rejected := 0
 	for lines := bufio.NewScanner(bytes.NewReader(raw)); lines.Scan(); {
 		var c Command
 		if err := json.Unmarshal(lines.Bytes(), &c); err != nil {
 			t.Fatal(err)
 		}
 		if _, err := replayed.Apply(c, func() uint64 { revision++; return revision }); err != nil {
-			refused++
+			rejected++
 		}
 	}
 	got, _ := replayed.Snapshot()
-	if !bytes.Equal(got, want) || refused == 0 {
-		t.Errorf("%d refused; replayed %s, want %s", refused, got, want)
+	if !bytes.Equal(got, want) || rejected == 0 {
+		t.Errorf("%d refused; replayed %s, want %s", rejected, got, want)
 	}
 	restored, err := Restore(want)
 	if err != nil {
--- a/internal/fleet/control/scope_test.go
+++ b/internal/fleet/control/scope_test.go
@@ -76,7 +76,7 @@
 }
 
 // playRolloutWithLeaderGone runs two generations and a removal; the leader ends at the numbered command, if there are as many.
-func playRolloutWithLeaderGone(t *testing.T, at int, applied bool) (gone bool) {
+func playRolloutWithLeaderGone(t *testing.T, at int, applied bool) (removed bool) {
 	f := newScopedFleet(t, []string{"billing"}, []string{"billing", "mail"}, []string{"search"})
 	serving := f.nodes[:2]
 	began := f.now
@@ -102,7 +102,7 @@
 					if err != nil {
 						t.Fatal(err)
 					}
-					f.state, gone = state, true
+					f.state, removed = state, true
 					f.judge = NewController(f.set, f.now, f.state)
 					break
 				}
@@ -118,7 +118,7 @@
 	}
 	f.mustDelete(t, "a")
 	run(func() bool { return f.state.Tenants.Phase("a") == tenants.PhaseNone })
-	return gone
+	return removed
 }
 
 // checkCommit holds T5: what is committed all of these nodes have staged.
--- a/internal/fleet/drift/intent_test.go
+++ b/internal/fleet/drift/intent_test.go
@@ -72,10 +72,10 @@
 		change(c)
 		b.Ingest(c.Intended)
 		for n, want := range map[uint64]bool{0: false, first: true, first + 1: false, first + 3: true} {
-			held, whole := b.Expect(n, self)
-			must(t, whole == want, "%s at %d of %d: %v, %v", key, n, first, whole, held)
-			must(t, !whole || (BodyOf(held, key) != nil) == (n == first), "%s at %d: %v", key, n, held)
-			must(t, !whole || (BodyOf(held, "zone/z9") != nil) == (n > first), "%s at %d: %v", key, n, held)
+			held, complete := b.Expect(n, self)
+			must(t, complete == want, "%s at %d of %d: %v, %v", key, n, first, complete, held)
+			must(t, !complete || (BodyOf(held, key) != nil) == (n == first), "%s at %d: %v", key, n, held)
+			must(t, !complete || (BodyOf(held, "zone/z9") != nil) == (n > first), "%s at %d: %v", key, n, held)
 		}
 	}
 }
--- a/internal/fleet/drift/node.go
+++ b/internal/fleet/drift/node.go
@@ -146,8 +146,8 @@
 		*c = treeContent{compared: true, since: now}
 	}
 	c.exchange.takeAnswers(root, letter, r.Applied)
-	keys, ask := c.exchange.differingKeys(t, letter)
-	if c.wanted = ask; len(ask) > 0 || len(keys) == 0 {
+	keys, wanted := c.exchange.differingKeys(t, letter)
+	if c.wanted = wanted; len(wanted) > 0 || len(keys) == 0 {
 		return // what was named before stands until all is named again
 	}
 	c.differences = nil
--- a/internal/fleet/drift/repair_test.go
+++ b/internal/fleet/drift/repair_test.go
@@ -44,14 +44,14 @@
 		j.resends.nextAt, j.disruptive.nextAt = now+time.Hour, now+time.Hour
 	}
 	j.selfSuspecting = c.doubts
-	outs, room := 1, 1
+	outs, capacity := 1, 1
 	if c.room {
-		room = 2
+		capacity = 2
 	}
 	if c.absent {
 		n.repair.abandon()
 	} else {
-		act = j.advanceRepair(now, n, &outs, room)
+		act = j.advanceRepair(now, n, &outs, capacity)
 	}
 	if next = n.repair.Step; next == Idle {
 		next = "idle"
--- a/internal/fleet/drift/scope_test.go
+++ b/internal/fleet/drift/scope_test.go
@@ -70,8 +70,8 @@
 	must(t, err == nil, "%v", err)
 	must(t, BodyOf(held, "tenant/t0") != nil && BodyOf(held, "tenant/bill") != nil, "%v", held)
 	must(t, BodyOf(held, "tenant/find") == nil, "a tenant of another service is expected: %v", held)
-	whole, _ := Expect(c.Intended, fleet.Member{Node: "n000", Zone: "z1"})
-	must(t, len(whole) == len(held)+1, "%d facts without a scope, %d with", len(whole), len(held))
+	complete, _ := Expect(c.Intended, fleet.Member{Node: "n000", Zone: "z1"})
+	must(t, len(complete) == len(held)+1, "%d facts without a scope, %d with", len(complete), len(held))
 }
 
 // A node that holds its scope is in step, whatever changes outside of it, also where it has not heard of that; what it lacks
--- a/internal/fleet/drift/simulation/plants.go
+++ b/internal/fleet/drift/simulation/plants.go
@@ -69,9 +69,9 @@
 }
 
 // found runs the world until the node's verdict has the state and names the item; it gives how long that took.
-func (w *world) found(n *simNode, state, key, field string, most time.Duration) (time.Duration, drift.Verdict) {
+func (w *world) found(n *simNode, state, key, field string, maximum time.Duration) (time.Duration, drift.Verdict) {
 	start, last := w.now, drift.Verdict{}
-	for w.now-start < most {
+	for w.now-start < maximum {
 		w.tick()
 		for _, v := range w.detector.Verdicts(w.now+w.skew, 0, w.state) {
 			if v.Node != n.Node {
@@ -86,7 +86,7 @@
 			}
 		}
 	}
-	return most + 1, last
+	return maximum + 1, last
 }
 
 // sent has the reports from the first to the last count attempts to a zone that is evacuated.
--- a/internal/fleet/drift/simulation/play.go
+++ b/internal/fleet/drift/simulation/play.go
@@ -30,20 +30,20 @@
 func One(seed uint64, nodes int, loss float64, d time.Duration, r Rules) Outcome {
 	p := Plants[seed%uint64(len(Plants))]
 	o := Outcome{Seed: seed, Planted: p.name, Stuck: p.state == drift.Stuck, Alarm: Storm(nodes, seed, loss, r, d)}
-	most := r.Bounds.MaxLag
+	maximum := r.Bounds.MaxLag
 	if loss > 0 {
-		most += slack
+		maximum += slack
 	}
 	if o.Stuck {
-		most += 1500 * ms // the first report after the bound
+		maximum += 1500 * ms // the first report after the bound
 	}
 	w := newWorld(nodes, seed, loss, r)
 	w.run(8 * time.Second)
 	n := w.nodes[seed/uint64(len(Plants))%uint64(nodes)]
 	p.plant(w, n)
-	took, last := w.found(n, p.state, p.key, p.field, most)
-	if o.Took, o.Found = took, took <= most; !o.Found {
-		o.Missed = fmt.Errorf("seed %d: %s: not named in %v: %+v", seed, p.name, most, last)
+	took, last := w.found(n, p.state, p.key, p.field, maximum)
+	if o.Took, o.Found = took, took <= maximum; !o.Found {
+		o.Missed = fmt.Errorf("seed %d: %s: not named in %v: %+v", seed, p.name, maximum, last)
 	}
 	for _, v := range w.detector.Verdicts(w.now+w.skew, 0, w.state) {
 		if o.Alarm == nil && v.Node != n.Node && drift.Drifts(v.State) {
--- a/internal/fleet/drift/simulation/prop_test.go
+++ b/internal/fleet/drift/simulation/prop_test.go
@@ -35,19 +35,19 @@
 	took := map[string][]time.Duration{}
 	for _, p := range Plants {
 		for seed := range uint64(6) {
-			loss, most := 0.0, 3*time.Second
+			loss, maximum := 0.0, 3*time.Second
 			if seed >= 2 {
-				loss, most = 0.05, 6*time.Second
+				loss, maximum = 0.05, 6*time.Second
 			}
 			if p.state == Stuck {
-				most += 1500 * ms // the first report after the bound
+				maximum += 1500 * ms // the first report after the bound
 			}
 			w := newWorld(50, seed, loss, Rules{Defaults(), paged()})
 			w.run(8 * time.Second)
 			n := w.nodes[seed]
 			p.plant(w, n)
-			d, v := w.found(n, p.state, p.key, p.field, most)
-			must(t, d <= most, "%s, seed %d, loss %v: %+v", p.name, seed, loss, v)
+			d, v := w.found(n, p.state, p.key, p.field, maximum)
+			must(t, d <= maximum, "%s, seed %d, loss %v: %+v", p.name, seed, loss, v)
 			kind := fmt.Sprintf("loss %v, stuck %v", loss, p.state == Stuck)
 			took[kind] = append(took[kind], d)
 			for _, o := range w.detector.Verdicts(w.now+w.skew, 0, w.state) {
--- a/internal/fleet/drift/simulation/world.go
+++ b/internal/fleet/drift/simulation/world.go
@@ -117,10 +117,10 @@
 		return
 	}
 	n.fetching = true
-	life, in := n.incarnations, w.Intended
-	w.after(500*ms, func() { n.fetching = n.fetching && n.incarnations != life })
+	incarnation, in := n.incarnations, w.Intended
+	w.after(500*ms, func() { n.fetching = n.fetching && n.incarnations != incarnation })
 	w.deliver(func() {
-		if n.incarnations == life && n.running && w.now >= n.paused && in.Revision > n.revision {
+		if n.incarnations == incarnation && n.running && w.now >= n.paused && in.Revision > n.revision {
 			n.Take(in)
 			n.fetching = false
 		}
@@ -133,13 +133,13 @@
 	if w.random.IntN(50) == 0 {
 		w.replayable = append(w.replayable, r)
 	}
-	life := n.incarnations
-	w.deliver(func() { w.arrive(n, r, life) })
+	incarnation := n.incarnations
+	w.deliver(func() { w.arrive(n, r, incarnation) })
 }
 
-func (w *world) arrive(n *simNode, r fleet.Report, life int) {
+func (w *world) arrive(n *simNode, r fleet.Report, incarnation int) {
 	if w.now < w.paused {
-		w.after(w.paused-w.now, func() { w.arrive(n, r, life) })
+		w.after(w.paused-w.now, func() { w.arrive(n, r, incarnation) })
 		return
 	}
 	if w.detector.Observe(w.now+w.skew, fleet.NodeView{Member: r.Member, ReceivedAt: w.now + w.skew, Report: r}) != nil {
@@ -152,7 +152,7 @@
 	resend, want, _, _ := w.detector.Answer(n.Node)
 	w.resent += len(resend)
 	w.deliver(func() {
-		if n.incarnations != life || !n.running {
+		if n.incarnations != incarnation || !n.running {
 			return
 		}
 		if n.Wanted = want; len(want) > 0 {
--- a/internal/fleet/drift/tree_exchange.go
+++ b/internal/fleet/drift/tree_exchange.go
@@ -84,11 +84,11 @@
 		if _, _, ok := leafRange(path); !ok {
 			continue
 		}
-		facts := t.list(path)
-		if all && listed+len(facts) <= maxListed {
-			listed += len(facts)
+		items := t.list(path)
+		if all && listed+len(items) <= maxListed {
+			listed += len(items)
 			add(fleet.AppliedItem{Key: w, Digest: hex(t.at(path))})
-			for _, f := range facts {
+			for _, f := range items {
 				add(fleet.AppliedItem{Key: f.key, Digest: f.digest})
 			}
 		} else if len(path) < depth {
--- a/internal/fleet/drift/unit_test.go
+++ b/internal/fleet/drift/unit_test.go
@@ -72,20 +72,20 @@
 		ta, tb := NewTree(a), NewTree(b)
 		keys, hashes := Diff(ta, tb)
 		must(t, slices.Equal(keys, differ) && (len(differ) == 0) == (ta.Root() == tb.Root()), "%v, want %v", keys, differ)
-		most := 1 + fanOut + len(differ)*(fanOut+2+2*len(b)/leaves+12)
-		must(t, hashes <= most, "%d hashes for %d keys of %d facts", hashes, len(differ), len(b))
+		maximum := 1 + fanOut + len(differ)*(fanOut+2+2*len(b)/leaves+12)
+		must(t, hashes <= maximum, "%d hashes for %d keys of %d facts", hashes, len(differ), len(b))
 		var x treeExchange
-		var ask []string
+		var wanted []string
 		for round := 0; ; round++ {
 			var r fleet.Report
-			FillReport(&r, b, ask)
+			FillReport(&r, b, wanted)
 			out, _ := json.Marshal(r)
-			must(t, len(out) <= fleet.MaxReportBytes && round <= 5, "round %d: %d bytes, asked for %v", round, len(out), ask)
+			must(t, len(out) <= fleet.MaxReportBytes && round <= 5, "round %d: %d bytes, asked for %v", round, len(out), wanted)
 			if r.AppliedRoot == ta.Root() {
 				break
 			}
 			x.takeAnswers(r.AppliedRoot, fleetTree, r.Applied)
-			if keys, ask = x.differingKeys(ta, fleetTree); len(ask) == 0 {
+			if keys, wanted = x.differingKeys(ta, fleetTree); len(wanted) == 0 {
 				break
 			}
 		}
--- a/internal/fleet/reportdelta/decode.go
+++ b/internal/fleet/reportdelta/decode.go
@@ -69,8 +69,8 @@
 	if err := d.checkLoads(); err != nil {
 		return err
 	}
-	for _, gone := range [][]string{d.ZonesRemoved, d.TenantsRemoved, d.AppliedRemoved} {
-		if err := checkRemoved(gone); err != nil {
+	for _, removed := range [][]string{d.ZonesRemoved, d.TenantsRemoved, d.AppliedRemoved} {
+		if err := checkRemoved(removed); err != nil {
 			return err
 		}
 	}
--- a/internal/fleet/reportdelta/lossy_test.go
+++ b/internal/fleet/reportdelta/lossy_test.go
@@ -162,7 +162,7 @@
 
 // deliver has the agent send a report over a link with faults; a request for the complete report is followed at once.
 func (w *world) deliver(r fleet.Report, fault int) error {
-	for try := range 2 {
+	for attempt := range 2 {
 		m := w.encode(r)
 		switch fault {
 		case 1: // lost
@@ -186,7 +186,7 @@
 		}
 		switch {
 		case !ok && m.difference != nil, ans.SendComplete:
-			if try > 0 {
+			if attempt > 0 {
 				return errors.New("a whole report wished for twice")
 			}
 			w.sender.Forget()
--- a/internal/fleet/reportdelta/reportdelta.go
+++ b/internal/fleet/reportdelta/reportdelta.go
@@ -150,11 +150,11 @@
 	if err != nil {
 		return fleet.Report{}, err
 	}
-	var zonesErr, tenantsErr, heldErr error
+	var zonesErr, tenantsErr, appliedErr error
 	r.Zones, zonesErr = mergeRows(base.Zones, zoneKey, d.Zones, d.ZonesRemoved)
 	r.Tenants, tenantsErr = mergeRows(tenants, tenantKey, d.Tenants, d.TenantsRemoved)
-	r.Applied, heldErr = mergeRows(base.Applied, appliedKey, d.Applied, d.AppliedRemoved)
-	if err := cmp.Or(zonesErr, tenantsErr, heldErr); err != nil {
+	r.Applied, appliedErr = mergeRows(base.Applied, appliedKey, d.Applied, d.AppliedRemoved)
+	if err := cmp.Or(zonesErr, tenantsErr, appliedErr); err != nil {
 		return fleet.Report{}, err
 	}
 	if err := checkSize(&r); err != nil {
--- a/internal/fleet/reportdelta/reportdelta_test.go
+++ b/internal/fleet/reportdelta/reportdelta_test.go
@@ -226,20 +226,20 @@
 
 // What a leader wants of a node's items comes through differences as through complete reports, and goes again from them.
 func TestWantedFactsComeThroughDifferences(t *testing.T) {
-	facts := []fleet.AppliedItem{{Key: "settings", Digest: "00000000000000aa", Body: json.RawMessage(`{ "nodes": 3 }`)},
+	items := []fleet.AppliedItem{{Key: "settings", Digest: "00000000000000aa", Body: json.RawMessage(`{ "nodes": 3 }`)},
 		{Key: "tenant/a", Digest: "00000000000000ab", Body: json.RawMessage(`{"uid": 1}`)},
 		{Key: "tenant/b", Digest: "00000000000000ac", Body: json.RawMessage(`{"uid":2}`)}, {Key: "server/1", Digest: "00000000000000ad"}}
 	var sender Sender
 	var leader Bases
 	for seq, want := range [][]string{nil, {"~*"}, {"tenant/b", "=*"}, {"settings", "~*"}, nil} {
 		r := node(3, 1, uint64(seq+1))
-		drift.FillReport(&r, facts, want)
+		drift.FillReport(&r, items, want)
 		raw, _ := json.Marshal(r)
-		whole, err := fleet.DecodeReport(raw)
+		complete, err := fleet.DecodeReport(raw)
 		if err != nil {
 			t.Fatal(err)
 		}
-		sent, got, baseSeq := Normalize(whole), Normalize(whole), uint64(0)
+		sent, got, baseSeq := Normalize(complete), Normalize(complete), uint64(0)
 		if d, ok := sender.Delta(sent); ok {
 			d, baseSeq = send(t, d), d.BaseSequence
 			base, err := leader.Find(&d)
@@ -252,7 +252,7 @@
 		} else if seq > 0 {
 			t.Fatal("sent whole")
 		}
-		if diff := same(Normalize(whole), got); diff != "" || len(want) > 0 && len(got.Applied) < 2 {
+		if diff := same(Normalize(complete), got); diff != "" || len(want) > 0 && len(got.Applied) < 2 {
 			t.Errorf("seq %d: %d facts: %s", seq, len(got.Applied), diff)
 		}
 		sender.Acknowledged(sent, leader.Keep(got, baseSeq))
@@ -296,20 +296,20 @@
 
 // A difference's bytes follow the tenants with load, whatever the scope holds.
 func TestBytesOfReports(t *testing.T) {
-	least := map[int]int{}
+	minimum := map[int]int{}
 	sizes(func(tenants, active int) {
 		base, next := node(tenants, active, 12), node(tenants, active, 13)
-		whole, _ := json.Marshal(next)
+		complete, _ := json.Marshal(next)
 		raw, err := Encode(mustDiff(t, base, next))
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Logf("%4d tenants, %2d with load: whole %6d, difference %4d bytes", tenants, active, len(whole), len(raw))
-		if least[active] == 0 {
-			least[active] = len(raw)
+		t.Logf("%4d tenants, %2d with load: whole %6d, difference %4d bytes", tenants, active, len(complete), len(raw))
+		if minimum[active] == 0 {
+			minimum[active] = len(raw)
 		}
-		if len(raw) > least[active]+2*active { // the digits of the rows' numbers
-			t.Errorf("%d tenants, %d with load: %d bytes, %d in the smallest scope", tenants, active, len(raw), least[active])
+		if len(raw) > minimum[active]+2*active { // the digits of the rows' numbers
+			t.Errorf("%d tenants, %d with load: %d bytes, %d in the smallest scope", tenants, active, len(raw), minimum[active])
 		}
 	})
 	t.Logf("a base: %d bytes a tenant's row, and its texts", unsafe.Sizeof(fleet.TenantAck{}))
--- a/internal/fleet/sim/leader.go
+++ b/internal/fleet/sim/leader.go
@@ -12,10 +12,10 @@
 
 // intent is one revision of what is intended; it is never changed.
 type intent struct {
-	rev        uint64
+	revision   uint64
 	directives map[string]zones.Entry
 	tenants    map[string]fleet.Tenant
-	shares     map[string]fleet.QuotaLease // by node
+	leases     map[string]fleet.QuotaLease // by node
 }
 
 // within is what a node of these services holds of it.
@@ -31,11 +31,11 @@
 
 // control is the replicated state and the leader of the moment.
 type control struct {
-	s        *Sim
+	sim      *Sim
 	state    zones.State
 	tenants  tenants.State
 	sessions session.State
-	rev      uint64
+	revision uint64
 	intent   *intent
 
 	term             int // of the leader; 0 while there is none
@@ -50,11 +50,11 @@
 // lead elects a new leader.
 func (c *control) lead() {
 	c.terms++
-	c.term, c.clock = c.terms, newClock(c.s.rng)
-	c.leadSince, c.leases = c.clock.read(c.s.now), map[string]time.Duration{}
-	c.zoneController = zones.NewController(c.s.set)
+	c.term, c.clock = c.terms, newClock(c.sim.random)
+	c.leadSince, c.leases = c.clock.read(c.sim.now), map[string]time.Duration{}
+	c.zoneController = zones.NewController(c.sim.settings)
 	c.zoneController.Lead(c.leadSince)
-	c.tenantController = tenants.NewController(tenants.Config{Slots: c.s.plan.Nodes, TTL: ttl})
+	c.tenantController = tenants.NewController(tenants.Config{Slots: c.sim.plan.Nodes, TTL: ttl})
 	c.tenantController.Lead(c.leadSince)
 	c.tick(c.term)
 }
@@ -63,7 +63,7 @@
 	if c.term != term {
 		return
 	}
-	s, now := c.s, c.clock.read(c.s.now)
+	s, now := c.sim, c.clock.read(c.sim.now)
 	for _, m := range c.sessions.List() {
 		if now >= max(c.leases[m.Node], c.leadSince+ttl) {
 			c.sessions.Apply(session.Command{Operation: session.Expire, Member: m})
@@ -87,8 +87,8 @@
 
 // log applies a command a little later. One that is in raft's log when its leader goes may be applied all the same.
 func (c *control) log(term int, apply func()) {
-	c.s.after(2*time.Millisecond+time.Duration(c.s.rng.Int64N(int64(15*time.Millisecond))), func() {
-		if c.term == term || c.s.rng.IntN(2) == 0 {
+	c.sim.after(2*time.Millisecond+time.Duration(c.sim.random.Int64N(int64(15*time.Millisecond))), func() {
+		if c.term == term || c.sim.random.IntN(2) == 0 {
 			apply()
 		}
 	})
@@ -97,7 +97,7 @@
 // present is who is present, as the controller of the tenants is to count them.
 func (c *control) present() tenants.Present {
 	p := tenants.Present{Epoch: c.sessions.ScopeEpoch, Members: c.sessions.List(), Services: c.sessions.ServicesByNode()}
-	if c.s.hooks.forgets {
+	if c.sim.hooks.forgets {
 		p.Services = maps.Clone(p.Services)
 		for node := range p.Services {
 			p.Services[node] = []string{"none at all"}
@@ -108,26 +108,26 @@
 
 func (c *control) apply(cmd zones.Command) {
 	before := maps.Clone(c.state.Directives)
-	changed, err := c.state.Apply(cmd, func() uint64 { c.rev++; return c.rev })
+	changed, err := c.state.Apply(cmd, func() uint64 { c.revision++; return c.revision })
 	if err != nil || len(changed) == 0 {
 		return
 	}
-	c.s.applied(before, cmd, changed)
+	c.sim.applied(before, cmd, changed)
 	c.publish()
 }
 
 // publish sends the newest intent to every node's agent.
 func (c *control) publish() {
-	it := &intent{c.rev, maps.Clone(c.state.Directives), map[string]fleet.Tenant{}, map[string]fleet.QuotaLease{}}
+	it := &intent{c.revision, maps.Clone(c.state.Directives), map[string]fleet.Tenant{}, map[string]fleet.QuotaLease{}}
 	for name, e := range c.tenants.Tenants {
 		it.tenants[name] = e.Tenant
 	}
 	for name, l := range c.tenants.Runs {
-		it.shares[name] = fleet.QuotaLease{Epoch: l.Division, Incarnation: l.Incarnation, Slots: c.tenants.Slots, Rates: maps.Clone(l.Rates)}
+		it.leases[name] = fleet.QuotaLease{Epoch: l.Division, Incarnation: l.Incarnation, Slots: c.tenants.Slots, Rates: maps.Clone(l.Rates)}
 	}
 	c.intent = it
-	for i := range c.s.nodes {
-		c.s.link(i, func() { c.s.nodes[i].hear(it) })
+	for i := range c.sim.nodes {
+		c.sim.link(i, func() { c.sim.nodes[i].hear(it) })
 	}
 }
 
@@ -139,10 +139,10 @@
 	if r.Incarnation < c.sessions.NewestRuns[r.Node].Incarnation {
 		return // 409 older incarnation
 	}
-	now := c.clock.read(c.s.now)
+	now := c.clock.read(c.sim.now)
 	if !c.sessions.Present(r.Member) {
 		share, _ := c.tenants.Item(fleet.KeyLease + "/" + r.Node) // or that it is removed
-		if !c.s.hooks.rejoin && (!tenants.CaughtUp(&c.tenants, r) || r.Revision < max(share.Revision, c.tenants.Compacted())) {
+		if !c.sim.hooks.rejoin && (!tenants.CaughtUp(&c.tenants, r) || r.Revision < max(share.Revision, c.tenants.Compacted())) {
 			return // it is answered as out, and says that it is not ready
 		}
 		c.sessions.Apply(session.Command{Operation: session.Join, Member: r.Member, Services: r.Services})
@@ -151,8 +151,8 @@
 	c.leases[r.Node] = max(c.leases[r.Node], now+ttl)
 	c.zoneController.Observe(now, fleet.NodeView{Member: r.Member, ReceivedAt: now, Report: r})
 	c.tenantController.Observe(now, fleet.NodeView{Member: r.Member, ReceivedAt: now, Report: r})
-	if c.s.hooks.observe != nil {
-		c.s.hooks.observe(c, now, r)
+	if c.sim.hooks.observe != nil {
+		c.sim.hooks.observe(c, now, r)
 	}
-	c.s.link(i, answer)
+	c.sim.link(i, answer)
 }
--- a/internal/fleet/sim/many.go
+++ b/internal/fleet/sim/many.go
@@ -11,31 +11,31 @@
 
 // Summary is what many runs gave together.
 type Summary struct {
-	Runs     int      `json:"plays"`
-	Nodes    int      `json:"nodes"`
-	Stop95   Quantile `json:"stop95_ms"`
-	Spread   Quantile `json:"spread_ms"`
-	Onboard  Quantile `json:"onboard_ms"`
-	Undone   int      `json:"undone"`
-	Losses   int      `json:"losses"`  // of zones
-	Unheard  int      `json:"unheard"` // of them, those that under 95 % of all nodes ever was notified of, down, deaf or stalled ones among them, or that ended before
-	Falls    int      `json:"cold_falls"`
-	Wrong    int      `json:"wrong_leaves"`
-	Steps    int      `json:"steps"`
-	Answered int      `json:"answered"`
-	Rejected int      `json:"refused"`
-	Lost     int      `json:"lost"`
-	Further  int      `json:"further"`
-	Breaches []Result `json:"breaches,omitempty"` // by seed
+	Runs             int      `json:"plays"`
+	Nodes            int      `json:"nodes"`
+	Stop95           Quantile `json:"stop95_ms"`
+	Spread           Quantile `json:"spread_ms"`
+	Onboard          Quantile `json:"onboard_ms"`
+	Undone           int      `json:"undone"`
+	Losses           int      `json:"losses"`  // of zones
+	Unnotified       int      `json:"unheard"` // of them, those that under 95 % of all nodes ever was notified of, down, deaf or stalled ones among them, or that ended before
+	WarmingOverloads int      `json:"cold_falls"`
+	WrongEvacuations int      `json:"wrong_leaves"`
+	Steps            int      `json:"steps"`
+	Answered         int      `json:"answered"`
+	Rejected         int      `json:"refused"`
+	Lost             int      `json:"lost"`
+	Retries          int      `json:"further"`
+	Breaches         []Result `json:"breaches,omitempty"` // by seed
 }
 
 // Quantile is a figure over all losses.
 type Quantile struct {
-	Min int64
+	Min int64 `json:"Least"`
 	P50 int64
 	P95 int64
 	P99 int64
-	Max int64
+	Max int64 `json:"Most"`
 }
 
 func quantile(all []int64) (q Quantile) {
@@ -63,19 +63,19 @@
 				mu.Lock()
 				sum.Runs += 1
 				sum.Nodes = p.Nodes
-				sum.Losses = sum.Losses + len(r.Stop95) + r.Unheard
+				sum.Losses = sum.Losses + len(r.Stop95) + r.Unnotified
 				stop = append(stop, r.Stop95...)
 				spread = append(spread, r.Spread...)
 				onboard = append(onboard, r.Onboard...)
 				sum.Undone += r.Undone
-				sum.Unheard += r.Unheard
-				sum.Falls += r.Falls
-				sum.Wrong += r.Wrong
+				sum.Unnotified += r.Unnotified
+				sum.WarmingOverloads += r.WarmingOverloads
+				sum.WrongEvacuations += r.WrongEvacuations
 				sum.Steps += r.Steps
 				sum.Answered += r.Answered
 				sum.Rejected += r.Rejected
 				sum.Lost += r.Lost
-				sum.Further += r.Further
+				sum.Retries += r.Retries
 				if r.Breach != nil {
 					sum.Breaches = append(sum.Breaches, r)
 					fmt.Fprintf(tell, "seed %d, %d nodes: %v\n", seed, p.Nodes, r.Breach)
--- a/internal/fleet/sim/node.go
+++ b/internal/fleet/sim/node.go
@@ -11,57 +11,57 @@
 )
 
 const (
-	ttl       = 6 * time.Second
-	leasePart = 0.96 // of ttl that the agent counts by its own clock
-	demand    = 8.0  // requests/s of a node
-	tickTime  = 100 * time.Millisecond
-	lostTime  = 200 * time.Millisecond // until an attempt without an answer has ended
-	avoid     = time.Second            // a server that lost two attempts running
+	ttl            = 6 * time.Second
+	agentLeasePart = 0.96 // of ttl that the agent counts by its own clock
+	nodeDemand     = 8.0  // requests/s of a node
+	tickInterval   = 100 * time.Millisecond
+	lossTimeout    = 200 * time.Millisecond // until an attempt without an answer has ended
+	avoidTime      = time.Second            // a server that lost two attempts running
 )
 
 // node is a node and its agent: one process run after another on one machine.
 type node struct {
-	s      *Sim
-	i      int
-	name   string
-	zone   int
-	clock  clock
-	run    int // of the process; events of an older one are dropped
-	down   bool
-	inc    uint64
-	keys   [][2]string   // by zone: of its directives for all and for the node's zone
-	frozen time.Duration // stands still until then
+	sim          *Sim
+	index        int
+	name         string
+	zone         int
+	clock        clock
+	process      int // of the process; events of an older one are dropped
+	down         bool
+	incarnation  uint64
+	keys         [][2]string   // by zone: of its directives for all and for the node's zone
+	stalledUntil time.Duration // stands still until then
 
-	intent    *intent
-	confirmed time.Duration // by its clock: when its intent was last confirmed
-	until     time.Duration // by its clock: its session is held until then
-	seq       uint64
+	intent      *intent
+	confirmedAt time.Duration // by its clock: when its intent was last confirmed
+	leasedUntil time.Duration // by its clock: its session is held until then
+	sequence    uint64
 
-	module  *module // nil: the node's own simple way of sending
-	owed    float64
-	counts  []fleet.ZoneEvidence
-	touched []map[int][2]int // by zone and server: attempts, lost
-	since   time.Duration    // by its clock: the window's begin
-	losing  []losing         // attempts that will turn out lost
-	bad     map[[2]int]badness
-	paces   map[[2]int]pace
+	module      *module // nil: the node's own simple way of sending
+	dueRequests float64
+	counts      []fleet.ZoneEvidence
+	touched     []map[int][2]int // by zone and server: attempts, lost
+	windowStart time.Duration    // by its clock: the window's begin
+	losing      []lostAttempt    // attempts that will turn out lost
+	avoided     map[[2]int]avoidedServer
+	paces       map[[2]int]pace
 }
 
-type losing struct {
-	end  time.Duration
-	zone int
-	id   int
+type lostAttempt struct {
+	endsAt time.Duration
+	zone   int
+	id     int
 }
 
-type badness struct {
-	n     int
-	until time.Duration
+type avoidedServer struct {
+	failures int
+	until    time.Duration
 }
 
 // pace is a server's budget at this node.
 type pace struct {
-	tokens float64
-	at     float64
+	tokens    float64
+	updatedAt float64
 }
 
 func (s *Sim) newNode(i int) *node {
@@ -70,53 +70,53 @@
 	for _, y := range s.zones {
 		keys = append(keys, [2]string{zones.Key(y, ""), zones.Key(y, s.zones[z])})
 	}
-	n := &node{s: s, keys: keys, i: i, zone: z, name: fmt.Sprintf("%s%d", s.zones[z], i), clock: newClock(s.rng), intent: &intent{}}
+	n := &node{sim: s, keys: keys, index: i, zone: z, name: fmt.Sprintf("%s%d", s.zones[z], i), clock: newClock(s.random), intent: &intent{}}
 	s.nodes = append(s.nodes, n)
 	return n
 }
 
 // start begins a new process run: it has what its agent's disk has, as old as can be.
 func (n *node) start() {
-	n.run++
-	n.inc++
+	n.process++
+	n.incarnation++
 	n.down = false
-	n.seq = 0
-	n.until = 0
-	now := n.clock.read(n.s.now)
-	n.confirmed, n.since = now-time.Hour, now
+	n.sequence = 0
+	n.leasedUntil = 0
+	now := n.clock.read(n.sim.now)
+	n.confirmedAt, n.windowStart = now-time.Hour, now
 	n.losing = nil
-	n.bad = map[[2]int]badness{}
+	n.avoided = map[[2]int]avoidedServer{}
 	n.paces = map[[2]int]pace{}
 	n.clear()
-	if n.s.plan.Module {
+	if n.sim.plan.Module {
 		n.decides()
 	}
-	n.every(tickTime, n.traffic)
+	n.every(tickInterval, n.traffic)
 	n.every(250*time.Millisecond, n.report)
 	n.every(time.Second, n.poll)
 }
 
 func (n *node) clear() {
-	n.counts = make([]fleet.ZoneEvidence, n.s.plan.Zones)
-	n.touched = make([]map[int][2]int, n.s.plan.Zones)
+	n.counts = make([]fleet.ZoneEvidence, n.sim.plan.Zones)
+	n.touched = make([]map[int][2]int, n.sim.plan.Zones)
 }
 
 // every does something each d by the node's clock while this run lasts and is not frozen.
 func (n *node) every(d time.Duration, do func()) {
-	run := n.run
+	run := n.process
 	var next func()
 	next = func() {
-		if n.run != run || n.down {
+		if n.process != run || n.down {
 			return
 		}
-		if wait := n.frozen - n.s.now; wait > 0 {
-			n.s.after(wait, next)
+		if wait := n.stalledUntil - n.sim.now; wait > 0 {
+			n.sim.after(wait, next)
 			return
 		}
 		do()
-		n.s.after(n.clock.lasts(d), next)
+		n.sim.after(n.clock.lasts(d), next)
 	}
-	n.s.after(time.Duration(n.s.rng.Int64N(int64(d))), next)
+	n.sim.after(time.Duration(n.sim.random.Int64N(int64(d))), next)
 }
 
 // hear takes an answer of a replica: never an older one than it has.
@@ -124,41 +124,41 @@
 	if n.down {
 		return
 	}
-	if wait := n.frozen - n.s.now; wait > 0 {
-		run := n.run
-		n.s.after(wait, func() {
-			if n.run == run {
+	if wait := n.stalledUntil - n.sim.now; wait > 0 {
+		run := n.process
+		n.sim.after(wait, func() {
+			if n.process == run {
 				n.hear(it)
 			}
 		})
 		return
 	}
-	if it.rev < n.intent.rev && !n.s.hooks.takeOld {
+	if it.revision < n.intent.revision && !n.sim.hooks.takeOld {
 		return
 	}
-	if it.rev < n.intent.rev {
-		n.s.breach("revision", "%s goes back from %d to %d", n.name, n.intent.rev, it.rev)
+	if it.revision < n.intent.revision {
+		n.sim.recordBreach("revision", "%s goes back from %d to %d", n.name, n.intent.revision, it.revision)
 	}
-	n.intent, n.confirmed = it.within(n.services()), n.clock.read(n.s.now)
+	n.intent, n.confirmedAt = it.within(n.services()), n.clock.read(n.sim.now)
 	if n.module != nil {
 		n.module.updateZones()
 	}
-	n.s.heard(n)
+	n.sim.heard(n)
 }
 
 // poll asks a replica whether there is anything new.
 func (n *node) poll() {
-	n.s.link(n.i, func() {
-		it := n.s.control.intent
-		n.s.link(n.i, func() { n.hear(it) })
+	n.sim.link(n.index, func() {
+		it := n.sim.control.intent
+		n.sim.link(n.index, func() { n.hear(it) })
 	})
 }
 
 func (n *node) report() {
-	now := n.clock.read(n.s.now)
-	r := fleet.Report{Member: n.member(), Services: n.services(), Revision: n.intent.rev, Ready: true, WindowMS: (now - n.since).Milliseconds()}
-	n.seq++
-	r.Sequence = n.seq
+	now := n.clock.read(n.sim.now)
+	r := fleet.Report{Member: n.member(), Services: n.services(), Revision: n.intent.revision, Ready: true, WindowMS: (now - n.windowStart).Milliseconds()}
+	n.sequence++
+	r.Sequence = n.sequence
 	if n.module != nil {
 		n.module.window(&r)
 	}
@@ -166,7 +166,7 @@
 		if n.module != nil {
 			break
 		}
-		c.Zone, c.Listed = n.s.zones[z], n.s.plan.Servers
+		c.Zone, c.Listed = n.sim.zones[z], n.sim.plan.Servers
 		for _, t := range n.touched[z] {
 			c.Servers++
 			if t[0] == t[1] {
@@ -175,15 +175,15 @@
 		}
 		r.Zones = append(r.Zones, c)
 	}
-	n.since = now
+	n.windowStart = now
 	n.clear()
 	n.lie(&r)
 	n.acknowledge(&r)
-	run := n.run
-	n.s.link(n.i, func() {
-		n.s.control.report(n.i, r, func() {
-			if n.run == run && !n.down && n.s.now >= n.frozen {
-				n.until = max(n.until, now+time.Duration(n.s.holdPart*float64(ttl)))
+	run := n.process
+	n.sim.link(n.index, func() {
+		n.sim.control.report(n.index, r, func() {
+			if n.process == run && !n.down && n.sim.now >= n.stalledUntil {
+				n.leasedUntil = max(n.leasedUntil, now+time.Duration(n.sim.leasePart*float64(ttl)))
 			}
 		})
 	})
@@ -192,16 +192,16 @@
 // lying reports whether a node is a liar now.
 func (s *Sim) lying(name string) bool {
 	return slices.ContainsFunc(s.nodes, func(n *node) bool {
-		return n.name == name && slices.ContainsFunc(s.plan.Faults, func(f Fault) bool { return f.Kind == Liar && f.on(s.now) && f.node(n.i) })
+		return n.name == name && slices.ContainsFunc(s.plan.Faults, func(f Fault) bool { return f.Kind == Liar && f.isActive(s.now) && f.hits(n.index) })
 	})
 }
 
 // lie makes the report a liar's while its fault is on.
 func (n *node) lie(r *fleet.Report) {
-	for _, f := range n.s.plan.Faults {
-		if f.Kind == Liar && f.on(n.s.now) && f.node(n.i) {
+	for _, f := range n.sim.plan.Faults {
+		if f.Kind == Liar && f.isActive(n.sim.now) && f.hits(n.index) {
 			for z := range r.Zones {
-				if c := &r.Zones[z]; z == f.Zone || f.P > 0.5 {
+				if c := &r.Zones[z]; z == f.Zone || f.Probability > 0.5 {
 					*c = fleet.ZoneEvidence{Zone: c.Zone, Listed: c.Listed, Attempts: 1000, Lost: 1000, Servers: c.Listed, LostServers: c.Listed, Started: 1000}
 				}
 			}
@@ -210,7 +210,7 @@
 }
 
 func (n *node) member() fleet.Member {
-	return fleet.Member{Node: n.name, Zone: n.s.zones[n.zone], Incarnation: n.inc}
+	return fleet.Member{Node: n.name, Zone: n.sim.zones[n.zone], Incarnation: n.incarnation}
 }
 
 // portion is what the node may do at a zone, and whether by a directive.
@@ -218,54 +218,54 @@
 	if len(n.intent.directives) == 0 {
 		return zones.NodeShare{Share: 1}
 	}
-	past := n.clock.read(n.s.now)-n.confirmed > n.s.set.DirectiveLifetime && !n.s.hooks.ageless
+	past := n.clock.read(n.sim.now)-n.confirmedAt > n.sim.settings.DirectiveLifetime && !n.sim.hooks.ageless
 	p := zones.NodeShare{Share: 1}
 	for _, key := range n.keys[zone] {
 		if e, ok := n.intent.directives[key]; ok {
 			p = zones.MergeShares(zones.NodeShareOf(e.Directive, n.name, past), p)
 		}
 	}
-	p.Rate *= n.s.hooks.greed
+	p.Rate *= n.sim.hooks.greed
 	return p
 }
 
 // traffic sends the requests of one tick.
 func (n *node) traffic() {
-	s, now := n.s, n.clock.read(n.s.now)
-	n.losing = slices.DeleteFunc(n.losing, func(l losing) bool {
-		if s.now < l.end {
+	s, now := n.sim, n.clock.read(n.sim.now)
+	n.losing = slices.DeleteFunc(n.losing, func(l lostAttempt) bool {
+		if s.now < l.endsAt {
 			return false
 		}
 		n.ended(l.zone, l.id, false)
 		return true
 	})
-	shares := make([]zones.NodeShare, s.plan.Zones)
-	for z := range shares {
-		shares[z] = n.portion(z)
-		s.stopped(n, z, shares[z].Share == 0)
+	portions := make([]zones.NodeShare, s.plan.Zones)
+	for z := range portions {
+		portions[z] = n.portion(z)
+		s.stopped(n, z, portions[z].Share == 0)
 	}
 	if n.module != nil {
 		s.node(n, now)
 		return
 	}
-	for n.owed += demand * tickTime.Seconds(); n.owed >= 1; n.owed-- {
+	for n.dueRequests += nodeDemand * tickInterval.Seconds(); n.dueRequests >= 1; n.dueRequests-- {
 		for attempt := range 2 {
-			zone, id, ok := n.choose(shares, now, attempt)
+			zone, id, ok := n.choose(portions, now, attempt)
 			if !ok {
-				s.res.Rejected++
+				s.result.Rejected++
 				break
 			}
 			if attempt > 0 {
-				s.res.Further++
+				s.result.Retries++
 			}
 			n.counts[zone].Started++
 			if s.request(n, zone, id) {
-				s.res.Answered++
+				s.result.Answered++
 				n.ended(zone, id, true)
 				break
 			}
-			n.losing = append(n.losing, losing{s.now + lostTime, zone, id})
-			s.res.Lost++
+			n.losing = append(n.losing, lostAttempt{s.now + lossTimeout, zone, id})
+			s.result.Lost++
 		}
 	}
 	s.node(n, now)
@@ -273,25 +273,25 @@
 
 // choose picks a server: of a zone on trial first, else by the zones' shares; none that lost two attempts running of
 // late, none whose budget is spent.
-func (n *node) choose(shares []zones.NodeShare, now time.Duration, attempt int) (zone, id int, ok bool) {
-	s := n.s
+func (n *node) choose(portions []zones.NodeShare, now time.Duration, attempt int) (zone, id int, ok bool) {
+	s := n.sim
 	total := 0.0
-	for z, p := range shares {
+	for z, p := range portions {
 		if p.Trial && attempt == 0 {
-			if id := s.rng.IntN(s.plan.Servers); n.spend(z, id, p.Rate, now) {
+			if id := s.random.IntN(s.plan.Servers); n.spend(z, id, p.Rate, now) {
 				return z, id, true
 			}
 		}
 		total += p.Share
 	}
 	for range 4 {
-		at := s.rng.Float64() * total
-		for z, p := range shares {
+		at := s.random.Float64() * total
+		for z, p := range portions {
 			if at -= p.Share; at >= 0 || p.Share == 0 {
 				continue
 			}
-			id := s.rng.IntN(s.plan.Servers)
-			if now >= n.bad[[2]int{z, id}].until && (p.Rate == 0 || n.spend(z, id, p.Rate, now)) {
+			id := s.random.IntN(s.plan.Servers)
+			if now >= n.avoided[[2]int{z, id}].until && (p.Rate == 0 || n.spend(z, id, p.Rate, now)) {
 				return z, id, true
 			}
 			break
@@ -306,9 +306,9 @@
 	p, ok := n.paces[key]
 	at := now.Seconds()
 	if !ok {
-		p = pace{n.s.rng.Float64(), at}
+		p = pace{n.sim.random.Float64(), at}
 	}
-	p = pace{math.Min(1, p.tokens+rate*(at-p.at)), at}
+	p = pace{math.Min(1, p.tokens+rate*(at-p.updatedAt)), at}
 	took := p.tokens >= 1
 	if took {
 		p.tokens--
@@ -327,17 +327,17 @@
 	t[0]++
 	c.Attempts++
 	key := [2]int{zone, id}
-	b := n.bad[key]
+	b := n.avoided[key]
 	if answered {
 		c.Answered++
-		delete(n.bad, key)
+		delete(n.avoided, key)
 	} else {
 		c.Lost++
 		t[1]++
-		if b.n++; b.n >= 2 {
-			b.until = n.clock.read(n.s.now) + avoid
+		if b.failures++; b.failures >= 2 {
+			b.until = n.clock.read(n.sim.now) + avoidTime
 		}
-		n.bad[key] = b
+		n.avoided[key] = b
 	}
 	n.touched[zone][id] = t
 }
--- a/internal/fleet/sim/queue.go
+++ b/internal/fleet/sim/queue.go
@@ -25,16 +25,16 @@
 }
 
 type event struct {
-	at  time.Duration
-	seq int
-	do  func()
+	due    time.Duration
+	order  int
+	action func()
 }
 
 type queue []event
 
 func (q queue) Len() int { return len(q) }
 func (q queue) Less(i, j int) bool {
-	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].seq < q[j].seq
+	return q[i].due < q[j].due || q[i].due == q[j].due && q[i].order < q[j].order
 }
 func (q queue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 func (q *queue) Push(x any)   { *q = append(*q, x.(event)) }
@@ -53,19 +53,19 @@
 
 // link carries one message of node i's to or from the control plane: late, twice or never. Later ones may overtake it.
 func (s *Sim) link(i int, arrive func()) {
-	d := 500*time.Microsecond + time.Duration(s.rng.Int64N(int64(s.plan.Jitter)+1))
-	lost := s.rng.Float64() < s.plan.Loss
+	d := 500*time.Microsecond + time.Duration(s.random.Int64N(int64(s.plan.Jitter)+1))
+	lost := s.random.Float64() < s.plan.Loss
 	for _, f := range s.plan.Faults {
-		if !f.on(s.now) || !f.node(i) {
+		if !f.isActive(s.now) || !f.hits(i) {
 			continue
 		}
 		switch f.Kind {
 		case Deaf:
 			lost = true
 		case Slow:
-			d += time.Duration(s.rng.Int64N(int64(time.Second)))
+			d += time.Duration(s.random.Int64N(int64(time.Second)))
 		case Twice:
-			s.after(d+time.Duration(s.rng.Int64N(int64(2*time.Second))), arrive)
+			s.after(d+time.Duration(s.random.Int64N(int64(2*time.Second))), arrive)
 		}
 	}
 	if !lost {
@@ -75,16 +75,16 @@
 
 // Breach is a rule that was broken.
 type Breach struct {
-	Rule string        `json:"rule"`
-	At   time.Duration `json:"at"`
-	What string        `json:"what"`
+	Rule   string        `json:"rule"`
+	Time   time.Duration `json:"at"`
+	Detail string        `json:"what"`
 }
 
-func (b *Breach) Error() string { return fmt.Sprintf("%s at %v: %s", b.Rule, b.At, b.What) }
+func (b *Breach) Error() string { return fmt.Sprintf("%s at %v: %s", b.Rule, b.Time, b.Detail) }
 
-// breach notes the first breach, which ends the run.
-func (s *Sim) breach(rule, format string, args ...any) {
-	if s.broken == nil {
-		s.broken = &Breach{rule, s.now, fmt.Sprintf(format, args...)}
+// recordBreach notes the first breach, which ends the run.
+func (s *Sim) recordBreach(rule, format string, args ...any) {
+	if s.breach == nil {
+		s.breach = &Breach{rule, s.now, fmt.Sprintf(format, args...)}
 	}
 }
--- a/internal/fleet/sim/rules.go
+++ b/internal/fleet/sim/rules.go
@@ -14,14 +14,14 @@
 
 // applied checks what a command did: Z1, Z2 and Z4.
 func (s *Sim) applied(before map[string]zones.Entry, cmd zones.Command, changed []string) {
-	s.res.Steps++
+	s.result.Steps++
 	after := s.control.state.Directives
 	for _, f := range s.plan.Faults { // what has been a reason for a zone to be left
 		if f.Kind == ZoneLost || f.Kind == ZoneGray || f.Kind == ZoneCut {
-			if f.on(s.now) {
-				s.trouble[f.Zone] = max(s.trouble[f.Zone], s.now)
-			} else if f.At <= s.now {
-				s.trouble[f.Zone] = max(s.trouble[f.Zone], f.At+f.For)
+			if f.isActive(s.now) {
+				s.lastFault[f.Zone] = max(s.lastFault[f.Zone], s.now)
+			} else if f.Start <= s.now {
+				s.lastFault[f.Zone] = max(s.lastFault[f.Zone], f.Start+f.Duration)
 			}
 		}
 	}
@@ -30,44 +30,44 @@
 		zone := slices.Index(s.zones, y)
 		old, had := before[key]
 		e, has := after[key]
-		entered, known := s.entered[key]
-		s.entered[key] = s.now
-		s.left[y] = true
+		entered, known := s.phaseSince[key]
+		s.phaseSince[key] = s.now
+		s.directed[y] = true
 		switch {
-		case !had && s.now-s.trouble[zone] > 5*time.Second && !(x != "" && s.lied(zone)):
-			s.res.Wrong++
-			s.breach("Z1", "%s left by %s, and nothing was wrong there: %v", key, e.Reason, cmd)
+		case !had && s.now-s.lastFault[zone] > 5*time.Second && !(x != "" && s.lied(zone)):
+			s.result.WrongEvacuations++
+			s.recordBreach("Z1", "%s left by %s, and nothing was wrong there: %v", key, e.Reason, cmd)
 		case !has:
 			if old.Share < 1 || old.Step != len(bounds.Steps) {
-				s.breach("Z4", "%s served again at step %d", key, old.Step)
+				s.recordBreach("Z4", "%s served again at step %d", key, old.Step)
 			}
 		case old.Phase == fleet.Evacuated && e.Phase == fleet.Probation:
 			hold := min(bounds.InitialBackoff<<min(old.Relapses, 10), bounds.MaxBackoff)
 			if known && s.now-entered < hold*98/100 {
-				s.breach("Z4", "%s tried %v after it was left, relapse %d", key, s.now-entered, old.Relapses)
+				s.recordBreach("Z4", "%s tried %v after it was left, relapse %d", key, s.now-entered, old.Relapses)
 			}
 		case old.Phase == fleet.Recovering && e.Phase == fleet.Recovering && e.Step > old.Step:
 			if e.Step != old.Step+1 || known && s.now-entered < bounds.MinStepTime*98/100 {
-				s.breach("Z4", "%s from step %d to %d after %v", key, old.Step, e.Step, s.now-entered)
+				s.recordBreach("Z4", "%s from step %d to %d after %v", key, old.Step, e.Step, s.now-entered)
 			}
 		}
 		if e.Phase == fleet.Evacuated {
-			delete(s.lowest, key)
+			delete(s.lowestShare, key)
 			s.enough(key)
 		}
 		if e.Phase == fleet.Recovering {
-			low, ok := s.lowest[key]
+			low, ok := s.lowestShare[key]
 			if !ok {
-				s.first[key], low = e.Revision, e.Share
+				s.firstRevision[key], low = e.Revision, e.Share
 			}
-			s.lowest[key] = math.Min(low, e.Share)
+			s.lowestShare[key] = math.Min(low, e.Share)
 		}
 	}
 }
 
 // lied reports whether a liar may have had its own zone leave.
 func (s *Sim) lied(zone int) bool {
-	return slices.ContainsFunc(s.plan.Faults, func(f Fault) bool { return f.Kind == Liar && f.At <= s.now && s.plan.Nodes < 2*s.plan.Zones })
+	return slices.ContainsFunc(s.plan.Faults, func(f Fault) bool { return f.Kind == Liar && f.Start <= s.now && s.plan.Nodes < 2*s.plan.Zones })
 }
 
 // enough checks Z2: the servers that stay, for the nodes of every zone.
@@ -84,31 +84,31 @@
 			stay += share
 		}
 		if stay < bounds.MinServersPart*float64(len(s.zones))-1e-9 {
-			s.breach("Z2", "%s left: %g of %d zones stay for nodes of %s", key, stay, len(s.zones), x)
+			s.recordBreach("Z2", "%s left: %g of %d zones stay for nodes of %s", key, stay, len(s.zones), x)
 		}
 	}
 }
 
 // node checks what one node does at its tick: sessions, Z5, and with all the others Z3.
 func (s *Sim) node(n *node, now time.Duration) {
-	if now < n.until {
+	if now < n.leasedUntil {
 		if !s.control.sessions.Present(n.member()) {
-			s.breach("session", "%s holds its session, and the control plane has lapsed it", n.name)
+			s.recordBreach("session", "%s holds its session, and the control plane has lapsed it", n.name)
 		}
 	}
-	if now-n.confirmed > bounds.DirectiveLifetime+tickTime {
+	if now-n.confirmedAt > bounds.DirectiveLifetime+tickInterval {
 		for z := range s.zones {
 			for _, key := range n.keys[z] {
 				e, ok := n.intent.directives[key]
-				low, returning := s.lowest[key]
-				if ok && returning && e.Phase == fleet.Recovering && e.Revision >= s.first[key] && n.portion(z).Share > low+1e-9 {
-					s.breach("Z5", "%s has not heard for %v and has %g of %s, which had %g", n.name, now-n.confirmed, n.portion(z).Share, key, low)
+				low, returning := s.lowestShare[key]
+				if ok && returning && e.Phase == fleet.Recovering && e.Revision >= s.firstRevision[key] && n.portion(z).Share > low+1e-9 {
+					s.recordBreach("Z5", "%s has not heard for %v and has %g of %s, which had %g", n.name, now-n.confirmedAt, n.portion(z).Share, key, low)
 				}
 			}
 		}
 	}
 	s.serves(n)
-	if n.i == 0 {
+	if n.index == 0 {
 		s.budgets()
 		s.quotas()
 	}
@@ -118,18 +118,18 @@
 // budget that any of them has heard.
 func (s *Sim) budgets() {
 	for z, y := range s.zones {
-		sum, most := 0.0, 0.0
+		sum, maximum := 0.0, 0.0
 		for _, n := range s.nodes {
 			e, ok := n.intent.directives[n.keys[z][0]]
 			if n.down || !ok || e.Budget <= 0 {
 				continue
 			}
 			if p := n.portion(z); p.Share > 0 || p.Trial {
-				sum, most = sum+p.Rate, math.Max(most, e.Budget)
+				sum, maximum = sum+p.Rate, math.Max(maximum, e.Budget)
 			}
 		}
-		if sum > most*(1+1e-9) {
-			s.breach("Z3", "parts of %s add up to %g, over the budget of %g", y, sum, most)
+		if sum > maximum*(1+1e-9) {
+			s.recordBreach("Z3", "parts of %s add up to %g, over the budget of %g", y, sum, maximum)
 		}
 	}
 }
--- a/internal/fleet/sim/sim_test.go
+++ b/internal/fleet/sim/sim_test.go
@@ -38,7 +38,7 @@
 func TestCalm(t *testing.T) {
 	for _, nodes := range []int{30, 100} {
 		sum := Many(t.Context(), func(s uint64) Plan { return Calm(s, nodes) }, 1, 5, 4, io.Discard)
-		if len(sum.Breaches) > 0 || sum.Falls > 0 || sum.Wrong > 0 || sum.Unheard > 0 || sum.Stop95.Max > 2500 || sum.Spread.Max > 500 {
+		if len(sum.Breaches) > 0 || sum.WarmingOverloads > 0 || sum.WrongEvacuations > 0 || sum.Unnotified > 0 || sum.Stop95.Max > 2500 || sum.Spread.Max > 500 {
 			t.Errorf("%+v", sum)
 		}
 	}
@@ -83,10 +83,10 @@
 				}
 			}
 		}},
-		{"no panic threshold, and room for anything", "Z2", 26, func(s *Sim) { s.set.MinServersPart, s.set.CapacityFactor = 0, 1e3 }},
+		{"no panic threshold, and room for anything", "Z2", 26, func(s *Sim) { s.settings.MinServersPart, s.settings.CapacityFactor = 0, 1e3 }},
 		{"nodes take thrice their part", "Z3", 0, func(s *Sim) { s.hooks.greed = 3 }},
-		{"no hold-off", "Z4", 0, func(s *Sim) { s.set.InitialBackoff = 100 * time.Millisecond }},
-		{"a step begins before the last was seen", "Z4", 0, func(s *Sim) { s.set.MinStepTime, s.set.MinStepAnswers, s.set.SlowStartWindow = 0, 0, 0 }},
+		{"no hold-off", "Z4", 0, func(s *Sim) { s.settings.InitialBackoff = 100 * time.Millisecond }},
+		{"a step begins before the last was seen", "Z4", 0, func(s *Sim) { s.settings.MinStepTime, s.settings.MinStepAnswers, s.settings.SlowStartWindow = 0, 0, 0 }},
 		{"the floor is the newest share", "Z5", 15, entry(func(e *zones.Entry) {
 			if e.Step > 1 {
 				e.Floor = e.Share
@@ -97,7 +97,7 @@
 		{"a node serves by what is staged", "T1", 0, func(s *Sim) { s.hooks.staged = true }},
 		{"the judge forgets nodes of the scope", "T5", 0, func(s *Sim) { s.hooks.forgets = true }},
 		{"a run is back before it has heard what changed", "T3", 0, func(s *Sim) { s.hooks.rejoin = true }},
-		{"an agent counts to the whole ttl and more", "session", 8, func(s *Sim) { s.holdPart = 1.15 }},
+		{"an agent counts to the whole ttl and more", "session", 8, func(s *Sim) { s.leasePart = 1.15 }},
 		{"all of a cold zone at once", "cold", 52, entry(func(e *zones.Entry) {
 			if e.Step > 0 {
 				e.Share, e.Budget = 1, 50*e.Budget
@@ -132,7 +132,7 @@
 		p.Module = true
 		return p
 	}, 3, 3, 3, io.Discard)
-	if len(sum.Breaches) > 0 || sum.Wrong > 0 {
+	if len(sum.Breaches) > 0 || sum.WrongEvacuations > 0 {
 		t.Errorf("%+v", sum)
 	}
 }
--- a/internal/fleet/sim/tenants.go
+++ b/internal/fleet/sim/tenants.go
@@ -28,11 +28,11 @@
 
 // operate does what an operator wants, at the generation that there is; where the leader is away or a rollout is on it
 // attempts again a second later.
-func (s *Sim) operate(c Change, tries int) {
-	if tries > 20 {
+func (s *Sim) operate(c Change, attempts int) {
+	if attempts > 20 {
 		return
 	}
-	again := func() { s.after(time.Second, func() { s.operate(c, tries+1) }) }
+	again := func() { s.after(time.Second, func() { s.operate(c, attempts+1) }) }
 	if s.control.term == 0 {
 		again()
 		return
@@ -51,7 +51,7 @@
 		if err := s.control.applyTenants(cmd); errors.Is(err, fleet.ErrConflict) {
 			again()
 		} else if e := s.control.tenants.Tenants[c.Tenant]; err == nil && c.Rate > 0 && e != nil && e.Staged != nil {
-			s.rollouts = append(s.rollouts, &rollout{name: c.Tenant, put: put, uid: e.UID, gen: e.Staged.Number, digest: e.Staged.Digest, refuse: c.Refuse, heard: map[int]bool{}})
+			s.rollouts = append(s.rollouts, &rollout{name: c.Tenant, put: put, uid: e.UID, gen: e.Staged.Number, digest: e.Staged.Digest, refuse: c.Rejected, heard: map[int]bool{}})
 		}
 	})
 }
@@ -62,12 +62,12 @@
 
 // applyTenants changes the replicated tenants, and notes what is committed: T5, all present runs have staged it.
 func (c *control) applyTenants(cmd tenants.Command) error {
-	s := c.s
+	s := c.sim
 	var staged *fleet.Generation
 	if e := c.tenants.Tenants[cmd.Name]; e != nil {
 		staged = e.Staged
 	}
-	changed, err := c.tenants.Apply(cmd, c.sessions.ScopeEpoch, func() uint64 { c.rev++; return c.rev })
+	changed, err := c.tenants.Apply(cmd, c.sessions.ScopeEpoch, func() uint64 { c.revision++; return c.revision })
 	if err != nil {
 		return err
 	}
@@ -77,13 +77,13 @@
 			if r.name == cmd.Name && r.uid == e.UID && r.digest == staged.Digest && !r.committed {
 				r.committed = true
 				if r.refuse && c.counts(s.nodes[0], e.Service()) { // one that is not counts for no rollout
-					s.breach("T5", "%s committed at %d, which %s refuses", r.name, r.gen, s.nodes[0].name)
+					s.recordBreach("T5", "%s committed at %d, which %s refuses", r.name, r.gen, s.nodes[0].name)
 				}
 			}
 		}
 		for _, n := range s.nodes {
 			if c.sessions.Present(n.member()) && c.counts(n, e.Service()) && !n.down && !n.knows(cmd.Name, e.UID, staged.Digest) {
-				s.breach("T5", "%s committed at %d, and %s has not staged it", cmd.Name, staged.Number, n.name)
+				s.recordBreach("T5", "%s committed at %d, and %s has not staged it", cmd.Name, staged.Number, n.name)
 			}
 		}
 	}
@@ -101,8 +101,8 @@
 
 // services are those of the node's scope; none: every service.
 func (n *node) services() []string {
-	if scopes := n.s.plan.Scopes; len(scopes) > 0 {
-		return scopes[n.i%len(scopes)]
+	if scopes := n.sim.plan.Scopes; len(scopes) > 0 {
+		return scopes[n.index%len(scopes)]
 	}
 	return nil
 }
@@ -115,7 +115,7 @@
 
 // rejects reports whether this node can't stage a generation: the first node, where the change says so.
 func (n *node) refuses(name string, uid uint64, digest string) bool {
-	return n.i == 0 && slices.ContainsFunc(n.s.rollouts, func(r *rollout) bool {
+	return n.index == 0 && slices.ContainsFunc(n.sim.rollouts, func(r *rollout) bool {
 		return r.refuse && r.name == name && r.uid == uid && r.digest == digest && !r.committed
 	})
 }
@@ -124,7 +124,7 @@
 func (n *node) acknowledge(r *fleet.Report) {
 	for _, name := range slices.Sorted(maps.Keys(n.intent.tenants)) {
 		t := n.intent.tenants[name]
-		a := fleet.TenantAck{Name: name, UID: t.UID, Offered: float64(1 + n.i%5)}
+		a := fleet.TenantAck{Name: name, UID: t.UID, Offered: float64(1 + n.index%5)}
 		if t.Committed != nil {
 			a.Committed, a.Digest = t.Committed.Number, t.Committed.Digest
 		}
@@ -144,10 +144,10 @@
 		if r.done > 0 || !r.committed || t.UID != r.uid || t.Committed == nil || t.Committed.Number < r.gen {
 			continue
 		}
-		r.heard[n.i] = true
+		r.heard[n.index] = true
 		all := true
 		for _, o := range s.nodes {
-			all = all && (r.heard[o.i] || !s.control.counts(o, t.Service()))
+			all = all && (r.heard[o.index] || !s.control.counts(o, t.Service()))
 		}
 		if all {
 			r.done = s.now
@@ -161,7 +161,7 @@
 	switch {
 	case t.Removing:
 		return nil
-	case n.s.hooks.staged && t.Staged != nil:
+	case n.sim.hooks.staged && t.Staged != nil:
 		return t.Staged
 	}
 	return t.Committed
@@ -172,7 +172,7 @@
 	for _, name := range slices.Sorted(maps.Keys(n.intent.tenants)) {
 		t := n.intent.tenants[name]
 		if g := n.by(name); g != nil && !s.committed[generation(name, t.UID, g)] {
-			s.breach("T1", "%s serves %s by generation %d, which is not committed", n.name, name, g.Number)
+			s.recordBreach("T1", "%s serves %s by generation %d, which is not committed", n.name, name, g.Number)
 		}
 	}
 }
@@ -197,18 +197,18 @@
 			quota = math.Max(quota, g.Spec.Quota.Rate)
 			sum += fleet.GuaranteedPart * g.Spec.Quota.Rate / float64(s.plan.Nodes)
 			now := n.clock.read(s.now)
-			if sh := n.intent.shares[n.name]; now < n.until && sh.Incarnation == n.inc && n.intent.tenants[name].UID == e.UID {
+			if sh := n.intent.leases[n.name]; now < n.leasedUntil && sh.Incarnation == n.incarnation && n.intent.tenants[name].UID == e.UID {
 				sum += sh.Rates[name]
 			}
-			if now < n.until && s.control.sessions.Present(n.member()) && n.intent.tenants[name].UID == e.UID {
+			if now < n.leasedUntil && s.control.sessions.Present(n.member()) && n.intent.tenants[name].UID == e.UID {
 				lo, hi = min(lo, g.Number), max(hi, g.Number)
 			}
 		}
 		if hi > lo+1 {
-			s.breach("T2", "present nodes serve %s by generations %d to %d", name, lo, hi)
+			s.recordBreach("T2", "present nodes serve %s by generations %d to %d", name, lo, hi)
 		}
 		if sum > quota*(1+1e-9)+1e-9 {
-			s.breach("T3", "nodes may admit %g of %s, whose quota is %g", sum, name, quota)
+			s.recordBreach("T3", "nodes may admit %g of %s, whose quota is %g", sum, name, quota)
 		}
 	}
 }
--- a/internal/fleet/tenants/bench_test.go
+++ b/internal/fleet/tenants/bench_test.go
@@ -30,7 +30,7 @@
 			}
 		}
 	}
-	judge := NewController(Config{Slots: benchNodes, TTL: 6 * time.Second})
+	controller := NewController(Config{Slots: benchNodes, TTL: 6 * time.Second})
 	var present []fleet.Member
 	for i := range benchNodes {
 		member := fleet.Member{Node: fmt.Sprintf("n%04d", i), Incarnation: 1}
@@ -40,9 +40,9 @@
 			report.Tenants = append(report.Tenants, fleet.TenantAck{Name: name, UID: entry.UID, Committed: 1,
 				Digest: entry.Committed.Digest, Offered: float64((i + len(name)) % 7)})
 		}
-		judge.Observe(0, fleet.NodeView{Member: member, Report: report})
+		controller.Observe(0, fleet.NodeView{Member: member, Report: report})
 	}
-	return state, judge, present
+	return state, controller, present
 }
 
 // BenchmarkCapacityDivision is the first division of every quota among 100 nodes: decided by the controller and applied to the
@@ -53,10 +53,10 @@
 			size := 0
 			for b.Loop() {
 				b.StopTimer()
-				state, judge, present := benchDivision(b, n)
+				state, controller, present := benchDivision(b, n)
 				rev := uint64(1_000_000)
 				b.StartTimer()
-				commands := judge.Step(time.Second, state, Present{Epoch: firstEpoch, Members: present})
+				commands := controller.Step(time.Second, state, Present{Epoch: firstEpoch, Members: present})
 				if len(commands) != 1 || commands[0].Operation != Divide {
 					b.Fatalf("%d commands", len(commands))
 				}
--- a/internal/fleet/tenants/page_test.go
+++ b/internal/fleet/tenants/page_test.go
@@ -280,9 +280,9 @@
 }
 
 func (f *fixture) effect(t *testing.T, effect string, err error, before uint64) {
-	want, refused := strings.CutPrefix(effect, "refused: ")
+	want, rejected := strings.CutPrefix(effect, "refused: ")
 	kinds := map[string]error{"conflict": fleet.ErrConflict, "not found": fleet.ErrNotFound, "names": fleet.ErrInvalid, "stale": ErrStale}
-	if !refused {
+	if !rejected {
 		if err != nil {
 			t.Errorf("error %v", err)
 		}
--- a/internal/fleet/tenants/quota_divider_test.go
+++ b/internal/fleet/tenants/quota_divider_test.go
@@ -133,15 +133,15 @@
 	for c.s.Tenants["lulu"].Committed.Number == 1 && c.now < began+10*time.Second {
 		c.run(t, 100*time.Millisecond)
 	}
-	if most := c.s.maxLeased("lulu"); most > 30.001 {
-		t.Errorf("committed 50 with %g leased next to floors of 20", most)
+	if maximum := c.s.maxLeased("lulu"); maximum > 30.001 {
+		t.Errorf("committed 50 with %g leased next to floors of 20", maximum)
 	}
 	if d := c.now - began; d > 3*time.Second {
 		t.Errorf("committed %v after it was put", d)
 	}
 	c.run(t, 5*time.Second)
-	if most := c.s.maxLeased("lulu"); most < 39.9 || most > 40.001 {
-		t.Errorf("%g leased of the smaller quota, want 40", most)
+	if maximum := c.s.maxLeased("lulu"); maximum < 39.9 || maximum > 40.001 {
+		t.Errorf("%g leased of the smaller quota, want 40", maximum)
 	}
 }
 
--- a/internal/fleet/tenants/simulation/act.go
+++ b/internal/fleet/tenants/simulation/act.go
@@ -71,8 +71,8 @@
 			m.fail("%s rests in %s", name, p)
 			return
 		}
-		if pool, most := m.state.Leasable(name), maxLeased(m.state, name); most < 0.95*pool && m.anyone(e) || pool < 0.79*e.Committed.Spec.Quota.Rate {
-			m.fail("%s rests with %g leased of %g, quota %g", name, most, pool, e.Committed.Spec.Quota.Rate)
+		if pool, maximum := m.state.Leasable(name), maxLeased(m.state, name); maximum < 0.95*pool && m.anyone(e) || pool < 0.79*e.Committed.Spec.Quota.Rate {
+			m.fail("%s rests with %g leased of %g, quota %g", name, maximum, pool, e.Committed.Spec.Quota.Rate)
 		}
 		for _, r := range m.runs {
 			if t := r.applied.tenants[name]; !r.ended && fleet.Serves(r.services, e.Service()) && (t.UID != e.UID || t.Committed.Number != e.Committed.Number) {
--- a/internal/fleet/zones/evidence.go
+++ b/internal/fleet/zones/evidence.go
@@ -224,10 +224,10 @@
 		return values
 	}
 	slices.Sort(above)
-	most := maxMedianFactor * above[(len(above)-1)/2]
+	maximum := maxMedianFactor * above[(len(above)-1)/2]
 	out := slices.Clone(values)
 	for i, x := range out {
-		out[i] = min(x, most)
+		out[i] = min(x, maximum)
 	}
 	return out
 }
--- a/internal/invariants/fleet.go
+++ b/internal/invariants/fleet.go
@@ -15,7 +15,7 @@
 	Key     string // "zone/Y", "zone/Y@X" or "tenant/NAME"
 	Rev     uint64
 	At      time.Duration
-	Removed bool
+	Removed bool `json:"Gone"`
 	// Of a zone:
 	Phase  string
 	Share  float64
@@ -49,17 +49,17 @@
 	At     time.Duration
 }
 
-// Fleet is what the checker reads of a run with a control plane.
+// Fleet is what the checker reads of a run with a control plane. The tags keep the names that records.json has had.
 type Fleet struct {
-	IntentChanges       []IntentChange // in the order seen
+	IntentChanges       []IntentChange `json:"Told"` // in the order seen
 	Verdicts            []Verdict
 	Planted             []Planted
-	UnreachableAttempts []UnreachableAttempt
+	UnreachableAttempts []UnreachableAttempt `json:"Tries"`
 	NodeZone            []string
 	ServerZone          map[string]string
 	Faulted             map[string]time.Duration // by zone: when a fault first touched its servers, or ways to them
 	Settings            map[string]bool          // tenants of the nodes' settings: served until intent names them
-	Incarnations        int                      // of nodes, for the tokens that each incarnation starts with
+	Incarnations        int                      `json:"Lives"` // of nodes, for the tokens that each incarnation starts with
 }
 
 // Bounds of the pages: how long a node has to stop after a directive is sent, and drift to be found.
--- a/internal/lab/events.go
+++ b/internal/lab/events.go
@@ -195,9 +195,9 @@
 // leaveFront takes a node out of the front once the front notices, as PROTOCOL's front does after some seconds,
 // unless it has a new life by then.
 func (f *fleet) leaveFront(n *node, after time.Duration) {
-	life := n.ended()
+	incarnation := n.ended()
 	time.AfterFunc(after, func() {
-		if n.ended() == life {
+		if n.ended() == incarnation {
 			n.inFront.Store(false)
 		}
 	})
--- a/internal/lab/excuses.go
+++ b/internal/lab/excuses.go
@@ -48,18 +48,18 @@
 
 // drain is what the front does about a node that was sent SIGTERM. Nothing that the node loses is excused.
 func (f *fleet) drain(n *node) {
-	life := n.ended()
+	incarnation := n.ended()
 	if n.wait(0) {
 		return
 	}
 	n.termAt.Store(int64(f.rec.Since()))
 	time.AfterFunc(dealtAfterTerm, func() {
-		if n.ended() == life {
+		if n.ended() == incarnation {
 			n.dealt.Store(false)
 		}
 	})
 	f.wg.Go(func() {
-		<-life
+		<-incarnation
 		n.inFront.Store(false)
 	})
 }
--- a/internal/lab/report/fleet.go
+++ b/internal/lab/report/fleet.go
@@ -66,9 +66,9 @@
 	var took []float64
 	for _, s := range r.Sightings {
 		when, ok := at[s.Of]
-		_, gone := at[s.By]
+		_, removed := at[s.By]
 		switch {
-		case s.State != "dead" || gone:
+		case s.State != "dead" || removed:
 		case !ok:
 			out.False++
 		case s.At >= when && !seen[[2]int{s.By, s.Of}]:
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -218,15 +218,15 @@
 	p.Title.Text = r.Scenario.Name + ": answers a second"
 	p.X.Label.Text = "s"
 	p.Y.Label.Text = "requests/s"
-	var served, refused plotter.XYs
+	var served, rejected plotter.XYs
 	top := 1.0
 	for i, bucket := range perSecond(r) {
 		ph := phase(bucket, float64(i), float64(i+1), "")
 		served = append(served, plotter.XY{X: float64(i), Y: float64(ph.Served)})
-		refused = append(refused, plotter.XY{X: float64(i), Y: float64(ph.Refused + ph.Failed)})
+		rejected = append(rejected, plotter.XY{X: float64(i), Y: float64(ph.Refused + ph.Failed)})
 		top = max(top, float64(ph.Sent))
 	}
-	if err := addLines(p, "served", served, color.RGBA{G: 140, A: 255}, "refused or failed", refused, color.RGBA{R: 200, A: 255}); err != nil {
+	if err := addLines(p, "served", served, color.RGBA{G: 140, A: 255}, "refused or failed", rejected, color.RGBA{R: 200, A: 255}); err != nil {
 		return nil, err
 	}
 	markEvents(p, r, top)
--- a/internal/lab/simulated/experiment.go
+++ b/internal/lab/simulated/experiment.go
@@ -188,15 +188,15 @@
 }
 
 // otherRate has a node hold another rate of the tenant than the one it received.
-func otherRate(facts []fleet.AppliedItem) []fleet.AppliedItem {
-	for i, h := range facts {
+func otherRate(items []fleet.AppliedItem) []fleet.AppliedItem {
+	for i, h := range items {
 		var b fleet.AppliedTenant
 		if h.Key == "tenant/brand" && json.Unmarshal(h.Body, &b) == nil && b.Committed != nil {
 			b.Committed.Rate = 999
-			facts[i], _, _ = drift.AppliedItemOf(h.Key, b)
+			items[i], _, _ = drift.AppliedItemOf(h.Key, b)
 		}
 	}
-	return facts
+	return items
 }
 
 func (r *run) drifts(p Plan) error {
--- a/internal/lab/simulated/report.go
+++ b/internal/lab/simulated/report.go
@@ -113,23 +113,23 @@
 	return func() []fleet.ZoneEvidence {
 		var out []fleet.ZoneEvidence
 		for _, z := range []string{"za", "zb", "zc"} {
-			tries := 8
+			attempts := 8
 			if d, ok := n.directiveLocked("zone/" + z); ok {
-				tries = int(d.Share * 8)
+				attempts = int(d.Share * 8)
 				switch {
 				case d.Share > 0:
-					tries = max(tries, 1)
+					attempts = max(attempts, 1)
 				case d.Phase == fleet.Probation && slices.Contains(d.TrialNodes, n.Name):
-					tries = 2
+					attempts = 2
 				}
 			}
-			c := fleet.ZoneEvidence{Zone: z, Attempts: tries, Servers: min(tries, 4), Answered: tries, Listed: 4, Started: tries, Rate: 20}
+			c := fleet.ZoneEvidence{Zone: z, Attempts: attempts, Servers: min(attempts, 4), Answered: attempts, Listed: 4, Started: attempts, Rate: 20}
 			if z == zone && lost.Load() {
 				c.Lost = c.Attempts
 				c.LostServers = c.Servers
 				c.Answered = 0
 			}
-			if tries > 0 {
+			if attempts > 0 {
 				out = append(out, c)
 			} else {
 				out = append(out, fleet.ZoneEvidence{Zone: z, Listed: 4})
--- a/internal/lab/stub/cold_test.go
+++ b/internal/lab/stub/cold_test.go
@@ -23,15 +23,15 @@
 // over two spans, or once it is warm, do not. The fall names who sent what, and ends after the cold time.
 func TestColdFallIsTheRuleAtItsEdge(t *testing.T) {
 	rule := SlowStart{From: 0.4, For: 10 * time.Second, Factor: 4, Span: 1500 * time.Millisecond, Rate: 10}
-	most := int(rule.Allowed(0)) // 41
+	maximum := int(rule.Allowed(0)) // 41
 	for name, c := range map[string]struct {
 		n     int
 		from  time.Duration
 		apart time.Duration
 		falls bool
 	}{
-		"as many at once":     {most, 0, 0, false},
-		"one more at once":    {most + 1, 0, 0, true},
+		"as many at once":     {maximum, 0, 0, false},
+		"one more at once":    {maximum + 1, 0, 0, true},
 		"slowly":              {200, 0, time.Second / 24, false},
 		"fast enough to fell": {200, 0, time.Second / 60, true},
 		"warm":                {500, 10 * time.Second, 0, false},
--- a/internal/node/accept.go
+++ b/internal/node/accept.go
@@ -74,16 +74,16 @@
 
 // bodyDeadline is when a body that does not begin is given up.
 func (c *clientConn) bodyDeadline() time.Time {
-	least := time.Now().Add(bodyStartTimeout)
+	minimum := time.Now().Add(bodyStartTimeout)
 	switch {
 	case c == nil:
-		return least
+		return minimum
 	case c.reused.Swap(true):
 		return time.Now().Add(reusedBodyTimeout)
-	case c.acceptedAt.Add(bodyConnDeadline).After(least):
+	case c.acceptedAt.Add(bodyConnDeadline).After(minimum):
 		return c.acceptedAt.Add(bodyConnDeadline)
 	}
-	return least
+	return minimum
 }
 
 // Accept counts a connection before it returns it: net/http tracks it only later, and a drain that saw none in between
--- a/internal/node/client_left_test.go
+++ b/internal/node/client_left_test.go
@@ -69,18 +69,18 @@
 			client, _, _ := f.dial(t)
 			io.WriteString(client, message("read", "9.5", ""))
 			<-came
-			lives := make(chan context.Context, 1)
+			incarnations := make(chan context.Context, 1)
 			f.loop.post(func() {
 				for _, r := range f.loop.requests {
-					lives <- r.context
+					incarnations <- r.context
 				}
 			})
-			life := <-lives
+			incarnation := <-incarnations
 			let := f.hold()
 			io.WriteString(client, more)
 			leave(client, reset)
 			select {
-			case <-life.Done():
+			case <-incarnation.Done():
 			case <-time.After(5 * time.Second): // its patience is longer
 				t.Errorf("%q before the end, reset %v: the life goes on", more, reset)
 			}
@@ -100,10 +100,10 @@
 	for range cap(f.loop.events) {
 		f.loop.post(func() {})
 	}
-	gone, _, _ := f.dial(t)
-	io.WriteString(gone, message("order", "9.5", "b"))
+	removed, _, _ := f.dial(t)
+	io.WriteString(removed, message("order", "9.5", "b"))
 	await(t, "the request is read", func() bool { return f.openRequests.Load() == 1 })
-	gone.Close()
+	removed.Close()
 	await(t, "it ends with its client", func() bool { return f.openRequests.Load() == 0 })
 	stays, r, _ := f.dial(t)
 	io.WriteString(stays, message("order", "0.05", "b"))
@@ -177,10 +177,10 @@
 	t.Parallel()
 	const rest = 30000
 	for _, chunked := range []bool{false, true} {
-		whole := make(chan error, 1)
+		complete := make(chan error, 1)
 		addr := backend(t, func(c net.Conn) {
 			_, _, err := wholeRequest(bufio.NewReader(c))
-			whole <- err
+			complete <- err
 		})
 		c := &Config{Settings: settings(), Known: known(addr)}
 		b := newUpstreams(c, 10, quiet)
@@ -200,7 +200,7 @@
 		if client := (uploadError{}); !errors.As(res.err, &client) {
 			t.Errorf("chunked %v: %v, want the client's end", chunked, res.err)
 		}
-		if err := <-whole; err == nil {
+		if err := <-complete; err == nil {
 			t.Errorf("chunked %v: the app server has the whole request", chunked)
 		}
 	}
--- a/internal/node/connection_ends_test.go
+++ b/internal/node/connection_ends_test.go
@@ -124,14 +124,14 @@
 // An answer that is held is begun on, and its connection is reset in that moment: it does not end as if it were whole.
 func TestResetAsAnAnswerIsBegun(t *testing.T) {
 	t.Parallel()
-	begun, gone := make(chan struct{}), make(chan struct{})
+	begun, removed := make(chan struct{}), make(chan struct{})
 	addr := backend(t, func(c net.Conn) {
 		http.ReadRequest(bufio.NewReader(c))
 		io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\nbegun")
 		<-begun
 		c.(*net.TCPConn).SetLinger(0)
 		c.Close()
-		close(gone)
+		close(removed)
 	})
 	b := newUpstreams(&Config{Settings: settings()}, 10, quiet)
 	b.update(known(addr))
@@ -139,7 +139,7 @@
 	ended := make(chan error, 1)
 	x.onStream = func(_ *http.Response, held []byte, rest *io.PipeReader) {
 		close(begun)
-		<-gone
+		<-removed
 		go func() {
 			more, err := io.ReadAll(rest)
 			if string(held)+string(more) != "begun" {
--- a/internal/node/connections.go
+++ b/internal/node/connections.go
@@ -88,8 +88,8 @@
 }
 
 // waitUntilNone waits until no connection is open, but not for longer than most.
-func (c *connections) waitUntilNone(most time.Duration) {
-	for begun := time.Now(); c.open() > 0 && time.Since(begun) < most; time.Sleep(drainPollInterval) {
+func (c *connections) waitUntilNone(maximum time.Duration) {
+	for begun := time.Now(); c.open() > 0 && time.Since(begun) < maximum; time.Sleep(drainPollInterval) {
 	}
 }
 
@@ -134,11 +134,11 @@
 }
 
 // closeIdle closes the connections that have been idle for that long.
-func (c *connections) closeIdle(least time.Duration) {
+func (c *connections) closeIdle(minimum time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for conn, since := range c.idle {
-		if time.Since(since) >= least {
+		if time.Since(since) >= minimum {
 			c.close(conn)
 		}
 	}
@@ -146,11 +146,11 @@
 
 // closeIdleForOthers closes those that a client can't count on, or all if there are too many with those of a newer process.
 func (c *connections) closeIdleForOthers() {
-	least := minIdleTime
+	minimum := minIdleTime
 	if c.overLimit() {
-		least = 0
+		minimum = 0
 	}
-	c.closeIdle(least)
+	c.closeIdle(minimum)
 }
 
 // close closes an idle connection, but not one on which a request has come or is being read: its client would have to
--- a/internal/node/discovery.go
+++ b/internal/node/discovery.go
@@ -184,7 +184,7 @@
 func (d *discoveryClient) watch(ctx context.Context, since uint64, slack time.Duration, update func(endpointList)) error {
 	wait := firstWatchTimeout
 	for first := true; ; first = false {
-		asked := time.Now()
+		requested := time.Now()
 		l, err := d.call(ctx, fmt.Sprintf("?since=%d&timeout_ms=%d", since, wait.Milliseconds()), wait+slack)
 		if err != nil {
 			return err
@@ -193,7 +193,7 @@
 			update(l)
 		}
 		// An agent may answer at once, always: that must not become a busy loop. A watch goes on over 200 ms.
-		if !first && l.version == since && time.Since(asked) < minWatchInterval {
+		if !first && l.version == since && time.Since(requested) < minWatchInterval {
 			select {
 			case <-ctx.Done():
 			case <-time.After(minWatchInterval):
--- a/internal/node/drain_test.go
+++ b/internal/node/drain_test.go
@@ -60,14 +60,14 @@
 // What is being read when the listener closes is rejected and not dropped: it may have come complete too late to be served.
 func TestDrainAnswersWhatIsBeingRead(t *testing.T) {
 	t.Parallel()
-	var whole atomic.Int64
+	var complete atomic.Int64
 	began := make(chan struct{})
 	addr := backend(t, func(c net.Conn) {
 		r := bufio.NewReader(c)
 		if req, err := http.ReadRequest(r); err == nil {
 			close(began)
 			if _, err := io.Copy(io.Discard, req.Body); err == nil {
-				whole.Add(1)
+				complete.Add(1)
 			}
 		}
 	})
@@ -98,8 +98,8 @@
 			t.Errorf("request %d: %+v, %v", i, resp, err)
 		}
 	}
-	if err := <-n.ended; err != nil || whole.Load() > 0 {
-		t.Errorf("ended with %v, %d bodies passed on whole", err, whole.Load())
+	if err := <-n.ended; err != nil || complete.Load() > 0 {
+		t.Errorf("ended with %v, %d bodies passed on whole", err, complete.Load())
 	}
 }
 
--- a/internal/node/endpoint_races_test.go
+++ b/internal/node/endpoint_races_test.go
@@ -229,14 +229,14 @@
 func TestListBreaksOff(t *testing.T) {
 	t.Parallel()
 	for _, pushed := range []bool{true, false} {
-		asked := make(chan string, 99)
+		requested := make(chan string, 99)
 		go1 := make(chan struct{})
 		go2 := make(chan struct{})
 		var second atomic.Int64
 		addr := backend(t, func(c net.Conn) {
 			answering(func(r *http.Request, _ []byte) string {
 				since := r.FormValue("since")
-				if asked <- since; since == "1" {
+				if requested <- since; since == "1" {
 					return jsonList(2, true, "ready", addrA)
 				}
 				switch second.Add(1) {
@@ -257,15 +257,15 @@
 			})(c)
 		})
 		l := testLoop(t, pushed, netip.MustParseAddrPort(addr))
-		if first, second := <-asked, <-asked; first != "1" || second != "2" {
+		if first, second := <-requested, <-requested; first != "1" || second != "2" {
 			t.Errorf("asked from %s and %s, want 1 and 2", first, second)
 		}
 		close(go1)
-		if since := <-asked; since != "2" || l.listed() != addrA {
+		if since := <-requested; since != "2" || l.listed() != addrA {
 			t.Errorf("after half an answer: asked from %s, the server at %q", since, l.listed())
 		}
 		close(go2)
-		if since := <-asked; since != "2" {
+		if since := <-requested; since != "2" {
 			t.Errorf("after an empty answer: asked from %s, want 2", since)
 		}
 		await(t, "the change between two calls", func() bool { return l.listed() == addrC })
@@ -277,15 +277,15 @@
 func TestOlderVersionIsFollowed(t *testing.T) {
 	t.Parallel()
 	for _, pushed := range []bool{true, false} {
-		for _, whole := range []bool{true, false} {
-			asked := make(chan string, 99)
+		for _, complete := range []bool{true, false} {
+			requested := make(chan string, 99)
 			l := testLoop(t, pushed, registry(t, func(_ int, q url.Values) string {
-				asked <- q.Get("since")
+				requested <- q.Get("since")
 				switch q.Get("since") {
 				case "1":
 					return jsonList(41, true, "ready", addrA)
 				case "41":
-					if whole {
+					if complete {
 						return jsonList(0, true, "ready", addrB)
 					}
 					return ok(`{"version":0,"full":false,"servers":[]}`)
@@ -296,8 +296,8 @@
 				return ""
 			}))
 			for _, want := range []string{"1", "41", "0", "5"} {
-				if since := <-asked; since != want {
-					t.Errorf("pushed %v, whole %v: asked from %s, want %s", pushed, whole, since, want)
+				if since := <-requested; since != want {
+					t.Errorf("pushed %v, whole %v: asked from %s, want %s", pushed, complete, since, want)
 				}
 			}
 			await(t, "the change after the restart", func() bool { return l.listed() == addrC })
--- a/internal/node/exchange.go
+++ b/internal/node/exchange.go
@@ -146,7 +146,7 @@
 		return result{code: policy.Reset, err: err}, false
 	}
 	defer resp.Body.Close()
-	body, whole, err := readAnswer(ctx, c, x, resp)
+	body, complete, err := readAnswer(ctx, c, x, resp)
 	if err != nil {
 		code := policy.Reset
 		if errors.Is(err, errClientClosed) {
@@ -154,7 +154,7 @@
 		}
 		return result{code: code, err: err}, false
 	}
-	if !whole { // it has gone to the client
+	if !complete { // it has gone to the client
 		return result{code: policy.OK, report: parseReport(resp.Header.Get("X-Backend-Load"))}, !resp.Close
 	}
 	// An answer that may have no body ends with its head, whatever length it states: what it may mean as a body is on its
--- a/internal/node/exclusions_test.go
+++ b/internal/node/exclusions_test.go
@@ -43,13 +43,13 @@
 	}
 	dir := t.TempDir()
 	n := start(t, config(dir))
-	ask := func(n *testNode, count int) {
+	poll := func(n *testNode, count int) {
 		t.Helper()
 		for range count {
 			n.served(t)
 		}
 	}
-	for end := time.Now().Add(patient); first.Load() == 0 || second.Load() == 0; ask(n, 1) {
+	for end := time.Now().Add(patient); first.Load() == 0 || second.Load() == 0; poll(n, 1) {
 		if time.Now().After(end) {
 			t.Fatal("not both servers are in use")
 		}
@@ -66,14 +66,14 @@
 		}
 	}
 	was := first.Load()
-	ask(n, 20)
+	poll(n, 20)
 	updates <- jsonList(2, false, "gone", one)
 	updates <- jsonList(3, false, "ready", one)
-	ask(n, 20)
+	poll(n, 20)
 	n.stop()
 	<-n.ended
 	n = start(t, config(dir))
-	ask(n, 20)
+	poll(n, 20)
 	if got := first.Load() - was; got > 0 {
 		t.Errorf("the server that is out got %d requests", got)
 	}
@@ -81,7 +81,7 @@
 		t.Errorf("include: %q", got)
 	}
 	for end := time.Now().Add(patient); first.Load() == was; {
-		if ask(n, 1); time.Now().After(end) {
+		if poll(n, 1); time.Now().After(end) {
 			t.Fatal("given back it is not used")
 		}
 	}
--- a/internal/node/fleet_client.go
+++ b/internal/node/fleet_client.go
@@ -125,7 +125,7 @@
 	m, retry := agentclient.NewIntentMirror(f.member), backoff.NewExponentialBackOff()
 	retry.InitialInterval, retry.MaxInterval = minIntentInterval, intentTimeout
 	for ctx.Err() == nil {
-		asked := time.Now()
+		requested := time.Now()
 		in, came, err := f.intent(ctx, m)
 		if err == nil {
 			err = m.Merge(in)
@@ -137,7 +137,7 @@
 		} else {
 			retry.Reset()
 			f.applyIntent(m, came, in.CaughtUp)
-			if !m.Changed && came.Sub(asked) < minIntentInterval { // an agent may answer at once, always
+			if !m.Changed && came.Sub(requested) < minIntentInterval { // an agent may answer at once, always
 				pause = f.Report
 			}
 		}
@@ -162,9 +162,9 @@
 }
 
 // applyIntent has the loop tell the module of the last answer, and waits for it.
-func (f *fleetClient) applyIntent(m *agentclient.IntentMirror, came time.Time, whole bool) {
+func (f *fleetClient) applyIntent(m *agentclient.IntentMirror, came time.Time, complete bool) {
 	done := make(chan struct{})
-	told := f.loop.post(func() {
+	notified := f.loop.post(func() {
 		defer close(done)
 		for _, e := range m.Events(time.Since(came)) {
 			f.loop.handle(e)
@@ -173,11 +173,11 @@
 		if m.Changed {
 			f.log.Info("fleet intent applied", "revision", m.Revision, "tenants", len(m.ChangedTenants), "age", m.Age)
 		}
-		if whole {
+		if complete {
 			f.sync()
 		}
 	})
-	if !told {
+	if !notified {
 		return
 	}
 	select {
--- a/internal/node/fleet_client_test.go
+++ b/internal/node/fleet_client_test.go
@@ -266,8 +266,8 @@
 	for range 1000 {
 		f.logFault(t.Context(), "intent", err)
 	}
-	most := 1 + int(time.Since(began)/faultLogInterval)
-	if lines := strings.Count(text.String(), "\n"); f.faults.Load() != 1000 || lines < 1 || lines > most || text.Len() > 2*maxFaultText*most {
+	maximum := 1 + int(time.Since(began)/faultLogInterval)
+	if lines := strings.Count(text.String(), "\n"); f.faults.Load() != 1000 || lines < 1 || lines > maximum || text.Len() > 2*maxFaultText*maximum {
 		t.Errorf("%d faults, %d bytes logged", f.faults.Load(), text.Len())
 	}
 }
--- a/internal/node/hotrestart.go
+++ b/internal/node/hotrestart.go
@@ -62,11 +62,11 @@
 	}
 	second := []unix.SockFilter{{Code: unix.BPF_RET | unix.BPF_K, K: 1}}
 	program := unix.SockFprog{Len: uint16(len(second)), Filter: &second[0]}
-	var refused error
+	var rejected error
 	err = raw.Control(func(fd uintptr) {
-		refused = unix.SetsockoptSockFprog(int(fd), unix.SOL_SOCKET, unix.SO_ATTACH_REUSEPORT_CBPF, &program)
+		rejected = unix.SetsockoptSockFprog(int(fd), unix.SOL_SOCKET, unix.SO_ATTACH_REUSEPORT_CBPF, &program)
 	})
-	return errors.Join(err, refused)
+	return errors.Join(err, rejected)
 }
 
 // hotRestart shares the limits with the other process of an upgrade. A nil *hotRestart knows of no other.
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -207,9 +207,9 @@
 // divideSockets returns the most connections from clients and to servers, with descriptors left for all else: discovery, the
 // admin API and the fleet's agent are reached however many clients there are.
 func divideSockets(sockets int) (clients, servers int) {
-	room := sockets - reservedSockets
-	clients = int(float64(room) * clientSocketsPart)
-	return clients, room - clients
+	capacity := sockets - reservedSockets
+	clients = int(float64(capacity) * clientSocketsPart)
+	return clients, capacity - clients
 }
 
 // runEvery does something again and again until ctx ends.
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -163,7 +163,7 @@
 // When the client goes, its attempt's connection is closed, so that the backend can stop.
 func TestClientLeft(t *testing.T) {
 	t.Parallel()
-	came, gone := make(chan struct{}), make(chan struct{})
+	came, removed := make(chan struct{}), make(chan struct{})
 	addr := backend(t, func(c net.Conn) {
 		r := bufio.NewReader(c)
 		if _, err := http.ReadRequest(r); err != nil {
@@ -171,7 +171,7 @@
 		}
 		close(came)
 		r.ReadByte()
-		close(gone)
+		close(removed)
 	})
 	n := start(t, &Config{Settings: settings(), Known: known(addr)})
 	c, err := net.Dial("tcp", n.addr)
@@ -182,7 +182,7 @@
 	<-came
 	c.Close()
 	select {
-	case <-gone:
+	case <-removed:
 	case <-time.After(5 * time.Second): // its patience is longer
 		t.Error("the attempt goes on")
 	}
--- a/internal/node/pipelining_test.go
+++ b/internal/node/pipelining_test.go
@@ -21,7 +21,7 @@
 		for _, reset := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%s, reset %v", name, reset), func(t *testing.T) {
 				t.Parallel()
-				came, gone := make(chan struct{}, 9), make(chan struct{}, 9)
+				came, removed := make(chan struct{}, 9), make(chan struct{}, 9)
 				addr := backend(t, func(c net.Conn) {
 					r := bufio.NewReader(c)
 					if _, err := http.ReadRequest(r); err != nil {
@@ -29,7 +29,7 @@
 					}
 					came <- struct{}{}
 					r.ReadByte()
-					gone <- struct{}{}
+					removed <- struct{}{}
 				})
 				f := startFront(t, &Config{Settings: settings(), Known: known(addr)})
 				c, _, _ := f.dial(t)
@@ -40,7 +40,7 @@
 				}
 				leave(c, reset)
 				select {
-				case <-gone:
+				case <-removed:
 				case <-time.After(5 * time.Second): // its patience is longer
 					t.Error("the attempt goes on")
 				}
--- a/internal/node/request_writer_test.go
+++ b/internal/node/request_writer_test.go
@@ -45,7 +45,7 @@
 }
 
 // narrow is a backend with little buffer. It reads once it may, and reports how many requests came complete.
-func narrow(t *testing.T, may <-chan struct{}) (addr string, whole *atomic.Int64, end func()) {
+func narrow(t *testing.T, may <-chan struct{}) (addr string, complete *atomic.Int64, end func()) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -61,7 +61,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	whole = new(atomic.Int64)
+	complete = new(atomic.Int64)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
@@ -74,12 +74,12 @@
 		c.SetReadDeadline(time.Now().Add(500 * time.Millisecond)) // the kernels take long to pass on what they hold
 		if req, err := http.ReadRequest(bufio.NewReader(c)); err == nil {
 			if _, err := io.Copy(io.Discard, req.Body); err == nil {
-				whole.Add(1)
+				complete.Add(1)
 			}
 		}
 	}()
 	end = func() { l.Close(); <-done }
-	return l.Addr().String(), whole, end
+	return l.Addr().String(), complete, end
 }
 
 // What ends a write that stalls: it is not gone on with, and what was begun never ran.
@@ -87,10 +87,10 @@
 	t.Parallel()
 	for name, c := range map[string]struct {
 		change func(*exchange)
-		end    func(life, ctx context.CancelFunc)
+		end    func(incarnation, ctx context.CancelFunc)
 		want   policy.OutcomeCode
 	}{
-		"the client goes": {nil, func(life, _ context.CancelFunc) { life() }, policy.NotSent},
+		"the client goes": {nil, func(incarnation, _ context.CancelFunc) { incarnation() }, policy.NotSent},
 		"called off":      {nil, func(_, ctx context.CancelFunc) { ctx() }, policy.Cancelled},
 		"the window ends": {func(x *exchange) { x.writeBy = time.Now().Add(100 * time.Millisecond) }, nil, policy.NotSent},
 		"the time is up":  {func(x *exchange) { x.deadline = time.Now().Add(100 * time.Millisecond) }, nil, policy.ConnectFailed},
@@ -98,14 +98,14 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			may := make(chan struct{})
-			addr, whole, end := narrow(t, may)
+			addr, complete, end := narrow(t, may)
 			b := newUpstreams(&Config{Settings: settings()}, 10, quiet)
 			full := make(chan struct{})
 			b.dial = stalling(full)
 			b.update(known(addr))
-			life, gone := context.WithCancel(t.Context())
+			incarnation, removed := context.WithCancel(t.Context())
 			ctx, off := context.WithCancel(t.Context())
-			x := &exchange{request: life, writeLock: new(sync.Mutex), method: "POST", url: &url.URL{Path: "/order", Host: "h"},
+			x := &exchange{request: incarnation, writeLock: new(sync.Mutex), method: "POST", url: &url.URL{Path: "/order", Host: "h"},
 				body: make([]byte, maxBufferedBody), deadline: time.Now().Add(patient)}
 			if c.change != nil {
 				c.change(x)
@@ -114,7 +114,7 @@
 			go func() { got <- b.roundTrip(ctx, b.host(1), x) }()
 			if c.end != nil {
 				<-full
-				c.end(gone, off)
+				c.end(removed, off)
 			}
 			r := <-got
 			if c.want != policy.ConnectFailed && time.Now().After(x.deadline) {
@@ -122,10 +122,10 @@
 			}
 			close(may)
 			end()
-			if r.code != c.want || whole.Load() > 0 {
-				t.Errorf("outcome %v (%v), want %v; %d came whole", r.code, r.err, c.want, whole.Load())
+			if r.code != c.want || complete.Load() > 0 {
+				t.Errorf("outcome %v (%v), want %v; %d came whole", r.code, r.err, c.want, complete.Load())
 			}
-			gone()
+			removed()
 			off()
 		})
 	}
@@ -173,13 +173,13 @@
 	return l, b
 }
 
-func asked(l *eventLoop, class string) (r *request, gone context.CancelFunc) {
+func asked(l *eventLoop, class string) (r *request, removed context.CancelFunc) {
 	rules := l.rules.Load()
 	r = &request{arrived: policy.RequestArrived{ID: "q", Class: class}, deadline: time.Now().Add(patient / 2), method: "POST",
 		class: rules.classes[class], rules: rules, url: &url.URL{Path: "/" + class, Host: "h"}, answer: make(chan answer, 1)}
-	client, gone := context.WithCancel(context.Background())
+	client, removed := context.WithCancel(context.Background())
 	r.context, r.cancel = context.WithCancel(client)
-	return r, gone
+	return r, removed
 }
 
 // in runs f in the loop.
@@ -208,9 +208,12 @@
 // no leave to cancel. The event for a client that went may still be on its way to the loop.
 func TestNothingIsBegunAfterTheEnd(t *testing.T) {
 	t.Parallel()
-	for name, end := range map[string]func(l *eventLoop, r *request, gone context.CancelFunc){
-		"the client goes":   func(_ *eventLoop, _ *request, gone context.CancelFunc) { gone() },
-		"the loop hears it": func(l *eventLoop, r *request, gone context.CancelFunc) { gone(); in(l, func() { l.abandonRequest(r) }) },
+	for name, end := range map[string]func(l *eventLoop, r *request, removed context.CancelFunc){
+		"the client goes": func(_ *eventLoop, _ *request, removed context.CancelFunc) { removed() },
+		"the loop hears it": func(l *eventLoop, r *request, removed context.CancelFunc) {
+			removed()
+			in(l, func() { l.abandonRequest(r) })
+		},
 		"refused": func(l *eventLoop, r *request, _ context.CancelFunc) {
 			in(l, func() { l.perform(policy.Reject{ID: "q"}) })
 			<-r.answer
@@ -226,10 +229,10 @@
 			t.Parallel()
 			h := hold(t)
 			l, b := looped(t, h, h.addr, h.addr)
-			r, gone := asked(l, "read")
+			r, removed := asked(l, "read")
 			in(l, func() { l.startRequest(r) })
 			<-h.dialed
-			end(l, r, gone)
+			end(l, r, removed)
 			close(h.on)
 			settled(t, l)
 			b.update(endpointList{complete: true}) // closes what is idle
@@ -253,12 +256,12 @@
 		return nil, ctx.Err()
 	}
 	x := get(patient)
-	life, gone := context.WithCancel(t.Context())
-	x.request = life
+	incarnation, removed := context.WithCancel(t.Context())
+	x.request = incarnation
 	got := make(chan result, 1)
 	go func() { got <- b.roundTrip(t.Context(), b.host(1), x) }()
 	<-dialed
-	gone()
+	removed()
 	if r := <-got; r.code != policy.NotSent || b.open != 0 {
 		t.Errorf("outcome %v (%v), %d connections", r.code, r.err, b.open)
 	}
@@ -270,8 +273,8 @@
 	h := hold(t)
 	close(h.on)
 	l, _ := looped(t, h, h.addr)
-	r, gone := asked(l, "order")
-	gone()
+	r, removed := asked(l, "order")
+	removed()
 	in(l, func() { l.startRequest(r) })
 	settled(t, l)
 	if len(h.dialed) > 0 {
@@ -332,41 +335,41 @@
 func TestUploadEndsWithItsRequest(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]struct {
-		end  func(x *exchange, gone context.CancelFunc)
+		end  func(x *exchange, removed context.CancelFunc)
 		want policy.OutcomeCode
 	}{
-		"the client goes":  {func(_ *exchange, gone context.CancelFunc) { gone() }, policy.NotSent},
+		"the client goes":  {func(_ *exchange, removed context.CancelFunc) { removed() }, policy.NotSent},
 		"the window ends":  {func(x *exchange, _ context.CancelFunc) { x.writeBy = time.Now() }, policy.NotSent},
 		"its time is over": {func(x *exchange, _ context.CancelFunc) { x.upload.patience = 0 }, policy.ConnectFailed},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			var whole atomic.Int64
+			var complete atomic.Int64
 			seen := make(chan error, 1)
 			addr := backend(t, func(conn net.Conn) {
 				req, err := http.ReadRequest(bufio.NewReader(conn))
 				if err == nil {
 					if _, err = io.Copy(io.Discard, req.Body); err == nil {
-						whole.Add(1)
+						complete.Add(1)
 					}
 				}
 				seen <- err
 			})
 			b := newUpstreams(&Config{Settings: settings()}, 10, quiet)
 			b.update(known(addr))
-			life, gone := context.WithCancel(t.Context())
-			defer gone()
+			incarnation, removed := context.WithCancel(t.Context())
+			defer removed()
 			reached := make(chan struct{})
-			x := &exchange{request: life, writeLock: new(sync.Mutex), method: "POST", url: &url.URL{Path: "/order", Host: "h"},
+			x := &exchange{request: incarnation, writeLock: new(sync.Mutex), method: "POST", url: &url.URL{Path: "/order", Host: "h"},
 				body: make([]byte, maxBufferedBody), deadline: time.Now().Add(patient)}
-			x.onBodySent = func() { close(reached); c.end(x, gone) } // just before the rest is read
+			x.onBodySent = func() { close(reached); c.end(x, removed) } // just before the rest is read
 			u := &upload{length: maxBufferedBody + 1, patience: patient, complete: make(chan struct{}),
 				body: &pacedBody{Reader: lastByte{}, deadline: time.Now(), deadlineSet: time.Now()}}
 			x.upload = u
 			r := b.roundTrip(t.Context(), b.host(1), x)
 			<-reached
-			if <-seen; r.code != c.want || whole.Load() > 0 {
-				t.Errorf("outcome %v (%v), want %v; %d came whole", r.code, r.err, c.want, whole.Load())
+			if <-seen; r.code != c.want || complete.Load() > 0 {
+				t.Errorf("outcome %v (%v), want %v; %d came whole", r.code, r.err, c.want, complete.Load())
 			}
 		})
 	}
--- a/internal/node/streaming.go
+++ b/internal/node/streaming.go
@@ -77,7 +77,7 @@
 }
 
 // finish is called when no more comes. It reports whether the answer was buffered completely.
-func (d *streamedAnswer) finish(err error) (whole bool) {
+func (d *streamedAnswer) finish(err error) (complete bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.started {
@@ -90,7 +90,7 @@
 }
 
 // readAnswer reads an answer's body. One that is short is returned whole; the rest of a longer one goes to x.begin.
-func readAnswer(ctx context.Context, c *upstreamConn, x *exchange, resp *http.Response) (body []byte, whole bool, err error) {
+func readAnswer(ctx context.Context, c *upstreamConn, x *exchange, resp *http.Response) (body []byte, complete bool, err error) {
 	if resp.ContentLength > maxLongBody {
 		return nil, false, errTooLarge
 	}
@@ -142,8 +142,8 @@
 	if err == io.EOF {
 		err = nil
 	}
-	whole = d.finish(err)
-	return d.buffered, whole, err
+	complete = d.finish(err)
+	return d.buffered, complete, err
 }
 
 func (d *streamedAnswer) hasStarted() bool {
--- a/internal/node/streaming_test.go
+++ b/internal/node/streaming_test.go
@@ -83,7 +83,7 @@
 // What a client breaks off, or makes too long, does not get to a server whole.
 func TestLongBodyBrokenOff(t *testing.T) {
 	t.Parallel()
-	var whole, cut atomic.Int64
+	var complete, cut atomic.Int64
 	addr := backend(t, func(c net.Conn) {
 		r := bufio.NewReader(c)
 		for {
@@ -94,7 +94,7 @@
 			if err != nil {
 				return
 			}
-			whole.Add(1)
+			complete.Add(1)
 			io.WriteString(c, ok("x"))
 		}
 	})
@@ -125,8 +125,8 @@
 			t.Fatalf("the server saw %d bodies cut off", cut.Load())
 		}
 	}
-	if whole.Load() > 0 {
-		t.Errorf("%d got to the server whole", whole.Load())
+	if complete.Load() > 0 {
+		t.Errorf("%d got to the server whole", complete.Load())
 	}
 	if resp, _ := n.ask(t, message("order", "9.5", "")); resp.StatusCode != 200 {
 		t.Errorf("after that: status %d", resp.StatusCode)
@@ -202,7 +202,7 @@
 		}
 	})
 	for _, framing := range []string{fmt.Sprintf("Content-Length: %d\r\n", length), "Transfer-Encoding: chunked\r\n", "X: close\r\n"} {
-		for _, whole := range []bool{true, false} {
+		for _, complete := range []bool{true, false} {
 			n := start(t, &Config{Settings: settings(), Known: known(addr)})
 			as := answering{framing, make(chan bool, 1)}
 			defer close(as.half) // lets the server go if the test ends early
@@ -217,10 +217,10 @@
 			if _, err := io.ReadFull(resp.Body, got); err != nil || string(got) != body[:length/2] {
 				t.Fatalf("%q: the first half: %v", framing, err)
 			}
-			as.half <- whole
+			as.half <- complete
 			rest, err := io.ReadAll(resp.Body)
-			if whole != (err == nil) || whole && string(rest) != body[length/2:] {
-				t.Errorf("%q, whole %v: %d bytes more, %v", framing, whole, len(rest), err)
+			if complete != (err == nil) || complete && string(rest) != body[length/2:] {
+				t.Errorf("%q, whole %v: %d bytes more, %v", framing, complete, len(rest), err)
 			}
 		}
 	}
--- a/internal/node/upload.go
+++ b/internal/node/upload.go
@@ -51,14 +51,14 @@
 	if length >= 0 {
 		size = min(size, length)
 	}
-	room := int(size) + 1 // the end is seen when nothing more comes
-	body = make([]byte, 0, min(room, copyBufferSize))
-	for err == nil && len(body) < room {
+	capacity := int(size) + 1 // the end is seen when nothing more comes
+	body = make([]byte, 0, min(capacity, copyBufferSize))
+	for err == nil && len(body) < capacity {
 		if len(body) == cap(body) {
 			body = slices.Grow(body, 1)
 		}
 		var n int
-		n, err = b.Read(body[len(body):min(cap(body), room)])
+		n, err = b.Read(body[len(body):min(cap(body), capacity)])
 		body = body[:len(body)+n]
 	}
 	if err == io.EOF {
--- a/internal/node/upstreams_test.go
+++ b/internal/node/upstreams_test.go
@@ -264,13 +264,13 @@
 	t.Parallel()
 	addr := backend(t, answering(func(*http.Request, []byte) string { return ok("x") }))
 	other := backend(t, answering(func(*http.Request, []byte) string { return ok("x") }))
-	refused, err := net.Dial("tcp", addr) // nobody listens at its own end, and nobody else can
+	rejected, err := net.Dial("tcp", addr) // nobody listens at its own end, and nobody else can
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer refused.Close()
+	defer rejected.Close()
 	b := newUpstreams(&Config{Settings: settings()}, 1, quiet)
-	b.update(known(addr, other, refused.LocalAddr().String()))
+	b.update(known(addr, other, rejected.LocalAddr().String()))
 	for i, want := range map[policy.ServerID]policy.OutcomeCode{1: policy.OK, 2: policy.OK, 3: policy.ConnectFailed, 4: policy.ConnectFailed} {
 		if r := b.roundTrip(t.Context(), b.host(i), get(patient)); r.code != want {
 			t.Errorf("backend %d: %v (%v)", i, r.code, r.err)
--- a/internal/registry/cost_test.go
+++ b/internal/registry/cost_test.go
@@ -28,9 +28,9 @@
 // growth says how a read's cost grows from the least to the largest list, or "" where it does not.
 func growth(tb testing.TB, read func(v *View, since uint64) Answer) string {
 	tb.Helper()
-	least, most := visitsOfChange(tb, costSizes[0], read), visitsOfChange(tb, costSizes[1], read)
-	if least == 0 || most > least {
-		return fmt.Sprintf("%d entries visited at %d servers, %d at %d", least, costSizes[0], most, costSizes[1])
+	minimum, maximum := visitsOfChange(tb, costSizes[0], read), visitsOfChange(tb, costSizes[1], read)
+	if minimum == 0 || maximum > minimum {
+		return fmt.Sprintf("%d entries visited at %d servers, %d at %d", minimum, costSizes[0], maximum, costSizes[1])
 	}
 	return ""
 }
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -151,8 +151,8 @@
 		// A registrant whose clock is fast can't start a server in the future: nodes would take it for
 		// warming up until then. Its renewals keep the bounded start. Leases are counted on the leader's clock alone.
 		r := s.Records[e.ID]
-		asked := e.StartedMS
-		if r != nil && r.RequestedStartMS == asked {
+		requested := e.StartedMS
+		if r != nil && r.RequestedStartMS == requested {
 			e.StartedMS = r.Entry.StartedMS
 		}
 		e.StartedMS = min(e.StartedMS, c.NowMS)
@@ -160,7 +160,7 @@
 			s.extend(r, c.NowMS+ttl) // a renewal by registering again is no change
 			return false, nil
 		}
-		s.put(&record{Entry: e, ExpiresMS: c.NowMS + ttl, RequestedStartMS: asked})
+		s.put(&record{Entry: e, ExpiresMS: c.NowMS + ttl, RequestedStartMS: requested})
 		return true, nil
 	case Renew:
 		r := s.Records[c.ID]
--- a/internal/registry/replica/leadership.go
+++ b/internal/registry/replica/leadership.go
@@ -125,14 +125,14 @@
 func (l *leadership) step() {
 	start := time.Now()
 	l.mu.Lock()
-	judge := l.controller
-	if judge == nil {
+	controller := l.controller
+	if controller == nil {
 		l.mu.Unlock()
 		return
 	}
 	l.replica.fsm.mu.Lock()
 	now := l.now()
-	cmds := judge.Step(now, l.replica.fsm.fleet, l.replica.fsm.servers())
+	cmds := controller.Step(now, l.replica.fsm.fleet, l.replica.fsm.servers())
 	tallies := make([][]drift.VerdictCounts, len(cmds))
 	for i, c := range cmds {
 		if c.Drift != nil {
@@ -140,7 +140,7 @@
 			tallies[i] = c.Drift.VerdictCounts(&l.replica.fsm.fleet.Drift)
 		}
 	}
-	l.recordDrift(judge, now)
+	l.recordDrift(controller, now)
 	l.bases.Retain(l.replica.fsm.fleet.Session.Present)
 	l.metrics.bases.Set(float64(l.bases.Len()))
 	l.metrics.sessions.Set(float64(len(l.replica.fsm.fleet.Session.Members)))
@@ -167,7 +167,7 @@
 			l.metrics.countVerdicts(tallies[i])
 		}
 		l.mu.Lock()
-		judge.Resolved(c)
+		controller.Resolved(c)
 		l.mu.Unlock()
 	}
 	if lost {
--- a/internal/registry/scan_test.go
+++ b/internal/registry/scan_test.go
@@ -77,8 +77,8 @@
 		e.State = "ready"
 	}
 	r := s.Records[e.ID]
-	asked := e.StartedMS
-	if r != nil && r.RequestedStartMS == asked {
+	requested := e.StartedMS
+	if r != nil && r.RequestedStartMS == requested {
 		e.StartedMS = r.Entry.StartedMS
 	}
 	e.StartedMS = min(e.StartedMS, c.NowMS)
@@ -87,7 +87,7 @@
 		return false, nil
 	}
 	s.Rev++
-	s.Records[e.ID] = &record{Entry: e, ExpiresMS: c.NowMS + ttl, Revision: s.Rev, RequestedStartMS: asked}
+	s.Records[e.ID] = &record{Entry: e, ExpiresMS: c.NowMS + ttl, Revision: s.Rev, RequestedStartMS: requested}
 	return true, nil
 }
 
--- a/internal/scale/events.go
+++ b/internal/scale/events.go
@@ -60,9 +60,9 @@
 }
 
 // countWithin checks an event's count.
-func countWithin(key string, count, most int, what string) error {
-	if count < 1 || count > most {
-		return fmt.Errorf("%s.count: %d is not within 1 to the %d %s", key, count, most, what)
+func countWithin(key string, count, maximum int, what string) error {
+	if count < 1 || count > maximum {
+		return fmt.Errorf("%s.count: %d is not within 1 to the %d %s", key, count, maximum, what)
 	}
 	return nil
 }
--- a/internal/scale/events_test.go
+++ b/internal/scale/events_test.go
@@ -72,8 +72,8 @@
 		if r.Partial != "" {
 			t.Fatal(r.Partial)
 		}
-		if refused := r.Points[0].Repeats[0].Refused; refused != 7 {
-			t.Errorf("%d changes refused, want 7 of 20 tries each", refused)
+		if rejected := r.Points[0].Repeats[0].Refused; rejected != 7 {
+			t.Errorf("%d changes refused, want 7 of 20 tries each", rejected)
 		}
 	})
 }
--- a/internal/scale/hollow/hollow_test.go
+++ b/internal/scale/hollow/hollow_test.go
@@ -229,7 +229,7 @@
 	t.Parallel()
 	r := startRun(t, hollow.Config{Nodes: nodes, Servers: servers, Services: 4, PerNode: 2, ActiveTenants: 2, RequestsPerS: 20})
 	r.await("ready", func(u hollow.Usage) bool { return u.Ready == nodes && u.Registered == servers })
-	shares := r.usage().Items // each node's own
+	leases := r.usage().Items // each node's own
 	want := 0
 	for i := range 4 {
 		name, service := fmt.Sprint("tenant-", i), hollow.ServiceName(i)
@@ -243,7 +243,7 @@
 	if want != 2*nodes {
 		t.Errorf("%d pairs of a node and a tenant in its scope, want %d", want, 2*nodes)
 	}
-	r.await("each node with the tenants of its scope", func(u hollow.Usage) bool { return u.Items == shares+want && u.Ready == nodes })
+	r.await("each node with the tenants of its scope", func(u hollow.Usage) bool { return u.Items == leases+want && u.Ready == nodes })
 	if err := r.process.Close(); err != nil {
 		t.Errorf("the end: %v", err)
 	}
--- a/internal/scale/hollow/inforce_test.go
+++ b/internal/scale/hollow/inforce_test.go
@@ -54,14 +54,14 @@
 	if len(n.module.active) != 2 || n.compareRank(n.module.active[0], n.module.active[1]) >= 0 {
 		t.Fatalf("active: %v", n.module.active)
 	}
-	gone := n.module.active[0]
-	n.serving[gone] = served{}
-	n.setLoad(gone)
+	removed := n.module.active[0]
+	n.serving[removed] = served{}
+	n.setLoad(removed)
 	seen := map[string]bool{}
 	for _, name := range n.module.active {
 		seen[name] = true
 	}
-	if len(seen) != 2 || seen[gone] || seen["elsewhere"] {
-		t.Errorf("after %s has gone: %v", gone, n.module.active)
+	if len(seen) != 2 || seen[removed] || seen["elsewhere"] {
+		t.Errorf("after %s has gone: %v", removed, n.module.active)
 	}
 }
--- a/internal/scale/hollow/intent.go
+++ b/internal/scale/hollow/intent.go
@@ -17,7 +17,7 @@
 // watchIntent follows the agent's intent and has the module know of it.
 func (n *node) watchIntent(ctx context.Context) {
 	for ctx.Err() == nil {
-		asked := time.Now()
+		requested := time.Now()
 		intent, err := n.fetchIntent(ctx)
 		came := time.Now()
 		if err == nil {
@@ -29,7 +29,7 @@
 			wait = maxCallPause
 		} else {
 			n.applyIntent(came, intent.CaughtUp)
-			if !n.mirror.Changed && came.Sub(asked) < intentPause {
+			if !n.mirror.Changed && came.Sub(requested) < intentPause {
 				wait = reportEvery
 			}
 		}
@@ -53,7 +53,7 @@
 }
 
 // applyIntent has the module know of the mirror's last answer.
-func (n *node) applyIntent(came time.Time, whole bool) {
+func (n *node) applyIntent(came time.Time, complete bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, event := range n.mirror.Events(time.Since(came)) {
@@ -69,7 +69,7 @@
 	if n.mirror.Changed {
 		n.facts = nil
 	}
-	if whole {
+	if complete {
 		n.sync()
 	}
 }
--- a/internal/scale/hollow/list.go
+++ b/internal/scale/hollow/list.go
@@ -18,7 +18,7 @@
 func (n *node) watchList(ctx context.Context) {
 	var version uint64
 	for ctx.Err() == nil {
-		asked := time.Now()
+		requested := time.Now()
 		list, err := n.fetchList(ctx, version)
 		if err != nil {
 			n.fault(ctx, "list", err)
@@ -27,7 +27,7 @@
 		}
 		if list.Full || len(list.Servers) > 0 || list.Version != version {
 			n.takeList(list)
-		} else if time.Since(asked) < listPause {
+		} else if time.Since(requested) < listPause {
 			pause(ctx, listPause)
 		}
 		version = list.Version
--- a/internal/scale/hollow/registrants.go
+++ b/internal/scale/hollow/registrants.go
@@ -102,11 +102,11 @@
 }
 
 // newClient makes a client that has so many connections to a replica at most.
-func newClient(connections *connections, most int) *http.Client {
+func newClient(connections *connections, maximum int) *http.Client {
 	return &http.Client{Timeout: registerTimeout, Transport: &http.Transport{
 		DialContext:         connections.dial,
-		MaxConnsPerHost:     most,
-		MaxIdleConnsPerHost: most,
+		MaxConnsPerHost:     maximum,
+		MaxIdleConnsPerHost: maximum,
 		IdleConnTimeout:     time.Minute,
 		DisableCompression:  true,
 	}}
--- a/internal/scale/load.go
+++ b/internal/scale/load.go
@@ -46,11 +46,11 @@
 }
 
 // integerBound is the bound of a count.
-func integerBound(key Dimension, least, most float64, field func(*Load) *int) bound {
+func integerBound(key Dimension, minimum, maximum float64, field func(*Load) *int) bound {
 	return bound{
 		key:     key,
-		min:     least,
-		max:     most,
+		min:     minimum,
+		max:     maximum,
 		integer: true,
 		of:      func(l *Load) float64 { return float64(*field(l)) },
 		set:     func(l *Load, v float64) { *field(l) = int(v) },
@@ -58,8 +58,8 @@
 }
 
 // rateBound is the bound of something a second.
-func rateBound(key Dimension, most float64, field func(*Load) *float64) bound {
-	return bound{key: key, max: most,
+func rateBound(key Dimension, maximum float64, field func(*Load) *float64) bound {
+	return bound{key: key, max: maximum,
 		of:  func(l *Load) float64 { return *field(l) },
 		set: func(l *Load, v float64) { *field(l) = v }}
 }
--- a/internal/scale/operator_test.go
+++ b/internal/scale/operator_test.go
@@ -68,16 +68,16 @@
 
 // TestOperatorTakesItsOwnConflict has the first attempt carried out and its answer lost.
 func TestOperatorTakesItsOwnConflict(t *testing.T) {
-	var tries atomic.Int64
+	var attempts atomic.Int64
 	o := newOperator([]string{replicaDouble(t, func(w http.ResponseWriter, _ *http.Request) {
-		if tries.Add(1) == 1 {
+		if attempts.Add(1) == 1 {
 			panic(http.ErrAbortHandler)
 		}
 		http.Error(w, "generation changed", http.StatusConflict)
 	})})
 	defer o.close()
-	if err := o.propose(t.Context(), 1, fleet.Spec{Name: "a"}); err != nil || tries.Load() != 2 {
-		t.Errorf("%v after %d tries", err, tries.Load())
+	if err := o.propose(t.Context(), 1, fleet.Spec{Name: "a"}); err != nil || attempts.Load() != 2 {
+		t.Errorf("%v after %d tries", err, attempts.Load())
 	}
 }
 
--- a/policy/fleet_load_test.go
+++ b/policy/fleet_load_test.go
@@ -211,13 +211,13 @@
 // Room for idle servers is none for overloaded ones: from half load on, twice what the servers bear comes for 30 s. The weight
 // answered in time is what it was before there was capacity (0.755, 0.73, 0.73, 0.47), less what chance does to it.
 func TestOverloadShedsAsBefore(t *testing.T) {
-	for nodes, least := range map[int]float64{4: 0.70, 10: 0.67, 20: 0.67, 40: 0.41} {
+	for nodes, minimum := range map[int]float64{4: 0.70, 10: 0.67, 20: 0.67, 40: 0.41} {
 		c := fleetRun{nodes: nodes, servers: 12, cores: 2, rate: 200, laterRate: 800, work: func(r *rand.Rand) time.Duration {
 			return time.Duration(r.ExpFloat64() * 60 * float64(time.Millisecond))
 		}}
 		x := c.run(int64(nodes), 10*time.Second, 40*time.Second)
-		if got := x.inTime / x.offered; got < least || x.rejected["view"] < 3*x.rejected["order"] {
-			t.Errorf("%d nodes: %.3f of the weight in time, want %.2f; rejected %v of %v", nodes, got, least, x.rejected, x.arrived)
+		if got := x.inTime / x.offered; got < minimum || x.rejected["view"] < 3*x.rejected["order"] {
+			t.Errorf("%d nodes: %.3f of the weight in time, want %.2f; rejected %v of %v", nodes, got, minimum, x.rejected, x.arrived)
 		}
 	}
 }
@@ -227,7 +227,7 @@
 func TestSmallTenantsHavePriorityWithinTheirQuota(t *testing.T) {
 	const quota, seconds = 12.0, 200
 	for _, nodes := range []int{4, 20, 40, 100, 300} {
-		for over, least := range map[float64]float64{0.67: 0.9, 10: 0} {
+		for over, minimum := range map[float64]float64{0.67: 0.9, 10: 0} {
 			s := sparseSettings(nodes)
 			s.Tenants = []Tenant{{Name: "small", Quota: quota}}
 			m, r := New(s, 1), rand.New(rand.NewSource(1))
@@ -243,9 +243,9 @@
 				}
 				m.Handle(now, AttemptEnded{ID: id, Server: 1, Answered: true, Elapsed: time.Millisecond})
 			}
-			if most := quota/4*seconds + math.Max(minQuotaBurst, quota/float64(nodes)) + 1; within < least*float64(came) || within > most {
+			if maximum := quota/4*seconds + math.Max(minQuotaBurst, quota/float64(nodes)) + 1; within < minimum*float64(came) || within > maximum {
 				t.Errorf("%d nodes, %v of the quota: %v of %d with priority, want a part of %v, at most %v", nodes, over, within,
-					came, least, most)
+					came, minimum, maximum)
 			}
 		}
 	}
--- a/policy/fleet_tenants_test.go
+++ b/policy/fleet_tenants_test.go
@@ -189,7 +189,7 @@
 		r.feed(policy.TenantUpdate{Name: "x", UID: 1, Revision: generation, Committed: rules(generation,
 			func(g *policy.TenantRules) { g.Rate, g.Routes, g.RejectUnrouted = 1e4, routes, reject })})
 	}
-	asked := func() map[string]int {
+	requested := func() map[string]int {
 		got := map[string]int{}
 		for range 400 {
 			r.run(20*time.Millisecond, 0, "")
@@ -200,7 +200,7 @@
 	}
 	route(1, true, policy.TenantRoute{ID: "s3", Weight: 3}, policy.TenantRoute{Zone: "b", ID: "s1?", Weight: 1},
 		policy.TenantRoute{Zone: "nowhere", Weight: 50})
-	if got := asked(); got["s3"] < 270 || got["s3"] > 330 || got["s10"]+got["s12"]+got["s14"]+got["s16"]+got["s18"] < 65 {
+	if got := requested(); got["s3"] < 270 || got["s3"] > 330 || got["s10"]+got["s12"]+got["s14"]+got["s16"]+got["s18"] < 65 {
 		t.Errorf("routes 3 to 1: %v", got)
 	}
 	hit := 0
@@ -214,11 +214,11 @@
 		t.Errorf("%d of 60 requests went to the one server of their route", hit)
 	}
 	route(72, true, policy.TenantRoute{Zone: "nowhere", Weight: 1})
-	if got := asked(); got["rejected"] != 400 {
+	if got := requested(); got["rejected"] != 400 {
 		t.Errorf("nothing matches, to be rejected: %v", got)
 	}
 	route(73, false, policy.TenantRoute{Zone: "nowhere", Weight: 1})
-	if got := asked(); got["rejected"] > 4 || len(got) < 8 {
+	if got := requested(); got["rejected"] > 4 || len(got) < 8 {
 		t.Errorf("nothing matches, to go anywhere: %v", got)
 	}
 	route(74, true, policy.TenantRoute{ID: "s3", Weight: 1}, policy.TenantRoute{ID: "s5", Weight: 1})
@@ -335,14 +335,14 @@
 		}
 		return 20 * time.Millisecond, policy.OK
 	}
-	most, lost := 0, 0
+	maximum, lost := 0, 0
 	for range 12 {
 		r.lastID++
 		r.feed(policy.RequestArrived{ID: policy.RequestID(fmt.Sprint("unsafe", r.lastID)), Class: "unsafe", Timeout: time.Second})
 		r.run(250*time.Millisecond, 0, "")
 		for _, z := range r.module.Window(r.now).Zones {
 			if lost += z.Lost; z.Zone == "a" {
-				most = max(most, z.LostServers)
+				maximum = max(maximum, z.LostServers)
 			}
 			if z.Lost+z.Answered > z.Attempts || z.LostServers > z.Lost || z.Servers > z.Attempts || z.Zone == "b" && z.Lost > 0 {
 				t.Errorf("%+v", z)
@@ -350,8 +350,8 @@
 		}
 	}
 	a, _ := r.sentTo()
-	if most != 2 || a < 4 || lost > 2*a {
-		t.Errorf("%d servers in one window at most, of %d attempts lost, notified as %d", most, a, lost)
+	if maximum != 2 || a < 4 || lost > 2*a {
+		t.Errorf("%d servers in one window at most, of %d attempts lost, notified as %d", maximum, a, lost)
 	}
 	r.run(2*time.Second, 0, "")
 	if z := r.module.Window(r.now).Zones[0]; z.Lost > 0 {
--- a/policy/fleet_zones_test.go
+++ b/policy/fleet_zones_test.go
@@ -278,16 +278,16 @@
 			}
 		}
 		n := budget * window.Seconds()
-		limit, most := n+3*math.Sqrt(n)+3, 0
+		limit, maximum := n+3*math.Sqrt(n)+3, 0
 		for _, times := range sent {
 			for i, at := range times {
 				first, _ := slices.BinarySearch(times, at-window+1)
-				most = max(most, i-first+1)
+				maximum = max(maximum, i-first+1)
 			}
 		}
-		if float64(most) > limit || total < c.servers*10/zones {
-			t.Errorf("%d nodes: a server got %d requests in %v, %.0f at most; %d in all", c.nodes, most, window, limit, total)
+		if float64(maximum) > limit || total < c.servers*10/zones {
+			t.Errorf("%d nodes: a server got %d requests in %v, %.0f at most; %d in all", c.nodes, maximum, window, limit, total)
 		}
-		t.Logf("%d nodes: at most %d of %.0f in %v; %d in all", c.nodes, most, limit, window, total)
+		t.Logf("%d nodes: at most %d of %.0f in %v; %d in all", c.nodes, maximum, limit, window, total)
 	}
 }
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -81,9 +81,9 @@
 			r.rejected++
 			r.answered[a.ID], r.finalAnswer[a.ID] = true, a
 			r.retryAfters = append(r.retryAfters, a.RetryAfter)
-			class, try, _ := strings.Cut(string(a.ID), "/")
-			if left := r.timeout - (r.now + a.RetryAfter - r.arrivedAt[policy.RequestID(class)]); len(try) < r.retries && left > 0 {
-				id := policy.RequestID(class + "/" + try + "x")
+			class, attempt, _ := strings.Cut(string(a.ID), "/")
+			if left := r.timeout - (r.now + a.RetryAfter - r.arrivedAt[policy.RequestID(class)]); len(attempt) < r.retries && left > 0 {
+				id := policy.RequestID(class + "/" + attempt + "x")
 				r.pending = append(r.pending, harnessEvent{r.now + a.RetryAfter, policy.RequestArrived{ID: id, Class: strings.TrimRight(class,
 					"0123456789"), Timeout: left}})
 			}
--- a/policy/load_test.go
+++ b/policy/load_test.go
@@ -109,11 +109,11 @@
 	if r.inTime["bulk"] < 190 {
 		t.Errorf("%d of 300 of the class that costs what it did were served in time, %d rejected", r.inTime["bulk"], r.rejected)
 	}
-	least, most := r.sent[1], r.sent[1]
+	minimum, maximum := r.sent[1], r.sent[1]
 	for _, n := range r.sent {
-		least, most = min(least, n), max(most, n)
+		minimum, maximum = min(minimum, n), max(maximum, n)
 	}
-	if len(r.sent) < 6 || most > 2*least {
+	if len(r.sent) < 6 || maximum > 2*minimum {
 		t.Errorf("uneven load on like servers: %v", r.sent)
 	}
 }
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -158,12 +158,12 @@
 	if dead > 60 || alive < 300 || r.failed > 0 {
 		t.Errorf("zone lost: %d sends into it, %d to the rest, %d failed", dead, alive, r.failed)
 	}
-	var gone, back []policy.Server
+	var removed, back []policy.Server
 	for id := policy.ServerID(5); id <= 8; id++ {
-		gone = append(gone, policy.Server{ID: id, Zone: "z", State: policy.Removed})
+		removed = append(removed, policy.Server{ID: id, Zone: "z", State: policy.Removed})
 		back = append(back, policy.Server{ID: id, Zone: "z", StartedAt: r.now + 2*time.Second})
 	}
-	r.feed(policy.EndpointUpdate{Kind: policy.EndpointsChanged, Servers: gone})
+	r.feed(policy.EndpointUpdate{Kind: policy.EndpointsChanged, Servers: removed})
 	r.reset()
 	r.run(2*time.Second, 120, "bulk")
 	for id := range r.sent {
--- a/policy/rollout_test.go
+++ b/policy/rollout_test.go
@@ -150,8 +150,8 @@
 			if c.awayTime == 0 {
 				delete(list, old)
 			}
-			gone := was
-			gone.State = Removed
+			removed := was
+			removed.State = Removed
 			add(id, was.Zone, now, servers[old].speed*c.newServerSpeed, was.Kind)
 			neu := list[id]
 			if list[id] = was; c.awayTime == 0 {
@@ -164,7 +164,7 @@
 					plan(now+time.Duration(r.Intn(600))*time.Millisecond, func(now Time) {
 						if began[n] == gen && nodes[n] != nil {
 							servers[id].notified[nodes[n]] = true
-							entries := []Server{gone, neu}
+							entries := []Server{removed, neu}
 							if c.awayTime > 0 {
 								entries = entries[1:]
 							}
@@ -197,7 +197,7 @@
 	}
 	reqs := map[RequestID]*live{}
 	id := 0
-	asked := 0.0
+	requested := 0.0
 	inTime := 0.0
 	done := 0.0
 	could := 0.0
@@ -323,7 +323,7 @@
 				}
 			}
 			if now > t0 {
-				asked += c.settings.Classes[class].PriorityWeight
+				requested += c.settings.Classes[class].PriorityWeight
 			}
 			if nodes[node] == nil {
 				continue
@@ -373,6 +373,6 @@
 			}
 		}
 	}
-	o.servedPart, o.usedCapacity = inTime/asked, done/math.Max(1, could)
+	o.servedPart, o.usedCapacity = inTime/requested, done/math.Max(1, could)
 	return o
 }
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -123,8 +123,8 @@
 		}
 	}
 	m.Handle(time.Hour+25*time.Millisecond, TimerFired{})
-	if most := 3 / answerRateTau / 8; m.load.all.maxRate == 0 || m.load.all.maxRate > most+1e-9 {
-		t.Errorf("a server is taken to give %.2f/s after 3 answers of 8, want at most %.2f", m.load.all.maxRate, most)
+	if maximum := 3 / answerRateTau / 8; m.load.all.maxRate == 0 || m.load.all.maxRate > maximum+1e-9 {
+		t.Errorf("a server is taken to give %.2f/s after 3 answers of 8, want at most %.2f", m.load.all.maxRate, maximum)
 	}
 }
 
