--- a/internal/node/admin_test.go
+++ b/internal/node/admin_test.go
@@ -124,7 +124,7 @@
 			t.Fatal(err)
 		}
 		io.WriteString(caller, line)
-		for end := time.Now().Add(patient); hasUnreadData(conn); time.Sleep(time.Millisecond) {
+		for end := time.Now().Add(patient); hasNoUnreadData(conn); time.Sleep(time.Millisecond) {
 			if time.Now().After(end) {
 				t.Fatal("the line does not come")
 			}
--- a/internal/node/connection_ends_test.go
+++ b/internal/node/connection_ends_test.go
@@ -180,7 +180,7 @@
 		} else {
 			io.WriteString(first, late)
 		}
-		for end := time.Now().Add(patient); hasUnreadData(c.TCPConn) && time.Now().Before(end); {
+		for end := time.Now().Add(patient); hasNoUnreadData(c.TCPConn) && time.Now().Before(end); {
 			time.Sleep(time.Millisecond)
 		}
 		if r := b.exchangeOn(t.Context(), h, c, get(patient)); r.code != policy.ConnectFailed || !errors.Is(r.err, errUnexpectedBytes) {
--- a/internal/node/connections.go
+++ b/internal/node/connections.go
@@ -157,7 +157,7 @@
 // send it again. What comes after the look crosses the close, and is read by nobody.
 func (c *connections) close(conn net.Conn) {
 	own, _ := conn.(*clientConn)
-	if own != nil && own.hasPendingRequest() && !own.isStalled() || !hasUnreadData(conn) {
+	if own != nil && own.hasPendingRequest() && !own.isStalled() || !hasNoUnreadData(conn) {
 		return
 	}
 	if c.beforeClose != nil {
@@ -172,8 +172,8 @@
 	conn.Close()
 }
 
-// hasUnreadData reports whether nothing has come that is not read yet, not even the end.
-func hasUnreadData(conn net.Conn) bool {
+// hasNoUnreadData reports whether nothing has come that is not read yet, not even the end.
+func hasNoUnreadData(conn net.Conn) bool {
 	s, ok := conn.(syscall.Conn)
 	if !ok {
 		return true
--- a/internal/node/hotrestart_test.go
+++ b/internal/node/hotrestart_test.go
@@ -187,7 +187,7 @@
 		}
 		if i == 0 {
 			client.Write([]byte("G"))
-			for end := time.Now().Add(patient); hasUnreadData(conns[0]); time.Sleep(time.Millisecond) {
+			for end := time.Now().Add(patient); hasNoUnreadData(conns[0]); time.Sleep(time.Millisecond) {
 				if time.Now().After(end) {
 					t.Fatal("the byte does not come")
 				}
--- a/internal/node/linger_test.go
+++ b/internal/node/linger_test.go
@@ -103,7 +103,7 @@
 	s.rested(t, 1)
 	s.connections.beforeClose = func(conn net.Conn) {
 		io.WriteString(c, strings.Repeat(plain, 1000)) // more than net/http reads at once
-		await(t, "bytes in the socket", func() bool { return conn.(*clientConn).hasPendingRequest() && !hasUnreadData(conn) })
+		await(t, "bytes in the socket", func() bool { return conn.(*clientConn).hasPendingRequest() && !hasNoUnreadData(conn) })
 	}
 	s.connections.closeIdle(0)
 	toEnd(t, r, http.StatusOK)
--- a/internal/node/pipelining_test.go
+++ b/internal/node/pipelining_test.go
@@ -109,7 +109,7 @@
 	if _, err := io.WriteString(c, strings.Repeat(message("read", "9.5", ""), 1e4)); err != nil {
 		t.Fatal(err)
 	}
-	await(t, "the flood is read", func() bool { return hasUnreadData(conn) })
+	await(t, "the flood is read", func() bool { return hasNoUnreadData(conn) })
 	on()
 	resp, err := http.ReadResponse(r, nil)
 	if err != nil || resp.StatusCode != 200 || !resp.Close {
@@ -166,7 +166,7 @@
 	next := make(chan error, 1)
 	go func() { _, err := io.WriteString(c, message("order", "9.5", strings.Repeat("b", length))); next <- err }()
 	await(t, "the next request's bytes are read while the answer is under way", func() bool { return conn.lastReadAt.Load() != 0 })
-	await(t, "more of it has come", func() bool { return !hasUnreadData(conn) })
+	await(t, "more of it has come", func() bool { return !hasNoUnreadData(conn) })
 	on()
 	if rest, err := io.ReadAll(first.Body); len(rest) > 0 || err != nil {
 		t.Fatalf("%q, %v", rest, err)
