--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -31,8 +31,13 @@
 		if resp.StatusCode != 200 || got != want {
 			t.Errorf("%s: status %d, %d bytes", class, resp.StatusCode, len(got))
 		}
-		if got := <-seen; got != line {
-			t.Errorf("the backend got %q, want %q", got, line)
+		select {
+		case got := <-seen:
+			if got != line {
+				t.Errorf("the backend got %q, want %q", got, line)
+			}
+		case <-time.After(patient):
+			t.Fatalf("%s: the backend got nothing", class)
 		}
 	}
 }
