--- a/internal/fleet/decode.go
+++ b/internal/fleet/decode.go
@@ -83,7 +83,7 @@
 // fieldError is an error on a member.
 func fieldError(field string, v any) error { return fmt.Errorf("%w: %s: %.80v", ErrInvalid, field, v) }
 
-// checkNumber is a count or a rate that can be: nothing negative, not a number or beyond most.
+// checkNumber is a count or a rate that can be: nothing negative, not a number or beyond largest.
 func checkNumber[T int | int64 | float64](field string, v T, largest float64) error {
 	if f := float64(v); !(f >= 0 && f <= largest) { // so NaN is rejected
 		return fieldError(field, v)
--- a/internal/fleet/sim/module.go
+++ b/internal/fleet/sim/module.go
@@ -68,7 +68,7 @@
 	d.arrivals()
 }
 
-// soon feeds an event after so long, by the node's clock, unless its process has been removed; one that stands still has it late.
+// soon feeds an event after so long, by the node's clock, unless its process has ended; one that stands still has it late.
 func (d *module) soon(after time.Duration, do func()) {
 	var then func()
 	then = func() {
--- a/internal/fleet/sim/plan.go
+++ b/internal/fleet/sim/plan.go
@@ -45,7 +45,7 @@
 	Stall     = "stall"      // their processes stand still
 	Crash     = "crash"      // they are killed, and back at the end as new incarnations with their disk copies
 	Rolling   = "rolling"    // every node is restarted in its turn, each down for a second
-	NewLeader = "new leader" // the leader is removed; another is elected at the end
+	NewLeader = "new leader" // the leader is lost; another is elected at the end
 	Liar      = "liar"       // one node reports that one zone, or every one, fails
 )
 
--- a/internal/node/connections.go
+++ b/internal/node/connections.go
@@ -87,7 +87,7 @@
 	return c.count
 }
 
-// waitUntilNone waits until no connection is open, but not for longer than most.
+// waitUntilNone waits until no connection is open, but not for longer than maximum.
 func (c *connections) waitUntilNone(maximum time.Duration) {
 	for begun := time.Now(); c.open() > 0 && time.Since(begun) < maximum; time.Sleep(drainPollInterval) {
 	}
--- a/internal/node/exchange.go
+++ b/internal/node/exchange.go
@@ -21,7 +21,7 @@
 // exchange is one request to a backend.
 type exchange struct {
 	request   context.Context // once it has ended, nothing is written; nil: it does not end
-	writeLock *sync.Mutex     // held while something is, and as life is ended with a final answer; nil: no need
+	writeLock *sync.Mutex     // held while something is, and as request is ended with a final answer; nil: no need
 	method    string
 	url       *url.URL
 	header    http.Header
--- a/internal/node/frontend.go
+++ b/internal/node/frontend.go
@@ -102,7 +102,7 @@
 // isLeaving reports whether clients are to go: each answer closes its connection.
 func (f *frontend) isLeaving() bool { return f.draining.Load() || f.evacuated.Load() }
 
-// closeEvacuatedIdle closes, while the node is emptied, connections that are idle and that their clients can't count on.
+// closeEvacuatedIdle closes, while the node is evacuated, connections that are idle and that their clients can't count on.
 func (f *frontend) closeEvacuatedIdle() {
 	if f.evacuated.Load() {
 		f.connections.closeIdle(minIdleTime)
--- a/internal/registry/replica/fleetreport.go
+++ b/internal/registry/replica/fleetreport.go
@@ -21,7 +21,7 @@
 func (l *leadership) readBody(w http.ResponseWriter, r *http.Request, path string, limit int64) ([]byte, bool) {
 	raw, err := io.ReadAll(io.LimitReader(r.Body, limit+1))
 	if err != nil {
-		return nil, false // the caller has been removed
+		return nil, false // the caller has gone
 	}
 	if int64(len(raw)) > limit {
 		l.rejectBody(w, path, fmt.Errorf("%w: body over %d bytes", fleet.ErrInvalid, limit))
--- a/internal/wire/events.go
+++ b/internal/wire/events.go
@@ -99,7 +99,7 @@
 	return InstanceEvent{Event: policy.TimerFired{Token: *e.Label}}, nil
 }
 
-// decodeAbandonment reads that a request's client has been removed.
+// decodeAbandonment reads that a request's client has gone.
 func decodeAbandonment(raw json.RawMessage) (InstanceEvent, error) {
 	var e struct {
 		Req *string `json:"req"`
--- a/policy/attempts_test.go
+++ b/policy/attempts_test.go
@@ -223,7 +223,7 @@
 	}
 }
 
-// When a overload makes warm servers answer less, warming ones are not sent less for it.
+// When an overload makes warm servers answer less, warming ones are not sent less for it.
 func TestOverloadLeavesWarmingServersTheirPace(t *testing.T) {
 	r := newHarness(t, harnessSettings(), 6)
 	r.run(10*time.Second, 240, "priority")
--- a/policy/fleet_load_test.go
+++ b/policy/fleet_load_test.go
@@ -251,7 +251,7 @@
 	}
 }
 
-// A node that starts in a overload learns the overload's latency as the unloaded one. There is no capacity by that: with all nodes
+// A node that starts in an overload learns the overload's latency as the unloaded one. There is no capacity by that: with all nodes
 // restarted, one request of each would keep the overload up. Where it is well within what objectives want, there is capacity.
 func TestStartUnderOverloadFindsNoCapacity(t *testing.T) {
 	m := New(sparseSettings(300), 1)
