--- a/policy/limits_test.go
+++ b/policy/limits_test.go
@@ -20,11 +20,11 @@
 	minPolicyFiles   = 2
 )
 
-// interfaceFiles define the types that callers use; they decide nothing.
+// interfaceFiles declare the types that callers use. They contain no decisions, so the deploy file does not name them.
 var interfaceFiles = []string{"doc.go", "settings.go", "servers.go", "events.go", "actions.go", "fleet_events.go"}
 
-// The deploy file names every file that decides, and the module stays readable: short files, lines and functions. It had a
-// limit on its lines in all as well, which the platform has withdrawn.
+// The deploy file must name every file with decisions, doc.go must name every file, and files, lines and functions must be short.
+// The total number of lines is not limited, as the platform has withdrawn that limit.
 func TestModuleLimits(t *testing.T) {
 	var deploy struct{ Policy []string }
 	if _, err := toml.DecodeFile("../deploy/balancer.toml", &deploy); err != nil {
@@ -52,11 +52,11 @@
 		}
 		deciding++
 		if !slices.Contains(deploy.Policy, "policy/"+file) {
-			t.Errorf("%s is not named under policy in the deploy file", file)
+			t.Errorf("the deploy file does not name %s under policy", file)
 		}
 	}
 	if deciding != len(deploy.Policy) || deciding < minPolicyFiles {
-		t.Errorf("%d files decide, the deploy file names %d", deciding, len(deploy.Policy))
+		t.Errorf("%d files contain decisions, but the deploy file names %d", deciding, len(deploy.Policy))
 	}
 }
 
@@ -69,15 +69,15 @@
 	}
 	lines := strings.Split(strings.TrimSuffix(string(text), "\n"), "\n")
 	if len(lines) > maxFileLines {
-		t.Errorf("%s has %d lines, %d at most", file, len(lines), maxFileLines)
+		t.Errorf("%s has %d lines, want at most %d", file, len(lines), maxFileLines)
 	}
 	for i, line := range lines {
 		if n := len([]rune(line)); n > maxLineLength {
-			t.Errorf("%s: line %d is %d characters long", file, i+1, n)
+			t.Errorf("%s: line %d is too long, with %d characters", file, i+1, n)
 		}
 	}
-	files := token.NewFileSet()
-	parsed, err := parser.ParseFile(files, file, text, parser.ParseComments)
+	fileSet := token.NewFileSet()
+	parsed, err := parser.ParseFile(fileSet, file, text, parser.ParseComments)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -86,8 +86,8 @@
 		if !ok {
 			continue
 		}
-		if n := files.Position(f.End()).Line - files.Position(f.Pos()).Line + 1; n > maxFunctionLines {
-			t.Errorf("%s: %s has %d lines, %d at most", file, f.Name.Name, n, maxFunctionLines)
+		if n := fileSet.Position(f.End()).Line - fileSet.Position(f.Pos()).Line + 1; n > maxFunctionLines {
+			t.Errorf("%s: function %s has %d lines, want at most %d", file, f.Name.Name, n, maxFunctionLines)
 		}
 	}
 }
--- a/policy/polling_test.go
+++ b/policy/polling_test.go
@@ -5,92 +5,92 @@
 	"time"
 )
 
-// pollers are nodes that ask one discovery for the list. It deals with calls in turn, takes so long for each, and fails
-// those that have waited for longer than its timeout, though they still take their turn.
-type pollers struct {
+// discoverySim simulates nodes that poll one discovery service for the endpoint list. The service handles one call at a time,
+// each in callTime. It fails calls that would wait longer than its timeout, but they still take up its time.
+type discoverySim struct {
 	modules []*Module
-	// free: when it has dealt with all calls so far
+	// The service is free from busyUntil on.
 	now       Time
 	busyUntil Time
 	callTime  time.Duration
 	answers   []pendingAnswer
-	served    []Time // when each was first served; 0: not yet
+	served    []Time // when each node's call was first answered; 0: not yet
 }
 
 type pendingAnswer struct {
 	at   Time
-	self int
+	node int
 	ok   bool
 }
 
 const (
-	discoveryTimeout = 2 * time.Second         // its timeout
-	callTimeout      = 2500 * time.Millisecond // the node's with a first call
+	discoveryTimeout = 2 * time.Second         // after which the service fails a waiting call
+	callTimeout      = 2500 * time.Millisecond // after which a node gives up its first call
 )
 
-func newPollers(nodes int, turn time.Duration) *pollers {
-	w := &pollers{now: time.Hour, callTime: turn, served: make([]Time, nodes)}
-	for self := range nodes {
+func newDiscoverySim(nodes int, timePerCall time.Duration) *discoverySim {
+	d := &discoverySim{now: time.Hour, callTime: timePerCall, served: make([]Time, nodes)}
+	for node := range nodes {
 		s := sparseSettings(nodes)
-		s.NodeIndex = self
+		s.NodeIndex = node
 		s.PollsEndpoints = true
 		s.MaxPollInterval = 10 * time.Second
-		w.modules = append(w.modules, New(s, int64(self)))
-		w.modules[self].Handle(w.now, sparseList(60))
+		d.modules = append(d.modules, New(s, int64(node)))
+		d.modules[node].Handle(d.now, sparseList(60))
 	}
-	return w
+	return d
 }
 
-// run goes on until then, with discovery up or silent.
-func (w *pollers) run(until Time, up bool) {
-	for ; w.now < until; w.now += 25 * time.Millisecond {
-		rest := w.answers[:0]
-		for _, d := range w.answers {
+// run advances the simulation to a time. The service answers calls if it is up, and is silent otherwise.
+func (d *discoverySim) run(until Time, up bool) {
+	for ; d.now < until; d.now += 25 * time.Millisecond {
+		rest := d.answers[:0]
+		for _, answer := range d.answers {
 			switch {
-			case d.at > w.now:
-				rest = append(rest, d)
-			case d.ok:
-				w.modules[d.self].Handle(w.now, EndpointUpdate{Kind: EndpointsChanged})
-				if w.served[d.self] == 0 {
-					w.served[d.self] = w.now
+			case answer.at > d.now:
+				rest = append(rest, answer)
+			case answer.ok:
+				d.modules[answer.node].Handle(d.now, EndpointUpdate{Kind: EndpointsChanged})
+				if d.served[answer.node] == 0 {
+					d.served[answer.node] = d.now
 				}
 			default:
-				w.modules[d.self].Handle(w.now, EndpointUpdate{Kind: EndpointsFailed})
+				d.modules[answer.node].Handle(d.now, EndpointUpdate{Kind: EndpointsFailed})
 			}
 		}
-		w.answers = rest
-		for self, m := range w.modules {
-			for _, a := range m.Handle(w.now, TimerFired{}) {
+		d.answers = rest
+		for node, m := range d.modules {
+			for _, a := range m.Handle(d.now, TimerFired{}) {
 				if _, ok := a.(Subscribe); !ok {
 					continue
 				}
 				if !up {
-					w.answers = append(w.answers, pendingAnswer{w.now + callTimeout, self, false})
+					d.answers = append(d.answers, pendingAnswer{d.now + callTimeout, node, false})
 					continue
 				}
-				w.busyUntil = max(w.busyUntil, w.now) + w.callTime
-				w.answers = append(w.answers, pendingAnswer{min(w.busyUntil, w.now+discoveryTimeout), self, w.busyUntil <= w.now+discoveryTimeout})
+				d.busyUntil = max(d.busyUntil, d.now) + d.callTime
+				d.answers = append(d.answers, pendingAnswer{min(d.busyUntil, d.now+discoveryTimeout), node, d.busyUntil <= d.now+discoveryTimeout})
 			}
 		}
 	}
 }
 
-// A change counts as notified 6 s after discovery can be reached, whatever failed before: by then 80 nodes have been served
-// in turn by one discovery, and any number where each has an agent of its own. 300 nodes in turn can't be: that alone
-// takes 18 s.
-func TestListIsPolledAgainInTime(t *testing.T) {
+// A change of the endpoint list counts as notified 6 s after discovery becomes reachable, whatever failed before. By then one
+// discovery service must have answered 80 nodes one after the other, and any number of nodes that each have an agent of their
+// own. 300 nodes can't be answered one after the other, as that alone takes 18 s.
+func TestPollingResumesInTimeAfterOutage(t *testing.T) {
 	for _, c := range []struct {
-		nodes int
-		turn  time.Duration
+		nodes       int
+		timePerCall time.Duration
 	}{{4, 60 * time.Millisecond}, {20, 60 * time.Millisecond}, {80, 60 * time.Millisecond}, {300, 0}} {
 		for down := range 6 {
-			w := newPollers(c.nodes, c.turn)
-			back := w.now + 2*time.Second + time.Duration(down)*1400*time.Millisecond
-			w.run(back, false)
-			w.run(back+6*time.Second, true)
-			for self, at := range w.served {
+			d := newDiscoverySim(c.nodes, c.timePerCall)
+			recovery := d.now + 2*time.Second + time.Duration(down)*1400*time.Millisecond
+			d.run(recovery, false)
+			d.run(recovery+6*time.Second, true)
+			for node, at := range d.served {
 				if at == 0 {
-					t.Errorf("%d nodes, a turn of %v: node %d is not served 6 s after discovery's return", c.nodes, c.turn, self)
+					t.Errorf("%d nodes, %v per call: node %d has no answer 6 s after discovery is back", c.nodes, c.timePerCall, node)
 					break
 				}
 			}
@@ -98,18 +98,18 @@
 	}
 }
 
-// Nodes that a release starts together are served by one discovery in their turns, at once or nearly so.
-func TestListIsPolledAtAStartInTime(t *testing.T) {
+// One discovery service must answer all nodes that a release starts at the same time within seconds.
+func TestPollsOfStartingNodesAreAnsweredInTime(t *testing.T) {
 	for _, c := range []struct {
-		nodes int
-		turn  time.Duration
+		nodes       int
+		timePerCall time.Duration
 	}{{4, 60 * time.Millisecond}, {80, 60 * time.Millisecond}, {300, 0}} {
-		w := newPollers(c.nodes, c.turn)
-		began := w.now
-		w.run(began+6*time.Second, true)
-		for self, at := range w.served {
+		d := newDiscoverySim(c.nodes, c.timePerCall)
+		start := d.now
+		d.run(start+6*time.Second, true)
+		for node, at := range d.served {
 			if at == 0 {
-				t.Errorf("%d nodes, a turn of %v: node %d is not served 6 s after its start", c.nodes, c.turn, self)
+				t.Errorf("%d nodes, %v per call: node %d has no answer 6 s after its start", c.nodes, c.timePerCall, node)
 			}
 		}
 	}
--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -9,7 +9,7 @@
 	"meadowsill/policy"
 )
 
-const testRate = 60 // arrivals a second
+const testRate = 60 // arrivals/s
 
 func runWorld(seed int64, length time.Duration, mutate func(*world, []policy.Action) []policy.Action) *world {
 	w := newWorld(seed)
@@ -19,7 +19,7 @@
 	return w
 }
 
-// TestRulesUnderRandomEvents drives the module through arbitrary legal orders of events and settings.
+// TestRulesUnderRandomEvents checks the rules of forwarding under random valid sequences of events and random settings.
 func TestRulesUnderRandomEvents(t *testing.T) {
 	for seed := int64(1); seed <= 60; seed++ {
 		w := runWorld(seed, 15*time.Second, nil)
@@ -40,24 +40,24 @@
 	})
 }
 
-// TestSameEventsSameActions runs recorded events to a second module.
+// TestSameEventsSameActions checks that two runs with the same seed give the same actions.
 func TestSameEventsSameActions(t *testing.T) {
 	w := newWorld(7)
 	w.run(10*time.Second, testRate, false)
-	again := newWorld(7)
-	again.run(10*time.Second, testRate, false)
-	if len(w.actions) < 500 || len(w.actions) != len(again.actions) {
-		t.Fatalf("%d and %d steps", len(w.actions), len(again.actions))
+	repeat := newWorld(7)
+	repeat.run(10*time.Second, testRate, false)
+	if len(w.actions) < 500 || len(w.actions) != len(repeat.actions) {
+		t.Fatalf("the runs have %d and %d steps", len(w.actions), len(repeat.actions))
 	}
 	for i := range w.actions {
-		if w.actions[i] != again.actions[i] {
-			t.Fatalf("step %d: %s, then %s", i, w.actions[i], again.actions[i])
+		if w.actions[i] != repeat.actions[i] {
+			t.Fatalf("step %d: first run %s, second run %s", i, w.actions[i], repeat.actions[i])
 		}
 	}
 }
 
-// TestCheckerCatches breaks the module's answers in each way that the rules forbid.
-func TestCheckerCatches(t *testing.T) {
+// TestCheckerDetectsViolations changes the module's actions in each way that the rules forbid. The checker must report each.
+func TestCheckerDetectsViolations(t *testing.T) {
 	each := func(change func(*world, policy.Action) []policy.Action) func(*world, []policy.Action) []policy.Action {
 		return func(w *world, in []policy.Action) (out []policy.Action) {
 			for _, a := range in {
@@ -66,7 +66,7 @@
 			return out
 		}
 	}
-	other := func(w *world, s policy.Forward) policy.Forward {
+	withOtherServer := func(w *world, s policy.Forward) policy.Forward {
 		for _, id := range w.ids {
 			if l := w.servers[id]; id != s.Server && l.drainNotifiedAt == 0 {
 				s.Server = id
@@ -123,19 +123,19 @@
 		}},
 		{"unsafe request sent again", func(w *world, a policy.Action) []policy.Action {
 			if s, ok := a.(policy.Forward); ok {
-				return []policy.Action{a, other(w, s)}
+				return []policy.Action{a, withOtherServer(w, s)}
 			}
 			return []policy.Action{a}
 		}},
 		{"two attempts out", func(w *world, a policy.Action) []policy.Action {
 			if s, ok := a.(policy.Forward); ok {
-				return []policy.Action{a, other(w, s)}
+				return []policy.Action{a, withOtherServer(w, s)}
 			}
 			return []policy.Action{a}
 		}},
 		{"outside its group or window", func(w *world, a policy.Action) []policy.Action {
 			if s, ok := a.(policy.Forward); ok {
-				return []policy.Action{a, other(w, s)}
+				return []policy.Action{a, withOtherServer(w, s)}
 			}
 			return []policy.Action{a}
 		}},
@@ -187,7 +187,7 @@
 			found = strings.Contains(fmt.Sprint(w.violations), c.want)
 		}
 		if !found {
-			t.Errorf("a module broken so that %q was not caught", c.want)
+			t.Errorf("the checker did not detect a violation that contains %q", c.want)
 		}
 	}
 }
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -6,9 +6,10 @@
 	"time"
 )
 
-// slowStartSites are four deployments that differ in what a warming server may bear: much of its capacity and short deadlines, or
-// little for long, strong kinds beside weak ones, few attempts or many. The last has budgets of 5 to 9 calls.
-func slowStartSites() map[string]rollout {
+// slowStartDeployments returns four deployments with different demands on slow start: warming servers with much of their capacity
+// and short deadlines or with little for a long time, fast machine kinds beside slow ones, few or many attempts. The last one has
+// budgets of 5 to 9 requests.
+func slowStartDeployments() map[string]rollout {
 	const ms = time.Millisecond
 	return map[string]rollout{
 		"views": {settings: Settings{MaxAttempts: 6, MayCancel: true, SendsRetryAfter: true, MaxRetryAfter: 750 * ms, MinTick: 5 * ms,
@@ -37,50 +38,52 @@
 	}
 }
 
-// What all nodes together send a warming server in any span of OverloadDuration stays within its budget of N and chance, as
-// half of the servers are replaced at once, also with 70 % of the nodes restarted in that second, and with warming servers
-// that err. Guards against sums that no node sees: each one's guess of a warm server too high, or of another kind.
-func TestFleetSparesWarmingServers(t *testing.T) {
-	sites := slowStartSites()
-	weak := sites["long"]
+// When half of the servers are replaced at once, the requests of all nodes to a warming server in any interval of OverloadDuration
+// must stay within its budget N and a margin for chance, also when 70 % of the nodes restart in that second or when warming servers
+// return errors. Guards against sums that no node can see: each node estimates the rate of a warm server too high, or takes it
+// from another machine kind.
+func TestFleetKeepsWithinSlowStartBudget(t *testing.T) {
+	deployments := slowStartDeployments()
+	weak := deployments["long"]
 	weak.settings.OverloadFactor, weak.settings.SlowStartMinCapacity = 3, 0.14
-	sites["weak"] = weak
+	deployments["weak"] = weak
 	for i, c := range []struct {
-		nodes    int
-		servers  int
-		site     string
-		load     float64
-		restarts float64
-		sick     float64
-		seed     int64
+		nodes         int
+		servers       int
+		deployment    string
+		load          float64
+		restarts      float64
+		errorFraction float64
+		seed          int64
 	}{{4, 12, "views", 0.33, 0.5, 0, 1}, {4, 12, "weak", 1.2, 0, 0, 1}, {20, 16, "orders", 0.6, 0.5, 0, 1},
 		{20, 16, "weak", 1.1, 0, 0.5, 2}, {30, 8, "short", 0.4, 0.5, 0, 1}, {30, 16, "weak", 1.1, 0.7, 0, 6},
 		{30, 12, "long", 0.6, 0, 0, 1}, {100, 18, "weak", 1.1, 0.5, 0, 5}, {300, 18, "weak", 1.1, 0.5, 0, 2}} {
-		t.Run(fmt.Sprint(c.nodes, c.site, i), func(t *testing.T) {
+		t.Run(fmt.Sprint(c.nodes, c.deployment, i), func(t *testing.T) {
 			t.Parallel()
-			w := sites[c.site]
+			w := deployments[c.deployment]
 			w.nodes = c.nodes
 			w.servers = c.servers
 			w.load = c.load
 			w.restarts = c.restarts
-			w.errorPart = c.sick
+			w.errorPart = c.errorFraction
 			w.replacedPart = 0.5
 			w.newServerSpeed = 1
 			w.early = true
 			w.length = 5 * time.Second
 			if c.nodes == 300 {
-				w.length = 8 * time.Second // the worst comes late
+				w.length = 8 * time.Second // the largest excess comes late in the run
 			}
 			if o := w.run(c.seed); o.maxExcess > 0 || o.warming != c.servers/2 {
-				t.Errorf("%d of %d warming servers got too much, at most %.1f calls beyond N+2√N+2, %.2f of N", o.overBudget, o.warming,
+				t.Errorf("%d of %d warming servers got too many requests, at most %.1f more than N+2√N+2, %.2f of N", o.overBudget, o.warming,
 					o.maxExcess, o.maxRatio)
 			}
 		})
 	}
 }
 
-// A warming server that is an ejected server is tried from the same budget: else many nodes try it at once, each by its own clock.
-func TestTrialsOfWarmingServersArePaced(t *testing.T) {
+// A trial request to an ejected server that is warming up must use its slow-start budget. Otherwise many nodes send trials at the
+// same time, as each has its own schedule.
+func TestTrialsUseSlowStartBudget(t *testing.T) {
 	m := New(sparseSettings(300), 1)
 	m.Handle(time.Hour, EndpointUpdate{Kind: EndpointsComplete, Servers: []Server{{ID: 1, StartedAt: time.Hour}}})
 	s := m.subset.servers[0]
@@ -88,30 +91,30 @@
 	s.outlier.nextTrialAt = time.Hour
 	s.slowStart.tokens = 0
 	if m.Handle(time.Hour+time.Second, RequestArrived{ID: "a", Class: "priority", Timeout: time.Second}); s.inFlight != 0 {
-		t.Error("tried with its budget spent")
+		t.Error("a trial was sent although the budget is spent")
 	}
 	s.slowStart.tokens = 1
 	if m.Handle(time.Hour+2*time.Second, RequestArrived{ID: "b", Class: "priority", Timeout: time.Second}); s.inFlight != 1 {
-		t.Error("not tried with a budget")
+		t.Error("no trial was sent although the budget allows one")
 	}
 }
 
-// News of a start that comes again, or a trial that looks like one, gives a warming server no new budget.
-func TestSpentBudgetOfAWarmingServerStaysSpent(t *testing.T) {
+// Another notice of the same start, or a trial that suggests a restart, must not refill the budget of a warming server.
+func TestRepeatedStartDoesNotRefillBudget(t *testing.T) {
 	m := New(sparseSettings(300), 1)
 	m.Handle(time.Hour, EndpointUpdate{Kind: EndpointsComplete, Servers: []Server{{ID: 1, StartedAt: time.Hour}}})
 	s := m.subset.servers[0]
 	for i := range 20 {
 		s.slowStart.tokens = 0.01
 		if m.beginSlowStart(s, time.Hour+time.Duration(i)*time.Second); s.slowStart.tokens > 0.01 {
-			t.Fatalf("%v of a call after start %d", s.slowStart.tokens, i+1)
+			t.Fatalf("budget of %v requests after start %d", s.slowStart.tokens, i+1)
 		}
 	}
 }
 
-// What a node that has just started takes a warm server to give does not come from its first moments: 300 of them that
-// each have one quick answer would make a slow fleet look fast.
-func TestFirstAnswersAreNoFastFleet(t *testing.T) {
+// A node that has just started must not derive a high rate of a warm server from its first answers: on 300 nodes that each get one
+// fast answer, a slow fleet would look fast.
+func TestFirstAnswersDoNotInflateWarmServerRate(t *testing.T) {
 	m := New(sparseSettings(300), 1)
 	m.Handle(time.Hour, sparseList(8))
 	for i := range 3 {
@@ -124,21 +127,21 @@
 	}
 	m.Handle(time.Hour+25*time.Millisecond, TimerFired{})
 	if maximum := 3 / answerRateTau / 8; m.load.all.maxRate == 0 || m.load.all.maxRate > maximum+1e-9 {
-		t.Errorf("a server is taken to give %.2f/s after 3 answers of 8, want at most %.2f", m.load.all.maxRate, maximum)
+		t.Errorf("estimated rate of a server is %.2f/s after 3 answers of 8 servers, want at most %.2f", m.load.all.maxRate, maximum)
 	}
 }
 
-// A warming server's pace goes by its own kind: a weak one among strong ones gets the part of a weak one.
-func TestPaceGoesByKind(t *testing.T) {
+// The slow-start rate of a server must depend on its own machine kind: a weak server among strong ones gets the rate of a weak one.
+func TestSlowStartRateDependsOnKind(t *testing.T) {
 	m := New(sparseSettings(2), 1)
-	l := sparseList(8)
-	for i := range l.Servers {
-		l.Servers[i].Kind = []string{"strong", "weak"}[i%2]
+	update := sparseList(8)
+	for i := range update.Servers {
+		update.Servers[i].Kind = []string{"strong", "weak"}[i%2]
 	}
-	m.Handle(time.Hour, l)
+	m.Handle(time.Hour, update)
 	driveAt(m, time.Hour, 10, 40, func(id ServerID) time.Duration { return time.Duration(50+450*(id%2^1)) * time.Millisecond }, nil)
 	strong, weak := m.warmServerRate(m.serverByID(1)), m.warmServerRate(m.serverByID(2))
 	if got := m.serverByID(2).answers.perSecond / m.serverByID(1).answers.perSecond; weak > m.load.all.maxRate/2 || strong < m.load.all.maxRate || strong > maxKindFactor*m.load.all.maxRate {
-		t.Errorf("strong %.2f, weak %.2f, all %.2f answers/s; the servers' rates are as %.2f to 1", strong, weak, m.load.all.maxRate, got)
+		t.Errorf("strong %.2f, weak %.2f, all %.2f answers/s; the ratio of the servers' rates is %.2f", strong, weak, m.load.all.maxRate, got)
 	}
 }
--- a/policy/subset_test.go
+++ b/policy/subset_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Many nodes that see little: each test here guards against what only many nodes do together.
+// Tests of nodes in large fleets, which each send few requests. They guard against faults that only many nodes together cause.
 
 func sparseSettings(nodes int) Settings {
 	return Settings{Nodes: nodes, MaxAttempts: 3, MayCancel: true, MinTick: 5 * time.Millisecond, SlowStartMinCapacity: 0.2,
@@ -26,29 +26,29 @@
 	return l
 }
 
-// drive runs seconds of traffic at one node, four requests a second, each answered after took. It returns how many of
-// each class were sent and the last time.
+// drive sends 4 requests/s to a node for some seconds, each answered after took. It returns the number of requests of each class
+// that were forwarded, and the time of the last step.
 func drive(m *Module, from Time, seconds int, took time.Duration, report *LoadReport) (map[string]int, Time) {
 	return driveAt(m, from, seconds, 4, func(ServerID) time.Duration { return took }, report)
 }
 
-// driveAt does it at another rate, a divisor of 40, with a delay for each server.
+// driveAt is drive with a rate in requests/s, which must divide 40, and a latency for each server.
 func driveAt(m *Module, from Time, seconds, rate int, took func(ServerID) time.Duration, report *LoadReport) (map[string]int, Time) {
 	sent, id := map[string]int{}, 0
 	now := from
-	type due struct {
+	type pendingOutcome struct {
 		at Time
 		e  AttemptEnded
 	}
-	var out []due
+	var pending []pendingOutcome
 	for step := range seconds * 40 {
 		now = from + time.Duration(step)*25*time.Millisecond
 		m.Handle(now, TimerFired{})
-		out = slices.DeleteFunc(out, func(d due) bool {
-			if d.at <= now {
-				m.Handle(now, d.e)
+		pending = slices.DeleteFunc(pending, func(o pendingOutcome) bool {
+			if o.at <= now {
+				m.Handle(now, o.e)
 			}
-			return d.at <= now
+			return o.at <= now
 		})
 		if step%(40/rate) != 0 {
 			continue
@@ -58,7 +58,7 @@
 		for _, a := range m.Handle(now, RequestArrived{ID: RequestID(fmt.Sprint(from, id)), Class: class, Timeout: 2 * time.Second}) {
 			if s, ok := a.(Forward); ok {
 				sent[class]++
-				out = append(out, due{now + took(s.Server), AttemptEnded{ID: s.ID, Server: s.Server, Answered: true,
+				pending = append(pending, pendingOutcome{now + took(s.Server), AttemptEnded{ID: s.ID, Server: s.Server, Answered: true,
 					Elapsed: took(s.Server), Report: report}})
 			}
 		}
@@ -66,8 +66,8 @@
 	return sent, now
 }
 
-// A node with few requests keeps to few servers, and all nodes together use all servers alike: else connection tables
-// fill, or some servers are overloaded.
+// A node with few requests must use few servers, and all nodes together must use all servers evenly. Otherwise connection tables
+// fill up, or some servers are overloaded.
 func TestSubsetsCoverServersEvenly(t *testing.T) {
 	const nodes, servers = 600, 180
 	use := map[ServerID]int{}
@@ -78,7 +78,7 @@
 		m.Handle(time.Hour, sparseList(servers))
 		drive(m, time.Hour, 3, 100*time.Millisecond, nil)
 		if len(m.subset.servers) < 8 || len(m.subset.servers) > 16 {
-			t.Fatalf("node %d uses %d of %d servers", self, len(m.subset.servers), servers)
+			t.Fatalf("node %d has %d of %d servers in its subset", self, len(m.subset.servers), servers)
 		}
 		for _, s := range m.subset.servers {
 			use[s.ID]++
@@ -91,9 +91,9 @@
 	}
 }
 
-// Nodes keep to their own zones for part of their subsets, and yet use all servers much alike, also where one zone has
-// three times as many as another.
-func TestSubsetsFavourTheOwnZoneEvenly(t *testing.T) {
+// Nodes must choose a part of their subsets from their own zones, and yet all servers must be used about evenly, also when one
+// zone has three times as many servers as another.
+func TestSubsetsPreferLocalZoneEvenly(t *testing.T) {
 	zones := []string{"a", "b", "c", "d"}
 	l := sparseList(60)
 	for i := range l.Servers {
@@ -118,7 +118,7 @@
 		}
 	}
 	if own*5 < all*3 {
-		t.Errorf("%d of %d places of subsets are in the node's own zone", own, all)
+		t.Errorf("%d of %d servers in subsets are in the node's own zone", own, all)
 	}
 	for id := ServerID(1); id <= 60; id++ {
 		if mean := all / 60; use[id] < mean/2 || use[id] > mean*8/5 {
@@ -127,8 +127,8 @@
 	}
 }
 
-// Few nodes use every server, however quiet they are: there are not enough subsets to even out.
-func TestFewNodesUseAll(t *testing.T) {
+// In a fleet of few nodes each node must use every server, however few requests it has: few subsets would load servers unevenly.
+func TestFewNodesUseAllServers(t *testing.T) {
 	s := sparseSettings(4)
 	s.Zones, s.Zone = []string{"a", "b"}, "a"
 	m := New(s, 1)
@@ -143,8 +143,8 @@
 	}
 }
 
-// A busy node uses every server.
-func TestBusyNodeUsesAll(t *testing.T) {
+// A node with many requests must use every server.
+func TestBusyNodeUsesAllServers(t *testing.T) {
 	m := New(sparseSettings(2), 1)
 	m.Handle(time.Hour, sparseList(20))
 	for i := range 400 {
@@ -157,8 +157,8 @@
 	}
 }
 
-// Nodes of a large fleet notice soon which servers turn slow, as each sends to few of them, and often.
-func TestNodesOfManyLeaveSlowServersSoon(t *testing.T) {
+// Nodes of a large fleet must notice slow servers quickly. They can, as each sends to few servers and so often to each of them.
+func TestLargeFleetAvoidsSlowServersQuickly(t *testing.T) {
 	slow, sent := 0, 0
 	for self := 0; self < 80; self += 8 {
 		s := sparseSettings(80)
@@ -175,13 +175,13 @@
 		}, nil)
 		sent += n["priority"] + n["bulk"]
 	}
-	if slow /= 2; sent < 760 || slow > 45 { // each is polled its delay twice
-		t.Errorf("%d of 800 sent, %d of them to slow servers", sent, slow)
+	if slow /= 2; sent < 760 || slow > 45 { // driveAt calls the function twice for each request
+		t.Errorf("%d of 800 requests sent, %d of them to slow servers", sent, slow)
 	}
 }
 
-// A node of a large fleet that has just started, and so has learned nothing, does not reject for that.
-func TestNodeOfManyServesFromItsStart(t *testing.T) {
+// A node of a large fleet that has just started must not reject requests because it has not learned anything yet.
+func TestNodeOfLargeFleetServesFromStart(t *testing.T) {
 	bulk := 0
 	for self := range 80 {
 		s := sparseSettings(80)
@@ -192,18 +192,19 @@
 		bulk += sent["bulk"]
 	}
 	if bulk < 1440 {
-		t.Errorf("%d of 1600 requests of no priority sent", bulk)
+		t.Errorf("%d of 1600 requests without priority sent", bulk)
 	}
 }
 
-// In a quiet many-node fleet nothing is shed; in a overloaded one the bulk class is, then part of the priority one, although
-// this node's own count is nearly always 0; and what it knows lapses, so that it does not reject for ever.
-func TestSparseNodeShedsByDelayAndRecovers(t *testing.T) {
+// In a large fleet under light load nothing must be shed. Under overload a node must shed the bulk class, and then a part of the
+// priority class, although its own count of requests at a server is nearly always 0. Its estimates must lapse, so that it does not
+// reject requests forever.
+func TestSparseNodeShedsByLatencyAndRecovers(t *testing.T) {
 	m := New(sparseSettings(600), 3)
 	m.Handle(time.Hour, sparseList(180))
-	quiet, now := drive(m, time.Hour, 20, 60*time.Millisecond, nil)
-	if quiet["priority"] < 39 || quiet["bulk"] < 39 {
-		t.Errorf("quiet: %v sent of 40 each", quiet)
+	light, now := drive(m, time.Hour, 20, 60*time.Millisecond, nil)
+	if light["priority"] < 39 || light["bulk"] < 39 {
+		t.Errorf("light load: %v sent of 40 each", light)
 	}
 	overloaded, now := drive(m, now, 10, 240*time.Millisecond, nil)
 	if overloaded["bulk"] > 15 || overloaded["priority"] < 6 || m.shedding.dropOther == 0 {
@@ -215,23 +216,24 @@
 	}
 	_, now = drive(m, now, 15, 60*time.Millisecond, nil)
 	if after, _ := drive(m, now, 10, 60*time.Millisecond, nil); after["bulk"] < 18 || after["priority"] < 18 {
-		t.Errorf("calm again: %v sent of 20 each", after)
+		t.Errorf("after the overload: %v sent of 20 each", after)
 	}
 }
 
-// The first answers of a node may be light requests: they are no measure of what an unloaded server takes.
-func TestLightFirstAnswersAreNoMeasure(t *testing.T) {
+// The first answers of a node may be to requests that cost little. The node must not take their latency for the latency of an
+// unloaded server.
+func TestFastFirstAnswersDoNotSetMinimumLatency(t *testing.T) {
 	m := New(sparseSettings(80), 3)
 	m.Handle(time.Hour, sparseList(60))
 	_, now := drive(m, time.Hour, 1, 5*time.Millisecond, nil)
 	_, now = drive(m, now, 20, 80*time.Millisecond, nil)
 	if sent, _ := drive(m, now, 10, 80*time.Millisecond, nil); sent["priority"] < 19 || sent["bulk"] < 19 {
-		t.Errorf("quiet after a light first second: %v sent of 20 each", sent)
+		t.Errorf("light load after a first second of fast answers: %v sent of 20 each", sent)
 	}
 }
 
-// Where a server has one request of all nodes in flight, as in a fleet at half load, next to nothing is shed.
-func TestIdleFleetOfManyShedsLittle(t *testing.T) {
+// When each server has one request of all nodes in flight, as in a fleet at half load, almost nothing must be shed.
+func TestLargeFleetAtHalfLoadShedsLittle(t *testing.T) {
 	bulk := 0
 	for self := range 20 {
 		s := sparseSettings(80)
@@ -245,12 +247,12 @@
 		bulk += sent["bulk"]
 	}
 	if bulk < 1960 {
-		t.Errorf("%d of 2000 requests of no priority sent", bulk)
+		t.Errorf("%d of 2000 requests without priority sent", bulk)
 	}
 }
 
-// What servers report counts all nodes' requests, and brings all three modes about at a node that has none there.
-func TestSparseNodeTakesModesFromReports(t *testing.T) {
+// A load report counts the requests of all nodes, so it must determine the mode of a server at which this node has no requests.
+func TestSparseNodeSetsModeFromLoadReports(t *testing.T) {
 	for _, c := range []struct {
 		inFlight float64
 		want     Mode
@@ -262,12 +264,13 @@
 		s := m.subset.servers[0]
 		m.applyLoadReport(s, &LoadReport{InFlight: c.inFlight, HasInFlight: true})
 		if got := m.overloadMode(s); got != c.want {
-			t.Errorf("a report of %v requests makes mode %v, want %v", c.inFlight, got, c.want)
+			t.Errorf("mode after a report of %v requests is %v, want %v", c.inFlight, got, c.want)
 		}
 	}
 }
 
-// Two failed connects are no dead process: the connection table may be full. Three in a row make an ejected server.
+// Two failed connection attempts do not prove that a process is dead, as its connection table may be full. Three in a row must eject
+// the server.
 func TestFailedConnectsCountAsFailures(t *testing.T) {
 	m := New(sparseSettings(600), 1)
 	m.Handle(time.Hour, sparseList(1))
@@ -282,9 +285,9 @@
 	}
 }
 
-// A server that errs three times in four answers every fourth trial: that must not bring it the requests that may not
-// be repeated. One error makes no ejected, nor do timeouts, which load can cause.
-func TestServerThatMostlyErrsStaysEjected(t *testing.T) {
+// A server that fails three of four requests with an error still answers every fourth trial. That must not bring it requests that
+// must not be retried. One error must not eject a server, nor two timeouts, which load can cause.
+func TestServerWithHighErrorRateStaysEjected(t *testing.T) {
 	m := New(sparseSettings(80), 1)
 	m.Handle(time.Hour, sparseList(1))
 	now := time.Hour
@@ -294,70 +297,70 @@
 	}{{ServerError, false}, {OK, false}, {TimedOut, false}, {TimedOut, false}, {OK, false}, {ServerError, false},
 		{ServerError, true}, {ServerError, true}, {OK, true}, {ServerError, true}, {OK, true}, {OK, true}, {OK, true}, {OK, false}} {
 		id := RequestID(fmt.Sprint(i))
-		now += 30 * time.Second // a trial is due, whatever the last one's outcome
+		now += 30 * time.Second // so that a trial is due, whatever the outcome of the last one
 		sent := m.Handle(now, RequestArrived{ID: id, Class: "priority", Timeout: 2 * time.Second})
 		if !slices.ContainsFunc(sent, func(a Action) bool { _, ok := a.(Forward); return ok }) {
-			t.Fatalf("step %d: not sent: %v", i, sent)
+			t.Fatalf("step %d: request not forwarded: %v", i, sent)
 		}
 		m.Handle(now+10*time.Millisecond, AttemptEnded{ID: id, Server: 1, Code: step.code, Answered: step.code == OK,
 			Elapsed: 10 * time.Millisecond})
 		if s := m.subset.servers[0]; s.outlier.ejected != step.want {
-			t.Errorf("step %d: after code %v ejected is %v, its share of errors %.2f", i, step.code, s.outlier.ejected, s.outlier.errorRate)
+			t.Errorf("step %d: after code %v ejected is %v, with an error rate of %.2f", i, step.code, s.outlier.ejected, s.outlier.errorRate)
 		}
 	}
 }
 
-// Absurd reports change little, and not for long.
-func TestAbsurdReportsAreBounded(t *testing.T) {
+// Load reports with invalid values must have little effect, and not for long.
+func TestInvalidLoadReportsHaveBoundedEffect(t *testing.T) {
 	for _, v := range []float64{math.NaN(), math.Inf(1), -5, 1e300} {
 		m := New(sparseSettings(600), 3)
 		m.Handle(time.Hour, sparseList(8))
 		_, now := drive(m, time.Hour, 5, 60*time.Millisecond, &LoadReport{InFlight: v, HasInFlight: true})
 		_, now = drive(m, now, 30, 60*time.Millisecond, nil)
 		if sent, _ := drive(m, now, 10, 60*time.Millisecond, nil); sent["priority"]+sent["bulk"] < 36 {
-			t.Errorf("35 s after reports of %v: %v sent of 20 each", v, sent)
+			t.Errorf("35 s after load reports of %v: %v sent of 20 each", v, sent)
 		}
 	}
 }
 
-// Discovery serves all nodes in turn and fails calls that wait too long, though they still cost it their turn: nodes
-// that a release starts at once must all have been served within seconds, be they few or many.
-func TestListCallsOfRestartedNodesAreServed(t *testing.T) {
-	const turn, timeout = 60 * time.Millisecond, 2 * time.Second
+// Discovery handles one call at a time and fails calls that wait too long, but these still take up its time. All nodes that a
+// release starts at once must have an answer within seconds, whether they are few or many.
+func TestDiscoveryAnswersAllRestartedNodes(t *testing.T) {
+	const timePerCall, timeout = 60 * time.Millisecond, 2 * time.Second
 	for _, nodes := range []int{4, 80} {
-		var all []*Module
-		for self := range nodes {
+		var modules []*Module
+		for node := range nodes {
 			s := sparseSettings(nodes)
-			s.NodeIndex = self
+			s.NodeIndex = node
 			s.PollsEndpoints = true
 			s.MaxPollInterval = 10 * time.Second
-			all = append(all, New(s, int64(self)))
-			all[self].Handle(time.Hour, sparseList(60))
+			modules = append(modules, New(s, int64(node)))
+			modules[node].Handle(time.Hour, sparseList(60))
 		}
-		free, served := time.Hour, 0 // when discovery has dealt with all calls so far
+		busyUntil, served := time.Hour, 0 // busyUntil: when discovery has handled all calls so far
 		type reply struct {
 			at   Time
-			self int
+			node int
 			ok   bool
 		}
-		var due []reply
+		var pending []reply
 		for now := time.Hour; now < time.Hour+12*time.Second; now += 25 * time.Millisecond {
-			for i := 0; i < len(due); i++ {
-				if d := due[i]; d.at <= now {
-					due = slices.Delete(due, i, i+1)
+			for i := 0; i < len(pending); i++ {
+				if r := pending[i]; r.at <= now {
+					pending = slices.Delete(pending, i, i+1)
 					i--
 					kind := EndpointsFailed
-					if d.ok {
+					if r.ok {
 						kind, served = EndpointsChanged, served+1
 					}
-					all[d.self].Handle(now, EndpointUpdate{Kind: kind})
+					modules[r.node].Handle(now, EndpointUpdate{Kind: kind})
 				}
 			}
-			for self, m := range all {
+			for node, m := range modules {
 				for _, a := range m.Handle(now, TimerFired{}) {
 					if _, ok := a.(Subscribe); ok {
-						free = max(free, now) + turn
-						due = append(due, reply{min(free, now+timeout), self, free <= now+timeout})
+						busyUntil = max(busyUntil, now) + timePerCall
+						pending = append(pending, reply{min(busyUntil, now+timeout), node, busyUntil <= now+timeout})
 					}
 				}
 			}
