--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -1,5 +1,5 @@
-// Command simhost hosts instances of the decision module on the simulator's wire: a batch of events per line on standard
-// input, a reply per line on standard output.
+// Command simhost runs instances of the decision module for the simulator. It reads a batch of events per line from standard input
+// and writes a reply per line to standard output.
 package main
 
 import (
@@ -13,7 +13,7 @@
 	"meadowsill/policy"
 )
 
-// bufferSize is that of the input and the output, in bytes.
+// bufferSize is the size of the input buffer and of the output buffer, in bytes.
 const bufferSize = 1 << 20
 
 func main() {
@@ -23,23 +23,23 @@
 	}
 }
 
-// run answers each line of in on out, until in ends.
+// run reads lines from in until its end and writes a reply to each of them to out.
 func run(in io.Reader, out io.Writer) error {
 	reader := bufio.NewReaderSize(in, bufferSize)
 	writer := bufio.NewWriterSize(out, bufferSize)
 	modules := instances{}
 	var reply []byte
-	for number := 1; ; number++ {
+	for lineNumber := 1; ; lineNumber++ {
 		line, err := reader.ReadBytes('\n')
 		if errors.Is(err, io.EOF) && len(line) == 0 {
 			return nil
 		}
 		if err != nil && !errors.Is(err, io.EOF) {
-			return fmt.Errorf("line %d: %w", number, err)
+			return fmt.Errorf("line %d: %w", lineNumber, err)
 		}
 		replies, err := modules.answer(line)
 		if err != nil {
-			return fmt.Errorf("line %d: %w", number, err)
+			return fmt.Errorf("line %d: %w", lineNumber, err)
 		}
 		reply = wire.AppendReply(reply[:0], replies)
 		if _, err := writer.Write(reply); err != nil {
@@ -51,10 +51,10 @@
 	}
 }
 
-// instances are the modules that run, by node.
+// instances are the running modules by node ID.
 type instances map[int]*policy.Module
 
-// answer gives a line's events to the modules and returns what they do.
+// answer passes the events of a line to the modules and returns the modules' actions.
 func (m instances) answer(line []byte) ([]wire.Reply, error) {
 	batch, err := wire.DecodeBatch(line)
 	if err != nil {
@@ -71,7 +71,7 @@
 	return replies, nil
 }
 
-// handle gives one instance its events.
+// handle passes its events to one instance and returns the actions.
 func (m instances) handle(now policy.Time, events wire.InstanceEvents) (wire.Reply, error) {
 	reply := wire.Reply{NodeID: events.NodeID}
 	for i, event := range events.Events {
@@ -80,7 +80,7 @@
 			m[events.NodeID] = policy.New(event.Start.Settings, event.Start.Seed)
 		case event.Retire:
 			delete(m, events.NodeID)
-			reply.Actions = nil // a retired instance does nothing
+			reply.Actions = nil // actions of a retired instance are dropped
 		default:
 			module := m[events.NodeID]
 			if module == nil {
--- a/internal/wire/encode.go
+++ b/internal/wire/encode.go
@@ -8,13 +8,13 @@
 	"meadowsill/policy"
 )
 
-// Reply holds the actions of one instance.
+// Reply holds the actions of one instance of the module.
 type Reply struct {
 	NodeID  int
 	Actions []policy.Action
 }
 
-// AppendReply writes the line that answers a batch, with its line end.
+// AppendReply appends the line that answers a batch, including the newline. Instances without actions are omitted.
 func AppendReply(b []byte, replies []Reply) []byte {
 	b = append(b, `{"groups":[`...)
 	first := true
--- a/internal/wire/endpoints.go
+++ b/internal/wire/endpoints.go
@@ -8,7 +8,7 @@
 	"meadowsill/policy"
 )
 
-// serverEntry is one server of a list.
+// serverEntry is one server of an endpoint list on the wire.
 type serverEntry struct {
 	Backend *uint32 `json:"backend"`
 	Zone    string  `json:"zone"`
@@ -23,11 +23,11 @@
 	"D": policy.EndpointsChanged, "F": policy.EndpointsComplete, "C": policy.EndpointsCached, "X": policy.EndpointsFailed,
 }
 
-var states = map[string]policy.ServerState{
+var serverStates = map[string]policy.ServerState{
 	"ready": policy.Ready, "draining": policy.Draining, "gone": policy.Removed,
 }
 
-// decodeEndpointUpdate reads the endpoint list, or changes of it.
+// decodeEndpointUpdate decodes a complete endpoint list or changes to it.
 func decodeEndpointUpdate(raw json.RawMessage) (InstanceEvent, error) {
 	var e struct {
 		How     string        `json:"how"`
@@ -41,24 +41,24 @@
 	if !ok {
 		return InstanceEvent{}, fmt.Errorf("unknown how %q", e.How)
 	}
-	l := policy.EndpointUpdate{Kind: kind, Version: e.Version}
-	for i, it := range e.Items {
-		if it.Backend == nil {
+	update := policy.EndpointUpdate{Kind: kind, Version: e.Version}
+	for i, entry := range e.Items {
+		if entry.Backend == nil {
 			return InstanceEvent{}, fmt.Errorf("entry %d: %w", i, missingFieldError("backend"))
 		}
-		state, ok := states[it.State]
+		state, ok := serverStates[entry.State]
 		if !ok {
-			return InstanceEvent{}, fmt.Errorf("entry %d: unknown state %q", i, it.State)
+			return InstanceEvent{}, fmt.Errorf("entry %d: unknown state %q", i, entry.State)
 		}
-		l.Servers = append(l.Servers, policy.Server{
-			ID:        policy.ServerID(*it.Backend),
-			Zone:      it.Zone,
-			Kind:      it.Model,
-			Cell:      it.Pod,
+		update.Servers = append(update.Servers, policy.Server{
+			ID:        policy.ServerID(*entry.Backend),
+			Zone:      entry.Zone,
+			Kind:      entry.Model,
+			Cell:      entry.Pod,
 			State:     state,
-			Weight:    it.Nominal,
-			StartedAt: time.Duration(it.ReadyAt),
+			Weight:    entry.Nominal,
+			StartedAt: time.Duration(entry.ReadyAt),
 		})
 	}
-	return InstanceEvent{Event: l}, nil
+	return InstanceEvent{Event: update}, nil
 }
--- a/internal/wire/events.go
+++ b/internal/wire/events.go
@@ -7,7 +7,7 @@
 	"meadowsill/policy"
 )
 
-// The names of events on the wire.
+// Names of events on the wire.
 const (
 	eventArrival        = "submit"
 	eventAttemptEnd     = "attempt_end"
@@ -21,14 +21,14 @@
 	eventRetire         = "retire"
 )
 
-// The bits of an arrival's flags.
+// Bits of the flags field of an arrival.
 const (
 	flagHasWorkHint = 1
 	flagIsRetry     = 2
 	flagIsWrite     = 4
 )
 
-// decodeEvent reads one event by its name on the wire.
+// decodeEvent decodes the event with this name on the wire.
 func decodeEvent(name string, raw json.RawMessage) (InstanceEvent, error) {
 	switch name {
 	case eventArrival:
@@ -51,7 +51,7 @@
 	return InstanceEvent{}, errUnknownEvent
 }
 
-// decodeArrival reads the arrival of a request.
+// decodeArrival decodes the arrival of a request. A user_group that is not a string means that the request names no tenant.
 func decodeArrival(raw json.RawMessage) (InstanceEvent, error) {
 	var e struct {
 		Req      *string `json:"req"`
@@ -85,7 +85,7 @@
 	}}, nil
 }
 
-// decodeTimer reads the end of a timer.
+// decodeTimer decodes the expiry of a timer.
 func decodeTimer(raw json.RawMessage) (InstanceEvent, error) {
 	var e struct {
 		Label *int64 `json:"label"`
@@ -99,7 +99,7 @@
 	return InstanceEvent{Event: policy.TimerFired{Token: *e.Label}}, nil
 }
 
-// decodeAbandonment reads that a request's client has gone.
+// decodeAbandonment decodes the event that a request's client has gone away.
 func decodeAbandonment(raw json.RawMessage) (InstanceEvent, error) {
 	var e struct {
 		Req *string `json:"req"`
@@ -113,7 +113,7 @@
 	return InstanceEvent{Event: policy.RequestAbandoned{ID: policy.RequestID(*e.Req)}}, nil
 }
 
-// decodeMessage reads a message from another node.
+// decodeMessage decodes a message from another node.
 func decodeMessage(raw json.RawMessage) (InstanceEvent, error) {
 	var e struct {
 		From  *int   `json:"from"`
--- a/internal/wire/outcomes.go
+++ b/internal/wire/outcomes.go
@@ -9,7 +9,7 @@
 	"meadowsill/policy"
 )
 
-// The codes by which the wire names outcomes.
+// Codes of outcomes on the wire.
 const (
 	codeOK            = 0
 	codeCancelled     = 1
@@ -27,7 +27,7 @@
 	codeConnectFailed: policy.ConnectFailed,
 }
 
-// decodeOutcome reads what came of an attempt or a health check, or the beginning of a streamed answer.
+// decodeOutcome decodes the outcome of an attempt or a health check, or the start of a streamed answer.
 func decodeOutcome(name string, raw json.RawMessage) (InstanceEvent, error) {
 	var e struct {
 		Req         *string                    `json:"req"`
@@ -44,7 +44,7 @@
 	if e.Backend == nil {
 		return InstanceEvent{}, missingFieldError("backend")
 	}
-	server, took := policy.ServerID(*e.Backend), time.Duration(e.Delay)
+	server, elapsed := policy.ServerID(*e.Backend), time.Duration(e.Delay)
 	var id policy.RequestID
 	if name != eventHealthCheckEnd {
 		if e.Req == nil {
@@ -56,7 +56,7 @@
 		id = policy.RequestID(*e.Req)
 	}
 	if name == eventStreamStart {
-		return InstanceEvent{Event: policy.StreamStarted{ID: id, Attempt: *e.Leg, Server: server, Elapsed: took}}, nil
+		return InstanceEvent{Event: policy.StreamStarted{ID: id, Attempt: *e.Leg, Server: server, Elapsed: elapsed}}, nil
 	}
 	if e.Disposition == nil {
 		return InstanceEvent{}, missingFieldError("disposition")
@@ -67,20 +67,20 @@
 	}
 	report := decodeLoadReport(e.Feedback)
 	if name == eventHealthCheckEnd {
-		return InstanceEvent{Event: policy.HealthCheckEnded{Server: server, Code: code, Elapsed: took, Report: report}}, nil
+		return InstanceEvent{Event: policy.HealthCheckEnded{Server: server, Code: code, Elapsed: elapsed, Report: report}}, nil
 	}
 	return InstanceEvent{Event: policy.AttemptEnded{
 		ID:       id,
 		Attempt:  *e.Leg,
 		Server:   server,
 		Answered: e.Over,
-		Elapsed:  took,
+		Elapsed:  elapsed,
 		Code:     code,
 		Report:   report,
 	}}, nil
 }
 
-// decodeLoadReport skips the keys it does not know; a report with no known key is none.
+// decodeLoadReport decodes a load report. It ignores unknown keys and values that are not numbers, and returns nil if none is left.
 func decodeLoadReport(values map[string]json.RawMessage) *policy.LoadReport {
 	var r policy.LoadReport
 	known := false
@@ -97,8 +97,8 @@
 	return &r
 }
 
-// SetLoadReportValue puts one value of a load report in its place, by its name here or on sockets. It reports whether
-// it knows the name.
+// SetLoadReportValue sets the field of a load report that belongs to a name, either the name on the simulator's wire or the one
+// that servers use on sockets. It reports whether the name is known.
 func SetLoadReportValue(r *policy.LoadReport, name string, v float64) bool {
 	switch name {
 	case "active", "inflight":
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -18,7 +18,7 @@
 	"none": policy.LoadReportsNone, "probe": policy.LoadReportsByHealthCheck, "answers": policy.LoadReportsByAnswer,
 }
 
-// profile is the settings object as the settings page writes it. The fields of its
+// profile is the settings object in the format of the settings page. The fields of its
 // nested objects keep the names of their keys, since encoding/json prints them in
 // the errors that operators read.
 type profile struct {
@@ -108,7 +108,7 @@
 	Zone       string   `json:"zone"`
 }
 
-// decodeStart reads the start of an instance.
+// decodeStart decodes the start of an instance. A seed that is not an unsigned 64-bit integer is replaced by the bits of its float64 value.
 func decodeStart(raw json.RawMessage) (InstanceEvent, error) {
 	var e struct {
 		Seed    *json.Number    `json:"seed"`
@@ -125,8 +125,8 @@
 	}
 	seed, err := strconv.ParseUint(e.Seed.String(), 10, 64)
 	if err != nil {
-		f, ferr := e.Seed.Float64()
-		if ferr != nil {
+		f, floatErr := e.Seed.Float64()
+		if floatErr != nil {
 			return InstanceEvent{}, fmt.Errorf("seed: %w", err)
 		}
 		seed = math.Float64bits(f)
@@ -138,7 +138,7 @@
 	return InstanceEvent{Start: &InstanceStart{Settings: s, Seed: int64(seed)}}, nil
 }
 
-// DecodeSettings reads the settings object, which a real node finds in its configuration.
+// DecodeSettings decodes the settings object. On a real node it is part of the configuration.
 func DecodeSettings(raw json.RawMessage) (policy.Settings, error) {
 	var p *profile
 	if err := json.Unmarshal(raw, &p); err != nil {
@@ -156,7 +156,7 @@
 	return s, nil
 }
 
-// settings returns all but the classes and tenants.
+// settings returns the settings without the classes and tenants.
 func (p *profile) settings() policy.Settings {
 	return policy.Settings{
 		Nodes:                p.Balancers,
@@ -220,7 +220,7 @@
 	}
 }
 
-// classes returns the classes of requests, or why one of them can't be read.
+// classes returns the request classes, or an error for the first class that is invalid.
 func (p *profile) classes() ([]policy.Class, error) {
 	var classes []policy.Class
 	for _, c := range p.Classes {
@@ -248,7 +248,7 @@
 	return classes, nil
 }
 
-// tenants returns the tenants with their quotas.
+// tenants returns the tenants and their quotas.
 func (p *profile) tenants() []policy.Tenant {
 	var tenants []policy.Tenant
 	for _, t := range p.Accounts {
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,4 +1,4 @@
-// Package wire translates between the simulator's JSON lines and the types of package policy. It decides nothing.
+// Package wire translates between the simulator's JSON lines and the types of package policy. It makes no decisions.
 package wire
 
 import (
@@ -10,13 +10,13 @@
 	"meadowsill/policy"
 )
 
-// InstanceStart begins an instance of the module.
+// InstanceStart holds the parameters of a new instance of the module.
 type InstanceStart struct {
 	Settings policy.Settings
 	Seed     int64
 }
 
-// InstanceEvent is one event for an instance: its start, its end, or an event for its module.
+// InstanceEvent is one event for an instance: its start if Start is set, its end if Retire is, or else an event for its module.
 type InstanceEvent struct {
 	Start  *InstanceStart
 	Retire bool
@@ -29,34 +29,34 @@
 	Events []InstanceEvent
 }
 
-// Batch is one line from the simulator.
+// Batch is the content of one line from the simulator.
 type Batch struct {
 	Now       policy.Time
 	Instances []InstanceEvents
 }
 
-// errUnknownEvent means that an event's name is none of the wire's.
+// errUnknownEvent means that the wire has no event of this name.
 var errUnknownEvent = errors.New("unknown event")
 
-// missingFieldError is the error of a message that lacks the field of this name.
+// missingFieldError is the error for a message without a required field. Its value is the name of the field.
 type missingFieldError string
 
 // Error implements error.
 func (e missingFieldError) Error() string { return string(e) + " is missing" }
 
-// batchMessage is a line as it is written.
+// batchMessage is the JSON form of a line.
 type batchMessage struct {
 	Now    *int64                  `json:"sim_time_ns"`
 	Groups []instanceEventsMessage `json:"groups"`
 }
 
-// instanceEventsMessage is the events of one instance as they are written: an object with one key each, the event's name.
+// instanceEventsMessage is the JSON form of the events of one instance. Each event is an object with one key, the event's name.
 type instanceEventsMessage struct {
 	NodeID *int                         `json:"node_id"`
 	Events []map[string]json.RawMessage `json:"happened"`
 }
 
-// DecodeBatch reads one line. An error names the instance and the event.
+// DecodeBatch decodes one line. An error names the instance and the event that it is about.
 func DecodeBatch(line []byte) (Batch, error) {
 	var message batchMessage
 	if err := json.Unmarshal(line, &message); err != nil {
@@ -79,18 +79,18 @@
 	return batch, nil
 }
 
-// decode reads the events of one instance, whose node_id is there.
+// decode decodes the events of one instance. NodeID must be set.
 func (m *instanceEventsMessage) decode() (InstanceEvents, error) {
 	events := InstanceEvents{NodeID: *m.NodeID}
 	for i, message := range m.Events {
-		where := fmt.Sprintf("node %d, event %d", events.NodeID, i)
+		location := fmt.Sprintf("node %d, event %d", events.NodeID, i)
 		if len(message) != 1 {
-			return InstanceEvents{}, fmt.Errorf("%s: want one key, have %d", where, len(message))
+			return InstanceEvents{}, fmt.Errorf("%s: want one key, have %d", location, len(message))
 		}
 		for name, raw := range message {
 			event, err := decodeEvent(name, raw)
 			if err != nil {
-				return InstanceEvents{}, fmt.Errorf("%s, %s: %w", where, name, err)
+				return InstanceEvents{}, fmt.Errorf("%s, %s: %w", location, name, err)
 			}
 			events.Events = append(events.Events, event)
 		}
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -9,7 +9,7 @@
 	"meadowsill/policy"
 )
 
-const start = `{"up":{"seed":9007199254740993,"profile_data":{"accounts":[{"name":"a","quota_per_s":5,"fraction":0.5}],
+const startEvent = `{"up":{"seed":9007199254740993,"profile_data":{"accounts":[{"name":"a","quota_per_s":5,"fraction":0.5}],
 "balancers":3,"caps":{"cancel":true,"connect_timeout_ns":250000000,"cpu_us_per_s":15000,"cpu_us_per_request":2.5,"most_held":9,"multiplex":100,"conn_idle_ns":5,"max_attempts":4,"may_duplicate":true,"peers":true,
 "probes":true,"retry_after":true,"max_retry_after_ns":2000000000},"classes":[{"aim_ns":600000000,"dedup_window_ns":8,
 "effect":"dedup","give_up_ns":1200000000,"importance":12.0,"key_scope":"cell","late_worth":0.5,"name":"x","streamed":true}],
@@ -23,7 +23,7 @@
 	return `{"sim_time_ns":1,"groups":[{"node_id":3,"happened":[` + events + `]}]}`
 }
 
-func one(t *testing.T, event string) InstanceEvent {
+func decodeOne(t *testing.T, event string) InstanceEvent {
 	t.Helper()
 	b, err := DecodeBatch([]byte(batch(event)))
 	if err != nil {
@@ -32,12 +32,12 @@
 	return b.Instances[0].Events[0]
 }
 
-func TestStart(t *testing.T) {
-	h := one(t, strings.ReplaceAll(start, "\n", ""))
-	s := h.Start.Settings
-	if h.Start.Seed != 9007199254740993 || s.Nodes != 3 || s.NodeIndex != 2 || !s.PollsEndpoints || !s.WeightFallsWithLoad || !s.MayHedge ||
+func TestDecodeStart(t *testing.T) {
+	event := decodeOne(t, strings.ReplaceAll(startEvent, "\n", ""))
+	s := event.Start.Settings
+	if event.Start.Seed != 9007199254740993 || s.Nodes != 3 || s.NodeIndex != 2 || !s.PollsEndpoints || !s.WeightFallsWithLoad || !s.MayHedge ||
 		s.LoadReportSource != policy.LoadReportsByAnswer || s.DrainGrace != 500*time.Millisecond || s.OverloadFactor != 2.5 {
-		t.Errorf("%+v", h.Start)
+		t.Errorf("%+v", event.Start)
 	}
 	if s.CPUPerSecond != 15*time.Millisecond || s.CPUPerRequest != 2500*time.Nanosecond || s.MaxOpenRequests != 9 || s.ConnIdleTimeout != 5 ||
 		s.MaxStreamsPerConn != 100 || s.Prices != (policy.Prices{CrossZone: 0.02, ListLines: 0.5}) || s.TierIndex != 1 || len(s.Tiers) != 2 ||
@@ -53,18 +53,18 @@
 func TestOutcomeCodes(t *testing.T) {
 	for code, want := range map[string]policy.OutcomeCode{"0": policy.OK, "13": policy.ServerError, "8": policy.Rejected,
 		"4": policy.TimedOut, "14": policy.ConnectFailed, "10": policy.Reset, "1": policy.Cancelled, "9": policy.NotSent} {
-		h := one(t, `{"attempt_end":{"req":"q","leg":1,"backend":7,"delay_seen_ns":5,"disposition":`+code+`,
+		event := decodeOne(t, `{"attempt_end":{"req":"q","leg":1,"backend":7,"delay_seen_ns":5,"disposition":`+code+`,
 			"feedback":{"active":7,"unheard_of":3,"waiting":2}}}`)
-		e := h.Event.(policy.AttemptEnded)
+		e := event.Event.(policy.AttemptEnded)
 		if e.Code != want || e.Attempt != 1 || e.Server != 7 || e.Answered || e.Report.InFlight != 7 || e.Report.Queue != 2 {
 			t.Errorf("code %s: %+v", code, e)
 		}
 	}
 }
 
-func TestReportWithNoKnownFieldIsNone(t *testing.T) {
-	h := one(t, `{"attempt_end":{"req":"q","leg":0,"backend":7,"disposition":0,"feedback":{"unheard_of":"x"}}}`)
-	if e := h.Event.(policy.AttemptEnded); e.Report != nil {
+func TestLoadReportWithoutKnownFieldIsNil(t *testing.T) {
+	event := decodeOne(t, `{"attempt_end":{"req":"q","leg":0,"backend":7,"disposition":0,"feedback":{"unheard_of":"x"}}}`)
+	if e := event.Event.(policy.AttemptEnded); e.Report != nil {
 		t.Errorf("%+v", e.Report)
 	}
 }
@@ -76,7 +76,7 @@
 	}
 }
 
-func TestBadInputIsNamed(t *testing.T) {
+func TestErrorsNameInvalidInput(t *testing.T) {
 	for in, want := range map[string]string{
 		`nonsense`:                        "batch",
 		`{"groups":[]}`:                   "sim_time_ns is missing",
@@ -122,13 +122,13 @@
 }
 
 func FuzzDecode(f *testing.F) {
-	f.Add([]byte(batch(strings.ReplaceAll(start, "\n", ""))))
+	f.Add([]byte(batch(strings.ReplaceAll(startEvent, "\n", ""))))
 	f.Add([]byte(batch(`{"submit":{"req":"q","patience_left_ns":1}},{"due":{"label":7}},{"retire":{}}`)))
 	f.Add([]byte(batch(`{"attempt_end":{"req":"q","leg":0,"backend":1,"disposition":0,"feedback":{"active":1e400}}}`)))
 	f.Add([]byte(`{"sim_time_ns":1,"groups":[{"node_id":3,"happened":[{"subm`))
 	f.Fuzz(func(t *testing.T, line []byte) {
 		if b, err := DecodeBatch(line); err == nil && b.Instances == nil && len(line) == 0 {
-			t.Fatal("an empty line is no batch")
+			t.Fatal("an empty line was decoded as a batch")
 		}
 	})
 }
