--- a/policy/module.go
+++ b/policy/module.go
@@ -26,7 +26,7 @@
 	localQuotas map[string]*localQuota // of tenants in the settings, unless the control plane governs them
 
 	requests    map[RequestID]*request
-	open        []*request // requests without a final answer, in order of arrival
+	open        []*request // open requests in order of arrival; finished ones are removed at the next tick
 	retryBudget float64    // retries that may be made now
 
 	servers    map[ServerID]*server
--- a/policy/overload.go
+++ b/policy/overload.go
@@ -25,7 +25,7 @@
 	// rest is for the long tail of latencies.
 	objectiveFraction       = 0.4
 	sparseObjectiveFraction = 0.6 // the same for sparse nodes, whose latencies are fleet means
-	maxSparseQueue          = 2.0 // limit of H of a sparse node; longer queues make servers slow
+	maxSparseQueue          = 2.0 // requests; limit of H of a sparse node, below what makes servers slow
 	// maxBaselineFactor limits the target latency to a multiple of the baseline, as long queues do harm where
 	// servers slow down under load.
 	maxBaselineFactor  = 2.5
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -7,7 +7,7 @@
 
 // selectServer picks two random servers in Normal mode, or two Overloaded ones if none is Normal, and returns
 // the one with the lower expected delay, and its mode. It returns no server and Blocking if there is neither.
-// Zones that have credit for traffic under a directive come first.
+// Normal servers of zones that have credit under a directive come first.
 func (m *Module) selectServer(candidates []*server, r *request) (*server, Mode) {
 	for _, zone := range m.zonesWithCredit() {
 		if s, mode := m.selectAmong(candidates, r, zone); mode == Normal {
@@ -53,8 +53,8 @@
 	return (s.inFlight + 1) * m.expectedLatency(s)
 }
 
-// mayForward reports whether all rules allow forwarding a request to a server. Every attempt is checked by
-// it.
+// mayForward reports whether all rules allow forwarding a request to a server. It is checked for every
+// attempt.
 func (m *Module) mayForward(r *request, s *server) bool {
 	switch {
 	case !r.mayForward(), m.now >= r.deadline:
