--- a/internal/node/admin_test.go
+++ b/internal/node/admin_test.go
@@ -14,7 +14,7 @@
 
 var anyPort = netip.MustParseAddrPort("127.0.0.1:0")
 
-// call sends text to the admin API and gives what comes back.
+// call sends text to the admin API and returns the answer.
 func (n *testNode) call(t *testing.T, text string) string {
 	t.Helper()
 	c, err := net.Dial("tcp", n.admin)
@@ -31,8 +31,9 @@
 	return string(reply)
 }
 
-// served asks until it is served, as the module may reject by what the requests before took on a busy machine.
-func (n *testNode) served(t *testing.T) *http.Response {
+// awaitServed repeats a request until it is served. The module may reject requests on a busy machine, because of the time that
+// earlier requests took.
+func (n *testNode) awaitServed(t *testing.T) *http.Response {
 	t.Helper()
 	for end := time.Now().Add(patient); ; time.Sleep(10 * time.Millisecond) {
 		resp, _ := n.ask(t, message("read", "9.5", ""))
@@ -61,7 +62,8 @@
 	}
 }
 
-// Callers that finish no line hold nobody up, nor does a loop that is busy, and all of them are let go in time.
+// Callers that never finish their line and a busy event loop must not block the admin API. The node closes the connections of
+// such callers in time.
 func TestAdminIsNotBlocked(t *testing.T) {
 	t.Parallel()
 	c := &Config{Settings: settings(), Known: known("127.0.0.1:1")}
@@ -69,7 +71,7 @@
 	f := newFrontend(newEventLoop(t.Context(), c, b, nil, nil, quiet), 10, quiet)
 	f.loop.hasReadyServer.Store(true)
 	f.listening.Store(true)
-	for range cap(f.loop.events) { // nobody takes events: whoever waits for the loop waits for ever
+	for range cap(f.loop.events) { // fills the queue; no loop runs, so a call that waits for the loop would wait forever
 		f.loop.post(func() {})
 	}
 	l, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
@@ -79,32 +81,32 @@
 	server := &adminServer{frontend: f, ctx: t.Context(), log: quiet}
 	go server.run(l)
 	n := &testNode{admin: l.Addr().String()}
-	var held []net.Conn
+	var callers []net.Conn
 	for range 3 * maxAdminCallers {
-		h, err := net.Dial("tcp", n.admin)
+		caller, err := net.Dial("tcp", n.admin)
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer h.Close()
-		io.WriteString(h, "eva")
-		held = append(held, h)
+		defer caller.Close()
+		io.WriteString(caller, "eva")
+		callers = append(callers, caller)
 	}
 	for _, call := range []string{"readyz\n", "evacuate\n", "activate\n"} {
 		if got := n.call(t, call); got != "ACK\n" {
-			t.Errorf("%q behind those: %q", call, got)
+			t.Errorf("%q after callers with unfinished lines: %q", call, got)
 		}
 	}
-	for _, h := range held {
-		h.SetDeadline(time.Now().Add(patient))
-		if _, err := io.Copy(io.Discard, h); err != nil && strings.Contains(err.Error(), "timeout") {
-			t.Error("a caller that finishes no line is kept")
+	for _, caller := range callers {
+		caller.SetDeadline(time.Now().Add(patient))
+		if _, err := io.Copy(io.Discard, caller); err != nil && strings.Contains(err.Error(), "timeout") {
+			t.Error("the connection of a caller that does not finish its line stays open")
 		}
 	}
 }
 
-// A caller whose line has come, but is read only after the server has pushed it out, has its answer; one with half a line
-// gets a NAK.
-func TestAdminPushesOutNoFinishedLine(t *testing.T) {
+// A caller whose complete line has arrived, but is read only after the server has evicted the caller, still gets its answer.
+// An evicted caller with half a line gets a NAK.
+func TestAdminEvictionAnswersFinishedLine(t *testing.T) {
 	t.Parallel()
 	l, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
@@ -126,7 +128,7 @@
 		io.WriteString(caller, line)
 		for end := time.Now().Add(patient); hasNoUnreadData(conn); time.Sleep(time.Millisecond) {
 			if time.Now().After(end) {
-				t.Fatal("the line does not come")
+				t.Fatal("the line does not arrive")
 			}
 		}
 		server := &adminServer{frontend: f, ctx: t.Context(), log: quiet, waiting: []*net.TCPConn{conn}}
@@ -139,9 +141,9 @@
 	}
 }
 
-// An emptied node says so, serves what still comes, and closes each connection: after an answer, or once it has been
-// idle for as long as its client may count on it. The process and its listener stay, and it can be had back.
-func TestEvacuateAndBack(t *testing.T) {
+// An evacuated node is not ready, still serves requests, and closes each connection: after an answer, or once the connection
+// has been idle for as long as its client may rely on it. The process and its listener stay, and activate ends the evacuation.
+func TestEvacuateAndActivate(t *testing.T) {
 	t.Parallel()
 	addr := backend(t, answering(func(*http.Request, []byte) string { return ok("x") }))
 	n := start(t, &Config{Admin: anyPort, Settings: settings(), Known: known(addr)})
@@ -157,24 +159,24 @@
 		t.Fatalf("before: %+v, %v", resp, err)
 	}
 	io.Copy(io.Discard, resp.Body)
-	at := time.Now()
-	for range 2 { // a repeat does no harm
+	evacuatedAt := time.Now()
+	for range 2 { // repeating the call changes nothing
 		if got := n.call(t, "evacuate\n"); got != "ACK\n" {
 			t.Errorf("evacuate: %q", got)
 		}
 	}
 	if resp, _ := n.ask(t, "GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n"); resp.StatusCode != 503 {
-		t.Errorf("emptied: ready says %d", resp.StatusCode)
+		t.Errorf("evacuated: /health/ready answers %d", resp.StatusCode)
 	}
 	if got := n.call(t, "readyz\n"); !strings.HasPrefix(got, "NAK evacuated") {
-		t.Errorf("emptied: readyz says %q", got)
+		t.Errorf("evacuated: readyz answers %q", got)
 	}
-	if resp := n.served(t); !resp.Close {
-		t.Errorf("emptied: status %d, closes: %v", resp.StatusCode, resp.Close)
+	if resp := n.awaitServed(t); !resp.Close {
+		t.Errorf("evacuated: status %d, closes: %v", resp.StatusCode, resp.Close)
 	}
 	idle.SetDeadline(time.Now().Add(patient))
-	if _, err := r.ReadByte(); err != io.EOF || time.Since(at) < minIdleTime/2 {
-		t.Errorf("the idle connection ended with %v after %v", err, time.Since(at))
+	if _, err := r.ReadByte(); err != io.EOF || time.Since(evacuatedAt) < minIdleTime/2 {
+		t.Errorf("the idle connection ended with %v after %v", err, time.Since(evacuatedAt))
 	}
 	for range 2 {
 		if got := n.call(t, "activate\n"); got != "ACK\n" {
@@ -182,40 +184,40 @@
 		}
 	}
 	n.waitReady(t, http.StatusOK)
-	if resp := n.served(t); resp.Close {
-		t.Errorf("back: status %d, closes: %v", resp.StatusCode, resp.Close)
+	if resp := n.awaitServed(t); resp.Close {
+		t.Errorf("activated: status %d, closes: %v", resp.StatusCode, resp.Close)
 	}
 	n.call(t, "evacuate\n")
 	n.stop()
 	if err := <-n.ended; err != nil {
-		t.Errorf("SIGTERM while emptied: %v", err)
+		t.Errorf("SIGTERM while evacuated: %v", err)
 	}
 	if c, err := net.Dial("tcp", n.admin); err == nil {
 		c.Close()
-		t.Error("the admin API is open after the end")
+		t.Error("the admin API is open after the node has ended")
 	}
 }
 
-// Operators' calls that cross SIGTERM: the admin API stays to the end, a ban outlives the process, nothing calls it back, and
-// a caller with half a line does not hold it up.
-func TestAdminInTheDrain(t *testing.T) {
+// Calls to the admin API during a drain: the API is open until the end, an exclusion outlives the process, activate can't end
+// the drain, and a caller with half a line does not delay it.
+func TestAdminDuringDrain(t *testing.T) {
 	t.Parallel()
-	came, let := make(chan struct{}, 9), make(chan struct{})
-	release := sync.OnceFunc(func() { close(let) })
+	arrived, proceed := make(chan struct{}, 9), make(chan struct{})
+	release := sync.OnceFunc(func() { close(proceed) })
 	defer release()
-	addr := backend(t, answering(func(*http.Request, []byte) string { came <- struct{}{}; <-let; return ok("x") }))
+	addr := backend(t, answering(func(*http.Request, []byte) string { arrived <- struct{}{}; <-proceed; return ok("x") }))
 	c := &Config{Name: "n", Admin: anyPort, Settings: settings(), Known: twoServers(addr, addr), TempDir: t.TempDir()}
 	n := start(t, c)
 	n.waitReady(t, http.StatusOK)
 	answer := make(chan *http.Response, 1)
 	go func() { resp, _ := n.ask(t, message("order", "9.5", "b")); answer <- resp }()
-	<-came
-	half, err := net.Dial("tcp", n.admin)
+	<-arrived
+	unfinished, err := net.Dial("tcp", n.admin)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer half.Close()
-	io.WriteString(half, "activ")
+	defer unfinished.Close()
+	io.WriteString(unfinished, "activ")
 	n.call(t, "evacuate\n")
 	n.stop()
 	for end := time.Now().Add(patient); !strings.HasPrefix(n.call(t, "readyz\n"), "NAK the process ends"); time.Sleep(time.Millisecond) {
@@ -225,23 +227,23 @@
 	}
 	for call, want := range map[string]string{"activate\n": "NAK the process ends\n", "evacuate\n": "ACK\n", "exclude s-00000001\n": "ACK\n"} {
 		if got := n.call(t, call); got != want {
-			t.Errorf("%q in the drain: %q", call, got)
+			t.Errorf("%q during the drain: %q", call, got)
 		}
 	}
 	release()
 	if resp := <-answer; resp.StatusCode != http.StatusOK || !resp.Close {
-		t.Errorf("what was held: status %d, closes: %v", resp.StatusCode, resp.Close)
+		t.Errorf("the request open at SIGTERM: status %d, closes: %v", resp.StatusCode, resp.Close)
 	}
 	if err := <-n.ended; err != nil {
 		t.Error(err)
 	}
-	if out, _ := openExclusions(c, newUpstreams(c, 10, quiet), quiet).current(); !out["s-00000001"] {
-		t.Errorf("out after the end: %v", out)
+	if excluded, _ := openExclusions(c, newUpstreams(c, 10, quiet), quiet).current(); !excluded["s-00000001"] {
+		t.Errorf("excluded after the end: %v", excluded)
 	}
 }
 
-// Without an address for it there is no admin API.
-func TestNoAdminUnasked(t *testing.T) {
+// There is no admin API if neither the file nor the environment has an address for it.
+func TestNoAdminWithoutAddress(t *testing.T) {
 	t.Parallel()
 	for text, want := range map[string]netip.AddrPort{"": {}, "127.0.0.1:9": netip.MustParseAddrPort("127.0.0.1:9")} {
 		c, err := loadText(t, goodConfig, map[string]string{"GW_ADMIN_ADDR": text})
--- a/internal/node/config_test.go
+++ b/internal/node/config_test.go
@@ -11,7 +11,7 @@
 	"peer_listen":"127.0.0.1:82","peers":["127.0.0.1:82"],"peers_all":"127.0.0.1:83","known":{"version":4,"full":true,"servers":[]},
 	"settings":{"balancers":3,"caps":{"connect_timeout_ns":250000000,"max_attempts":3},"classes":[{"name":"c","effect":"fragile","give_up_ns":9000000}]}}`
 
-// loadText loads a configuration file that holds text, with further variables.
+// loadText loads a configuration file with the given content, with further environment variables.
 func loadText(t *testing.T, text string, more map[string]string) (*Config, error) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -39,6 +39,6 @@
 		}
 	}
 	if _, err := LoadConfig(func(string) string { return "" }); err == nil {
-		t.Error("no GW_CONFIG is no error")
+		t.Error("no error without GW_CONFIG")
 	}
 }
--- a/internal/node/discovery_test.go
+++ b/internal/node/discovery_test.go
@@ -10,11 +10,12 @@
 	"time"
 )
 
-// registry is discovery as a test wants it: it answers call n with what says, and records each call.
-func registry(t *testing.T, says func(n int, query url.Values) string) netip.AddrPort {
+// registry starts a stub of discovery and returns its address. The stub passes the number and the query of each call to answer,
+// and sends back the result.
+func registry(t *testing.T, answer func(n int, query url.Values) string) netip.AddrPort {
 	var calls atomic.Int64
 	return netip.MustParseAddrPort(backend(t, answering(func(r *http.Request, _ []byte) string {
-		return says(int(calls.Add(1)), r.URL.Query())
+		return answer(int(calls.Add(1)), r.URL.Query())
 	})))
 }
 
@@ -31,32 +32,32 @@
 			return
 		}
 		if time.Now().After(end) {
-			t.Fatalf("ready answers %d, want %d", resp.StatusCode, want)
+			t.Fatalf("/health/ready answers %d, want %d", resp.StatusCode, want)
 		}
 	}
 }
 
-// A list that makes no sense is a failed call and no crash; the module asks again, and the watch continues from
-// the version it has. A drain is followed.
+// An invalid list counts as a failed call and does not crash the node. The call is repeated, and the watch continues from the
+// version that the node has. A server that starts to drain gets no further requests.
 func TestDiscovery(t *testing.T) {
 	t.Parallel()
 	for _, pushed := range []bool{false, true} {
-		var got atomic.Int64
-		addr := backend(t, answering(func(*http.Request, []byte) string { got.Add(1); return ok("x") }))
+		var requests atomic.Int64
+		addr := backend(t, answering(func(*http.Request, []byte) string { requests.Add(1); return ok("x") }))
 		failed := make(chan struct{})
-		mended := make(chan struct{})
+		repaired := make(chan struct{})
 		drain := make(chan struct{})
-		bad := []string{ok(`{"version":"x"`), jsonList(5, false, "asleep", addr), "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"}
+		badAnswers := []string{ok(`{"version":"x"`), jsonList(5, false, "asleep", addr), "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"}
 		c := &Config{Settings: settings(), Known: endpointList{version: 1}}
 		c.Settings.PollsEndpoints = !pushed
 		c.Discovery = registry(t, func(n int, q url.Values) string {
-			if n == len(bad) {
+			if n == len(badAnswers) {
 				close(failed)
 			}
 			select {
-			case <-mended:
+			case <-repaired:
 			default:
-				return bad[n%len(bad)]
+				return badAnswers[n%len(badAnswers)]
 			}
 			switch since := q.Get("since"); since {
 			case "1":
@@ -64,7 +65,7 @@
 			case "7":
 				select {
 				case <-drain:
-				case <-t.Context().Done(): // else a test that has failed would never end
+				case <-t.Context().Done(): // so that a failed test ends
 				}
 				return jsonList(8, false, "draining", addr)
 			case "8":
@@ -76,22 +77,22 @@
 		n := start(t, c)
 		<-failed
 		n.waitReady(t, 503)
-		close(mended)
+		close(repaired)
 		n.waitReady(t, 200)
 		if resp, _ := n.ask(t, message("read", "9.5", "")); resp.StatusCode != 200 {
 			t.Errorf("status %d", resp.StatusCode)
 		}
 		close(drain)
 		n.waitReady(t, 503)
-		if resp, _ := n.ask(t, message("read", "9.5", "")); resp.StatusCode != 503 || got.Load() != 1 {
-			t.Errorf("status %d, %d requests at a draining backend", resp.StatusCode, got.Load()-1)
+		if resp, _ := n.ask(t, message("read", "9.5", "")); resp.StatusCode != 503 || requests.Load() != 1 {
+			t.Errorf("status %d, %d requests to a draining app server", resp.StatusCode, requests.Load()-1)
 		}
 		n.stop()
 	}
 }
 
-// When discovery moves, the watch goes on at the new address, although the old one still holds a call.
-func TestDiscoveryMoves(t *testing.T) {
+// When the address of discovery changes, the watch continues at the new address, although the old one has not answered a call.
+func TestDiscoveryAddressChanges(t *testing.T) {
 	t.Parallel()
 	for _, pushed := range []bool{false, true} {
 		addr := backend(t, answering(func(*http.Request, []byte) string { return ok("x") }))
@@ -101,7 +102,7 @@
 				close(held)
 			}
 			if n > 1 {
-				return "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n" // the rest never comes
+				return "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n" // the rest of the body never arrives
 			}
 			return ok(`{"version":1,"full":true,"servers":[]}`)
 		})
--- a/internal/node/endpoint_races_test.go
+++ b/internal/node/endpoint_races_test.go
@@ -17,8 +17,8 @@
 	"time"
 )
 
-// full is a listener whose accept queue is full: further SYNs are dropped, and dials to it hang.
-func full(t *testing.T) *net.TCPListener {
+// listenFullQueue returns a listener whose accept queue is full. The kernel drops further SYNs, so dials to it hang.
+func listenFullQueue(t *testing.T) *net.TCPListener {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	if err != nil {
@@ -48,54 +48,54 @@
 	return nil
 }
 
-// A call that is given up while it is being dialled gives up the dial too: the client would let it go on and count it
-// as one of the address's few connections, so that the call that finds discovery back waits for a place.
-func TestGivenUpCallGivesUpItsDial(t *testing.T) {
+// A call that is canceled during its dial cancels the dial too. Otherwise http.Client would continue the dial and count it
+// among the few connections of the address, and the first call after discovery's return would wait for a free connection.
+func TestCanceledCallCancelsItsDial(t *testing.T) {
 	t.Parallel()
-	silent := full(t)
-	d := newDiscoveryClient(&Config{Discovery: netip.MustParseAddrPort(silent.Addr().String())}, quiet)
-	var dialling atomic.Int64
+	listener := listenFullQueue(t)
+	d := newDiscoveryClient(&Config{Discovery: netip.MustParseAddrPort(listener.Addr().String())}, quiet)
+	var openDials atomic.Int64
 	d.client.Transport.(*http.Transport).DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
-		dialling.Add(1)
-		defer dialling.Add(-1)
+		openDials.Add(1)
+		defer openDials.Add(-1)
 		return (&net.Dialer{Timeout: 2 * patient}).DialContext(ctx, network, addr)
 	}
-	for range 5 { // one more than the places
+	for range 5 { // one more than MaxConnsPerHost
 		ctx, cancel := context.WithCancel(t.Context())
 		ended := make(chan error, 1)
 		go func() {
 			_, err := d.call(ctx, "", 2*patient)
 			ended <- err
 		}()
-		await(t, "a dial", func() bool { return dialling.Load() > 0 })
+		await(t, "a dial", func() bool { return openDials.Load() > 0 })
 		cancel()
 		if err := <-ended; err == nil {
-			t.Fatal("a call to a machine that takes no connection has an answer")
+			t.Fatal("a call to a server that accepts no connection is answered")
 		}
-		await(t, "the end of the dial of a call that was given up", func() bool { return dialling.Load() == 0 })
+		await(t, "the end of the canceled call's dial", func() bool { return openDials.Load() == 0 })
 	}
-	var open sync.WaitGroup
-	open.Go(func() {
+	var running sync.WaitGroup
+	running.Go(func() {
 		for {
-			c, err := silent.Accept()
+			c, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			open.Go(func() {
+			running.Go(func() {
 				defer c.Close()
 				answering(func(*http.Request, []byte) string { return ok(`{"version":9,"full":true,"servers":[]}`) })(c)
 			})
 		}
 	})
 	if l, err := d.call(t.Context(), "", patient); err != nil || l.version != 9 {
-		t.Errorf("with discovery back: version %d, %v", l.version, err)
+		t.Errorf("after discovery's return: version %d, %v", l.version, err)
 	}
 	d.client.CloseIdleConnections()
 }
 
-// testLoop is a loop with the module, with discovery at an address and nothing else.
-func testLoop(t *testing.T, pushed bool, at netip.AddrPort) *eventLoop {
-	c := &Config{Settings: settings(), Discovery: at, Known: endpointList{version: 1}}
+// startLoop starts an event loop with a module and a client of discovery at an address, without the other parts of a node.
+func startLoop(t *testing.T, pushed bool, addr netip.AddrPort) *eventLoop {
+	c := &Config{Settings: settings(), Discovery: addr, Known: endpointList{version: 1}}
 	c.Settings.PollsEndpoints = !pushed
 	ctx, stop := context.WithCancel(context.Background())
 	l := newEventLoop(ctx, c, newUpstreams(c, 10, quiet), newDiscoveryClient(c, quiet), nil, quiet)
@@ -105,8 +105,8 @@
 	return l
 }
 
-// listed returns the address at which the node has the server that jsonList names.
-func (l *eventLoop) listed() string {
+// listedAddr returns the address that the node has for the server in jsonList.
+func (l *eventLoop) listedAddr() string {
 	l.backends.mu.Lock()
 	defer l.backends.mu.Unlock()
 	if h := l.backends.hosts[serverID("s-00000001")]; h != nil {
@@ -115,30 +115,30 @@
 	return ""
 }
 
-// halt stops the loop at its next event until it is let go.
-func (l *eventLoop) halt(t *testing.T, then func()) (let func()) {
-	halted, gate := make(chan struct{}), make(chan struct{})
-	l.post(func() { close(halted); <-gate; then() })
-	<-halted
-	let = sync.OnceFunc(func() { close(gate) })
-	t.Cleanup(let) // before the loop is waited for
-	return let
+// block blocks the loop at its next event until release is called, and then has the loop call the function then.
+func (l *eventLoop) block(t *testing.T, then func()) (release func()) {
+	blocked, unblock := make(chan struct{}), make(chan struct{})
+	l.post(func() { close(blocked); <-unblock; then() })
+	<-blocked
+	release = sync.OnceFunc(func() { close(unblock) })
+	t.Cleanup(release) // runs before the cleanup that waits for the loop
+	return release
 }
 
 const addrA, addrB, addrC = "127.0.0.1:11", "127.0.0.1:12", "127.0.0.1:13"
 
-// The last answer of the old address stands in the loop's queue as SIGHUP moves discovery: it is followed before the
-// new address's, which is polled from its version on, and never after it.
-func TestOldAddressDoesNotOverruleTheNew(t *testing.T) {
+// The last answer of the old address is in the loop's queue when SIGHUP changes the address of discovery. The loop applies it
+// before the answers of the new address, which is polled from that answer's version on, and never after them.
+func TestOldAddressDoesNotOverrideNew(t *testing.T) {
 	t.Parallel()
 	for _, pushed := range []bool{true, false} {
-		held, answer := make(chan struct{}, 9), make(chan struct{})
+		waiting, answer := make(chan struct{}, 9), make(chan struct{})
 		old := registry(t, func(_ int, q url.Values) string {
 			switch q.Get("since") {
 			case "1":
 				return jsonList(2, true, "ready", addrA)
 			case "2":
-				held <- struct{}{}
+				waiting <- struct{}{}
 				<-answer
 				return jsonList(3, false, "ready", addrB)
 			}
@@ -146,92 +146,92 @@
 			return ""
 		})
 		since := make(chan string, 99)
-		moved := registry(t, func(_ int, q url.Values) string {
+		newAddr := registry(t, func(_ int, q url.Values) string {
 			if since <- q.Get("since"); q.Get("since") != "4" {
 				return jsonList(4, false, "ready", addrC)
 			}
 			<-t.Context().Done()
 			return ""
 		})
-		l := testLoop(t, pushed, old)
-		await(t, "the list", func() bool { return l.listed() == addrA })
-		<-held
-		let := l.halt(t, func() {})
+		l := startLoop(t, pushed, old)
+		await(t, "the list", func() bool { return l.listedAddr() == addrA })
+		<-waiting
+		release := l.block(t, func() {})
 		close(answer)
 		await(t, "the answer in the queue", func() bool { return len(l.events) > 0 })
-		l.discovery.setAddress(moved)
+		l.discovery.setAddress(newAddr)
 		first := ""
 		if pushed {
 			first = <-since
 		} else {
 			await(t, "the watch's end in the queue", func() bool { return len(l.events) > 1 })
 		}
-		if l.listed() != addrA {
-			t.Error("the list was followed outside of the loop")
+		if l.listedAddr() != addrA {
+			t.Error("the list was applied outside of the loop")
 		}
-		let()
+		release()
 		if !pushed {
 			first = <-since
 		}
-		await(t, "the new address's list", func() bool { return l.listed() == addrC })
-		<-since // the second call: the first answer has been followed
-		if first != "3" || l.listed() != addrC {
-			t.Errorf("pushed %v: the new address is asked from version %s, the server is at %s", pushed, first, l.listed())
+		await(t, "the new address's list", func() bool { return l.listedAddr() == addrC })
+		<-since // the second call is made after the first answer has been applied
+		if first != "3" || l.listedAddr() != addrC {
+			t.Errorf("pushed %v: the new address is polled from version %s, the server is at %s", pushed, first, l.listedAddr())
 		}
 	}
 }
 
-// A watch is begun anew while an answer of the one before stands in the loop's queue: that one's is dropped, and the new
-// one is polled from the version that the node follows.
-func TestEndedWatchTellsNothing(t *testing.T) {
+// A watch is replaced while an answer of the old watch is in the loop's queue. The loop drops that answer, and the new watch
+// starts from the version that the node has.
+func TestEndedWatchIsIgnored(t *testing.T) {
 	t.Parallel()
-	held := make(chan struct{}, 9)
+	waiting := make(chan struct{}, 9)
 	answer := make(chan struct{})
-	again := make(chan string, 99)
+	restarted := make(chan string, 99)
 	end := make(chan struct{})
-	l := testLoop(t, false, registry(t, func(_ int, q url.Values) string {
+	l := startLoop(t, false, registry(t, func(_ int, q url.Values) string {
 		switch since, begins := q.Get("since"), q.Get("timeout_ms") == "1"; {
 		case since == "1":
 			return jsonList(2, true, "ready", addrA)
 		case begins: // the new watch
-			again <- since
+			restarted <- since
 			<-end
 			return jsonList(4, false, "ready", addrC)
 		case since == "2":
-			held <- struct{}{}
+			waiting <- struct{}{}
 			<-answer
 			return jsonList(3, false, "ready", addrB)
 		}
 		<-t.Context().Done()
 		return ""
 	}))
-	await(t, "the list", func() bool { return l.listed() == addrA })
-	<-held
-	let := l.halt(t, func() { l.watchEndpoints(true) })
+	await(t, "the list", func() bool { return l.listedAddr() == addrA })
+	<-waiting
+	release := l.block(t, func() { l.watchEndpoints(true) })
 	close(answer)
 	await(t, "the answer in the queue", func() bool { return len(l.events) > 0 })
-	let()
-	if since := <-again; since != "2" {
-		t.Errorf("the new watch is asked from version %s, want 2", since)
+	release()
+	if since := <-restarted; since != "2" {
+		t.Errorf("the new watch starts from version %s, want 2", since)
 	}
-	passed := make(chan struct{})
-	l.post(func() { close(passed) })
-	<-passed // what stood in the queue has been dealt with
-	if l.listed() != addrA {
-		t.Errorf("the server is at %s: an ended watch was followed", l.listed())
+	handled := make(chan struct{})
+	l.post(func() { close(handled) })
+	<-handled // the queued answer has been handled
+	if l.listedAddr() != addrA {
+		t.Errorf("the server is at %s: an answer of the ended watch was applied", l.listedAddr())
 	}
 	close(end)
-	await(t, "the new watch's list", func() bool { return l.listed() == addrC })
+	await(t, "the new watch's list", func() bool { return l.listedAddr() == addrC })
 }
 
-// An answer that breaks off changes nothing, and the next call asks from the same version on; what changed between the
-// end of a call and the next one is answered by that, from the same version too.
-func TestListBreaksOff(t *testing.T) {
+// A truncated answer changes nothing, and the next call polls from the same version. A change between the end of a call and
+// the next call is in the answer to the next call, which polls from the same version too.
+func TestTruncatedList(t *testing.T) {
 	t.Parallel()
 	for _, pushed := range []bool{true, false} {
 		requested := make(chan string, 99)
-		go1 := make(chan struct{})
-		go2 := make(chan struct{})
+		truncate := make(chan struct{})
+		answerEmpty := make(chan struct{})
 		var second atomic.Int64
 		addr := backend(t, func(c net.Conn) {
 			answering(func(r *http.Request, _ []byte) string {
@@ -241,45 +241,45 @@
 				}
 				switch second.Add(1) {
 				case 1:
-					<-go1
+					<-truncate
 					text := jsonList(3, false, "draining", addrA)
 					fmt.Fprint(c, text[:len(text)-1])
 					c.(*net.TCPConn).SetLinger(0)
-					return "" // closes it
+					return "" // closes the connection
 				case 2:
-					<-go2
+					<-answerEmpty
 					return ok(`{"version":2,"full":false,"servers":[]}`)
-				case 3: // it has changed since that answer
+				case 3: // the list has changed since that answer
 					return jsonList(4, false, "ready", addrC)
 				}
 				<-t.Context().Done()
 				return ""
 			})(c)
 		})
-		l := testLoop(t, pushed, netip.MustParseAddrPort(addr))
+		l := startLoop(t, pushed, netip.MustParseAddrPort(addr))
 		if first, second := <-requested, <-requested; first != "1" || second != "2" {
-			t.Errorf("asked from %s and %s, want 1 and 2", first, second)
+			t.Errorf("polled from %s and %s, want 1 and 2", first, second)
 		}
-		close(go1)
-		if since := <-requested; since != "2" || l.listed() != addrA {
-			t.Errorf("after half an answer: asked from %s, the server at %q", since, l.listed())
+		close(truncate)
+		if since := <-requested; since != "2" || l.listedAddr() != addrA {
+			t.Errorf("after a truncated answer: polled from %s, the server is at %q", since, l.listedAddr())
 		}
-		close(go2)
+		close(answerEmpty)
 		if since := <-requested; since != "2" {
-			t.Errorf("after an empty answer: asked from %s, want 2", since)
+			t.Errorf("after an empty answer: polled from %s, want 2", since)
 		}
-		await(t, "the change between two calls", func() bool { return l.listed() == addrC })
+		await(t, "the change between two calls", func() bool { return l.listedAddr() == addrC })
 	}
 }
 
-// After a restart of discovery its versions may be lower. A complete list is the list then, also an older one; changes are
-// taken as such. The watch continues from the lower version, so that whatever changes later than that arrives here.
-func TestOlderVersionIsFollowed(t *testing.T) {
+// After a restart of discovery its versions may be lower. The node applies a complete list even if its version is lower, and
+// applies a list of changes as changes. The watch continues from the lower version, so that the node gets every later change.
+func TestLowerVersionIsApplied(t *testing.T) {
 	t.Parallel()
 	for _, pushed := range []bool{true, false} {
 		for _, complete := range []bool{true, false} {
 			requested := make(chan string, 99)
-			l := testLoop(t, pushed, registry(t, func(_ int, q url.Values) string {
+			l := startLoop(t, pushed, registry(t, func(_ int, q url.Values) string {
 				requested <- q.Get("since")
 				switch q.Get("since") {
 				case "1":
@@ -297,19 +297,20 @@
 			}))
 			for _, want := range []string{"1", "41", "0", "5"} {
 				if since := <-requested; since != want {
-					t.Errorf("pushed %v, whole %v: asked from %s, want %s", pushed, complete, since, want)
+					t.Errorf("pushed %v, complete %v: polled from %s, want %s", pushed, complete, since, want)
 				}
 			}
-			await(t, "the change after the restart", func() bool { return l.listed() == addrC })
+			await(t, "the change after the restart", func() bool { return l.listedAddr() == addrC })
 		}
 	}
 }
 
-// A server that is removed and back in one answer is another process: connections to the one before are closed, and it is
-// warming up for the module. The order in the answer counts: one that is back and removed is removed.
-func TestRemovedAndBackInOneAnswer(t *testing.T) {
+// A server that one answer lists as removed and then as ready is a new process. The node closes the connections to the old
+// process, and the module treats the server as warming up. The order in the answer counts: a server that is listed as ready
+// and then as removed is removed.
+func TestRemovedAndReadyInOneAnswer(t *testing.T) {
 	t.Parallel()
-	text := func(version int, states ...string) string {
+	listAnswer := func(version int, states ...string) string {
 		var s strings.Builder
 		for i, state := range states {
 			s.WriteString(fmt.Sprintf(`,{"id":"s-00000001","addr":%q,"zone":"z","kind":"k","cell":1,"state":%q,"weight":1,"started_ms":%d}`,
@@ -319,11 +320,11 @@
 	}
 	var version atomic.Int64
 	states := map[int64][]string{2: {"ready"}, 3: {"gone", "ready"}, 4: {"ready", "gone"}}
-	l := testLoop(t, true, registry(t, func(_ int, q url.Values) string {
+	l := startLoop(t, true, registry(t, func(_ int, q url.Values) string {
 		since, _ := strconv.ParseInt(q.Get("since"), 10, 64)
 		for t.Context().Err() == nil {
 			if v := version.Load(); v > since {
-				return text(int(v), states[v]...)
+				return listAnswer(int(v), states[v]...)
 			}
 			time.Sleep(time.Millisecond)
 		}
@@ -336,13 +337,13 @@
 	}
 	version.Store(2)
 	await(t, "the server", func() bool { return host() != nil })
-	before := host()
+	oldHost := host()
 	server, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer server.Close()
-	kept, err := dialTCP(t.Context(), net.Dialer{}, server.Addr().String())
+	conn, err := dialTCP(t.Context(), net.Dialer{}, server.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -352,21 +353,21 @@
 	}
 	defer peer.Close()
 	l.backends.mu.Lock()
-	before.idle = append(before.idle, kept)
+	oldHost.idle = append(oldHost.idle, conn)
 	l.backends.countConns(1)
 	l.backends.mu.Unlock()
 	version.Store(3)
-	await(t, "the server's return", func() bool { h := host(); return h != nil && h != before })
+	await(t, "the server's return", func() bool { h := host(); return h != nil && h != oldHost })
 	peer.SetReadDeadline(time.Now().Add(patient))
 	if _, err := peer.Read(make([]byte, 1)); err == nil || os.IsTimeout(err) {
-		t.Errorf("a connection to the process that is gone: %v", err)
+		t.Errorf("a connection to the old process: %v", err)
 	}
-	after := host()
+	newHost := host()
 	l.backends.mu.Lock()
-	if !before.closed || l.backends.open != 0 || after.startedAt != 3001*time.Millisecond {
-		t.Errorf("closed %v, %d connections, started at %v", before.closed, l.backends.open, after.startedAt)
+	if !oldHost.closed || l.backends.open != 0 || newHost.startedAt != 3001*time.Millisecond {
+		t.Errorf("closed %v, %d connections, started at %v", oldHost.closed, l.backends.open, newHost.startedAt)
 	}
 	l.backends.mu.Unlock()
 	version.Store(4)
-	await(t, "its end", func() bool { return host() == nil && !l.hasReadyServer.Load() })
+	await(t, "the server's removal", func() bool { return host() == nil && !l.hasReadyServer.Load() })
 }
--- a/internal/node/exclusions_test.go
+++ b/internal/node/exclusions_test.go
@@ -18,40 +18,40 @@
 	"meadowsill/policy"
 )
 
-// twoServers is a list of two servers at addr that show by their port who they are.
-func twoServers(one, other string) endpointList {
-	l := known(one, other)
+// twoServers returns a complete list of two ready servers at the given addresses, s-00000001 and s-00000002.
+func twoServers(first, second string) endpointList {
+	l := known(first, second)
 	l.entries[0].name, l.entries[1].name = "s-00000001", "s-00000002"
 	return l
 }
 
-// An app server that was taken out gets nothing, on no connection, until it is given back, over a change of the list
-// and a process that follows on this one.
+// An excluded app server gets no request on any connection until it is included again, even if the list changes or a new
+// process replaces this one.
 func TestExcludeAndInclude(t *testing.T) {
 	t.Parallel()
-	var first, second atomic.Int64
-	one := backend(t, answering(func(*http.Request, []byte) string { first.Add(1); return ok("1") }))
-	other := backend(t, answering(func(*http.Request, []byte) string { second.Add(1); return ok("2") }))
+	var firstRequests, secondRequests atomic.Int64
+	firstAddr := backend(t, answering(func(*http.Request, []byte) string { firstRequests.Add(1); return ok("1") }))
+	secondAddr := backend(t, answering(func(*http.Request, []byte) string { secondRequests.Add(1); return ok("2") }))
 	updates := make(chan string)
-	disco := registry(t, func(int, url.Values) string { return <-updates })
-	t.Cleanup(func() { close(updates) }) // before discovery's own end, which waits for those that wait here
+	discovery := registry(t, func(int, url.Values) string { return <-updates })
+	t.Cleanup(func() { close(updates) }) // runs before the cleanup of discovery, which waits for the handlers that wait here
 	config := func(dir string) *Config {
-		c := &Config{Admin: anyPort, Settings: settings(), Known: twoServers(one, other), TempDir: dir}
+		c := &Config{Admin: anyPort, Settings: settings(), Known: twoServers(firstAddr, secondAddr), TempDir: dir}
 		c.Settings.SlowStartWindow = 50 * time.Millisecond
-		c.Discovery = disco
+		c.Discovery = discovery
 		return c
 	}
 	dir := t.TempDir()
 	n := start(t, config(dir))
-	poll := func(n *testNode, count int) {
+	request := func(n *testNode, count int) {
 		t.Helper()
 		for range count {
-			n.served(t)
+			n.awaitServed(t)
 		}
 	}
-	for end := time.Now().Add(patient); first.Load() == 0 || second.Load() == 0; poll(n, 1) {
+	for end := time.Now().Add(patient); firstRequests.Load() == 0 || secondRequests.Load() == 0; request(n, 1) {
 		if time.Now().After(end) {
-			t.Fatal("not both servers are in use")
+			t.Fatal("not both servers get requests")
 		}
 	}
 	for call, want := range map[string]string{"exclude s-00000009\n": "NAK no app server", "include s-00000009\n": "NAK no app server",
@@ -65,30 +65,30 @@
 			t.Errorf("exclude: %q", got)
 		}
 	}
-	was := first.Load()
-	poll(n, 20)
-	updates <- jsonList(2, false, "gone", one)
-	updates <- jsonList(3, false, "ready", one)
-	poll(n, 20)
+	before := firstRequests.Load()
+	request(n, 20)
+	updates <- jsonList(2, false, "gone", firstAddr)
+	updates <- jsonList(3, false, "ready", firstAddr)
+	request(n, 20)
 	n.stop()
 	<-n.ended
 	n = start(t, config(dir))
-	poll(n, 20)
-	if got := first.Load() - was; got > 0 {
-		t.Errorf("the server that is out got %d requests", got)
+	request(n, 20)
+	if got := firstRequests.Load() - before; got > 0 {
+		t.Errorf("the excluded server got %d requests", got)
 	}
-	if got := n.call(t, "include s-00000001\n"); got != "ACK\n" { // two calls out need one back
+	if got := n.call(t, "include s-00000001\n"); got != "ACK\n" { // one include undoes two excludes
 		t.Errorf("include: %q", got)
 	}
-	for end := time.Now().Add(patient); first.Load() == was; {
-		if poll(n, 1); time.Now().After(end) {
-			t.Fatal("given back it is not used")
+	for end := time.Now().Add(patient); firstRequests.Load() == before; {
+		if request(n, 1); time.Now().After(end) {
+			t.Fatal("the included server gets no requests")
 		}
 	}
 }
 
-// Two processes of an upgrade agree, whichever was called.
-func TestExclusionsOfAnUpgrade(t *testing.T) {
+// The two processes of an upgrade have the same exclusions, whichever of them was called.
+func TestExclusionsSharedInUpgrade(t *testing.T) {
 	t.Parallel()
 	c := &Config{Settings: settings(), TempDir: t.TempDir()}
 	var processes [2]*exclusions
@@ -104,30 +104,30 @@
 	if err := processes[0].exclude("s-00000001"); err != nil {
 		t.Fatal(err)
 	}
-	if err := processes[1].exclude("s-00000002"); err != nil { // it has not looked since the other's call
+	if err := processes[1].exclude("s-00000002"); err != nil { // this process has not polled the file since the other's call
 		t.Fatal(err)
 	}
 	processes[0].refresh()
 	if closed(0) != "true true" || closed(1) != "true true" {
-		t.Errorf("out: %s, %s", closed(0), closed(1))
+		t.Errorf("closed after two exclusions: %s, %s", closed(0), closed(1))
 	}
 	if err := processes[0].include("s-00000002"); err != nil {
 		t.Fatal(err)
 	}
 	processes[1].refresh()
-	out, back := processes[1].current()
-	if closed(1) != "true false" || !out["s-00000001"] || len(out) != 1 || time.Since(back["s-00000002"]) > patient {
-		t.Errorf("one back: %s, out %v, back %v", closed(1), out, back)
+	excluded, includedAt := processes[1].current()
+	if closed(1) != "true false" || !excluded["s-00000001"] || len(excluded) != 1 || time.Since(includedAt["s-00000002"]) > patient {
+		t.Errorf("after an inclusion: closed %s, excluded %v, included %v", closed(1), excluded, includedAt)
 	}
-	// A ban outlasts its server: it can be lifted when the list has it no more.
+	// An exclusion outlasts its server: it can be undone after the server has left the list.
 	processes[0].setServerNames(nil)
 	if err := processes[0].include("s-00000001"); err != nil {
 		t.Error(err)
 	}
 }
 
-// A ban that one process was given binds the other within the grace, however short that is.
-func TestExclusionOfTheOtherBindsWithinTheGrace(t *testing.T) {
+// An exclusion by one process takes effect in the other process within the grace, however short the grace is.
+func TestOtherProcessExcludesWithinGrace(t *testing.T) {
 	t.Parallel()
 	for _, grace := range []time.Duration{20 * time.Millisecond, 250 * time.Millisecond, 4 * time.Second} {
 		synctest.Test(t, func(t *testing.T) {
@@ -142,20 +142,20 @@
 			ctx, stop := context.WithCancel(t.Context())
 			defer stop()
 			go runEvery(ctx, exclusionsPollIntervalFor(grace), processes[1].refresh)
-			synctest.Wait() // the next look is as far as it can be
+			synctest.Wait() // the next poll is a full interval away
 			if err := processes[0].exclude("s-00000001"); err != nil {
 				t.Fatal(err)
 			}
-			time.Sleep(grace / 2) // half is for the disk and a slow core
+			time.Sleep(grace / 2) // the other half is for the disk and a slow core
 			synctest.Wait()
 			if !processes[1].backends.isClosed(processes[1].backends.host(1)) {
-				t.Errorf("with a grace of %v it does not bind", grace)
+				t.Errorf("with a grace of %v the exclusion does not take effect", grace)
 			}
 		})
 	}
 }
 
-// A damaged file stops no start, and the next call mends it. What can't be put on file is rejected.
+// A node starts in spite of a damaged file, and the next call repairs the file. An exclusion that can't be stored is rejected.
 func TestExclusionsFileDamaged(t *testing.T) {
 	t.Parallel()
 	c := &Config{Name: "n/1", Settings: settings(), TempDir: t.TempDir()}
@@ -168,32 +168,32 @@
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		s := openExclusions(c, b, quiet)
-		s.setServerNames(map[policy.ServerID]string{1: "s-00000001"})
-		if err := s.exclude("s-00000001"); err != nil {
+		e := openExclusions(c, b, quiet)
+		e.setServerNames(map[policy.ServerID]string{1: "s-00000001"})
+		if err := e.exclude("s-00000001"); err != nil {
 			t.Errorf("%q: %v", text, err)
 		}
-		if out, _ := openExclusions(c, b, quiet).current(); !out["s-00000001"] {
-			t.Errorf("after %q the ban is not on file", text)
+		if excluded, _ := openExclusions(c, b, quiet).current(); !excluded["s-00000001"] {
+			t.Errorf("after %q the exclusion is not stored", text)
 		}
 	}
-	s := openExclusions(c, b, quiet)
-	s.setServerNames(map[policy.ServerID]string{2: "s-00000002"})
+	e := openExclusions(c, b, quiet)
+	e.setServerNames(map[policy.ServerID]string{2: "s-00000002"})
 	if err := os.RemoveAll(c.TempDir); err != nil {
 		t.Fatal(err)
 	}
-	if err := s.exclude("s-00000002"); err == nil {
-		t.Error("a ban that is on no file is acknowledged")
+	if err := e.exclude("s-00000002"); err == nil {
+		t.Error("an exclusion that is not stored is acknowledged")
 	}
 }
 
-// A file that changes within a tick of the clock, and in the inode of the one before, is taken all the same.
+// A change of the file takes effect even if it leaves the inode, the size and the time of the file the same.
 func TestExclusionsChangedWithinATick(t *testing.T) {
 	t.Parallel()
 	c := &Config{Name: "n", Settings: settings(), TempDir: t.TempDir()}
 	b := newUpstreams(c, 10, quiet)
 	path, at := openExclusions(c, b, quiet).path, time.Now().Add(-time.Second)
-	var s *exclusions
+	var e *exclusions
 	for i, text := range []string{`{"out":["s-00000001"],"back":{}}`, `{"out":["s-00000002"],"back":{}}`} {
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil { // the same inode and size
 			t.Fatal(err)
@@ -202,54 +202,54 @@
 			t.Fatal(err)
 		}
 		if i == 0 {
-			s = openExclusions(c, b, quiet)
+			e = openExclusions(c, b, quiet)
 		}
 	}
-	s.refresh()
-	if out, _ := s.current(); len(out) != 1 || !out["s-00000002"] {
-		t.Errorf("out: %v", out)
+	e.refresh()
+	if excluded, _ := e.current(); len(excluded) != 1 || !excluded["s-00000002"] {
+		t.Errorf("excluded: %v", excluded)
 	}
 }
 
-// The other process is stopped as it changes the file: the loop goes on, and so do looks; the call is rejected in time.
-func TestExclusionsLockedByTheOther(t *testing.T) {
+// The other process is stopped while it holds the file's lock. The event loop continues, and the call is rejected in time.
+func TestExclusionsLockedByOtherProcess(t *testing.T) {
 	t.Parallel()
 	c := &Config{Name: "n", Settings: settings(), TempDir: t.TempDir()}
-	s := openExclusions(c, newUpstreams(c, 10, quiet), quiet)
+	e := openExclusions(c, newUpstreams(c, 10, quiet), quiet)
 	names := map[policy.ServerID]string{1: "s-00000001"}
-	s.setServerNames(names)
-	other, err := s.lock()
+	e.setServerNames(names)
+	other, err := e.lock()
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer other.Close()
-	waits, loop := make(chan struct{}), make(chan struct{})
+	locking, resume := make(chan struct{}), make(chan struct{})
 	var first sync.Once
-	s.flock = func(fd, how int) error { // as the call requests the lock, the loop takes a list and notifies the module of exclusions
-		first.Do(func() { close(waits); <-loop })
+	e.flock = func(fd, how int) error { // while the call waits for the lock, the loop sets server names and reads the exclusions
+		first.Do(func() { close(locking); <-resume })
 		return syscall.Flock(fd, how)
 	}
 	answer := make(chan error, 1)
-	go func() { answer <- s.exclude("s-00000001") }()
-	<-waits
-	went := make(chan struct{})
-	go func() { s.setServerNames(names); s.current(); close(went) }()
+	go func() { answer <- e.exclude("s-00000001") }()
+	<-locking
+	loopRan := make(chan struct{})
+	go func() { e.setServerNames(names); e.current(); close(loopRan) }()
 	select {
-	case <-went:
+	case <-loopRan:
 	case <-time.After(patient):
 		t.Error("the loop waits for the file")
 	}
-	close(loop)
+	close(resume)
 	select {
 	case err := <-answer:
-		if out, _ := s.current(); err == nil || len(out) > 0 {
-			t.Errorf("the call: %v, out %v", err, out)
+		if excluded, _ := e.current(); err == nil || len(excluded) > 0 {
+			t.Errorf("the call: %v, excluded %v", err, excluded)
 		}
 	case <-time.After(patient):
-		t.Fatal("the call gets no answer")
+		t.Fatal("the call does not return")
 	}
 	other.Close()
-	if err := s.exclude("s-00000001"); err != nil {
-		t.Errorf("once the other goes on: %v", err)
+	if err := e.exclude("s-00000001"); err != nil {
+		t.Errorf("after the other process has unlocked the file: %v", err)
 	}
 }
--- a/internal/node/fleet_client_test.go
+++ b/internal/node/fleet_client_test.go
@@ -21,27 +21,27 @@
 	"meadowsill/internal/fleet"
 )
 
-// agent is a stub for the agent of a node's machine.
-type agent struct {
+// stubAgent is a stub of the fleet agent on a node's machine.
+type stubAgent struct {
 	*httptest.Server
-	mu      sync.Mutex
-	intent  fleet.Intent
-	answer  fleet.ReportAnswer
-	reports []fleet.Report
-	bad     http.HandlerFunc // answers in its place, unless nil
-	calls   atomic.Int64
+	mu       sync.Mutex
+	intent   fleet.Intent
+	answer   fleet.ReportAnswer
+	reports  []fleet.Report
+	override http.HandlerFunc // answers instead of the stub, unless nil
+	calls    atomic.Int64
 }
 
-func newAgent(t *testing.T) *agent {
-	a := &agent{}
+func newStubAgent(t *testing.T) *stubAgent {
+	a := &stubAgent{}
 	a.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		a.calls.Add(1)
 		a.mu.Lock()
-		bad := a.bad
+		override := a.override
 		a.mu.Unlock()
-		body, _ := io.ReadAll(r.Body) // read first: else the end of the connection is not seen
-		if bad != nil {
-			bad(w, r)
+		body, _ := io.ReadAll(r.Body) // read first: net/http detects a closed connection only after the body is read
+		if override != nil {
+			override(w, r)
 			return
 		}
 		a.mu.Lock()
@@ -64,11 +64,11 @@
 	return a
 }
 
-// says changes what the agent says, under its lock.
-func (a *agent) says(change func()) { a.mu.Lock(); defer a.mu.Unlock(); change() }
+// set calls change, which changes the answers of the agent, under the agent's lock.
+func (a *stubAgent) set(change func()) { a.mu.Lock(); defer a.mu.Unlock(); change() }
 
-// reported waits for a report of which ok holds.
-func (a *agent) reported(t *testing.T, what string, ok func(fleet.Report) bool) fleet.Report {
+// awaitReport waits until the last report meets a condition, and returns that report.
+func (a *stubAgent) awaitReport(t *testing.T, what string, match func(fleet.Report) bool) fleet.Report {
 	t.Helper()
 	for end := time.Now().Add(patient); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 		a.mu.Lock()
@@ -78,7 +78,7 @@
 			last = a.reports[n-1]
 		}
 		a.mu.Unlock()
-		if n > 0 && ok(last) {
+		if n > 0 && match(last) {
 			return last
 		}
 	}
@@ -96,8 +96,8 @@
 		Spec: fleet.Spec{Name: name, Quota: fleet.Quota{Rate: 1000, Burst: 100}}}}
 }
 
-// fleetNode is a node with a fleet block.
-func fleetNode(t *testing.T, a *agent, catchUp time.Duration, servers ...string) *testNode {
+// startFleetNode starts a node with a fleet block.
+func startFleetNode(t *testing.T, a *stubAgent, catchUp time.Duration, servers ...string) *testNode {
 	c := &Config{Name: "n 0", Settings: settings(), Known: known(servers...), Fleet: &FleetConfig{
 		Agent: netip.MustParseAddrPort(a.Listener.Addr().String()), Report: minReportMS * time.Millisecond, CatchUp: catchUp}}
 	for i := range c.Known.entries {
@@ -107,33 +107,33 @@
 	return start(t, c)
 }
 
-func of(account, text string) string {
+func withAccount(account, text string) string {
 	return strings.Replace(text, "\r\nX-Time-Left", "\r\nX-Account: "+account+"\r\nX-Time-Left", 1)
 }
 
-// The node is ready only once it has caught up, serves the tenants that are committed and no others, says what its
-// module holds, and goes on so without its agent.
+// A node of a fleet is ready only after it has caught up. It serves the committed tenants and no others, reports what its module
+// has applied, and continues to serve without its agent.
 func TestFleet(t *testing.T) {
 	t.Parallel()
-	var got atomic.Int64
-	addr := backend(t, answering(func(*http.Request, []byte) string { got.Add(1); return ok("x") }))
-	a := newAgent(t)
-	a.says(func() {
+	var requests atomic.Int64
+	addr := backend(t, answering(func(*http.Request, []byte) string { requests.Add(1); return ok("x") }))
+	a := newStubAgent(t)
+	a.set(func() {
 		a.intent, a.answer = fleet.Intent{Full: true}, fleet.ReportAnswer{NotReady: true, LeaseTTLMS: 60_000}
 	})
-	n := fleetNode(t, a, time.Hour, addr)
-	a.reported(t, "before anything is told", func(r fleet.Report) bool { return !r.Ready && r.Revision == 0 })
+	n := startFleetNode(t, a, time.Hour, addr)
+	a.awaitReport(t, "before the intent is delivered", func(r fleet.Report) bool { return !r.Ready && r.Revision == 0 })
 	n.waitReady(t, 503)
 
-	a.says(func() {
+	a.set(func() {
 		a.intent = fleet.Intent{Revision: 9, Full: true, CaughtUp: true, LeaseMS: 5000, Items: []fleet.Item{
 			item("tenant/a", 8, tenant(3, 2, "a")), item("share/n 0", 9, fleet.QuotaLease{Epoch: 1, Slots: 3, Rates: map[string]float64{"a": 500}})}}
 	})
-	a.reported(t, "of the tenant", func(r fleet.Report) bool { return r.Revision == 9 && !r.Ready })
-	n.waitReady(t, 503) // the leader has not said yet that it has caught up
-	a.says(func() { a.answer = fleet.ReportAnswer{LeaseTTLMS: 6000, WantedKeys: []string{"tenant/a", "=*"}} })
+	a.awaitReport(t, "of the tenant", func(r fleet.Report) bool { return r.Revision == 9 && !r.Ready })
+	n.waitReady(t, 503) // the leader still answers that the node is not to be ready
+	a.set(func() { a.answer = fleet.ReportAnswer{LeaseTTLMS: 6000, WantedKeys: []string{"tenant/a", "=*"}} })
 	n.waitReady(t, 200)
-	r := a.reported(t, "with what was wanted", func(r fleet.Report) bool {
+	r := a.awaitReport(t, "with the requested keys", func(r fleet.Report) bool {
 		for _, h := range r.Applied {
 			if h.Key == "tenant/a" && len(h.Body) > 0 {
 				return true
@@ -144,35 +144,35 @@
 	if len(r.Tenants) != 1 || r.Tenants[0].Committed != 2 || r.Tenants[0].UID != 3 || r.Tenants[0].Digest != "00ff" || r.Zone != "z" || r.Incarnation == 0 {
 		t.Errorf("reported %+v", r)
 	}
-	if resp, _ := n.ask(t, of("a", message("read", "9.5", ""))); resp.StatusCode != 200 {
+	if resp, _ := n.ask(t, withAccount("a", message("read", "9.5", ""))); resp.StatusCode != 200 {
 		t.Errorf("a committed tenant: status %d", resp.StatusCode)
 	}
-	before := got.Load()
-	if resp, _ := n.ask(t, of("b", message("read", "9.5", ""))); resp.StatusCode != 503 || got.Load() != before {
-		t.Errorf("a tenant without a generation: status %d, %d attempts", resp.StatusCode, got.Load()-before)
+	before := requests.Load()
+	if resp, _ := n.ask(t, withAccount("b", message("read", "9.5", ""))); resp.StatusCode != 503 || requests.Load() != before {
+		t.Errorf("a tenant without a generation: status %d, %d attempts", resp.StatusCode, requests.Load()-before)
 	}
-	served := false
-	for end := time.Now().Add(patient); !served && time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
-		a.says(func() {
+	reportedAnswer := false
+	for end := time.Now().Add(patient); !reportedAnswer && time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
+		a.set(func() {
 			for _, r := range a.reports {
 				for _, w := range r.Zones {
-					served = served || w.Zone == "z" && w.Answered > 0 && w.Listed == 1
+					reportedAnswer = reportedAnswer || w.Zone == "z" && w.Answered > 0 && w.Listed == 1
 				}
 			}
 		})
 	}
-	if !served {
+	if !reportedAnswer {
 		t.Error("no report of the answer")
 	}
 
-	a.says(func() { a.answer = fleet.ReportAnswer{NotReady: true, LeaseTTLMS: 500} })
+	a.set(func() { a.answer = fleet.ReportAnswer{NotReady: true, LeaseTTLMS: 500} })
 	n.waitReady(t, 503)
-	a.says(func() { a.bad = func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(503) } })
-	n.waitReady(t, 200) // its word has lapsed
-	if resp, _ := n.ask(t, of("a", message("read", "9.5", ""))); resp.StatusCode != 200 {
+	a.set(func() { a.override = func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(503) } })
+	n.waitReady(t, 200) // the lease of the agent's answer has expired
+	if resp, _ := n.ask(t, withAccount("a", message("read", "9.5", ""))); resp.StatusCode != 200 {
 		t.Errorf("without an agent: status %d", resp.StatusCode)
 	}
-	a.says(func() { a.bad, a.answer = nil, fleet.ReportAnswer{} })
+	a.set(func() { a.override, a.answer = nil, fleet.ReportAnswer{} })
 	n.stop()
 	<-n.ended
 	a.mu.Lock()
@@ -184,81 +184,81 @@
 	}
 }
 
-// An agent that says nothing usable changes nothing: it is counted, logged at a bounded rate, and the node serves on.
-func TestFleetAgentIsBad(t *testing.T) {
+// Unusable answers of the agent change nothing: they are counted and logged at a bounded rate, and the node continues to serve.
+func TestFleetAgentAnswersUnusable(t *testing.T) {
 	t.Parallel()
 	addr := backend(t, answering(func(*http.Request, []byte) string { return ok("x") }))
-	var elsewhere atomic.Int64
-	other := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { elsewhere.Add(1) }))
+	var otherCalls atomic.Int64
+	other := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { otherCalls.Add(1) }))
 	defer other.Close()
-	good, _ := json.Marshal(fleet.Intent{Revision: 9, Full: true, CaughtUp: true, Items: []fleet.Item{item("tenant/b", 9, tenant(4, 1, "b"))}})
-	text := func(s string) http.HandlerFunc {
+	validIntent, _ := json.Marshal(fleet.Intent{Revision: 9, Full: true, CaughtUp: true, Items: []fleet.Item{item("tenant/b", 9, tenant(4, 1, "b"))}})
+	answerText := func(s string) http.HandlerFunc {
 		return func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, s) }
 	}
-	for name, bad := range map[string]http.HandlerFunc{
+	for name, override := range map[string]http.HandlerFunc{
 		"silent":     func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() },
-		"malformed":  text("{"),
-		"empty":      text(""),
-		"cut short":  text(string(good[:len(good)-2])),
-		"other type": text(`{"revision":"x","ttl_ms":"x"}`),
-		"negative":   text(`{"revision":9,"full":true,"age_ms":-1,"ttl_ms":-1}`),
-		"older":      text(`{"revision":7,"full":true,"ttl_ms":-1}`),
-		"bad item":   text(`{"revision":9,"full":true,"items":[{"key":"zone/z","rev":9,"body":{"phase":"left","share":7}}],"ttl_ms":-1}`),
+		"malformed":  answerText("{"),
+		"empty":      answerText(""),
+		"cut short":  answerText(string(validIntent[:len(validIntent)-2])),
+		"other type": answerText(`{"revision":"x","ttl_ms":"x"}`),
+		"negative":   answerText(`{"revision":9,"full":true,"age_ms":-1,"ttl_ms":-1}`),
+		"older":      answerText(`{"revision":7,"full":true,"ttl_ms":-1}`),
+		"bad item":   answerText(`{"revision":9,"full":true,"items":[{"key":"zone/z","rev":9,"body":{"phase":"left","share":7}}],"ttl_ms":-1}`),
 		"oversized":  func(w http.ResponseWriter, _ *http.Request) { w.Write(make([]byte, fleet.MaxIntentBytes+1)) },
-		"error":      func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(500); w.Write(good) },
+		"error":      func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(500); w.Write(validIntent) },
 		"redirect":   func(w http.ResponseWriter, r *http.Request) { http.Redirect(w, r, other.URL, http.StatusFound) },
 		"closes":     func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			a := newAgent(t)
-			a.says(func() {
+			a := newStubAgent(t)
+			a.set(func() {
 				a.intent = fleet.Intent{Revision: 8, Full: true, CaughtUp: true, Items: []fleet.Item{item("tenant/a", 8, tenant(3, 1, "a"))}}
 			})
-			n := fleetNode(t, a, time.Hour, addr)
+			n := startFleetNode(t, a, time.Hour, addr)
 			n.waitReady(t, 200)
-			a.says(func() { a.bad = bad })
+			a.set(func() { a.override = override })
 			calls := a.calls.Load()
 			for end := time.Now().Add(patient); a.calls.Load() < calls+4 && time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 			}
 			if a.calls.Load() < calls+4 {
-				t.Error("the node does not ask again")
+				t.Error("the node does not call the agent again")
 			}
 			for account, want := range map[string]int{"a": 200, "b": 503} {
-				if resp, _ := n.ask(t, of(account, message("read", "9.5", ""))); resp.StatusCode != want {
+				if resp, _ := n.ask(t, withAccount(account, message("read", "9.5", ""))); resp.StatusCode != want {
 					t.Errorf("tenant %s: status %d, want %d", account, resp.StatusCode, want)
 				}
 			}
 			n.waitReady(t, 200)
-			a.says(func() {
-				a.bad = nil
+			a.set(func() {
+				a.override = nil
 				a.intent.Revision, a.intent.Items[0] = 10, item("tenant/c", 10, tenant(5, 1, "c"))
 			})
-			a.reported(t, "after the agent is well", func(r fleet.Report) bool { return r.Revision == 10 })
+			a.awaitReport(t, "after the agent answers correctly again", func(r fleet.Report) bool { return r.Revision == 10 })
 		})
 	}
 	t.Cleanup(func() {
-		if elsewhere.Load() > 0 {
-			t.Error("the node called somebody whom the agent named")
+		if otherCalls.Load() > 0 {
+			t.Error("the node followed a redirect of the agent")
 		}
 	})
 }
 
-// An agent that is never there keeps the node not ready for the time to catch up, and no longer.
+// Without an agent, the node is not ready for the time to catch up, and becomes ready after that.
 func TestFleetCatchUpEnds(t *testing.T) {
 	t.Parallel()
 	addr := backend(t, answering(func(*http.Request, []byte) string { return ok("x") }))
-	a := newAgent(t)
+	a := newStubAgent(t)
 	a.Close()
 	began := time.Now()
-	n := fleetNode(t, a, 500*time.Millisecond, addr)
+	n := startFleetNode(t, a, 500*time.Millisecond, addr)
 	n.waitReady(t, 200)
 	if took := time.Since(began); took < 500*time.Millisecond {
 		t.Errorf("ready after %v", took)
 	}
 }
 
-// However often the agent is at fault, that is one line in a while; each fault is counted.
+// Every fault of the agent is counted, but at most one per faultLogInterval is logged.
 func TestFleetFaultsAreLoggedAtABoundedRate(t *testing.T) {
 	var text bytes.Buffer
 	f := &fleetClient{log: slog.New(slog.NewTextHandler(&text, nil))}
@@ -272,30 +272,30 @@
 	}
 }
 
-// Without the block there is nothing of the fleet: no goroutine, and no call.
-func TestNoFleetUnasked(t *testing.T) { // not parallel: it looks at the complete process
+// Without the fleet block, the node starts no goroutine of the fleet client and makes no call to the agent.
+func TestNoFleetWithoutBlock(t *testing.T) { // not parallel: it examines the stacks of all goroutines
 	addr := backend(t, answering(func(*http.Request, []byte) string { return ok("x") }))
-	running := func() string {
+	stacks := func() string {
 		buf := make([]byte, 1<<20)
 		return string(buf[:runtime.Stack(buf, true)])
 	}
-	for _, on := range []bool{false, true} {
-		a := newAgent(t)
+	for _, withBlock := range []bool{false, true} {
+		a := newStubAgent(t)
 		var n *testNode
-		if on {
-			n = fleetNode(t, a, time.Hour, addr)
-			a.reported(t, "at all", func(fleet.Report) bool { return true })
+		if withBlock {
+			n = startFleetNode(t, a, time.Hour, addr)
+			a.awaitReport(t, "at all", func(fleet.Report) bool { return true })
 		} else {
 			n = start(t, &Config{Settings: settings(), Known: known(addr)})
 			n.waitReady(t, 200)
 		}
-		if has := strings.Contains(running(), "(*fleetClient)"); has != on || (a.calls.Load() > 0) != on {
-			t.Errorf("block %v: goroutines of the fleet %v, %d calls", on, has, a.calls.Load())
+		if has := strings.Contains(stacks(), "(*fleetClient)"); has != withBlock || (a.calls.Load() > 0) != withBlock {
+			t.Errorf("block %v: goroutines of the fleet %v, %d calls", withBlock, has, a.calls.Load())
 		}
 		n.stop()
 		<-n.ended
 	}
-	if link := newFleetClient(&Config{}, nil, nil, quiet); link != nil || link.notReadyReason() != "" {
+	if client := newFleetClient(&Config{}, nil, nil, quiet); client != nil || client.notReadyReason() != "" {
 		t.Error("a fleet client without a block")
 	}
 }
@@ -314,22 +314,22 @@
 		t.Errorf("with services: %+v, %v", scoped, err)
 	}
 	if c.Fleet.equal(scoped.Fleet) || c.Fleet.equal(nil) || !scoped.Fleet.equal(scoped.Fleet) || !(*FleetConfig)(nil).equal(nil) {
-		t.Error("blocks are compared wrongly")
+		t.Error("wrong result of comparing blocks")
 	}
 	if c, err := loadText(t, goodConfig, nil); err != nil || c.Fleet != nil || c.Settings.Fleet {
 		t.Errorf("without a block: %+v, %v", c, err)
 	}
-	for block, says := range map[string]string{`{}`: "agent", `[]`: "array", `{"agent":"10.0.0.1:7"}`: "loopback", `{"agent":"127.0.0.1:0"}`: "loopback",
+	for block, want := range map[string]string{`{}`: "agent", `[]`: "array", `{"agent":"10.0.0.1:7"}`: "loopback", `{"agent":"127.0.0.1:0"}`: "loopback",
 		`{"agent":7}`: "agent", `{"agent":"127.0.0.1:7","report_ms":0}`: "report_ms", `{"agent":"127.0.0.1:7","report_ms":1e9}`: "report_ms",
 		`{"agent":"127.0.0.1:7","catch_up_ms":-1}`: "catch_up_ms", `{"agent":"127.0.0.1:7","services":"billing"}`: "services",
 		`{"agent":"127.0.0.1:7","services":[""]}`: "services", `{"agent":"127.0.0.1:7","services":["b","a","b"]}`: "services",
 		`{"agent":"127.0.0.1:7","services":["` + strings.Repeat("x", fleet.MaxServiceNameBytes+1) + `"]}`: "services"} {
-		if _, err := loadText(t, with(block), nil); err == nil || !strings.Contains(err.Error(), "fleet") || !strings.Contains(err.Error(), says) ||
+		if _, err := loadText(t, with(block), nil); err == nil || !strings.Contains(err.Error(), "fleet") || !strings.Contains(err.Error(), want) ||
 			strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s: error %v", block, err)
 		}
 	}
 	if _, err := loadText(t, strings.Replace(with(`{"agent":"127.0.0.1:7"}`), `"zone":"z"`, `"zone":""`, 1), nil); err == nil {
-		t.Error("a node of a fleet without a zone is no error")
+		t.Error("no error for a node of a fleet without a zone")
 	}
 }
--- a/internal/node/fleet_scope_test.go
+++ b/internal/node/fleet_scope_test.go
@@ -21,13 +21,14 @@
 	fleetagent "meadowsill/internal/fleet/agent"
 )
 
-// scopeReplica stands in for a replica of the build that ignores subscriptions: two tenants, of a service each, at one revision.
-func scopeReplica(t *testing.T) string {
+// stubReplica starts a stub of a replica whose build ignores subscriptions. It has two tenants, each of its own service, at one
+// revision.
+func stubReplica(t *testing.T) string {
 	state := fleet.Intent{Revision: 9}
 	for i, service := range []string{"billing", "search"} {
 		body := tenant(uint64(3+i), 1, service)
 		body.Committed.Spec.Service = service
-		body.Committed.Spec.Quota = fleet.Quota{Rate: 1e6, Burst: 1e6} // the floor part alone is never used up
+		body.Committed.Spec.Quota = fleet.Quota{Rate: 1e6, Burst: 1e6} // so large that the guaranteed part alone is never used up
 		state.Items = append(state.Items, item(fleet.KeyTenant+service, uint64(5+i), body))
 	}
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -51,8 +52,8 @@
 	return server.Listener.Addr().String()
 }
 
-// restartable serves a real agent at one address, which is started anew with another scope.
-type restartable struct {
+// restartableAgent serves a real agent at a fixed address. The agent can be restarted with another scope.
+type restartableAgent struct {
 	t       *testing.T
 	dir     string
 	replica string
@@ -61,8 +62,8 @@
 	address netip.AddrPort
 }
 
-func newRestartable(t *testing.T) *restartable {
-	a := &restartable{t: t, dir: t.TempDir(), replica: scopeReplica(t), stop: func() {}}
+func newRestartableAgent(t *testing.T) *restartableAgent {
+	a := &restartableAgent{t: t, dir: t.TempDir(), replica: stubReplica(t), stop: func() {}}
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if handler := a.handler.Load(); handler != nil {
 			handler.ServeHTTP(w, r)
@@ -75,7 +76,7 @@
 	return a
 }
 
-func (a *restartable) restart(services ...string) {
+func (a *restartableAgent) restart(services ...string) {
 	a.t.Helper()
 	a.stop()
 	ctx, stop := context.WithCancel(context.Background())
@@ -90,27 +91,28 @@
 	a.handler.Store(mux)
 }
 
-// Interest in a service is dropped while a request of its tenant is open (T7): the request has its answer, new ones are rejected without an
-// attempt, and the other service is served all the time. Taken up again, at the same revision, the tenant is served as before.
-func TestInterestDroppedWhileRequestsAreOpen(t *testing.T) {
+// A service leaves the node's scope while a request of its tenant is open (T7). The open request gets its answer, new requests
+// are rejected without an attempt, and the other service is served all the time. When the service is in scope again, at the same
+// revision, its tenant is served as before.
+func TestServiceLeavesScopeWithOpenRequest(t *testing.T) {
 	t.Parallel()
-	began, end := make(chan struct{}, 1), make(chan struct{})
+	started, finish := make(chan struct{}, 1), make(chan struct{})
 	var attempts atomic.Int64
 	answer := answering(func(r *http.Request, _ []byte) string {
 		attempts.Add(1)
 		if r.URL.Path == "/order" {
-			began <- struct{}{}
-			<-end
+			started <- struct{}{}
+			<-finish
 		}
 		return ok("x")
 	})
-	var servers []string // several: the one that is slow to answer the open request is avoided
+	var servers []string // several, because the module avoids the server that is slow to answer the open request
 	for range 4 {
 		servers = append(servers, backend(t, answer))
 	}
-	release := sync.OnceFunc(func() { close(end) })
+	release := sync.OnceFunc(func() { close(finish) })
 	t.Cleanup(release)
-	a := newRestartable(t)
+	a := newRestartableAgent(t)
 	a.restart("billing", "search")
 	c := &Config{Name: "n 0", Settings: settings(), Known: known(servers...), Fleet: &FleetConfig{Agent: a.address,
 		Report: minReportMS * time.Millisecond, CatchUp: time.Hour, Services: []string{"billing", "search"}}}
@@ -124,14 +126,14 @@
 	n := start(t, c)
 	n.waitReady(t, 200)
 	status := func(account string) int {
-		resp, _ := n.ask(t, of(account, message("read", "100", "")))
+		resp, _ := n.ask(t, withAccount(account, message("read", "100", "")))
 		return resp.StatusCode
 	}
-	until := func(want int) {
+	awaitStatus := func(want int) {
 		t.Helper()
 		for limit := time.Now().Add(patient); status("search") != want; time.Sleep(20 * time.Millisecond) {
 			if time.Now().After(limit) {
-				t.Fatalf("the tenant never gets status %d", want)
+				t.Fatalf("the tenant's requests never get status %d", want)
 			}
 		}
 	}
@@ -140,23 +142,23 @@
 	}
 	answered := make(chan error, 1)
 	go func() {
-		resp, body := n.ask(t, of("search", message("order", "200", "")))
+		resp, body := n.ask(t, withAccount("search", message("order", "200", "")))
 		var err error
 		if resp.StatusCode != 200 || body != "x" {
 			err = fmt.Errorf("status %d, %q", resp.StatusCode, body)
 		}
 		answered <- err
 	}()
-	<-began
+	<-started
 
 	a.restart("billing")
-	until(503)
+	awaitStatus(503)
 	before := attempts.Load()
 	if billing, search := status("billing"), status("search"); billing != 200 || search != 503 || attempts.Load() != before+1 {
 		t.Errorf("one in scope: status %d, %d, %d attempts", billing, search, attempts.Load()-before)
 	}
 	a.restart("billing", "search")
-	until(200)
+	awaitStatus(200)
 	select {
 	case err := <-answered:
 		t.Errorf("the open request did not stay open: %v", err)
--- a/internal/node/golden_test.go
+++ b/internal/node/golden_test.go
@@ -16,24 +16,24 @@
 	"meadowsill/policy"
 )
 
-// fullText is a configuration with every key that a node reads.
-var fullText = strings.Replace(wholeText, `"limits":{}`, `"limits":{"cores":1,"memory_mb":192,"sockets":1024},
+// allKeysConfig is a configuration with every key that a node reads.
+var allKeysConfig = strings.Replace(completeConfig, `"limits":{}`, `"limits":{"cores":1,"memory_mb":192,"sockets":1024},
 	"admin_addr":"127.0.0.1:84","peer_listen":"127.0.0.1:82","peers":["127.0.0.1:82"],"peers_all":"127.0.0.1:83",
 	"known":{"version":4,"full":true,"servers":[{"id":"s-00000001","addr":"127.0.0.1:85","zone":"z","kind":"k","cell":1,
 		"state":"ready","weight":1,"started_ms":5}]},
 	"fleet":{"agent":"127.0.0.1:86","report_ms":250,"catch_up_ms":10000,"services":["billing"]}`, 1)
 
-// variants are the ways in which a value of a configuration is spoilt; nil: it is left out.
-var variants = map[string]json.RawMessage{"missing": nil, "null": json.RawMessage("null"), "empty": json.RawMessage(`""`),
+// mutations are the values that replace a value of a configuration. nil stands for leaving the value out.
+var mutations = map[string]json.RawMessage{"missing": nil, "null": json.RawMessage("null"), "empty": json.RawMessage(`""`),
 	"text": json.RawMessage(`"x"`), "negative": json.RawMessage("-1"), "zero": json.RawMessage("0"), "huge": json.RawMessage("1e300"),
 	"list": json.RawMessage("[]"), "object": json.RawMessage("{}")}
 
-// spoil calls each with every way of spoiling one value below tree, whose path is given.
-func spoil(tree any, path string, set func(any), each func(where string)) {
+// mutate calls each after every mutation of one value below tree. path is the path of tree.
+func mutate(tree any, path string, set func(any), each func(where string)) {
 	if path != "" {
-		for _, name := range slices.Sorted(maps.Keys(variants)) {
-			if variants[name] != nil {
-				set(variants[name])
+		for _, name := range slices.Sorted(maps.Keys(mutations)) {
+			if mutations[name] != nil {
+				set(mutations[name])
 				each(path + " " + name)
 			}
 		}
@@ -43,27 +43,27 @@
 	case map[string]any:
 		for _, key := range slices.Sorted(maps.Keys(tree)) {
 			value := tree[key]
-			below := strings.TrimPrefix(path+"."+key, ".")
+			childPath := strings.TrimPrefix(path+"."+key, ".")
 			delete(tree, key)
-			each(below + " missing")
+			each(childPath + " missing")
 			tree[key] = value
-			spoil(value, below, func(v any) { tree[key] = v }, each)
+			mutate(value, childPath, func(v any) { tree[key] = v }, each)
 		}
 	case []any:
 		for i, value := range tree {
-			spoil(value, fmt.Sprintf("%s[%d]", path, i), func(v any) { tree[i] = v }, each)
+			mutate(value, fmt.Sprintf("%s[%d]", path, i), func(v any) { tree[i] = v }, each)
 		}
 	}
 }
 
-// What a node says of each configuration with one value that is missing, of another type or out of bounds, at its start and
-// at SIGHUP.
-func TestAnswersToBadConfigurations(t *testing.T) {
+// The errors that a node reports, at its start and at SIGHUP, for each configuration with one value that is missing, of another
+// type or out of bounds, stay the same.
+func TestErrorsOfBadConfigurations(t *testing.T) {
 	t.Parallel()
 	path := filepath.Join(t.TempDir(), "config.json")
 	getenv := func(name string) string { return map[string]string{"GW_CONFIG": path}[name] }
 	var tree any
-	if err := json.Unmarshal([]byte(fullText), &tree); err != nil {
+	if err := json.Unmarshal([]byte(allKeysConfig), &tree); err != nil {
 		t.Fatal(err)
 	}
 	var lines strings.Builder
@@ -84,20 +84,20 @@
 		fmt.Fprintf(&lines, "%s | %s | %s\n", where, answer(LoadConfig(getenv)), answer(ReloadConfig(getenv)))
 	}
 	each("all keys")
-	spoil(tree, "", nil, each)
+	mutate(tree, "", nil, each)
 	golden.Check(t, "configurations.txt", []byte(lines.String()))
 }
 
-// The file of banned app servers, and what two processes of a hot restart share: an older process and the next one
-// find and read each other's.
-func TestFilesThatProcessesShare(t *testing.T) {
+// The names and contents of the files that processes of different builds share stay the same: the file of excluded app servers,
+// and those in which two processes of a hot restart share their counts.
+func TestSharedFiles(t *testing.T) {
 	t.Parallel()
 	golden.JSON[exclusionsFile](t, "bans")
 	dir := t.TempDir()
 	c := &Config{Name: "a/b", TempDir: dir, Settings: settings()}
-	s := openExclusions(c, newUpstreams(c, 10, quiet), quiet)
-	s.setServerNames(map[policy.ServerID]string{1: "s-00000001"})
-	if err := s.exclude("s-00000001"); err != nil {
+	e := openExclusions(c, newUpstreams(c, 10, quiet), quiet)
+	e.setServerNames(map[policy.ServerID]string{1: "s-00000001"})
+	if err := e.exclude("s-00000001"); err != nil {
 		t.Fatal(err)
 	}
 	h, err := openHotRestart(c, quiet)
@@ -119,11 +119,11 @@
 	}
 	golden.Check(t, "shared-files.txt", []byte(strings.Join(files, "")))
 	if size := unsafe.Sizeof(connCounts{}); size != 16 {
-		t.Errorf("the shared counts have %d bytes", size)
+		t.Errorf("the shared counts have %d bytes, want 16", size)
 	}
 }
 
-// What the admin API answers to each line.
+// The answers of the admin API to each line stay the same.
 func TestAdminAnswers(t *testing.T) {
 	t.Parallel()
 	n := start(t, &Config{Admin: anyPort, Settings: settings(), Known: known("127.0.0.1:1")})
--- a/internal/node/harness_test.go
+++ b/internal/node/harness_test.go
@@ -18,14 +18,14 @@
 	"meadowsill/policy"
 )
 
-// patient is how long a test waits for what must come, on a machine of any speed.
+// patient is how long a test waits for something that has to happen, even on a slow machine.
 const patient = 20 * time.Second
 
 var quiet = slog.New(slog.DiscardHandler)
 
 func settings() policy.Settings {
-	class := func(name string, e policy.Idempotency) policy.Class {
-		return policy.Class{Name: name, PriorityWeight: 1, LatencyObjective: 5 * time.Second, Deadline: 10 * time.Second, Idempotency: e,
+	class := func(name string, idempotency policy.Idempotency) policy.Class {
+		return policy.Class{Name: name, PriorityWeight: 1, LatencyObjective: 5 * time.Second, Deadline: 10 * time.Second, Idempotency: idempotency,
 			KeyScope: policy.KeyScopeCell, DedupWindow: 8 * time.Second}
 	}
 	return policy.Settings{Nodes: 1, Zone: "z", Zones: []string{"z"}, MaxAttempts: 4, MayHedge: true, MayCancel: true,
@@ -36,7 +36,7 @@
 		Classes:         []policy.Class{class("read", policy.Idempotent), class("tag", policy.IdempotentByKey), class("order", policy.NonIdempotent)}}
 }
 
-// backend is a listener on a port that the kernel chose. Each connection is handed to serve.
+// backend starts a server on a port that the kernel chooses, and returns its address. It passes each connection to serve.
 func backend(t *testing.T, serve func(net.Conn)) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -46,7 +46,7 @@
 	var open sync.WaitGroup
 	var mu sync.Mutex
 	var conns []net.Conn
-	over := false
+	ending := false
 	open.Go(func() {
 		for {
 			c, err := l.Accept()
@@ -55,7 +55,7 @@
 			}
 			mu.Lock()
 			conns = append(conns, c)
-			if over { // it came as the test ended, and nobody else would close it
+			if ending { // accepted while the test ends, so that the cleanup does not close it
 				c.Close()
 			}
 			mu.Unlock()
@@ -65,7 +65,7 @@
 	t.Cleanup(func() {
 		l.Close()
 		mu.Lock()
-		over = true
+		ending = true
 		for _, c := range conns {
 			c.Close()
 		}
@@ -75,7 +75,7 @@
 	return l.Addr().String()
 }
 
-// answering reads requests and writes what reply says, until it says nothing.
+// answering returns a handler that reads requests and writes the answers that reply returns. An empty answer ends the connection.
 func answering(reply func(*http.Request, []byte) string) func(net.Conn) {
 	return func(c net.Conn) {
 		r := bufio.NewReader(c)
@@ -94,8 +94,8 @@
 	}
 }
 
-// refusing is an address at which connections are rejected to the test's end. It is bound, and nobody listens: a port that
-// is freed may become another stub's.
+// refusing returns an address that refuses connections until the test ends. Its port is bound without a listener, since the
+// kernel may give a released port to another stub.
 func refusing(t *testing.T) string {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
@@ -106,14 +106,14 @@
 	if err := syscall.Bind(fd, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}); err != nil {
 		t.Fatal(err)
 	}
-	at, err := syscall.Getsockname(fd)
+	addr, err := syscall.Getsockname(fd)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return fmt.Sprintf("127.0.0.1:%d", at.(*syscall.SockaddrInet4).Port)
+	return fmt.Sprintf("127.0.0.1:%d", addr.(*syscall.SockaddrInet4).Port)
 }
 
-// wholeRequest reads a request with its body, which it drops. An error says that it has not come complete.
+// wholeRequest reads a request, and discards its body. It returns an error if the request does not arrive completely.
 func wholeRequest(r *bufio.Reader) (req *http.Request, body int64, err error) {
 	if req, err = http.ReadRequest(r); err == nil {
 		body, err = io.Copy(io.Discard, req.Body)
@@ -135,17 +135,17 @@
 
 // testNode is a running node.
 type testNode struct {
-	reloads chan *Config
-	addr    string
-	admin   string
-	disco   netip.AddrPort
-	stop    context.CancelFunc
-	ended   chan error
+	reloads   chan *Config
+	addr      string
+	admin     string
+	discovery netip.AddrPort
+	stop      context.CancelFunc
+	ended     chan error
 }
 
 func start(t *testing.T, c *Config) *testNode {
 	t.Helper()
-	// The listener is handed over: a port that is chosen, freed and taken again may be another's in between.
+	// The node gets a listener that is already open: between choosing a port and listening, another process might take the port.
 	tcp, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
 		t.Fatal(err)
@@ -168,13 +168,13 @@
 		adminAddr = admin.Addr().String()
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	n := &testNode{admin: adminAddr, disco: c.Discovery, addr: tcp.Addr().String(), stop: stop, ended: make(chan error, 1), reloads: make(chan *Config)}
+	n := &testNode{admin: adminAddr, discovery: c.Discovery, addr: tcp.Addr().String(), stop: stop, ended: make(chan error, 1), reloads: make(chan *Config)}
 	go func() {
 		n.ended <- serve(ctx, c, func() (*net.TCPListener, error) { return tcp, nil }, admin, n.reloads, quiet)
 		close(n.ended)
 	}()
 	t.Cleanup(func() { stop(); <-n.ended })
-	return n // connections wait in the listener's queue until it serves
+	return n // connections wait in the listener's queue until the node serves
 }
 
 var ids atomic.Int64
@@ -191,7 +191,7 @@
 		method, class, ids.Add(1), key, left, len(body), body)
 }
 
-// ask sends text on a connection of its own and reads one answer.
+// ask sends text on a new connection and reads one answer.
 func (n *testNode) ask(t *testing.T, text string) (*http.Response, string) {
 	t.Helper()
 	c, err := net.Dial("tcp", n.addr)
--- a/internal/node/hotrestart_test.go
+++ b/internal/node/hotrestart_test.go
@@ -10,9 +10,9 @@
 	"time"
 )
 
-// Of two listeners on one address the later one gets all new connections, so that nothing waits at the older one when
-// it closes; the one that is left gets them all.
-func TestLaterListenerGetsAllNew(t *testing.T) {
+// The newer of two listeners on one address gets all new connections, so that none waits at the older listener when that closes.
+// After one of them has closed, the other one gets all connections.
+func TestNewerListenerGetsAllConnections(t *testing.T) {
 	t.Parallel()
 	listen := func(addr string) *net.TCPListener {
 		l, err := listenClients(netip.MustParseAddrPort(addr), true, quiet)
@@ -22,7 +22,7 @@
 		t.Cleanup(func() { l.Close() })
 		return l
 	}
-	came := func(l *net.TCPListener, count int) {
+	expectConns := func(l *net.TCPListener, count int) {
 		t.Helper()
 		for range count {
 			c, err := net.Dial("tcp", l.Addr().String())
@@ -32,29 +32,29 @@
 			defer c.Close()
 			l.SetDeadline(time.Now().Add(patient))
 			if _, err := l.Accept(); err != nil {
-				t.Fatalf("a new connection went to the other listener: %v", err)
+				t.Fatalf("a new connection did not reach the expected listener: %v", err)
 			}
 		}
 	}
 	first := listen("127.0.0.1:0")
-	came(first, 20)
+	expectConns(first, 20)
 	second := listen(first.Addr().String())
-	came(second, 40)
+	expectConns(second, 40)
 	first.Close()
-	came(second, 20)
+	expectConns(second, 20)
 	third := listen(second.Addr().String())
-	came(third, 40)
-	third.Close() // the new process fails
-	came(second, 20)
+	expectConns(third, 40)
+	third.Close() // as if the new process failed
+	expectConns(second, 20)
 	if l, err := listenClients(netip.MustParseAddrPort(second.Addr().String()), false, quiet); err == nil {
 		l.Close()
-		t.Error("without an admin API a second process listens too")
+		t.Error("a second process without an admin API can listen too")
 	}
 }
 
-// Where nodes talk, the newer process of an upgrade starts while the older one runs and hears them; the one that is left does
-// if it ends. Without an admin API the address is not shared.
-func TestLaterProcessGetsPeerMessages(t *testing.T) {
+// If nodes exchange messages, the newer process of an upgrade starts while the older one runs, and gets the messages. If the
+// newer process ends, the older one gets them again. Without an admin API the address is not shared.
+func TestNewerProcessGetsPeerMessages(t *testing.T) {
 	t.Parallel()
 	sender, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
@@ -73,7 +73,7 @@
 		c.PeerListen = p.conn.LocalAddr().(*net.UDPAddr).AddrPort()
 		return p
 	}
-	heard := func(p *peerMessenger, who string) {
+	expectMessages := func(p *peerMessenger, who string) {
 		t.Helper()
 		for range 20 {
 			if _, err := sender.WriteToUDPAddrPort([]byte("x"), c.PeerListen); err != nil {
@@ -86,19 +86,19 @@
 		}
 	}
 	older := listen()
-	heard(older, "alone")
+	expectMessages(older, "alone")
 	newer := listen()
-	heard(newer, "the newer")
+	expectMessages(newer, "the newer")
 	newer.conn.Close()
-	heard(older, "the older, with the newer dead")
+	expectMessages(older, "the older, after the newer has ended")
 	c.Admin = netip.AddrPort{}
 	if p, err := listenPeerMessages(c, quiet); err == nil {
 		p.conn.Close()
-		t.Error("without an admin API a second process listens too")
+		t.Error("a second process without an admin API can listen too")
 	}
 }
 
-// Each process of an upgrade takes the other's connections into its bounds, as long as the other lives.
+// Each process of an upgrade counts the other's connections toward its limits as long as the other process lives.
 func TestLimitsAreShared(t *testing.T) {
 	c := &Config{Name: "n", Settings: settings(), TempDir: t.TempDir(), Limits: Limits{MemoryMB: 1 << 14}}
 	open := func() *hotRestart {
@@ -108,20 +108,20 @@
 		}
 		return b
 	}
-	end := func(b *hotRestart) { syscall.Flock(int(b.slot.Fd()), syscall.LOCK_UN) } // as the kernel does at a process's end
+	end := func(b *hotRestart) { syscall.Flock(int(b.slot.Fd()), syscall.LOCK_UN) } // as the kernel does when a process ends
 	older := open()
 	if older.refresh(); older.hasOther.Load() {
-		t.Error("alone it sees another process")
+		t.Error("a single process sees another process")
 	}
 	newer := open()
 	older.refresh()
 	newer.count(2, 3)
 	conns := &connections{limit: 3, restart: older, idle: map[net.Conn]time.Time{}, ended: map[net.Conn]bool{}}
 	if conns.count = 1; conns.overLimit() {
-		t.Error("crowded with 1 client here and 2 there, of 3")
+		t.Error("over the limit with 1 client here and 2 at the other process, of 3")
 	}
 	if conns.count = 2; !conns.overLimit() {
-		t.Error("not crowded with 2 clients here and 2 there, of 3")
+		t.Error("not over the limit with 2 clients here and 2 at the other process, of 3")
 	}
 	b := newUpstreams(c, reservedSockets+4, quiet)
 	b.restart = older
@@ -129,7 +129,7 @@
 	b.update(known(addr))
 	for i, want := range []error{nil, errTooManyConns} {
 		if _, err := b.connect(t.Context(), b.host(1), time.Now().Add(patient)); err != want {
-			t.Errorf("connection %d with 3 of the other's, of 4: %v", i, err)
+			t.Errorf("connection %d, with 3 of the other process, of 4: %v", i, err)
 		}
 	}
 	if got := newer.backends(); got != reservedSockets+1 {
@@ -146,20 +146,20 @@
 	}
 	end(newer)
 	end(next)
-	// A place that can't be had stops nothing: the node goes without.
+	// openHotRestart returns an error if it can't open the slots' files. The node then runs without sharing its limits.
 	if err := os.RemoveAll(c.TempDir); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := openHotRestart(c, quiet); err == nil {
-		t.Error("no error without a folder")
+		t.Error("no error without a directory")
 	}
 	var none *hotRestart
 	if none.count(1, 1); none.clients()+none.backends() != 0 {
-		t.Error("no other process has connections")
+		t.Error("a nil hotRestart counts connections of another process")
 	}
 }
 
-// A connection on which a request waits to be read is not closed as idle.
+// A connection with a request that is not read yet, or not read completely, is not closed as idle.
 func TestWaitingRequestKeepsItsConnection(t *testing.T) {
 	t.Parallel()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -179,7 +179,7 @@
 			t.Fatal(err)
 		}
 		defer conns[i].Close()
-		if i == 2 { // what has come has been read, but is not yet a request
+		if i == 2 { // all bytes that have arrived are read, but are not a complete request
 			conns[i] = &clientConn{TCPConn: conns[i].(*net.TCPConn), releaseSlot: func() {}}
 			client.Write([]byte("G"))
 			c.track(conns[i], http.StateIdle)
@@ -189,7 +189,7 @@
 			client.Write([]byte("G"))
 			for end := time.Now().Add(patient); hasNoUnreadData(conns[0]); time.Sleep(time.Millisecond) {
 				if time.Now().After(end) {
-					t.Fatal("the byte does not come")
+					t.Fatal("the byte does not arrive")
 				}
 			}
 		}
@@ -197,13 +197,13 @@
 	}
 	c.closeIdle(0)
 	if c.ended[conns[0]] || !c.ended[conns[1]] || c.ended[conns[2]] {
-		t.Errorf("closed: %v with a request that waits, %v without, %v with one being read",
+		t.Errorf("closed: %v with an unread request, %v without a request, %v with a request being read",
 			c.ended[conns[0]], c.ended[conns[1]], c.ended[conns[2]])
 	}
 }
 
-// At SIGTERM idle connections make way for the newer process's clients, also those that would have had more time.
-func TestNewerProcessGetsConnections(t *testing.T) {
+// At SIGTERM idle connections are closed to make room for the newer process's clients, even before they reach minIdleTime.
+func TestIdleConnectionsMakeRoomForNewerProcess(t *testing.T) {
 	c := &Config{Name: "n", TempDir: t.TempDir(), Limits: Limits{MemoryMB: 1 << 14}}
 	older, err := openHotRestart(c, quiet)
 	if err != nil {
@@ -220,27 +220,27 @@
 	conns.track(conn, http.StateIdle)
 	for _, clients := range []int{2, 1} {
 		if conns.ended[conn] {
-			t.Error("closed with room for all")
+			t.Error("closed although the limit is not exceeded")
 		}
 		newer.count(clients, 0)
 		conns.closeIdleForOthers()
 	}
 	if !conns.ended[conn] {
-		t.Error("with 3 clients there and 1 here, of 3, the idle one keeps its place")
+		t.Error("with 3 clients at the newer process and 1 here, of 3, the idle connection is not closed")
 	}
 }
 
-// A process that finds both places locked, one of them for the moment in which the other process looks, takes a place
-// later, with what it has counted by then. So does a third process once the first has ended.
+// A process that finds both slots locked, one of them only by the other process's check in refresh, claims a slot later, with
+// the counts that it has by then. A third process does the same after the first has ended.
 func TestSlotClaimedLater(t *testing.T) {
 	c := &Config{Name: "n", TempDir: t.TempDir(), Limits: Limits{MemoryMB: 1 << 14}}
 	open := func() *hotRestart {
 		t.Helper()
-		b, err := openHotRestart(c, quiet)
+		h, err := openHotRestart(c, quiet)
 		if err != nil {
 			t.Fatal(err)
 		}
-		return b
+		return h
 	}
 	lock := func(f *os.File, how int) {
 		t.Helper()
@@ -250,27 +250,27 @@
 	}
 	older := open()
 	older.count(5, 6)
-	lock(older.otherSlot, syscall.LOCK_SH) // it is stopped as it looks
+	lock(older.otherSlot, syscall.LOCK_SH) // as if it were stopped during its check
 	newer := open()
 	newer.count(2, 3)
 	if clients, backends := newer.clients(), newer.backends(); clients != 5 || backends != reservedSockets+6 {
-		t.Errorf("without a place it sees %d clients and %d connections to servers", clients, backends)
+		t.Errorf("without a slot it sees %d clients and %d connections to servers", clients, backends)
 	}
 	lock(older.otherSlot, syscall.LOCK_UN)
 	newer.refresh()
 	older.refresh()
 	if clients, backends := older.clients(), older.backends(); clients != 2 || backends != reservedSockets+3 {
-		t.Errorf("with a place it is seen with %d clients and %d connections to servers", clients, backends)
+		t.Errorf("with a slot it is seen with %d clients and %d connections to servers", clients, backends)
 	}
 	third := open()
 	third.count(1, 1)
 	if clients := third.clients(); clients != 7 {
 		t.Errorf("the third process sees %d clients", clients)
 	}
-	lock(older.slot, syscall.LOCK_UN) // it has ended, by SIGKILL: its counts stay in the file
+	lock(older.slot, syscall.LOCK_UN) // as after a SIGKILL: the counts stay in the file
 	third.refresh()
 	newer.refresh()
 	if seen, sees := newer.clients(), third.clients(); seen != 1 || sees != 2 {
-		t.Errorf("in the place of the first, the third process is seen with %d clients and sees %d", seen, sees)
+		t.Errorf("in the slot of the first, the third process is seen with %d clients and sees %d", seen, sees)
 	}
 }
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -34,10 +34,10 @@
 		select {
 		case got := <-seen:
 			if got != line {
-				t.Errorf("the backend got %q, want %q", got, line)
+				t.Errorf("the app server got %q, want %q", got, line)
 			}
 		case <-time.After(patient):
-			t.Fatalf("%s: the backend got nothing", class)
+			t.Fatalf("%s: the app server got nothing", class)
 		}
 	}
 }
@@ -76,12 +76,12 @@
 	}
 }
 
-// A request whose end the node and its sender may see in different places is rejected, and so is all that
-// follows it: nothing that stood in a body becomes a request.
-func TestNoRequestOutOfABody(t *testing.T) {
+// Request smuggling: the node rejects a request whose end it and the sender may see in different places, and closes the
+// connection, so that no part of a body becomes a request.
+func TestNoRequestSmuggledInBody(t *testing.T) {
 	t.Parallel()
-	var got atomic.Int64
-	addr := backend(t, answering(func(*http.Request, []byte) string { got.Add(1); return ok("x") }))
+	var requests atomic.Int64
+	addr := backend(t, answering(func(*http.Request, []byte) string { requests.Add(1); return ok("x") }))
 	n := start(t, &Config{Settings: settings(), Known: known(addr)})
 	head := "Host: h\r\nX-Time-Left: 9\r\n"
 	inner := "GET /read HTTP/1.1\r\nX-Correlation-Id: inner\r\n" + head + "\r\n"
@@ -95,13 +95,13 @@
 			t.Errorf("%.30q: status %d, close %v, want %d and a close", text, resp.StatusCode, resp.Close, want)
 		}
 	}
-	if resp, _ := n.ask(t, message("read", "9.5", "")); resp.StatusCode != 200 || got.Load() != 1 {
-		t.Errorf("an ordinary request after that: status %d; the backend got %d requests, want 1", resp.StatusCode, got.Load())
+	if resp, _ := n.ask(t, message("read", "9.5", "")); resp.StatusCode != 200 || requests.Load() != 1 {
+		t.Errorf("an ordinary request after that: status %d; the app server got %d requests, want 1", resp.StatusCode, requests.Load())
 	}
 }
 
-// Requests of a class that the settings don't name never reach a backend: it would fail them, and the module
-// would take it for a server that fails.
+// Requests of a class that the settings don't name never reach an app server. The server would answer them with an error, and
+// the module would count that as a failure of the server.
 func TestUnknownClass(t *testing.T) {
 	t.Parallel()
 	addr := backend(t, answering(func(r *http.Request, _ []byte) string {
@@ -121,20 +121,20 @@
 	}
 }
 
-// pipes is a listener whose connections live in this process, so that a test's clock can drive them.
-type pipes chan net.Conn
+// pipeListener is a listener of in-process connections, which work with the fake clock of synctest.
+type pipeListener chan net.Conn
 
-func (p pipes) Accept() (net.Conn, error) {
+func (p pipeListener) Accept() (net.Conn, error) {
 	if c, ok := <-p; ok {
 		return c, nil
 	}
 	return nil, net.ErrClosed
 }
 
-func (p pipes) Close() error   { return nil }
-func (p pipes) Addr() net.Addr { return &net.TCPAddr{} }
+func (p pipeListener) Close() error   { return nil }
+func (p pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-// A peer that doesn't send a complete request has an error or a close within 3 s of connecting, however it dawdles.
+// A peer that doesn't send a complete request gets an error or a close within 3 s of connecting, however slowly it sends.
 func TestSilentPeer(t *testing.T) {
 	head := "POST /order HTTP/1.1\r\nHost: h\r\nX-Correlation-Id: q\r\nX-Time-Left: 9\r\n"
 	for name, text := range map[string]string{"nothing": "", "half a header": head,
@@ -143,7 +143,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				c := &Config{Settings: settings()}
 				f := newFrontend(newEventLoop(t.Context(), c, newUpstreams(c, 10, quiet), nil, nil, quiet), 10, quiet)
-				l, srv := make(pipes), f.server()
+				l, srv := make(pipeListener), f.server()
 				go srv.Serve(l)
 				defer srv.Close()
 				defer close(l)
@@ -151,7 +151,7 @@
 				began := time.Now()
 				l <- conn
 				go func() {
-					for i := range text { // the header's bytes dribble in
+					for i := range text { // the header is sent one byte at a time
 						peer.Write([]byte{text[i]})
 						time.Sleep(10 * time.Millisecond)
 					}
@@ -165,18 +165,18 @@
 	}
 }
 
-// When the client goes, its attempt's connection is closed, so that the backend can stop.
+// When the client closes its connection, the node closes that of the attempt, so that the app server can stop its work.
 func TestClientLeft(t *testing.T) {
 	t.Parallel()
-	came, removed := make(chan struct{}), make(chan struct{})
+	arrived, closed := make(chan struct{}), make(chan struct{})
 	addr := backend(t, func(c net.Conn) {
 		r := bufio.NewReader(c)
 		if _, err := http.ReadRequest(r); err != nil {
 			return
 		}
-		close(came)
+		close(arrived)
 		r.ReadByte()
-		close(removed)
+		close(closed)
 	})
 	n := start(t, &Config{Settings: settings(), Known: known(addr)})
 	c, err := net.Dial("tcp", n.addr)
@@ -184,30 +184,30 @@
 		t.Fatal(err)
 	}
 	io.WriteString(c, message("order", "9.5", "b"))
-	<-came
+	<-arrived
 	c.Close()
 	select {
-	case <-removed:
-	case <-time.After(5 * time.Second): // its patience is longer
-		t.Error("the attempt goes on")
+	case <-closed:
+	case <-time.After(5 * time.Second): // the request's deadline is later
+		t.Error("the connection of the attempt is still open")
 	}
 }
 
-// An id that is open is not taken again: the module would never answer it, and it could run twice.
-func TestSameIDTwice(t *testing.T) {
+// A request with the id of an open request is rejected: the module would never answer it, and it could be executed twice.
+func TestDuplicateOpenRequestID(t *testing.T) {
 	t.Parallel()
-	came, let := make(chan struct{}, 9), make(chan struct{})
-	addr := backend(t, answering(func(*http.Request, []byte) string { came <- struct{}{}; <-let; return ok("x") }))
+	arrived, proceed := make(chan struct{}, 9), make(chan struct{})
+	addr := backend(t, answering(func(*http.Request, []byte) string { arrived <- struct{}{}; <-proceed; return ok("x") }))
 	n := start(t, &Config{Settings: settings(), Known: known(addr)})
 	text := message("order", "9.5", "b")
 	first := make(chan int)
 	go func() { resp, _ := n.ask(t, text); first <- resp.StatusCode }()
-	<-came
+	<-arrived
 	if resp, _ := n.ask(t, text); resp.StatusCode != http.StatusConflict {
 		t.Errorf("status %d", resp.StatusCode)
 	}
-	close(let)
-	if status := <-first; status != 200 || len(came) > 0 {
-		t.Errorf("status %d, %d more at the backend", status, len(came))
+	close(proceed)
+	if status := <-first; status != 200 || len(arrived) > 0 {
+		t.Errorf("status %d, %d more requests at the app server", status, len(arrived))
 	}
 }
--- a/internal/node/notification_time_test.go
+++ b/internal/node/notification_time_test.go
@@ -16,61 +16,62 @@
 	"time"
 )
 
-// outage is discovery on the test's clock, with connections that are pipes. It fails in its way, comes back just as the
-// last call that is to fail has begun, and has another list then. A call that began before that stays as it is.
+// outage is a stub of discovery that uses in-process connections and the fake clock of synctest. During an outage it fails in the
+// given failure mode. The outage ends just after the last call that is to fail has begun, and the list changes then. A call that
+// began before the end of the outage still fails.
 type outage struct {
-	way     string
-	changes chan struct{} // closed at each change, or when it goes down
+	failureMode string
+	changes     chan struct{} // closed and replaced when an outage begins
 
-	mu      sync.Mutex
-	down    bool
-	left    int // calls that are still to fail
-	version int
-	ready   bool      // what it lists its one server as
-	back    time.Time // when it was back with the last change
-	onBack  func()
+	mu           sync.Mutex
+	down         bool
+	failuresLeft int // failures until the outage ends
+	version      int
+	ready        bool      // the state of its only server: ready or draining
+	restoredAt   time.Time // when the last outage ended, with a change
+	onRestore    func()
 }
 
-// fall takes discovery down for so many further calls. A watch that is open is broken, even if that is none.
-func (o *outage) fall(calls int) {
+// takeDown begins an outage that the given number of calls fail in. An open watch fails too, even if the number is 0.
+func (o *outage) takeDown(failures int) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.down, o.left = true, calls+1
-	o.failed()
+	o.down, o.failuresLeft = true, failures+1
+	o.countFailure()
 	close(o.changes)
 	o.changes = make(chan struct{})
 }
 
-// failed counts a call that fails, with the lock held.
-func (o *outage) failed() {
-	if o.left--; o.left == 0 {
+// countFailure counts a failed call, and ends the outage after the last one. The caller holds mu.
+func (o *outage) countFailure() {
+	if o.failuresLeft--; o.failuresLeft == 0 {
 		o.down = false
 		o.ready = !o.ready
-		o.back = time.Now()
+		o.restoredAt = time.Now()
 		o.version++
-		if o.onBack != nil {
-			go o.onBack()
+		if o.onRestore != nil {
+			go o.onRestore()
 		}
 	}
 }
 
-// fails reports whether a call that begins now is to fail, and counts it.
-func (o *outage) fails() bool {
+// callFails reports whether a call that begins now fails, and counts it if so.
+func (o *outage) callFails() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	was := o.down
 	if was {
-		o.failed()
+		o.countFailure()
 	}
 	return was
 }
 
 func (o *outage) dial(ctx context.Context) (net.Conn, error) {
-	if o.way == "refused" && o.fails() {
+	if o.failureMode == "refused" && o.callFails() {
 		return nil, syscall.ECONNREFUSED
 	}
-	if o.way == "lost" && o.fails() {
-		ctx, cancel := context.WithTimeout(ctx, dialTimeout) // as the dialer has it
+	if o.failureMode == "lost" && o.callFails() {
+		ctx, cancel := context.WithTimeout(ctx, dialTimeout) // the timeout of the replaced dialer
 		defer cancel()
 		<-ctx.Done()
 		return nil, ctx.Err()
@@ -90,19 +91,19 @@
 	}
 }
 
-// answer is true if it has answered. An answer that breaks off is half a list.
+// answer reports whether it has answered completely. A truncated answer is half a list.
 func (o *outage) answer(c net.Conn, req *http.Request) bool {
 	state := map[bool]string{true: "ready", false: "draining"}
-	broken := o.fails()
+	failing := o.callFails()
 	since, _ := strconv.Atoi(req.FormValue("since"))
 	wait, _ := strconv.Atoi(req.FormValue("timeout_ms"))
 	o.mu.Lock()
 	changes, known := o.changes, o.version > since
 	o.mu.Unlock()
-	if !known && !broken {
+	if !known && !failing {
 		select {
 		case <-changes:
-			broken = true // what the outage brings is not answered here
+			failing = true // the call fails, so that the change is not in its answer
 		case <-time.After(time.Duration(wait) * time.Millisecond):
 		}
 	}
@@ -113,32 +114,32 @@
 	}
 	o.mu.Unlock()
 	switch {
-	case !broken:
+	case !failing:
 		_, err := io.WriteString(c, text)
 		return err == nil
-	case o.way == "silent":
+	case o.failureMode == "silent":
 		io.Copy(io.Discard, c)
-	case o.way == "queue": // its turn has not come when discovery gives it up
+	case o.failureMode == "queue": // discovery rejects the call after it has been queued for 2 s
 		time.Sleep(2 * time.Second)
 		io.WriteString(c, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
-	case o.way == "broken":
+	case o.failureMode == "broken":
 		io.WriteString(c, text[:len(text)/2])
 	}
 	return false
 }
 
-// What discovery has is followed 6 s after it can be reached, and 4 s after SIGHUP, however and however often calls
-// failed before: at a start without a list, which is how long a restarted node takes to be ready, and with a watch that
-// was open. Discovery comes back just after a call has begun to fail, which is the worst moment, and has its change then.
-func TestListIsKnownInTime(t *testing.T) {
+// The node applies discovery's list within 6 s after discovery is reachable, and within 4 s after SIGHUP, however calls failed
+// before and however many did. The test checks this at a start without a list, which determines how long a restarted node takes
+// to be ready, and with an open watch. Discovery returns, with a change, just after a call has begun to fail: the worst moment.
+func TestListIsAppliedInTime(t *testing.T) {
 	t.Parallel()
 	for _, pushed := range []bool{true, false} {
 		for _, nodes := range []int{4, 300} {
-			for _, way := range []string{"refused", "lost", "silent", "queue", "broken"} {
+			for _, failureMode := range []string{"refused", "lost", "silent", "queue", "broken"} {
 				for _, moves := range []bool{false, true} {
-					t.Run(fmt.Sprintf("pushed %v, %d nodes, %s, moves %v", pushed, nodes, way, moves), func(t *testing.T) {
+					t.Run(fmt.Sprintf("pushed %v, %d nodes, %s, moves %v", pushed, nodes, failureMode, moves), func(t *testing.T) {
 						for _, calls := range []int{0, 1, 2, 3, 6} {
-							synctest.Test(t, func(t *testing.T) { knownInTime(t, pushed, nodes, way, moves, calls) })
+							synctest.Test(t, func(t *testing.T) { checkUpdateTime(t, pushed, nodes, failureMode, moves, calls) })
 						}
 					})
 				}
@@ -147,25 +148,25 @@
 	}
 }
 
-func knownInTime(t *testing.T, pushed bool, nodes int, way string, moves bool, calls int) {
+func checkUpdateTime(t *testing.T, pushed bool, nodes int, failureMode string, moves bool, calls int) {
 	c := &Config{Settings: settings(), Discovery: netip.MustParseAddrPort("127.0.0.1:1")}
 	c.Settings.Nodes = nodes
 	c.Settings.NodeIndex = nodes - 1
 	c.Settings.PollsEndpoints = !pushed
-	c.Settings.MinTick = 100 * time.Millisecond // the module's clock; finer costs the test time
+	c.Settings.MinTick = 100 * time.Millisecond // of the module's clock; a finer one makes the test slower
 	d := newDiscoveryClient(c, quiet)
 	var mu sync.Mutex
-	at := map[string]*outage{}
-	place := func(addr string) *outage {
+	byAddr := map[string]*outage{}
+	discoveryAt := func(addr string) *outage {
 		mu.Lock()
 		defer mu.Unlock()
-		if at[addr] == nil {
-			at[addr] = &outage{way: way, changes: make(chan struct{}), version: 1, ready: true, back: time.Now()}
+		if byAddr[addr] == nil {
+			byAddr[addr] = &outage{failureMode: failureMode, changes: make(chan struct{}), version: 1, ready: true, restoredAt: time.Now()}
 		}
-		return at[addr]
+		return byAddr[addr]
 	}
 	d.client.Transport.(*http.Transport).DialContext = func(ctx context.Context, _, addr string) (net.Conn, error) {
-		return place(addr).dial(ctx)
+		return discoveryAt(addr).dial(ctx)
 	}
 	ctx, stop := context.WithCancel(t.Context())
 	l := newEventLoop(ctx, c, newUpstreams(c, 10, quiet), d, nil, quiet)
@@ -174,52 +175,52 @@
 		stop()
 		running.Wait()
 		d.client.CloseIdleConnections()
-		time.Sleep(2 * watchTimeout) // discovery's own goroutines end
+		time.Sleep(2 * watchTimeout) // for the goroutines of the discovery client to end
 	}()
-	limit, old := notifiedWithin, place("127.0.0.1:1")
+	limit, current := maxNotificationTime, discoveryAt("127.0.0.1:1")
 	awaitList := func(what string, o *outage, limit time.Duration) {
 		t.Helper()
 		for {
 			o.mu.Lock()
-			back := o.back
+			restoredAt := o.restoredAt
 			ready := o.ready
 			down := o.down
 			o.mu.Unlock()
-			switch took := time.Since(back); {
+			switch took := time.Since(restoredAt); {
 			case !down && l.hasReadyServer.Load() == ready:
 				return
 			case !down && took > limit, took > time.Hour:
-				t.Fatalf("%s: not known %v after discovery's return from %d failed calls", what, took, calls)
+				t.Fatalf("%s: change not applied %v after discovery's return, after %d failed calls", what, took, calls)
 			}
 			time.Sleep(50 * time.Millisecond)
 		}
 	}
 	if calls > 0 {
-		old.ready = false // and is ready at the return
-		old.fall(calls)
+		current.ready = false // becomes true when the outage ends
+		current.takeDown(calls)
 	}
 	running.Go(func() { l.run(c.Known) })
-	awaitList("start", old, limit)
+	awaitList("start", current, limit)
 	time.Sleep(2*watchTimeout + time.Duration(calls)*170*time.Millisecond)
 	if moves {
-		// The new address has what the old one has at the signal, and a change more.
+		// The new address has the state that the old one has at the signal, at a newer version.
 		moved := make(chan struct{})
-		old.onBack = func() {
-			next := place("127.0.0.1:2")
-			old.mu.Lock()
-			next.version = old.version + 1
-			next.ready = old.ready
-			next.back = time.Now()
-			old.down, old.left = true, 1<<30 // it takes nothing any more
-			old.mu.Unlock()
+		current.onRestore = func() {
+			next := discoveryAt("127.0.0.1:2")
+			current.mu.Lock()
+			next.version = current.version + 1
+			next.ready = current.ready
+			next.restoredAt = time.Now()
+			current.down, current.failuresLeft = true, 1<<30 // it fails all further calls
+			current.mu.Unlock()
 			d.setAddress(netip.MustParseAddrPort("127.0.0.1:2"))
 			close(moved)
 		}
-		old.fall(calls)
+		current.takeDown(calls)
 		<-moved
-		old, limit = place("127.0.0.1:2"), 4*time.Second
+		current, limit = discoveryAt("127.0.0.1:2"), 4*time.Second
 	} else {
-		old.fall(calls)
+		current.takeDown(calls)
 	}
-	awaitList("watch", old, limit)
+	awaitList("watch", current, limit)
 }
--- a/internal/node/settings_test.go
+++ b/internal/node/settings_test.go
@@ -12,8 +12,8 @@
 	"meadowsill/policy"
 )
 
-// wholeText is a configuration with every key that is not optional.
-const wholeText = `{"name":"n0","listen":"127.0.0.1:80","discovery":"127.0.0.1:81","seed":"1","limits":{},"settings":{
+// completeConfig is a configuration with every key that is not optional.
+const completeConfig = `{"name":"n0","listen":"127.0.0.1:80","discovery":"127.0.0.1:81","seed":"1","limits":{},"settings":{
 	"balancers":1,"slot_no":0,"zone":"z","failure_domains":["z"],"family":"proxy","kinds":["k"],"membership_mode":"pushed",
 	"over_share_worth":0.1,"tick_ns":5000000,"tier":0,"tiers":["t"],"weight_kind":"none","worth_by":"work","specifics":{},
 	"client_habits":{"marks_retry":true},"report":{"fields":[],"how":"none"},
@@ -28,8 +28,8 @@
 	"classes":[{"aim_ns":400000000,"dedup_window_ns":5000000000,"effect":"retryable","give_up_ns":1200000000,"importance":1,
 		"key_scope":"all","late_worth":0.25,"name":"view","streamed":false}]}}`
 
-// A configuration is taken at SIGHUP only if it is complete; what is missing or wrong is named.
-func TestReloadTakesOnlyACompleteFile(t *testing.T) {
+// At SIGHUP the node applies only a complete configuration. The error names the key that is missing or invalid.
+func TestReloadRequiresCompleteFile(t *testing.T) {
 	t.Parallel()
 	path := filepath.Join(t.TempDir(), "config.json")
 	reload := func(text string) (*Config, error) {
@@ -40,15 +40,15 @@
 			return map[string]string{"GW_CONFIG": path, "GW_DISCOVERY": "127.0.0.1:1"}[name]
 		})
 	}
-	c, err := reload(wholeText)
+	c, err := reload(completeConfig)
 	if err != nil || c.Discovery.Port() != 81 || c.Settings.MaxAttempts != 6 {
-		t.Fatalf("a whole file: %+v, %v", c, err)
+		t.Fatalf("a complete file: %+v, %v", c, err)
 	}
-	bad := map[string]string{"": "JSON", wholeText[:len(wholeText)/2]: "JSON", wholeText + "{": "after top-level", "null": "name is missing"}
+	bad := map[string]string{"": "JSON", completeConfig[:len(completeConfig)/2]: "JSON", completeConfig + "{": "after top-level", "null": "name is missing"}
 	for _, key := range append(requiredKeys, requiredClassKeys...) {
-		last := key[strings.LastIndex(key, ".")+1:]
-		if strings.Count(wholeText, `"`+last+`":`) == 1 { // the others are keys at several places
-			bad[strings.Replace(wholeText, `"`+last+`":`, `"x":`, 1)] = key + " is missing"
+		lastKey := key[strings.LastIndex(key, ".")+1:]
+		if strings.Count(completeConfig, `"`+lastKey+`":`) == 1 { // the other keys occur in several objects
+			bad[strings.Replace(completeConfig, `"`+lastKey+`":`, `"x":`, 1)] = key + " is missing"
 		}
 	}
 	if len(bad) < 50 {
@@ -64,7 +64,7 @@
 		{`"name":"view"`, `"name":""`}:                               "name",
 		{`"connect_timeout_ns":200000000`, `"connect_timeout_ns":0`}: "connect_timeout_ns",
 	} {
-		bad[strings.Replace(wholeText, change[0], change[1], 1)] = want
+		bad[strings.Replace(completeConfig, change[0], change[1], 1)] = want
 	}
 	for text, want := range bad {
 		if _, err := reload(text); err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
@@ -73,93 +73,93 @@
 	}
 }
 
-// Changed settings hold for requests that come from then on: classes come, go and change their effect, and attempts
-// get fewer. Those that are open keep the old rules.
+// Changed settings apply to requests that arrive from then on: a class is added, another changes its idempotency and is then
+// removed, and the maximum number of attempts decreases. Open requests keep the old rules.
 func TestSettingsChange(t *testing.T) {
 	t.Parallel()
-	came, let := make(chan string, 9), make(chan string, 9)
-	failing := backend(t, answering(func(r *http.Request, _ []byte) string {
-		came <- r.Method + " " + r.URL.Path
-		if <-let == "ok" {
+	arrived, outcomes := make(chan string, 9), make(chan string, 9)
+	addr := backend(t, answering(func(r *http.Request, _ []byte) string {
+		arrived <- r.Method + " " + r.URL.Path
+		if <-outcomes == "ok" {
 			return ok("x")
 		}
 		return "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"
 	}))
-	set := settings()
-	set.Classes = set.Classes[:1] // read, which is safe
-	n := start(t, &Config{Settings: set, Known: known(failing, failing)})
-	held := make(chan int)
-	hold := func(method, path string) {
+	initial := settings()
+	initial.Classes = initial.Classes[:1] // read, which is idempotent
+	n := start(t, &Config{Settings: initial, Known: known(addr, addr)})
+	statuses := make(chan int)
+	sendRequest := func(method, path string) {
 		go func() {
 			resp, _ := n.ask(t, fmt.Sprintf("%s /%s HTTP/1.1\r\nHost: h\r\nX-Correlation-Id: %s%d\r\nX-Time-Left: 9\r\nContent-Length: 0\r\n\r\n",
 				method, path, path, ids.Add(1)))
-			held <- resp.StatusCode
+			statuses <- resp.StatusCode
 		}()
 	}
-	hold("GET", "read")
-	<-came
-	next := settings()
-	next.MaxAttempts = 1
-	next.Classes = []policy.Class{next.Classes[0], {Name: "buy", PriorityWeight: 1, LatencyObjective: 5 * time.Second, Deadline: 10 * time.Second, Idempotency: policy.Idempotent}}
-	next.Classes[0].Idempotency = policy.NonIdempotent
-	n.reloads <- &Config{Settings: next, Discovery: n.disco}
+	sendRequest("GET", "read")
+	<-arrived
+	changed := settings()
+	changed.MaxAttempts = 1
+	changed.Classes = []policy.Class{changed.Classes[0], {Name: "buy", PriorityWeight: 1, LatencyObjective: 5 * time.Second, Deadline: 10 * time.Second, Idempotency: policy.Idempotent}}
+	changed.Classes[0].Idempotency = policy.NonIdempotent
+	n.reloads <- &Config{Settings: changed, Discovery: n.discovery}
 	for end := time.Now().Add(patient); ; {
-		hold("GET", "buy")
+		sendRequest("GET", "buy")
 		select {
-		case status := <-held:
+		case status := <-statuses:
 			if status != http.StatusNotFound || time.Now().After(end) {
 				t.Fatalf("the new class: status %d", status)
 			}
 			continue
-		case got := <-came:
+		case got := <-arrived:
 			if got != "GET /buy" {
-				t.Errorf("came %q", got)
+				t.Errorf("the app server got %q", got)
 			}
 		}
 		break
 	}
-	let <- "fail" // of either: the older request is tried again, the newer one is not
-	let <- "fail"
+	outcomes <- "fail" // once for each request: the older request is retried, the newer one is not
+	outcomes <- "fail"
 	select {
-	case got := <-came:
+	case got := <-arrived:
 		if got != "GET /read" {
-			t.Errorf("tried again: %q", got)
+			t.Errorf("retried: %q", got)
 		}
 	case <-time.After(patient):
-		t.Fatal("the older request is not tried again")
+		t.Fatal("the older request is not retried")
 	}
-	if status := <-held; status == 200 {
+	if status := <-statuses; status == 200 {
 		t.Errorf("the newer request: status %d", status)
 	}
-	let <- "ok"
-	if status := <-held; status != 200 {
+	outcomes <- "ok"
+	if status := <-statuses; status != 200 {
 		t.Errorf("the older request: status %d", status)
 	}
-	hold("GET", "read")
-	if status := <-held; status != http.StatusMethodNotAllowed {
-		t.Errorf("a class that has become unsafe is read: status %d", status)
+	sendRequest("GET", "read")
+	if status := <-statuses; status != http.StatusMethodNotAllowed {
+		t.Errorf("GET for a class that is no longer idempotent: status %d", status)
 	}
-	next.Classes = next.Classes[1:]
-	n.reloads <- &Config{Settings: next, Discovery: n.disco}
+	changed.Classes = changed.Classes[1:]
+	n.reloads <- &Config{Settings: changed, Discovery: n.discovery}
 	for end := time.Now().Add(patient); ; {
-		hold("POST", "read")
+		sendRequest("POST", "read")
 		select {
-		case <-came:
-			let <- "ok"
-			<-held
-		case status := <-held:
+		case <-arrived:
+			outcomes <- "ok"
+			<-statuses
+		case status := <-statuses:
 			if status == http.StatusNotFound {
 				return
 			}
 		}
 		if time.Now().After(end) {
-			t.Fatal("a class that was dropped is served")
+			t.Fatal("a class that was removed is still served")
 		}
 	}
 }
 
-// A request that was read under older rules of its class than those in force is rejected: nothing of it was sent.
-func TestRequestThatCrossesAChange(t *testing.T) {
+// A request that was read under older rules of its class than those in force is rejected. No part of it has been sent yet.
+func TestRequestReadUnderOldRules(t *testing.T) {
 	t.Parallel()
 	c := &Config{Settings: settings()}
 	l := newEventLoop(t.Context(), c, newUpstreams(c, 10, quiet), nil, nil, quiet)
--- a/internal/node/silence_test.go
+++ b/internal/node/silence_test.go
@@ -12,12 +12,12 @@
 	"time"
 )
 
-// notifiedWithin is by when a node has to know of what a silent watch misses.
-const notifiedWithin = 6 * time.Second
+// maxNotificationTime is the time within which a node has to know a change that a silent watch misses.
+const maxNotificationTime = 6 * time.Second
 
-// A watch that falls silent in the middle of its wait is broken and opened anew, before the node has to
-// know of what it misses; so is one that is silent when SIGHUP comes and leaves discovery where it is. What changed in the silence is
-// not sent again but with the list, and that comes indented. Both ways of following the list do so.
+// A watch that falls silent while it waits is canceled and opened again in time for the node to know the changes that the watch
+// misses. The same applies to a watch that is silent when SIGHUP arrives without changing the address of discovery. The stub sends
+// the missed change only in a complete list, which is indented. The test covers both pushed and requested lists.
 func TestSilentWatch(t *testing.T) {
 	t.Parallel()
 	for _, pushed := range []bool{false, true} {
@@ -26,10 +26,10 @@
 				t.Parallel()
 				var former, later = backend(t, answering(func(*http.Request, []byte) string { return ok("former") })),
 					backend(t, answering(func(*http.Request, []byte) string { return ok("later") }))
-				silent, again := make(chan time.Time, 1), make(chan time.Time, 9)
+				silent, reopened := make(chan time.Time, 1), make(chan time.Time, 9)
 				c := &Config{Settings: settings(), Known: endpointList{version: 1}}
 				c.Settings.PollsEndpoints = !pushed
-				c.Discovery = silentRegistry(t, former, later, silent, again)
+				c.Discovery = silentDiscovery(t, former, later, silent, reopened)
 				n := start(t, c)
 				n.waitReady(t, 200)
 				began := <-silent
@@ -37,19 +37,19 @@
 					n.reloads <- &Config{Settings: c.Settings, Discovery: c.Discovery}
 				}
 				select {
-				case at := <-again:
-					if took := at.Sub(began); took > notifiedWithin {
-						t.Errorf("the watch was opened anew after %v, want %v at most", took, notifiedWithin)
+				case at := <-reopened:
+					if took := at.Sub(began); took > maxNotificationTime {
+						t.Errorf("the watch was opened again after %v, want %v at most", took, maxNotificationTime)
 					}
 				case <-time.After(2 * patient):
-					t.Fatal("the silent watch is not opened anew")
+					t.Fatal("the silent watch is not opened again")
 				}
 				for end := time.Now().Add(patient); ; time.Sleep(5 * time.Millisecond) {
 					if _, body := n.ask(t, message("read", "9.5", "")); body == "later" {
 						return
 					}
 					if time.Now().After(end) {
-						t.Fatal("what changed in the silence is not followed")
+						t.Fatal("the change during the silence is not applied")
 					}
 				}
 			})
@@ -57,9 +57,9 @@
 	}
 }
 
-// silentRegistry is discovery whose third call is never answered, though the list changes meanwhile: former is
-// replaced by later. It sends when that call and when the next one came.
-func silentRegistry(t *testing.T, former, later string, silent, again chan time.Time) netip.AddrPort {
+// silentDiscovery starts a stub of discovery that never answers the third call, although the list changes meanwhile: server later
+// replaces former. It sends the times at which the third and the fourth call arrive to silent and reopened.
+func silentDiscovery(t *testing.T, former, later string, silent, reopened chan time.Time) netip.AddrPort {
 	return registry(t, func(n int, q url.Values) string {
 		switch {
 		case n == 1:
@@ -72,7 +72,7 @@
 			<-t.Context().Done()
 			return ""
 		case n == 4:
-			again <- time.Now()
+			reopened <- time.Now()
 		}
 		if q.Get("since") == "3" {
 			time.Sleep(20 * time.Millisecond)
