--- a/internal/fleet/agentclient/intent_mirror.go
+++ b/internal/fleet/agentclient/intent_mirror.go
@@ -1,6 +1,6 @@
-// Package agentclient is a node's side of its tie to the fleet, as pure values: what it knows of the intent, the events by
-// which its decide module learns of it, and the report made of what the module saw and holds. It does no I/O and reads no
-// clock; the caller asks the agent and owns the module.
+// Package agentclient is the node's side of the protocol between a node and its fleet agent: the node's copy of the intent,
+// the events that tell the node's policy module about changes of the intent, and the report of what the module observed and
+// applied. It does no I/O and reads no clock; the caller sends the requests to the agent and owns the module.
 package agentclient
 
 import (
@@ -16,35 +16,35 @@
 	"meadowsill/policy"
 )
 
-// maxAge is the largest age that the module is given; what is older is past every bound as well.
+// maxAge is the largest age that the module is given. A greater age exceeds every bound of the module as well.
 const maxAge = 24 * time.Hour
 
 var errOlderRevision = errors.New("the answer is of an older revision than one before")
 
-// IntentMirror is what a node knows of the intent: the newest item of each key that concerns it. Merge and Events are called in
-// turn, by one goroutine.
+// IntentMirror is a node's copy of the intent: the newest item of each key that concerns the node. One goroutine calls
+// Merge and Events in turn.
 type IntentMirror struct {
 	fleet.Member
 	Revision uint64
-	Answered bool // an answer has come
+	Answered bool // an answer has been merged
 	Items    map[string]fleet.Item
 
-	// of the last answer:
+	// The following fields describe the last answer.
 	Age            time.Duration
 	LeaseLeft      time.Duration
-	ChangedTenants []string // tenants, by their keys, in order
-	Changed        bool     // some item is new
+	ChangedTenants []string // keys of changed tenants, sorted
+	Changed        bool     // at least one item is new
 
-	knownZones map[string]bool // zones of which the module knows a directive
+	knownZones map[string]bool // zones for which the module has a directive
 }
 
-// NewIntentMirror makes the mirror of a node's run, which knows nothing.
+// NewIntentMirror returns an empty mirror for one run of a node.
 func NewIntentMirror(m fleet.Member) *IntentMirror {
 	return &IntentMirror{Member: m, Items: map[string]fleet.Item{}, knownZones: map[string]bool{}}
 }
 
-// Merge takes an answer that DecodeIntent has read through. One that contradicts what was delivered before is an error
-// and changes nothing: an answer of an older revision, or changes where nothing was delivered yet.
+// Merge applies an answer that DecodeIntent has validated. It rejects an answer that contradicts earlier ones, and then
+// changes nothing: an answer of an older revision, or a list of changes before any complete answer.
 func (m *IntentMirror) Merge(in fleet.Intent) error {
 	switch {
 	case in.Revision < m.Revision:
@@ -53,29 +53,29 @@
 		return errors.New("changes where everything was asked for")
 	}
 	m.ChangedTenants, m.Changed = nil, false
-	take := func(it fleet.Item) {
-		old, had := m.Items[it.Key]
-		if had && it.Revision < old.Revision || it.Removed && (!had || old.Removed) {
+	mergeItem := func(it fleet.Item) {
+		old, known := m.Items[it.Key]
+		if known && it.Revision < old.Revision || it.Removed && (!known || old.Removed) {
 			return
 		}
 		if it.Removed {
-			it.Body = old.Body // it tells whom it was
+			it.Body = old.Body // the old body identifies the removed tenant
 		}
-		m.Items[it.Key], m.Changed = it, m.Changed || !had || it.Revision > old.Revision
+		m.Items[it.Key], m.Changed = it, m.Changed || !known || it.Revision > old.Revision
 		if strings.HasPrefix(it.Key, fleet.KeyTenant) {
 			m.ChangedTenants = append(m.ChangedTenants, it.Key)
 		}
 	}
-	named := map[string]bool{}
+	listed := map[string]bool{}
 	for _, it := range in.Items {
-		if named[it.Key] = true; m.concerns(it.Key) {
-			take(it)
+		if listed[it.Key] = true; m.concerns(it.Key) {
+			mergeItem(it)
 		}
 	}
 	if in.Full {
 		for key, it := range m.Items {
-			if !named[key] && !it.Removed {
-				take(fleet.Item{Key: key, Revision: in.Revision, Removed: true})
+			if !listed[key] && !it.Removed {
+				mergeItem(fleet.Item{Key: key, Revision: in.Revision, Removed: true})
 			}
 		}
 	}
@@ -85,20 +85,20 @@
 	return nil
 }
 
-// concerns reports whether an item says something to this node.
+// concerns reports whether an item applies to this node.
 func (m *IntentMirror) concerns(key string) bool {
 	if name, ok := strings.CutPrefix(key, fleet.KeyZone); ok {
-		_, observer, one := strings.Cut(name, "@")
-		return !one || observer == m.Zone
+		_, observer, isZoneSpecific := strings.Cut(name, "@")
+		return !isZoneSpecific || observer == m.Zone
 	}
 	return strings.HasPrefix(key, fleet.KeyTenant) || key == m.leaseKey()
 }
 
 func (m *IntentMirror) leaseKey() string { return fleet.KeyLease + "/" + m.Node }
 
-// Events returns the last answer as the module's events, as they are so long after the answer came: every
-// directive and the share, which it confirms, and the tenants that it names. The share comes after the tenants, by
-// whose rates it was divided.
+// Events returns the last answer as events for the module, adjusted to the time since the answer arrived: every
+// directive and the share, which the answer confirms, and the tenants that changed. The share comes after the tenants
+// because it was divided by their rates.
 func (m *IntentMirror) Events(since time.Duration) (out []policy.Event) {
 	zones := map[string]bool{}
 	for key := range m.Items {
@@ -117,17 +117,17 @@
 		if m.knownZones[zone] = true; d == nil {
 			delete(m.knownZones, zone)
 		} else {
-			h := fleet.AppliedZoneOf(rev, *d, m.Node)
+			applied := fleet.AppliedZoneOf(rev, *d, m.Node)
 			e = policy.ZoneDirective{
 				Zone:           zone,
 				Revision:       rev,
 				IntentRevision: m.Revision,
-				Share:          h.Share,
-				Floor:          h.Floor,
-				Rate:           h.Rate,
-				Trial:          h.Trial,
+				Share:          applied.Share,
+				Floor:          applied.Floor,
+				Rate:           applied.Rate,
+				Trial:          applied.Trial,
 				Age:            age,
-				ValidFor:       Millis(h.ValidMS),
+				ValidFor:       Millis(applied.ValidMS),
 			}
 		}
 		out = append(out, e)
@@ -136,7 +136,7 @@
 		it := m.Items[key]
 		var t fleet.Tenant
 		if json.Unmarshal(it.Body, &t) != nil {
-			continue // DecodeIntent has read it
+			continue // DecodeIntent has already validated the body
 		}
 		e := policy.TenantUpdate{Name: key[len(fleet.KeyTenant):], UID: t.UID, Revision: it.Revision, IntentRevision: m.Revision, Removed: it.Removed, Age: age}
 		if !it.Removed {
@@ -148,23 +148,23 @@
 		out = append(out, e)
 	}
 	if it, ok := m.Items[m.leaseKey()]; ok {
-		var s fleet.QuotaLease
-		if json.Unmarshal(it.Body, &s) == nil {
-			e := policy.QuotaLease{Epoch: s.Epoch, Slots: s.Slots, Rates: s.Rates, Age: age}
+		var lease fleet.QuotaLease
+		if json.Unmarshal(it.Body, &lease) == nil {
+			e := policy.QuotaLease{Epoch: lease.Epoch, Slots: lease.Slots, Rates: lease.Rates, Age: age}
 			switch {
 			case it.Removed:
 				e.Rates = nil
-			case s.Incarnation == m.Incarnation: // another run has none of it
+			case lease.Incarnation == m.Incarnation: // other runs of the node have no lease
 				e.ValidFor = max(0, m.LeaseLeft-since)
 			}
 			out = append(out, e)
 		}
 	}
-	maps.DeleteFunc(m.Items, func(key string, it fleet.Item) bool { return it.Removed && key != m.leaseKey() }) // the module knows
+	maps.DeleteFunc(m.Items, func(key string, it fleet.Item) bool { return it.Removed && key != m.leaseKey() }) // the module has been told
 	return out
 }
 
-// directive returns the one that holds for a zone at this node, with its revision; nil for none.
+// directive returns the directive in force for a zone at this node and its revision, or nil if there is none.
 func (m *IntentMirror) directive(zone string) (best *fleet.Directive, rev uint64) {
 	for _, key := range []string{fleet.KeyZone + zone, fleet.KeyZone + zone + "@" + m.Zone} {
 		it, ok := m.Items[key]
@@ -198,7 +198,7 @@
 	return r
 }
 
-// Millis is a number of ms of a message as a duration, 0 to a day.
+// Millis converts a message's number of ms to a duration, limited to the range from 0 to one day.
 func Millis(ms int64) time.Duration {
 	return time.Duration(min(max(0, ms), maxAge.Milliseconds())) * time.Millisecond
 }
--- a/internal/fleet/agentclient/intent_mirror_test.go
+++ b/internal/fleet/agentclient/intent_mirror_test.go
@@ -21,10 +21,10 @@
 		Spec: fleet.Spec{Name: name, Quota: fleet.Quota{Rate: 1000, Burst: 100}}}}
 }
 
-// Each answer comes to the module as events, in order; what does not concern this node is left out.
-func TestMirror(t *testing.T) {
-	me := fleet.Member{Node: "n0", Zone: "z", Incarnation: 7}
-	left := func(share float64) fleet.Directive {
+// Each answer must give the module its events in order, without items that don't concern this node.
+func TestIntentMirrorEvents(t *testing.T) {
+	member := fleet.Member{Node: "n0", Zone: "z", Incarnation: 7}
+	evacuated := func(share float64) fleet.Directive {
 		return fleet.Directive{Phase: fleet.Evacuated, Share: share, Budget: 12, Slots: 4, TrialNodes: []string{"n0"}, ValidMS: 5000}
 	}
 	zone := func(name string, rev, intent uint64, share float64) policy.ZoneDirective {
@@ -33,30 +33,30 @@
 	served := func(name string, rev uint64) policy.ZoneDirective {
 		return policy.ZoneDirective{Zone: name, Revision: rev, IntentRevision: rev, Serving: true, Share: 1, Floor: 1, Age: 30 * time.Millisecond}
 	}
-	share := func(held time.Duration) policy.QuotaLease {
-		return policy.QuotaLease{Epoch: 2, Slots: 4, Rates: map[string]float64{"a": 5}, Age: 30 * time.Millisecond, ValidFor: held}
+	share := func(validFor time.Duration) policy.QuotaLease {
+		return policy.QuotaLease{Epoch: 2, Slots: 4, Rates: map[string]float64{"a": 5}, Age: 30 * time.Millisecond, ValidFor: validFor}
 	}
-	notified := policy.TenantUpdate{Name: "a", UID: 3, Revision: 4, IntentRevision: 5, Age: 30 * time.Millisecond,
+	tenantUpdate := policy.TenantUpdate{Name: "a", UID: 3, Revision: 4, IntentRevision: 5, Age: 30 * time.Millisecond,
 		Committed: &policy.TenantRules{Generation: 1, Digest: "00ff", Rate: 1000, Burst: 100}}
-	m := NewIntentMirror(me)
+	m := NewIntentMirror(member)
 	for i, step := range []struct {
 		in     fleet.Intent
 		events []policy.Event
 		bad    bool
 	}{
-		{in: fleet.Intent{Revision: 5}, bad: true}, // changes, where all was requested
-		{in: fleet.Intent{Revision: 5, Full: true, LeaseMS: 100, Items: []fleet.Item{item("zone/y", 5, left(0.5)), item("zone/y@z", 3, left(0.25)),
-			item("zone/y@x", 4, left(0)), item("zone/w", 2, fleet.Directive{Phase: fleet.Serving, Share: 1}), item("tenant/a", 4, tenant(3, 1, "a")),
+		{in: fleet.Intent{Revision: 5}, bad: true}, // changes, though the complete list was requested
+		{in: fleet.Intent{Revision: 5, Full: true, LeaseMS: 100, Items: []fleet.Item{item("zone/y", 5, evacuated(0.5)), item("zone/y@z", 3, evacuated(0.25)),
+			item("zone/y@x", 4, evacuated(0)), item("zone/w", 2, fleet.Directive{Phase: fleet.Serving, Share: 1}), item("tenant/a", 4, tenant(3, 1, "a")),
 			item("share/n0", 5, fleet.QuotaLease{Epoch: 2, Incarnation: 7, Slots: 4, Rates: map[string]float64{"a": 5}}),
 			item("share/n1", 5, fleet.QuotaLease{Epoch: 3, Incarnation: 7}), item("later/q", 1, 1)}},
-			events: []policy.Event{zone("y", 3, 5, 0.25), notified, share(80 * time.Millisecond)}},
+			events: []policy.Event{zone("y", 3, 5, 0.25), tenantUpdate, share(80 * time.Millisecond)}},
 		{in: fleet.Intent{Revision: 4, Full: true}, bad: true},
-		{in: fleet.Intent{Revision: 5}, events: []policy.Event{zone("y", 3, 5, 0.25), share(0)}}, // confirmed; counted out
+		{in: fleet.Intent{Revision: 5}, events: []policy.Event{zone("y", 3, 5, 0.25), share(0)}}, // the directive is confirmed; the session has expired
 		{in: fleet.Intent{Revision: 6, Items: []fleet.Item{{Key: "zone/y@z", Revision: 6, Removed: true}}}, events: []policy.Event{zone("y", 5, 6, 0.5), share(0)}},
 		{in: fleet.Intent{Revision: 7, Full: true, LeaseMS: 9000, Items: []fleet.Item{
 			item("share/n0", 7, fleet.QuotaLease{Epoch: 2, Incarnation: 8, Slots: 4, Rates: map[string]float64{"a": 5}})}},
 			events: []policy.Event{served("y", 7), policy.TenantUpdate{Name: "a", UID: 3, Revision: 7, IntentRevision: 7, Removed: true, Age: 30 * time.Millisecond}, share(0)}},
-		{in: fleet.Intent{Revision: 8}, events: []policy.Event{share(0)}}, // nothing is said twice
+		{in: fleet.Intent{Revision: 8}, events: []policy.Event{share(0)}}, // events aren't repeated
 	} {
 		step.in.AgeMS = 10
 		err := m.Merge(step.in)
--- a/internal/fleet/agentclient/report.go
+++ b/internal/fleet/agentclient/report.go
@@ -10,32 +10,32 @@
 	"meadowsill/policy"
 )
 
-// Observation is what a report is made of, all read at one moment.
+// Observation is the input of a report, with all values read at the same time.
 type Observation struct {
 	Window        policy.FleetWindow
 	Items         []policy.AppliedItem
-	Applied       []fleet.AppliedItem // Items as AppliedItems gives them, where the caller has them already
+	Applied       []fleet.AppliedItem // result of AppliedItems for Items, if the caller has it already
 	Now           policy.Time
-	Revision      uint64 // newest intent that the module has applied completely
-	ListVersion   uint64 // version of the server list that it has
+	Revision      uint64 // newest intent revision that the module has applied completely
+	ListVersion   uint64 // version of the module's server list
 	Ready         bool
 	Synced        bool
-	SettingsSince time.Time // when the settings in force were taken
+	SettingsSince time.Time // when the current settings took effect
 }
 
-// Idle reports whether nothing was seen that is evidence of anything.
+// Idle reports whether the observation contains no evidence: no attempts and no requests.
 func (o *Observation) Idle() bool {
 	return !slices.ContainsFunc(o.Window.Zones, func(z policy.ZoneWindow) bool { return z.Attempts+z.Started > 0 }) &&
 		!slices.ContainsFunc(o.Window.Tenants, func(t policy.TenantWindow) bool { return t.Arrived > 0 })
 }
 
-// Report makes the report of what was observed; want is what the last answer requested.
+// Report builds the report of the observation. want lists the keys that the last answer requested.
 func (o *Observation) Report(m fleet.Member, seq uint64, want []string) fleet.Report {
 	span := max(o.Now-o.Window.Start, time.Millisecond)
 	r := fleet.Report{Member: m, Sequence: seq, Revision: o.Revision, Ready: o.Ready, WindowMS: span.Milliseconds(), List: o.ListVersion}
 	for _, z := range o.Window.Zones {
 		if z.Zone == "" {
-			continue // a server without a zone is no evidence on one
+			continue // servers without a zone give no evidence about a zone
 		}
 		r.Zones = append(r.Zones, fleet.ZoneEvidence{
 			Zone:        z.Zone,
@@ -71,21 +71,22 @@
 	return r
 }
 
-// AppliedItems makes items what a report holds, with their digests. settled is when the settings in force were taken.
-func AppliedItems(applied []policy.AppliedItem, settled time.Time) []fleet.AppliedItem {
+// AppliedItems converts the module's items to report items with their digests. settingsSince is when the current
+// settings took effect.
+func AppliedItems(applied []policy.AppliedItem, settingsSince time.Time) []fleet.AppliedItem {
 	var items []fleet.AppliedItem
-	for _, f := range applied {
-		h, ok, err := drift.AppliedItemOf(f.Key, f.Value)
+	for _, a := range applied {
+		item, ok, err := drift.AppliedItemOf(a.Key, a.Value)
 		if err != nil || !ok {
-			continue // what can't be written is missing from the root: the controller names it
+			continue // an item that can't be encoded is missing from the root, so the controller reports it as a difference
 		}
 		switch {
-		case f.Key == fleet.KeySettings:
-			h.ChangedBy, h.SinceMS = "the configuration file", settled.UnixMilli()
-		case strings.HasPrefix(f.Key, fleet.KeyExclusion):
-			h.ChangedBy = "the operators' door"
+		case a.Key == fleet.KeySettings:
+			item.ChangedBy, item.SinceMS = "the configuration file", settingsSince.UnixMilli()
+		case strings.HasPrefix(a.Key, fleet.KeyExclusion):
+			item.ChangedBy = "the operators' door"
 		}
-		items = append(items, h)
+		items = append(items, item)
 	}
 	return items
 }
--- a/internal/fleet/agentclient/server.go
+++ b/internal/fleet/agentclient/server.go
@@ -9,8 +9,8 @@
 	"meadowsill/policy"
 )
 
-// ServerID makes the module's number of a name, the same at every node: the module's order of servers hangs on
-// it. Names that end in eight hex digits hold it; of others it is a hash.
+// ServerID derives the module's numeric server id from a name. It is the same at every node because the module orders
+// servers by it. For a name with eight hex digits after its first hyphen it is their value, for other names a hash.
 func ServerID(name string) policy.ServerID {
 	if _, digits, ok := strings.Cut(name, "-"); ok && len(digits) == 8 {
 		if v, err := strconv.ParseUint(digits, 16, 32); err == nil {
--- a/internal/fleet/applied.go
+++ b/internal/fleet/applied.go
@@ -5,25 +5,25 @@
 	"slices"
 )
 
-// Bodies of AppliedItem: what a node's module says it holds, as the node has it applied (docs/drift.md, "What is held").
-// Their canonical form (drift.Canonical) leaves out every member at its zero value, sorts names and writes numbers
-// in one way: so a type of another package with the same JSON names has the same digest. No body carries a
-// time or an age: the same content is the same body whenever it is read.
+// The Applied types below are the bodies of AppliedItem: the state that a node's module has applied (docs/drift.md, "What
+// is held"). Their canonical form (drift.Canonical) leaves out every member at its zero value, sorts names and writes each
+// number in one way, so a type of another package with the same JSON names has the same digest. No body contains a time
+// or an age, so the same content always gives the same body.
 
-// Keys of AppliedItem. A zone's, tenant's, server's or ban's name follows the slash.
+// Keys of AppliedItem. The name of the zone, tenant, server or excluded server follows the slash.
 const (
 	KeyZone      = "zone/"
 	KeyTenant    = "tenant/"
-	KeyServer    = "server/" // the id that discovery gives
-	KeyExclusion = "ban/"    // the same ids
+	KeyServer    = "server/" // the id from discovery
+	KeyExclusion = "ban/"    // the id from discovery
 	KeyLease     = "share"
 	KeySettings  = "settings"
 )
 
-// AppliedZone is the body of "zone/Y": the directive that holds at this node, as it was delivered. Nothing is held for a
-// zone that is served as ever.
+// AppliedZone is the body of "zone/Y": the directive in force at this node, as it was delivered. A zone that is served
+// normally has no body.
 type AppliedZone struct {
-	Revision uint64  `json:"rev"` // of the item delivered
+	Revision uint64  `json:"rev"` // revision of the delivered item
 	Share    float64 `json:"share"`
 	Floor    float64 `json:"floor"`
 	Rate     float64 `json:"rate"`  // requests/s that this node may send to each server; 0: no limit
@@ -31,16 +31,16 @@
 	ValidMS  int64   `json:"valid_ms"`
 }
 
-// AppliedTenant is the body of "tenant/NAME". What is staged is not in it: its acknowledgement is TenantAck's.
+// AppliedTenant is the body of "tenant/NAME". It doesn't include the staged generation, which TenantAck acknowledges.
 type AppliedTenant struct {
 	UID            uint64        `json:"uid"`
-	Revision       uint64        `json:"rev"` // of the item delivered
+	Revision       uint64        `json:"rev"` // revision of the delivered item
 	Committed      *AppliedRules `json:"committed"`
 	Removing       bool          `json:"removing"`
 	QuotaWithdrawn bool          `json:"quota_gone"`
 }
 
-// AppliedRules are the rules of the committed generation, as the module decides by them.
+// AppliedRules contains the rules of the committed generation that the module decides by.
 type AppliedRules struct {
 	Generation     uint64             `json:"generation"`
 	Digest         string             `json:"digest"`
@@ -52,35 +52,35 @@
 	RejectUnrouted bool               `json:"refuse_else"`
 }
 
-// AppliedLease is the body of "share": the leases as last delivered, whether or not the lease still runs. Nothing is
-// held before the first is delivered, and where its rates are null.
+// AppliedLease is the body of "share": the most recently delivered leases, including expired ones. There is no body
+// before the first delivery, or if the delivered rates are null.
 type AppliedLease struct {
 	Epoch uint64             `json:"epoch"`
 	Slots int                `json:"slots"`
 	Rates map[string]float64 `json:"rates"` // by tenant, requests/s
 }
 
-// AppliedServer is the body of "server/ID": an entry of the list in use. An entry that is removed is not held.
+// AppliedServer is the body of "server/ID": an entry of the server list in use. A removed entry has no body.
 type AppliedServer struct {
 	Zone   string  `json:"zone"`
 	Kind   string  `json:"kind"`
 	Cell   int     `json:"cell"`
-	State  string  `json:"state"` // ready, draining
-	Weight float64 `json:"size"`  // discovery's weight
+	State  string  `json:"state"` // ready or draining
+	Weight float64 `json:"size"`  // the weight from discovery
 }
 
-// AppliedExclusion is the body of "ban/ID": an app server that the operators have taken out at this node. Who and since when
-// are AppliedItem's ChangedBy and SinceMS: they are the node's to add, as the module does not know them.
+// AppliedExclusion is the body of "ban/ID": an app server that the operators have excluded at this node. The node adds
+// who excluded the server and when, in AppliedItem's ChangedBy and SinceMS, because the module doesn't know them.
 type AppliedExclusion struct {
 	Excluded bool `json:"out"` // always true
 }
 
-// AppliedSettings is the body of "settings": the settings that matter to what is decided, durations in ms. What differs
-// from node to node by design (its number, its zone, its paths) is not in it.
+// AppliedSettings is the body of "settings": the settings that affect decisions, with durations in ms. Settings that
+// differ from node to node by design (number, zone, paths) are left out.
 type AppliedSettings struct {
 	Nodes                int                `json:"nodes"`
-	Classes              []AppliedClass     `json:"classes"` // by name
-	Tenants              map[string]float64 `json:"tenants"` // quotas that the settings name, requests/s
+	Classes              []AppliedClass     `json:"classes"` // sorted by name
+	Tenants              map[string]float64 `json:"tenants"` // quotas from the settings, requests/s
 	MaxAttempts          int                `json:"max_attempts"`
 	MayHedge             bool               `json:"may_overlap"`
 	SendsRetryAfter      bool               `json:"hold_offs"`
@@ -95,7 +95,7 @@
 	MaxOpenRequests      int                `json:"max_open"`
 }
 
-// AppliedClass is one class of the settings.
+// AppliedClass is one request class of the settings.
 type AppliedClass struct {
 	Name               string  `json:"name"`
 	PriorityWeight     float64 `json:"worth"`
@@ -105,27 +105,28 @@
 	Idempotency        int     `json:"effect"` // policy.Idempotency: 0 non-idempotent, 1 idempotent by key, 2 idempotent
 }
 
-// AppliedZoneOf is the directive as the node has it applied. The node tells its module by it, and drift compares with it.
+// AppliedZoneOf returns the directive as a node applies it. The node uses it to update its module, and package drift to
+// compute the expected state.
 func AppliedZoneOf(rev uint64, d Directive, node string) AppliedZone {
-	h := AppliedZone{Revision: rev, Share: d.Share, Floor: d.Floor, ValidMS: d.ValidMS, Trial: slices.Contains(d.TrialNodes, node)}
+	applied := AppliedZone{Revision: rev, Share: d.Share, Floor: d.Floor, ValidMS: d.ValidMS, Trial: slices.Contains(d.TrialNodes, node)}
 	if d.Budget > 0 {
-		h.Rate = d.Budget / float64(max(d.Slots, 1))
+		applied.Rate = d.Budget / float64(max(d.Slots, 1))
 	}
-	return h
+	return applied
 }
 
-// IsNarrower says which of two directives on a zone holds at a node of an observing zone: one for every node ("zone/Y"),
-// one for its zone alone ("zone/Y@X"). The smaller share holds, then the smaller floor, then the one for every node.
-// It is true for the one of the observing zone.
+// IsNarrower reports whether own takes precedence over every at a node of the observing zone. every is the directive for
+// all nodes ("zone/Y"), own the directive for the observing zone alone ("zone/Y@X"). The directive with the smaller
+// share is in force, then the one with the smaller floor; on a tie every is in force.
 func IsNarrower(every, own Directive) bool {
 	return cmp.Or(cmp.Compare(own.Share, every.Share), cmp.Compare(own.Floor, every.Floor)) < 0
 }
 
-// AppliedTenantOf is the tenant as the node has it applied.
+// AppliedTenantOf returns the tenant as a node applies it.
 func AppliedTenantOf(rev uint64, t Tenant) AppliedTenant {
-	h := AppliedTenant{UID: t.UID, Revision: rev, Removing: t.Removing, QuotaWithdrawn: t.QuotaWithdrawn}
+	applied := AppliedTenant{UID: t.UID, Revision: rev, Removing: t.Removing, QuotaWithdrawn: t.QuotaWithdrawn}
 	if g := t.Committed; g != nil {
-		h.Committed = &AppliedRules{
+		applied.Committed = &AppliedRules{
 			Generation:     g.Number,
 			Digest:         g.Digest,
 			Classes:        g.Spec.Namespace.Classes,
@@ -136,10 +137,10 @@
 			RejectUnrouted: g.Spec.Fallback == "refuse",
 		}
 	}
-	return h
+	return applied
 }
 
-// AppliedLeaseOf is the node's leases as the node has it applied.
-func AppliedLeaseOf(s QuotaLease) AppliedLease {
-	return AppliedLease{Epoch: s.Epoch, Slots: s.Slots, Rates: s.Rates}
+// AppliedLeaseOf returns the leases as their node applies them.
+func AppliedLeaseOf(lease QuotaLease) AppliedLease {
+	return AppliedLease{Epoch: lease.Epoch, Slots: lease.Slots, Rates: lease.Rates}
 }
--- a/internal/fleet/bench_test.go
+++ b/internal/fleet/bench_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// benchReport acknowledges n tenants. A report of some 2,300 is over MaxReportBytes.
+// benchReport returns a report with acknowledgements of n tenants. A report with some 2,300 tenants exceeds
+// MaxReportBytes.
 func benchReport(n int) Report {
 	report := Report{Member: Member{Node: "n1", Zone: "za", Incarnation: 1}, Sequence: 1, Revision: uint64(n), Ready: true,
 		WindowMS: 1000, AppliedRoot: "0123456789abcdef", ListRoot: "0123456789abcdef"}
@@ -17,16 +18,16 @@
 	return report
 }
 
-func benchEach(b *testing.B, run func(b *testing.B, report Report)) {
+func benchReportSizes(b *testing.B, run func(b *testing.B, report Report)) {
 	for _, n := range []int{250, 500, 1000, 2000} {
 		report := benchReport(n)
 		b.Run(fmt.Sprintf("tenants=%d", n), func(b *testing.B) { run(b, report) })
 	}
 }
 
-// BenchmarkCapacityReportEncode is a report as JSON, whose size it reports.
+// BenchmarkCapacityReportEncode encodes a report as JSON and also measures the size of the body.
 func BenchmarkCapacityReportEncode(b *testing.B) {
-	benchEach(b, func(b *testing.B, report Report) {
+	benchReportSizes(b, func(b *testing.B, report Report) {
 		size := 0
 		for b.Loop() {
 			raw, err := json.Marshal(report)
@@ -39,9 +40,9 @@
 	})
 }
 
-// BenchmarkCapacityReportDecode reads a report and checks it.
+// BenchmarkCapacityReportDecode decodes and validates a report.
 func BenchmarkCapacityReportDecode(b *testing.B) {
-	benchEach(b, func(b *testing.B, report Report) {
+	benchReportSizes(b, func(b *testing.B, report Report) {
 		raw, err := json.Marshal(report)
 		if err != nil {
 			b.Fatal(err)
--- a/internal/fleet/decode.go
+++ b/internal/fleet/decode.go
@@ -10,20 +10,20 @@
 	"unicode/utf8"
 )
 
-// Limits on what one body may hold; more is rejected completely.
+// Limits on the content of one body. A body that exceeds any of them is rejected completely.
 const (
-	maxNameBytes = 128  // bytes of a name: node, zone, tenant, server id
-	maxTextBytes = 1024 // bytes of a reason
+	maxNameBytes = 128  // name of a node, zone or tenant, or a server id
+	maxTextBytes = 1024 // length of a reason
 	maxZones     = 256
-	maxItems     = 16 << 10 // tenants, items, keys requested, items
-	maxCount     = 1 << 30  // of a count
-	maxRate      = 1e12     // of a rate, requests/s
+	maxItems     = 16 << 10 // tenants, items or requested keys
+	maxCount     = 1 << 30  // largest value of a counter
+	maxRate      = 1e12     // requests/s
 	maxMS        = 86_400_000
 )
 
-// DecodeReport reads the body of POST /fleet/v1/report. Members it does not know are ignored. Anything else that
-// does not fit the type, is too much, is negative where nothing can be, or contradicts itself is ErrInvalid with
-// the member's name; nothing of such a report is used.
+// DecodeReport reads the body of POST /fleet/v1/report. It ignores unknown members. A value that has the wrong type,
+// exceeds a limit, is negative where that is impossible, or contradicts another value gives an ErrInvalid that names the
+// member; no part of such a report is used.
 func DecodeReport(b []byte) (Report, error) {
 	var r Report
 	if err := decodeStrict(b, MaxReportBytes, &r); err != nil {
@@ -35,14 +35,14 @@
 	return r, nil
 }
 
-// DecodeNodeReport reads a report as DecodeReport does, and reports whether it has members that this build does not know: a newer
-// node made it.
+// DecodeNodeReport reads a report like DecodeReport. newer reports whether the report has members that are unknown to
+// this build, which means that a newer version of the node sent it.
 func DecodeNodeReport(b []byte) (r Report, newer bool, err error) {
 	if len(b) <= MaxReportBytes && utf8.Valid(b) {
 		dec := json.NewDecoder(bytes.NewReader(b))
 		dec.DisallowUnknownFields()
 		err := dec.Decode(&r)
-		if _, rest := dec.Token(); err == nil && rest == io.EOF {
+		if _, trailing := dec.Token(); err == nil && trailing == io.EOF {
 			if err := r.Check(); err != nil {
 				return Report{}, false, err
 			}
@@ -53,9 +53,9 @@
 	return r, err == nil, err
 }
 
-// DecodeIntent reads an answer of GET /fleet/v1/intent, or an agent's durable copy. Bodies of zones, tenants and
-// shares are read through; items of other kinds are kept as they are (a newer control plane may have them).
-// The errors are DecodeReport's.
+// DecodeIntent reads an answer of GET /fleet/v1/intent, or an agent's durable copy. It validates the bodies of zones,
+// tenants and shares, and keeps items of other kinds as they are, because a newer control plane may send them. It
+// returns the same errors as DecodeReport.
 func DecodeIntent(b []byte) (Intent, error) {
 	var in Intent
 	if err := decodeStrict(b, MaxIntentBytes, &in); err != nil {
@@ -74,24 +74,24 @@
 	if !utf8.Valid(b) {
 		return fmt.Errorf("%w: not UTF-8", ErrInvalid)
 	}
-	if err := json.Unmarshal(b, v); err != nil { // rejects what follows the value, too
+	if err := json.Unmarshal(b, v); err != nil { // also rejects data after the value
 		return fmt.Errorf("%w: %w", ErrInvalid, err)
 	}
 	return nil
 }
 
-// fieldError is an error on a member.
+// fieldError returns an error about a member and its value.
 func fieldError(field string, v any) error { return fmt.Errorf("%w: %s: %.80v", ErrInvalid, field, v) }
 
-// checkNumber is a count or a rate that can be: nothing negative, not a number or beyond largest.
+// checkNumber rejects a count or rate that is negative, NaN or above largest.
 func checkNumber[T int | int64 | float64](field string, v T, largest float64) error {
-	if f := float64(v); !(f >= 0 && f <= largest) { // so NaN is rejected
+	if f := float64(v); !(f >= 0 && f <= largest) { // the negation also rejects NaN
 		return fieldError(field, v)
 	}
 	return nil
 }
 
-// checkName is a name that may stand in a key, a log line and a metric.
+// checkName rejects a name that can't be used in a key, a log line or a metric.
 func checkName(field, s string) error {
 	if s == "" || len(s) > maxNameBytes || strings.ContainsFunc(s, func(r rune) bool { return r < ' ' || r == 0x7f || r == utf8.RuneError }) {
 		return fieldError(field, fmt.Sprintf("%q", s))
@@ -99,7 +99,7 @@
 	return nil
 }
 
-// firstError returns the first error.
+// firstError returns the first error that isn't nil.
 func firstError(errs ...error) error {
 	for _, err := range errs {
 		if err != nil {
@@ -116,7 +116,7 @@
 	return nil
 }
 
-// Check reads a report through, rows and all.
+// Check validates a report with all its rows.
 func (r *Report) Check() error {
 	if err := firstError(checkName("node", r.Node), checkName("zone", r.Zone), checkNumber("window_ms", r.WindowMS, maxMS),
 		checkText("root", r.AppliedRoot, 16), checkText("list_root", r.ListRoot, 16), ValidScope(r.Services)); err != nil {
@@ -159,7 +159,7 @@
 	return nil
 }
 
-// Check reads a tenant's row through.
+// Check validates the row of one tenant.
 func (t *TenantAck) Check() error {
 	return firstError(checkName("name", t.Name), checkText("digest", t.Digest, 16), checkText("refused", t.RejectReason, maxTextBytes),
 		checkNumber("open", t.Open, maxCount), checkNumber("offered", t.Offered, maxRate),
@@ -207,7 +207,7 @@
 	return nil
 }
 
-// Check reads an item through, body and all.
+// Check validates an item with its body.
 func (it *Item) Check() error {
 	if err := checkName("key", it.Key); err != nil {
 		return err
--- a/internal/fleet/drift/behaviour.go
+++ b/internal/fleet/drift/behaviour.go
@@ -7,31 +7,32 @@
 	"meadowsill/internal/fleet"
 )
 
-// Slack of what a node's counts may show: rates are smoothed and windows cut requests in two.
+// Tolerances for a node's counts, which deviate because rates are smoothed and requests span two windows.
 const (
 	admittedSlack    = 1.1
 	rateSlack        = 1.01
 	startedSlack     = 2
-	startedAllowance = 3    // attempts a server; requests of a tenant
+	startedAllowance = 3    // attempts per server; requests of a tenant
 	rateEpsilon      = 1e-6 // requests/s
 )
 
-// checkBehaviour looks whether the counts of the node's new report fit what it holds. Only what the node held at the report
-// before already is required of it: then the whole window lies after the node had it.
-func (n *node) checkBehaviour(b *intentHistory) {
-	before := n.lastAnomalies
-	n.lastAnomalies = n.behaviourAnomalies(b)
+// checkBehaviour checks whether the counts of the node's new report are consistent with the intent that the node has
+// applied. It considers only intent that the node had already applied at the previous report, so that it was in force
+// for the whole window. An anomaly counts only if two reports in a row show it.
+func (n *node) checkBehaviour(history *intentHistory) {
+	previous := n.lastAnomalies
+	n.lastAnomalies = n.behaviourAnomalies(history)
 	n.anomalies = nil
 	for _, d := range n.lastAnomalies {
-		for _, p := range before {
-			if p.Key == d.Key && p.Field == d.Field {
+		for _, prev := range previous {
+			if prev.Key == d.Key && prev.Field == d.Field {
 				n.anomalies = append(n.anomalies, d)
 			}
 		}
 	}
 }
 
-// behaviourCheck collects what one report's counts show against what the node holds.
+// behaviourCheck collects the anomalies of one report.
 type behaviourCheck struct {
 	node      *node
 	intents   *intentHistory
@@ -39,7 +40,7 @@
 	anomalies []Difference
 }
 
-// add notes a count that is over what is allowed.
+// add records a count that is above the allowed value.
 func (c *behaviourCheck) add(key, field string, allowed, counted float64) {
 	c.anomalies = append(c.anomalies, Difference{
 		Key:      key,
@@ -51,13 +52,13 @@
 
 func formatCount(count float64) string { return strconv.FormatFloat(count, 'g', 6, 64) }
 
-// behaviourAnomalies returns the counts of the newest report that do not fit what the node holds.
-func (n *node) behaviourAnomalies(b *intentHistory) []Difference {
+// behaviourAnomalies returns the counts of the newest report that are inconsistent with what the node has applied.
+func (n *node) behaviourAnomalies(history *intentHistory) []Difference {
 	r := &n.report
-	if n.previousRevision == 0 || !b.started || r.Revision > b.revision {
+	if n.previousRevision == 0 || !history.started || r.Revision > history.revision {
 		return nil
 	}
-	c := behaviourCheck{node: n, intents: b, window: float64(r.WindowMS) / 1000}
+	c := behaviourCheck{node: n, intents: history, window: float64(r.WindowMS) / 1000}
 	for i := range r.Zones {
 		c.checkZone(&r.Zones[i])
 	}
@@ -65,7 +66,7 @@
 		n.admittedExcess = map[string]float64{}
 	}
 	for i := range r.Tenants {
-		if t := &r.Tenants[i]; t.UID != 0 { // else of the settings
+		if t := &r.Tenants[i]; t.UID != 0 { // a tenant without a UID comes from the settings
 			c.checkTenant(t)
 		}
 	}
@@ -75,7 +76,7 @@
 	return c.anomalies
 }
 
-// checkZone checks the attempts at a zone with a directive.
+// checkZone checks the attempts at a zone that has a directive.
 func (c *behaviourCheck) checkZone(z *fleet.ZoneEvidence) {
 	n := c.node
 	directive, revision := c.intents.directive(z.Zone, n.report.Revision, n.Member)
@@ -95,7 +96,7 @@
 	}
 }
 
-// checkTenant checks the requests admitted of a tenant, and the rate that the node says it admits.
+// checkTenant checks the admitted requests of a tenant, and the rate that the node reports for it.
 func (c *behaviourCheck) checkTenant(t *fleet.TenantAck) {
 	n := c.node
 	key := fleet.KeyTenant + t.Name
@@ -105,14 +106,14 @@
 	}
 	v := e.at(n.report.Revision)
 	switch {
-	case v == nil: // nothing is known of it there; content that should not be is found by its digest
+	case v == nil: // unknown at this revision; the digests reveal content that should not exist
 		return
 	case v.removed || v.tenant.Removing:
 		if v.revision <= n.previousRevision && t.Admitted > 0 {
 			c.add(key, "admitted", 0, t.Admitted)
 		}
 		return
-	case v.tenant.Committed == nil: // its first rollout; one that the settings name is served by them till then
+	case v.tenant.Committed == nil: // first rollout; until it is committed, a tenant in the settings is served by the settings
 		return
 	}
 	quota := v.tenant.Committed.Spec.Quota
@@ -132,13 +133,13 @@
 	}
 }
 
-// maxRate returns the largest quota of a tenant that any version on record of the node's lease and the tenant allows,
-// and the number of slots; 0 where there is none. The division moves between reports, so only the largest counts.
+// maxRate returns the largest rate that any remembered version of the node's lease and of the tenant allows, and the
+// number of slots, which is 0 if there is no lease. It uses the largest because the division changes between reports.
 func (e *entry) maxRate(tenant *entry, name string) (rate float64, slots int) {
 	var floor, leased float64
 	for i := range e.versions {
-		if s := e.versions[i].lease; s != nil && s.Slots > 0 {
-			leased, slots = max(leased, s.Rates[name]), s.Slots
+		if quotaLease := e.versions[i].lease; quotaLease != nil && quotaLease.Slots > 0 {
+			leased, slots = max(leased, quotaLease.Rates[name]), quotaLease.Slots
 		}
 	}
 	for i := range tenant.versions {
@@ -149,19 +150,20 @@
 	return floor + leased, slots
 }
 
-// takeLocalItems takes the report's local items. It gives the settings' body where the report carries the one of its digest.
-func (n *node) takeLocalItems() (body []byte) {
+// readLocalItems reads the report's local items. It returns the body of the settings if the report has one that matches
+// its digest.
+func (n *node) readLocalItems() (body []byte) {
 	n.overrides = nil
 	n.settingsDigest = ""
 	n.settingsOverride = Override{}
 	for i := range n.report.Applied {
-		h := &n.report.Applied[i]
+		item := &n.report.Applied[i]
 		switch {
-		case strings.HasPrefix(h.Key, fleet.KeyExclusion):
-			n.overrides = append(n.overrides, Override{Key: h.Key, ChangedBy: h.ChangedBy, SinceMS: h.SinceMS})
-		case h.Key == fleet.KeySettings:
-			n.settingsDigest, n.settingsOverride = h.Digest, Override{Key: h.Key, ChangedBy: h.ChangedBy, SinceMS: h.SinceMS}
-			if b, err := Canonical(h.Body); len(h.Body) > 0 && err == nil && Digest(b) == h.Digest {
+		case strings.HasPrefix(item.Key, fleet.KeyExclusion):
+			n.overrides = append(n.overrides, Override{Key: item.Key, ChangedBy: item.ChangedBy, SinceMS: item.SinceMS})
+		case item.Key == fleet.KeySettings:
+			n.settingsDigest, n.settingsOverride = item.Digest, Override{Key: item.Key, ChangedBy: item.ChangedBy, SinceMS: item.SinceMS}
+			if b, err := Canonical(item.Body); len(item.Body) > 0 && err == nil && Digest(b) == item.Digest {
 				body = b
 			}
 		}
--- a/internal/fleet/drift/bounds.go
+++ b/internal/fleet/drift/bounds.go
@@ -2,31 +2,31 @@
 
 import "time"
 
-// Bounds are the times and shares that verdicts and repairs go by (docs/drift.md).
+// Bounds are the time limits and ratios for verdicts and repairs (docs/drift.md).
 type Bounds struct {
-	MaxLag          time.Duration // an item outstanding for so long is stuck
-	ReportLifetime  time.Duration // without a report for so long a node is silent
-	MaxAheadTime    time.Duration // a revision above the leader's for so long is ahead
-	MaxStepGap      time.Duration // without a step for so long the detector itself was away
-	BaselineDelay   time.Duration // settings that most nodes hold for so long are the fleet's
-	ForgetAfter     time.Duration // a silent node without a session is forgotten
-	RefreshInterval time.Duration // counts of a verdict that lasts are written so often
+	MaxLag          time.Duration // an item outstanding for this long makes the node stuck
+	ReportLifetime  time.Duration // without a report for this long a node is silent
+	MaxAheadTime    time.Duration // a node above the leader's revision for this long is ahead
+	MaxStepGap      time.Duration // if no step ran for this long, the detector itself was paused
+	BaselineDelay   time.Duration // settings that most nodes have for this long become the fleet's
+	ForgetAfter     time.Duration // a silent node without a session is forgotten after this time
+	RefreshInterval time.Duration // how often the counts of an unchanged verdict are written
 
-	// after the first re-send, doubled by each further step; at most
+	// InitialRepairDelay is the wait after the first re-send; each further step doubles it, up to MaxRepairDelay.
 	InitialRepairDelay  time.Duration
 	MaxRepairDelay      time.Duration
 	MaxResends          int           // re-sends before the agent restarts
-	RelapseWindow       time.Duration // a node that drifts again within it has relapsed
-	ResendInterval      time.Duration // over the fleet; as many as fit a second at once
-	DisruptiveInterval  time.Duration // over the fleet: restarts, and nodes taken out
-	MaxTakenOutPart     float64       // of the present nodes: most that are out at once, rounded down
-	SuspectSelfPart     float64       // of the present nodes: with more drifting, the detector suspects itself
-	SuspectSelfMinNodes int           // and with no fewer than so many
-	TrustSelfPart       float64       // under this share for TrustSelfDelay, it trusts itself again
+	RelapseWindow       time.Duration // a node that drifts again within this time has relapsed
+	ResendInterval      time.Duration // between re-sends in the whole fleet, with bursts of one second's worth
+	DisruptiveInterval  time.Duration // between restarts and removals from the load balancer in the whole fleet
+	MaxTakenOutPart     float64       // part of the present nodes that may be taken out at the same time, rounded down
+	SuspectSelfPart     float64       // the detector suspects itself if more than this part of the present nodes drifts
+	SuspectSelfMinNodes int           // and at least this many nodes drift
+	TrustSelfPart       float64       // it trusts itself again after TrustSelfDelay below this part
 	TrustSelfDelay      time.Duration
 }
 
-// Defaults are the bounds that the page names.
+// Defaults returns the bounds that docs/drift.md names.
 func Defaults() Bounds {
 	const s = time.Second
 	return Bounds{
--- a/internal/fleet/drift/canonical.go
+++ b/internal/fleet/drift/canonical.go
@@ -1,7 +1,7 @@
-// Package drift compares what the control plane intended with what each node's decision module holds, names what
-// differs and plans its repair (docs/drift.md). It is a pure core: no I/O, no clock, no goroutine; the caller passes
-// its own monotonic time. State is the part that raft replicates, Detector the soft part at the leader, LocalDetector an
-// agent's verdict on its own node.
+// Package drift compares the control plane's intent with what each node's policy module has applied, lists the differences
+// and plans their repair (docs/drift.md). It does no I/O, reads no clock and starts no goroutines; the caller passes its own
+// monotonic time. State is the part that raft replicates, Detector is the leader's state in memory, and LocalDetector is an
+// agent's detector for its own node.
 package drift
 
 import (
@@ -17,9 +17,9 @@
 	"meadowsill/internal/fleet"
 )
 
-// Canonical writes v's JSON in the one form that digests are made of: names in byte order, no white space, numbers in
-// one way, and no member at its zero value (null, false, 0, "", [], {}). Elements of lists stay. An error is one of
-// marshalling v, or of a number beyond a float64.
+// Canonical returns v's JSON in the unique form that digests are computed from: names in byte order, no white space,
+// each number in one spelling, and no member with its zero value (null, false, 0, "", [], {}). List elements are kept
+// even if zero. It returns an error if v can't be marshalled or a number exceeds the range of a float64.
 func Canonical(v any) ([]byte, error) {
 	raw, ok := v.(json.RawMessage)
 	if !ok {
@@ -38,7 +38,7 @@
 	return out, err
 }
 
-// appendCanonical appends x and reports whether x is a zero value.
+// appendCanonical appends the canonical form of x and reports whether x is a zero value.
 func appendCanonical(out []byte, x any) ([]byte, bool, error) {
 	switch x := x.(type) {
 	case nil:
@@ -96,8 +96,8 @@
 	return nil, false, fmt.Errorf("no JSON value: %T", x)
 }
 
-// canonicalNumber is the one spelling of a JSON number: integers below 2^63 (2^64 unsigned) as digits, others as the shortest
-// decimal of the same float64.
+// canonicalNumber returns the canonical spelling of a JSON number: integers below 2^63 (2^64 unsigned) as digits, other
+// numbers as the shortest decimal of the same float64.
 func canonicalNumber(s string) (string, error) {
 	if i, err := strconv.ParseInt(s, 10, 64); err == nil {
 		return strconv.FormatInt(i, 10), nil
@@ -115,15 +115,15 @@
 	return strconv.FormatFloat(f, 'g', -1, 64), nil
 }
 
-// emptyBody is the canonical body of an item that is not held.
+// emptyBody is the canonical body of an item that is not applied.
 const emptyBody = "{}"
 
-// Digest is xxhash64 in 16 hex digits.
+// Digest returns the xxhash64 of b as 16 hex digits.
 func Digest(b []byte) string { return hex(xxhash.Sum64(b)) }
 
-// AppliedItemOf makes an item of a key and any value that marshals to the key's body. ok is false where it is not held: its
-// canonical body is empty.
-func AppliedItemOf(key string, v any) (h fleet.AppliedItem, ok bool, err error) {
+// AppliedItemOf makes an item of a key and a value that marshals to the key's body. ok is false if the canonical body is
+// empty, which means that nothing is applied for the key.
+func AppliedItemOf(key string, v any) (item fleet.AppliedItem, ok bool, err error) {
 	b, err := Canonical(v)
 	if err != nil {
 		return fleet.AppliedItem{}, false, fmt.Errorf("%s: %w", key, err)
--- a/internal/fleet/drift/detector.go
+++ b/internal/fleet/drift/detector.go
@@ -12,25 +12,26 @@
 	"meadowsill/internal/fleet"
 )
 
-// maxChanges is how many changes one command carries; others wait for the next step.
+// maxChanges is the maximum number of verdict changes in one command. The remaining ones wait for the next step.
 const maxChanges = 64
 
-// proposalRetryDelay is how long a proposed change may take before it is proposed again.
+// proposalRetryDelay is how long the detector waits for a proposed change to be applied before it proposes the change
+// again.
 const proposalRetryDelay = 500 * time.Millisecond
 
-// Detector is the leader's soft part. All times are readings of the leader's own monotonic clock. It is not safe for
-// concurrent use.
+// Detector is the leader's state in memory, which isn't replicated. All times are readings of the leader's own monotonic
+// clock. It is not safe for concurrent use.
 type Detector struct {
 	bounds          Bounds
 	intents         intentHistory
 	nodes           map[string]*node
-	minIncarnations map[string]uint64 // incarnations of nodes that are not in nodes
+	minIncarnations map[string]uint64 // lowest accepted incarnation by node, also for nodes that are not in nodes
 	leaderSince     fleet.Time
 	steppedAt       fleet.Time
 	leading         bool
 
-	settingsBodies     map[string]json.RawMessage // settings by digest
-	commonSettings     string                     // settings that most nodes hold, and since when
+	settingsBodies     map[string]json.RawMessage // bodies of settings by digest
+	commonSettings     string                     // digest of the settings that most nodes have, since commonSince
 	commonSince        fleet.Time
 	baselineProposedAt fleet.Time // when a baseline was last proposed
 
@@ -42,21 +43,21 @@
 	logCount         uint64
 }
 
-// NewDetector makes a detector that does not lead yet.
+// NewDetector returns a detector that doesn't lead yet.
 func NewDetector(b Bounds) *Detector {
 	return &Detector{bounds: b, nodes: map[string]*node{}, minIncarnations: map[string]uint64{}, settingsBodies: map[string]json.RawMessage{}, fewDriftingSince: longAgo, baselineProposedAt: longAgo}
 }
 
-// Lead makes the detector that of a new leader: it forgets all that is soft, and counts every bound from now. What st
-// holds it continues from.
+// Lead starts the detector at a new leader. It discards the state in memory except the log, measures all bounds from
+// now, and continues from the verdicts in st.
 func (det *Detector) Lead(now fleet.Time, st *State) {
-	log, logged := det.log, det.logCount
+	log, entryCount := det.log, det.logCount
 	*det = *NewDetector(det.bounds)
 	det.leaderSince = now
 	det.steppedAt = now
 	det.leading = true
 	det.log = log
-	det.logCount = logged
+	det.logCount = entryCount
 	maps.Copy(det.minIncarnations, st.Incarnations)
 	for name, v := range st.Verdicts {
 		n := det.addNode(now, v.Member)
@@ -71,23 +72,23 @@
 }
 
 func (det *Detector) addNode(now fleet.Time, m fleet.Member) *node {
-	n := &node{Member: m, metAt: now, countedSince: now, aheadSince: longAgo, verdictSince: now, refreshedAt: now, repair: repairState{repairedAt: longAgo, relapseEasedAt: now}}
+	n := &node{Member: m, firstSeenAt: now, countedSince: now, aheadSince: longAgo, verdictSince: now, refreshedAt: now, repair: repairState{repairedAt: longAgo, relapseEasedAt: now}}
 	det.nodes[m.Node] = n
 	return n
 }
 
-// restartBounds counts every bound from now: the detector itself was away.
+// restartBounds measures all bounds from now, because the detector itself was paused.
 func (det *Detector) restartBounds(now fleet.Time) {
 	det.leaderSince, det.commonSince = now, now
 	for _, n := range det.nodes {
 		n.restartCounting(now)
-		n.metAt = now
+		n.firstSeenAt = now
 		n.repair.waitUntil = max(n.repair.waitUntil, now+det.bounds.InitialRepairDelay)
 	}
 }
 
-// Observe takes a node's report. One of an older incarnation, or with a sequence number seen before, is rejected with
-// fleet.ErrFenced and changes nothing.
+// Observe processes a node's report. It rejects a report of an older incarnation or with an old sequence number with
+// fleet.ErrFenced, and then changes nothing.
 func (det *Detector) Observe(now fleet.Time, v fleet.NodeView) error {
 	n := det.nodes[v.Node]
 	known := det.minIncarnations[v.Node]
@@ -101,41 +102,41 @@
 	case n == nil:
 		n = det.addNode(now, v.Member)
 	case v.Incarnation > n.Incarnation:
-		was := n
+		previous := n
 		n = det.addNode(now, v.Member)
-		n.verdict = was.verdict
-		n.verdictSince = was.verdictSince
-		n.verdictRevision = was.verdictRevision
-		n.repair = was.repair
-		n.refreshedAt = was.refreshedAt
-	case n.heard && v.Report.Sequence <= n.report.Sequence:
+		n.verdict = previous.verdict
+		n.verdictSince = previous.verdictSince
+		n.verdictRevision = previous.verdictRevision
+		n.repair = previous.repair
+		n.refreshedAt = previous.refreshedAt
+	case n.hasReport && v.Report.Sequence <= n.report.Sequence:
 		return fmt.Errorf("%w: %s: sequence %d after %d", fleet.ErrFenced, v.Node, v.Report.Sequence, n.report.Sequence)
 	}
-	anew := !n.heard || now-n.receivedAt >= det.bounds.ReportLifetime
+	resumed := !n.hasReport || now-n.receivedAt >= det.bounds.ReportLifetime
 	det.minIncarnations[v.Node] = v.Incarnation
 	n.Member = v.Member
-	if n.previousRevision = 0; n.heard {
+	if n.previousRevision = 0; n.hasReport {
 		n.previousRevision = n.report.Revision
 	}
 	n.report = v.Report
 	n.receivedAt = now
-	n.heard = true
-	n.reports++
-	if n.windows++; anew {
+	n.hasReport = true
+	n.reportsSinceWrite++
+	if n.countedReports++; resumed {
 		n.restartCounting(now)
 	}
-	if body := n.takeLocalItems(); body != nil && (len(det.settingsBodies) < 64 || det.settingsBodies[n.settingsDigest] != nil) {
+	if body := n.readLocalItems(); body != nil && (len(det.settingsBodies) < 64 || det.settingsBodies[n.settingsDigest] != nil) {
 		det.settingsBodies[n.settingsDigest] = body
 	}
 	n.updateLags(&det.intents)
 	n.compareContent(now, &det.intents)
 	n.checkBehaviour(&det.intents)
-	n.report.Applied = nil // all of it is taken
+	n.report.Applied = nil // its content has been processed
 	return nil
 }
 
-// Step evaluates every node, moves the repairs on and gives what is to be proposed: one command or none. present are
-// the nodes that have a session.
+// Step evaluates all nodes, advances their repairs and returns the command to propose, if any. present lists the nodes
+// that have a session.
 func (det *Detector) Step(now fleet.Time, st *State, in Intended, present []fleet.Member) []Command {
 	if !det.leading {
 		det.Lead(now, st)
@@ -170,22 +171,22 @@
 	return s.commands()
 }
 
-// roundingSlack keeps a product that is a whole number but for rounding from being rounded down.
+// roundingSlack keeps a product that is a whole number except for a rounding error from being rounded down.
 const roundingSlack = 1e-9
 
-// step is what one Step works out.
+// step is the working state of one call of Step.
 type step struct {
 	now           fleet.Time
 	state         *State
 	present       map[string]bool // nodes that have a session
 	intentChanged bool
-	drifting      int // present nodes that drift
-	takenOut      int // present nodes that are taken out
+	drifting      int // number of present nodes that drift
+	takenOut      int // number of present nodes that are taken out
 	maxTakenOut   int
 	command       Command
 }
 
-// commands returns the command, if it changes anything.
+// commands returns the command if it changes anything.
 func (s *step) commands() []Command {
 	if s.command.Set == nil && s.command.Forget == nil && s.command.Baseline == nil {
 		return nil
@@ -202,7 +203,7 @@
 	if s.intentChanged {
 		n.updateLags(&det.intents)
 	}
-	if n.compareAgain && n.heard {
+	if n.compareAgain && n.hasReport {
 		n.compareContent(s.now, &det.intents)
 	}
 	det.compareSettings(n, s.state)
@@ -218,7 +219,7 @@
 	}
 }
 
-// repairNode moves one node's repair on, and adds the change of its verdict that is due.
+// repairNode advances one node's repair, and adds the change of its verdict to the command if one is due.
 func (det *Detector) repairNode(s *step, n *node) {
 	if _, forgotten := s.command.Forget[n.Node]; forgotten {
 		return
@@ -237,16 +238,17 @@
 	}
 }
 
-// forgetNode reports whether a node is no more: it left, or has been without a session and a report for long. Its verdict goes.
-func (det *Detector) forgetNode(now fleet.Time, n *node, here bool, st *State, c *Command) bool {
-	if here {
+// forgetNode reports whether a node is gone: it has left, or has had neither a session nor a report for ForgetAfter. It
+// adds the removal of the node's verdict to the command.
+func (det *Detector) forgetNode(now fleet.Time, n *node, isPresent bool, st *State, c *Command) bool {
+	if isPresent {
 		n.absent = false
 		return false
 	}
 	if !n.absent {
 		n.absent, n.absentSince = true, now
 	}
-	if !(n.heard && n.report.Draining) && now-max(n.absentSince, n.receivedAt) < det.bounds.ForgetAfter {
+	if !(n.hasReport && n.report.Draining) && now-max(n.absentSince, n.receivedAt) < det.bounds.ForgetAfter {
 		return false
 	}
 	if v := st.Verdicts[n.Node]; v != nil {
@@ -254,44 +256,44 @@
 			c.Forget = map[string]uint64{}
 		}
 		c.Forget[n.Node] = v.Revision
-		return true // until the verdict is removed
+		return true // the node is deleted once the verdict is removed
 	}
-	det.minIncarnations[n.Node] = max(det.minIncarnations[n.Node], n.Incarnation+1) // what comes late does not bring it back
+	det.minIncarnations[n.Node] = max(det.minIncarnations[n.Node], n.Incarnation+1) // late reports must not bring the node back
 	delete(det.nodes, n.Node)
 	return true
 }
 
-// setVerdict makes a finding the one that is shown.
-func (det *Detector) setVerdict(now fleet.Time, n *node, f evaluation) {
-	if f.state == "" {
+// setVerdict makes an evaluation the node's current verdict. An empty state leaves the verdict unchanged.
+func (det *Detector) setVerdict(now fleet.Time, n *node, e evaluation) {
+	if e.state == "" {
 		return
 	}
-	if f.state != n.verdict.state {
+	if e.state != n.verdict.state {
 		n.verdictSince, n.verdictRevision = now, det.intents.revision
-		if f.state == Ahead {
-			det.appendLog(now, LogEntry{Node: n.Node, Action: ActAlarm, Reason: f.evidence})
+		if e.state == Ahead {
+			det.appendLog(now, LogEntry{Node: n.Node, Action: ActAlarm, Reason: e.evidence})
 		}
 	}
-	n.verdict = f
+	n.verdict = e
 }
 
-// verdictChange returns the change of a node's verdict that is due, if one is. That a node in step is catching up for a
-// moment is not written: it happens to every node at every change of intent.
+// verdictChange returns the due change of a node's verdict, if any. A short change from in step to catching up is not
+// written, because every change of intent causes one at every node.
 func (det *Detector) verdictChange(now fleet.Time, n *node, old *Verdict) (Change, bool) {
-	s := n.verdict
-	if s.state == "" || n.absent && n.heard && n.report.Draining {
+	e := n.verdict
+	if e.state == "" || n.absent && n.hasReport && n.report.Draining {
 		return Change{}, false
 	}
-	due := old == nil && s.state != CatchingUp || old != nil && (old.Incarnation < n.Incarnation || old.Repair != n.repair.Repair)
-	state := s.state
+	due := old == nil && e.state != CatchingUp || old != nil && (old.Incarnation < n.Incarnation || old.Repair != n.repair.Repair)
+	state := e.state
 	switch {
 	case old == nil:
 	case state == CatchingUp && old.State == InStep:
-		s, state = evaluation{overrides: s.overrides, evidence: evidenceSame}, InStep
+		e, state = evaluation{overrides: e.overrides, evidence: evidenceSame}, InStep
 	case old.State != state:
 		due = true
 	case state != InStep && state != CatchingUp:
-		due = due || now-n.refreshedAt >= det.bounds.RefreshInterval || !reflect.DeepEqual(old.Differences, s.differences) || !reflect.DeepEqual(old.Overrides, s.overrides)
+		due = due || now-n.refreshedAt >= det.bounds.RefreshInterval || !reflect.DeepEqual(old.Differences, e.differences) || !reflect.DeepEqual(old.Overrides, e.overrides)
 	}
 	if !due || n.proposing && n.proposedRevision == revisionOf(old) && now-n.proposedAt < proposalRetryDelay {
 		return Change{}, false
@@ -304,24 +306,24 @@
 		Member:       n.Member,
 		State:        state,
 		LastRevision: det.intents.revision,
-		Count:        max(n.reports, 1),
-		Differences:  s.differences,
-		Omitted:      s.omitted,
-		Overrides:    s.overrides,
-		Evidence:     s.evidence,
+		Count:        max(n.reportsSinceWrite, 1),
+		Differences:  e.differences,
+		Omitted:      e.omitted,
+		Overrides:    e.overrides,
+		Evidence:     e.evidence,
 		Repair:       n.repair.Repair,
 	}
-	n.reports = 0
+	n.reportsSinceWrite = 0
 	return Change{v, revisionOf(old)}, true
 }
 
-// findBaseline finds the settings that most present nodes hold.
-func (det *Detector) findBaseline(now fleet.Time, st *State, here map[string]bool, c *Command) {
+// findBaseline finds the settings that most present nodes have, and proposes them as the baseline.
+func (det *Detector) findBaseline(now fleet.Time, st *State, present map[string]bool, c *Command) {
 	counts := map[string]int{}
 	common := ""
 	for name, n := range det.nodes {
-		if here[name] && n.heard && n.settingsDigest != "" && now-n.receivedAt < det.bounds.ReportLifetime {
-			if counts[n.settingsDigest]++; 2*counts[n.settingsDigest] > len(here) {
+		if present[name] && n.hasReport && n.settingsDigest != "" && now-n.receivedAt < det.bounds.ReportLifetime {
+			if counts[n.settingsDigest]++; 2*counts[n.settingsDigest] > len(present) {
 				common = n.settingsDigest
 			}
 		}
@@ -337,7 +339,7 @@
 	}
 }
 
-// compareSettings puts a node's own settings among its overrides, where they are not the fleet's.
+// compareSettings adds a node's settings to its overrides if they differ from the fleet's.
 func (det *Detector) compareSettings(n *node, st *State) {
 	n.overrides = slices.DeleteFunc(n.overrides, func(o Override) bool { return o.Key == fleet.KeySettings })
 	if n.settingsDigest == "" || st.Baseline.Digest == "" || n.settingsDigest == st.Baseline.Digest {
@@ -351,7 +353,7 @@
 	n.overrides = append(n.overrides, o)
 }
 
-// differingKeys are those of the items that are shown.
+// differingKeys returns the keys of the differences in the node's verdict, without duplicates.
 func (n *node) differingKeys() (keys []string) {
 	for _, d := range n.verdict.differences {
 		if !slices.Contains(keys, d.Key) {
@@ -361,15 +363,15 @@
 	return keys
 }
 
-// IsTakenOut reports that a node's repair has come to its last step: it is to be out of the load balancer.
+// IsTakenOut reports whether a node's repair has reached its last step: the node must be out of the load balancer.
 func (det *Detector) IsTakenOut(name string) bool {
 	n := det.nodes[name]
 	return n != nil && n.repair.Step == TakenOut
 }
 
-// Answer returns what a report of the node is to be answered with: keys that the agent sends its node again ("*": all), what
-// the node's next report is to carry (FillReport), whether the agent is to restart, and whether the node is to be out of the
-// front. What is requested of the agent is requested once a step of the repair.
+// Answer returns the answer to a node's report: keys that the agent is to send to the node again ("*": all), keys that
+// the next report is to contain (FillReport), whether the agent is to restart, and whether the node must be out of the
+// load balancer. Re-sends and restarts are requested once per repair step.
 func (det *Detector) Answer(name string) (resend, want []string, restart, out bool) {
 	n := det.nodes[name]
 	if n == nil {
@@ -383,7 +385,7 @@
 	}
 	restart = n.repair.restartPending
 	n.repair.resendPending, n.repair.restartPending = false, false
-	if n.heard {
+	if n.hasReport {
 		want = append(append(want, n.trees[0].wanted...), n.trees[1].wanted...)
 		if n.settingsDigest != "" && det.settingsBodies[n.settingsDigest] == nil && len(det.settingsBodies) < 64 {
 			want = append(want, fleet.KeySettings)
--- a/internal/fleet/drift/differences.go
+++ b/internal/fleet/drift/differences.go
@@ -10,12 +10,12 @@
 	"meadowsill/internal/fleet"
 )
 
-// maxShownBytes is how many bytes of a value a difference shows.
+// maxShownBytes is how many bytes of a value a difference contains.
 const maxShownBytes = 200
 
-// Differences names the fields in which two canonical bodies of an item differ, in order, by their path
-// ("committed.routes[0].zone"). Where only one side has the item, it is one difference without a field. Bodies that
-// are not JSON differ as a whole.
+// Differences returns the fields in which two canonical bodies of an item differ, in order, by their path
+// ("committed.routes[0].zone"). If only one side has the item, or a body is not JSON, the result is one difference
+// without a field.
 func Differences(key string, intended, applied json.RawMessage) []Difference {
 	a, aok := decodeBody(intended)
 	b, bok := decodeBody(applied)
@@ -42,7 +42,8 @@
 	return x, d.Decode(&x) == nil
 }
 
-// walkDifferences calls differ for every field in which x and y differ; a field that one lacks is nil there.
+// walkDifferences calls differ for every field in which x and y differ. A field that is missing on one side is passed as
+// nil for that side.
 func walkDifferences(path string, x, y any, differ func(string, any, any)) {
 	if a, ok := x.(map[string]any); ok {
 		if b, ok := y.(map[string]any); ok {
@@ -96,7 +97,7 @@
 	return string(b)
 }
 
-// bodyOf finds an item among those in key order of their trees.
+// bodyOf returns the body of the item with a key, or nil if there is none.
 func bodyOf(items []fleet.AppliedItem, key string) json.RawMessage {
 	for i := range items {
 		if items[i].Key == key {
--- a/internal/fleet/drift/export_test.go
+++ b/internal/fleet/drift/export_test.go
@@ -68,7 +68,7 @@
 // Node is what the detector has of a node.
 type Node struct{ n node }
 
-func Compared(r fleet.Report) *Node { return &Node{node{Member: r.Member, heard: true, report: r}} }
+func Compared(r fleet.Report) *Node { return &Node{node{Member: r.Member, hasReport: true, report: r}} }
 
 func (n *Node) Compare(b *Book) { n.n.compareContent(0, &b.b) }
 func (n *Node) Redo() bool      { return n.n.compareAgain }
--- a/internal/fleet/drift/intent_expectation.go
+++ b/internal/fleet/drift/intent_expectation.go
@@ -4,19 +4,19 @@
 	"meadowsill/internal/fleet"
 )
 
-// expect returns what a node holds of zones, tenants and its share at revision n; whole is false where some of it is
-// not known for that revision.
-func (h *intentHistory) expect(n uint64, m fleet.Member, services []string) (items []fleet.AppliedItem, complete bool) {
+// expect returns the zones, tenants and share that a node must have applied at atRevision. complete is false if some of
+// the intent at that revision is unknown.
+func (h *intentHistory) expect(atRevision uint64, m fleet.Member, services []string) (items []fleet.AppliedItem, complete bool) {
 	complete = true
 	for i := 0; i < len(h.zones); {
 		zone := h.zones[i].zone
 		var best *version
-		for ; i < len(h.zones) && h.zones[i].zone == zone; i++ { // "zone/Y" first
+		for ; i < len(h.zones) && h.zones[i].zone == zone; i++ { // "zone/Y" is sorted first
 			e := h.zones[i]
 			if e.observer != "" && e.observer != m.Zone {
 				continue
 			}
-			v := e.at(n)
+			v := e.at(atRevision)
 			if v == nil {
 				complete = false
 			} else if !v.removed && v.directive.Phase != fleet.Serving && (best == nil || fleet.IsNarrower(*best.directive, *v.directive)) {
@@ -34,14 +34,14 @@
 		}
 	}
 	add := func(e *entry) {
-		if v := e.at(n); v == nil {
+		if v := e.at(atRevision); v == nil {
 			complete = false
 		} else if !v.removed && !v.appliesNothing {
 			items = append(items, v.applied)
 		}
 	}
 	for _, e := range h.tenants {
-		if !e.outside(n, services) {
+		if !e.outsideScope(atRevision, services) {
 			add(e)
 		}
 	}
@@ -51,14 +51,15 @@
 	return items, complete
 }
 
-// directive returns the directive that holds for a zone at a node at revision n, with its own revision; nil for none, or where it is not known.
-func (h *intentHistory) directive(zone string, n uint64, m fleet.Member) (d *fleet.Directive, rev uint64) {
+// directive returns the directive in force for a zone at a node at atRevision, and the directive's own revision. It
+// returns nil if there is none or if it is unknown.
+func (h *intentHistory) directive(zone string, atRevision uint64, m fleet.Member) (d *fleet.Directive, rev uint64) {
 	for _, key := range []string{"zone/" + zone, "zone/" + zone + "@" + m.Zone} {
 		e := h.entries[key]
 		if e == nil {
 			continue
 		}
-		v := e.at(n)
+		v := e.at(atRevision)
 		if v == nil {
 			return nil, 0
 		}
@@ -72,22 +73,22 @@
 	return d, rev
 }
 
-// list returns the server items at a version of the list; nil, where they are not all known.
-func (h *intentHistory) list(n uint64) []fleet.AppliedItem {
-	if l := h.listAt(n); l != nil {
+// list returns the server items of a version of the list, or nil if some of them are unknown.
+func (h *intentHistory) list(atRevision uint64) []fleet.AppliedItem {
+	if l := h.listAt(atRevision); l != nil {
 		return l.items
 	}
 	return nil
 }
 
-func (h *intentHistory) listAt(n uint64) *appliedList {
-	n = min(n, h.newestListRevision)
-	if l := h.listTrees[n]; l != nil {
+func (h *intentHistory) listAt(atRevision uint64) *appliedList {
+	atRevision = min(atRevision, h.newestListRevision)
+	if l := h.listTrees[atRevision]; l != nil {
 		return l
 	}
 	l := &appliedList{}
 	for _, e := range h.servers {
-		switch v := e.at(n); {
+		switch v := e.at(atRevision); {
 		case v == nil:
 			return nil
 		case !v.removed:
@@ -98,44 +99,44 @@
 	if len(h.listTrees) >= maxVersions {
 		clear(h.listTrees)
 	}
-	h.listTrees[n] = l
+	h.listTrees[atRevision] = l
 	return l
 }
 
-// outstanding returns the earliest revision above n of what a node is to hold, with when it was first seen, and the
-// keys of all such. list says which of the two.
-func (h *intentHistory) outstanding(n uint64, m fleet.Member, services []string, list bool) (rev uint64, seen fleet.Time, keys []string) {
-	look := func(e *entry) {
-		if e == nil || e.newest().revision <= n {
+// outstanding returns the earliest revision above afterRevision of the items that a node must apply, when the detector first saw
+// that revision, and the keys of all items with such revisions. list selects the server list instead of the intent.
+func (h *intentHistory) outstanding(afterRevision uint64, m fleet.Member, services []string, list bool) (rev uint64, seen fleet.Time, keys []string) {
+	consider := func(e *entry) {
+		if e == nil || e.newest().revision <= afterRevision {
 			return
 		}
 		keys = append(keys, e.key)
 		for i := range e.versions {
-			if v := &e.versions[i]; v.revision > n && (rev == 0 || v.revision < rev) {
+			if v := &e.versions[i]; v.revision > afterRevision && (rev == 0 || v.revision < rev) {
 				rev, seen = v.revision, v.seenAt
 			}
 		}
 	}
 	if list {
-		if h.newestListRevision > n {
+		if h.newestListRevision > afterRevision {
 			for _, e := range h.servers {
-				look(e)
+				consider(e)
 			}
 		}
 		return rev, seen, keys
 	}
-	if h.newestFleetRevision > n {
+	if h.newestFleetRevision > afterRevision {
 		for _, e := range h.zones {
 			if e.observer == "" || e.observer == m.Zone {
-				look(e)
+				consider(e)
 			}
 		}
 		for _, e := range h.tenants {
-			if e.movedAfter(n, services) {
-				look(e)
+			if e.changedAfter(afterRevision, services) {
+				consider(e)
 			}
 		}
 	}
-	look(h.leases[m.Node])
+	consider(h.leases[m.Node])
 	return rev, seen, keys
 }
--- a/internal/fleet/drift/intent_history.go
+++ b/internal/fleet/drift/intent_history.go
@@ -11,14 +11,15 @@
 	"meadowsill/internal/fleet"
 )
 
-// Intended is all that the control plane intends at a revision. Items are every item there is, and the removed ones
-// that the replica still knows of, each with its revision (without those, what is removed is evaluated a little later). Servers is the list under the same revisions, removed
-// entries too; nil where the nodes' list is not the control plane's: then no list is compared.
+// Intended is the control plane's complete intent at a revision. Items contains every item, and every removed item that
+// the replica still remembers, each with its revision; without the removed items, removals are detected a little later.
+// Servers is the server list under the same revisions, with removed entries. It is nil if the control plane doesn't
+// provide the nodes' list; then no list is compared.
 type Intended struct {
 	Revision  uint64
 	Items     []fleet.Item
 	Servers   []ListedServer
-	LateSteps map[string][]Difference // by present node: what it holds up, a rollout's step, past its bound
+	LateSteps map[string][]Difference // by present node: rollout steps that the node has delayed past their bound
 }
 
 // ListedServer is an entry of the server list.
@@ -29,9 +30,9 @@
 	Body     fleet.AppliedServer
 }
 
-// Expect returns what a node's module holds once it has taken all of in, in key order, with bodies; local items are
-// not among them. services are the node's scope; none: every tenant. An error is an item whose body can't be read: nothing
-// can be said of that item.
+// Expect returns the items that a node's module has applied once it has processed all of in, in key order, with bodies
+// and without local items. services is the node's scope; without services, every tenant is included. An error means that
+// an item's body can't be decoded, so that nothing is known about that item.
 func Expect(in Intended, m fleet.Member, services ...string) ([]fleet.AppliedItem, error) {
 	var b intentHistory
 	err := b.ingest(0, in)
@@ -42,30 +43,31 @@
 	return applied, err
 }
 
-// removedItemRevisions is for how many revisions an item that is removed and no longer listed is remembered.
+// removedItemRevisions is for how many revisions a removed item that is no longer listed is remembered.
 const removedItemRevisions = 1000
 
-// maxVersions is how many versions of an item are remembered, for nodes that are a little behind.
+// maxVersions is how many versions of an item are remembered for nodes that lag behind.
 const maxVersions = 8
 
-// version is an item as it was from a revision on.
+// version is the state of an item from a revision on.
 type version struct {
 	revision       uint64
-	sureFrom       uint64 // from rev to here it may have held already or not
-	knownUntil     uint64 // it is known to have held up to this revision; what came then may not have been seen
+	certainFrom    uint64 // the item may or may not have had this state from revision to here
+	knownUntil     uint64 // the last revision at which the item is known to have had this state; later changes may have been missed
 	removed        bool
-	unknown        bool       // nothing is known of it before the next version
-	seenAt         fleet.Time // when the detector first saw it
+	unknown        bool       // nothing is known about the item before the next version
+	seenAt         fleet.Time // when the detector first saw this version
 	directive      *fleet.Directive
 	tenant         *fleet.Tenant
 	lease          *fleet.QuotaLease
-	applied        fleet.AppliedItem // of all but directives, which depend on the node
-	appliesNothing bool              // nothing is held for it
+	applied        fleet.AppliedItem // for all items except directives, which depend on the node
+	appliesNothing bool              // a node applies nothing for this version
 }
 
+// entry is the history of one item.
 type entry struct {
 	key string
-	// of zone items
+	// zone and observer are set for zone items only.
 	zone     string
 	observer string
 	versions []version
@@ -73,11 +75,11 @@
 
 func (e *entry) newest() *version { return &e.versions[len(e.versions)-1] }
 
-// at returns the version that held at revision n; nil where that is not known.
-func (e *entry) at(n uint64) *version {
+// at returns the version at atRevision, or nil if it is unknown.
+func (e *entry) at(atRevision uint64) *version {
 	for i := len(e.versions) - 1; i >= 0; i-- {
-		if v := &e.versions[i]; v.revision <= n {
-			if v.unknown || n < v.sureFrom || i < len(e.versions)-1 && n > v.knownUntil {
+		if v := &e.versions[i]; v.revision <= atRevision {
+			if v.unknown || atRevision < v.certainFrom || i < len(e.versions)-1 && atRevision > v.knownUntil {
 				return nil
 			}
 			return v
@@ -86,31 +88,32 @@
 	return nil
 }
 
-// intentHistory is the detector's memory of what was intended of late.
+// intentHistory is the detector's record of recent intent.
 type intentHistory struct {
-	revision            uint64 // of the intent
-	newestRevision      uint64 // newest revision taken in, the list's or the intent's
-	generation          uint64 // counts changes
-	started             bool   // something has been taken in
+	revision            uint64 // revision of the intent
+	newestRevision      uint64 // newest processed revision of the list or the intent
+	generation          uint64 // increases with each change
+	started             bool   // some intent has been processed
 	entries             map[string]*entry
-	zones               []*entry // by key
+	zones               []*entry // sorted by zone and observer
 	tenants             []*entry
 	leases              map[string]*entry // by node
 	servers             []*entry
 	withoutList         bool
-	newestFleetRevision uint64 // newest revision of a zone or a tenant
-	newestListRevision  uint64 // of a server
+	newestFleetRevision uint64 // newest revision of a zone or tenant
+	newestListRevision  uint64 // newest revision of a server
 
 	listTrees map[uint64]*appliedList // by effective version of the list
 }
 
+// appliedList is the expected server list of one version, with its tree.
 type appliedList struct {
 	items []fleet.AppliedItem
 	tree  *Tree
 }
 
-// ingest takes in what is intended now. Items of a revision already known are left; one that can't be read counts
-// as unknown, and the first such is the error.
+// ingest adds the current intent to the history. It skips items of known revisions. An item that can't be decoded is
+// recorded as unknown, and the first such error is returned.
 func (h *intentHistory) ingest(now fleet.Time, in Intended) error {
 	newest := in.Revision // a change of the list alone leaves the intent's revision as it is
 	for i := range in.Servers {
@@ -126,7 +129,7 @@
 	}
 	h.generation++
 	h.withoutList = in.Servers == nil
-	var failed error
+	var firstErr error
 	seen := make(map[string]bool, len(in.Items)+len(in.Servers))
 	for i := range in.Items {
 		it := &in.Items[i]
@@ -134,9 +137,9 @@
 		if e := h.entries[it.Key]; e != nil && e.newest().revision >= it.Revision {
 			continue
 		}
-		v, err := readItem(it)
-		if err != nil && failed == nil {
-			failed = err
+		v, err := decodeItem(it)
+		if err != nil && firstErr == nil {
+			firstErr = err
 		}
 		v.seenAt = now
 		h.add(it.Key, v)
@@ -160,8 +163,8 @@
 	for key, e := range h.entries {
 		switch {
 		case seen[key] || h.withoutList && isList(key):
-		case !e.newest().removed: // without notice: at some revision since the last
-			h.add(key, version{revision: h.newestRevision + 1, sureFrom: newest, removed: true, seenAt: now})
+		case !e.newest().removed: // removed without a record, at some revision since the last call
+			h.add(key, version{revision: h.newestRevision + 1, certainFrom: newest, removed: true, seenAt: now})
 		case e.newest().revision+removedItemRevisions < newest:
 			h.remove(e)
 		}
@@ -169,11 +172,12 @@
 	h.revision = in.Revision
 	h.newestRevision = newest
 	h.started = true
-	return failed
+	return firstErr
 }
 
-// newerThanLeader says which of a report's two versions is newer than all that the detector has taken in, as the detector looks now and then
-// and nodes hear from any replica: "revision", "list" or "" for neither.
+// newerThanLeader reports which version of a report is newer than the detector's history: "revision", "list", or "" for
+// neither. That is normal for a short time, because nodes get updates from any replica while the detector reads the
+// intent periodically.
 func (h *intentHistory) newerThanLeader(r *fleet.Report) string {
 	switch {
 	case r.Revision > h.revision:
@@ -184,8 +188,8 @@
 	return ""
 }
 
-// add puts a version on record. What an item was before the detector first heard of anything is unknown; one that
-// appears later was not there.
+// add records a version. The state of an item before the detector's first intent is unknown; an item that appears later
+// didn't exist before.
 func (h *intentHistory) add(key string, v version) {
 	e := h.entries[key]
 	if e == nil {
@@ -206,7 +210,7 @@
 	}
 	e.newest().knownUntil = h.newestRevision
 	e.versions = append(e.versions, v)
-	if over := len(e.versions) - maxVersions; over > 0 { // what was before the first kept is not known
+	if over := len(e.versions) - maxVersions; over > 0 { // the state before the first remembered version is unknown
 		e.versions = slices.Delete(e.versions, 0, over)
 	}
 	switch {
@@ -220,14 +224,14 @@
 
 func (h *intentHistory) remove(e *entry) {
 	delete(h.entries, e.key)
-	is := func(o *entry) bool { return o == e }
-	h.zones = slices.DeleteFunc(h.zones, is)
-	h.tenants = slices.DeleteFunc(h.tenants, is)
-	h.servers = slices.DeleteFunc(h.servers, is)
+	isEntry := func(o *entry) bool { return o == e }
+	h.zones = slices.DeleteFunc(h.zones, isEntry)
+	h.tenants = slices.DeleteFunc(h.tenants, isEntry)
+	h.servers = slices.DeleteFunc(h.servers, isEntry)
 	maps.DeleteFunc(h.leases, func(_ string, o *entry) bool { return o == e })
 }
 
-// insertSorted keeps entries in the order of their zones and observers, then of their keys: a zone's are together.
+// insertSorted inserts an entry in the order of zones, observers and keys, so that the entries of a zone are adjacent.
 func insertSorted(in []*entry, e *entry) []*entry {
 	i, _ := slices.BinarySearchFunc(in, e, func(a, b *entry) int {
 		return cmp.Or(strings.Compare(a.zone, b.zone), strings.Compare(a.observer, b.observer), strings.Compare(a.key, b.key))
@@ -235,8 +239,8 @@
 	return slices.Insert(in, i, e)
 }
 
-// readItem takes an item's body. One of a kind that is not known here holds nothing at a node.
-func readItem(it *fleet.Item) (version, error) {
+// decodeItem decodes an item's body. Nodes apply nothing for an item of an unknown kind.
+func decodeItem(it *fleet.Item) (version, error) {
 	v := version{revision: it.Revision, removed: it.Removed}
 	if it.Removed {
 		return v, nil
@@ -246,19 +250,19 @@
 		return v, err
 	}
 	var err error
-	var held bool
+	var isApplied bool
 	switch kind, _, _ := strings.Cut(it.Key, "/"); kind {
 	case "zone":
 		err = json.Unmarshal(it.Body, &v.directive)
 	case "tenant":
 		if err = json.Unmarshal(it.Body, &v.tenant); err == nil {
-			v.applied, held, err = AppliedItemOf(it.Key, fleet.AppliedTenantOf(it.Revision, *v.tenant))
-			v.appliesNothing = !held
+			v.applied, isApplied, err = AppliedItemOf(it.Key, fleet.AppliedTenantOf(it.Revision, *v.tenant))
+			v.appliesNothing = !isApplied
 		}
 	case "share":
 		if err = json.Unmarshal(it.Body, &v.lease); err == nil {
-			v.applied, held, err = AppliedItemOf(fleet.KeyLease, fleet.AppliedLeaseOf(*v.lease))
-			v.appliesNothing = !held || v.lease.Rates == nil
+			v.applied, isApplied, err = AppliedItemOf(fleet.KeyLease, fleet.AppliedLeaseOf(*v.lease))
+			v.appliesNothing = !isApplied || v.lease.Rates == nil
 		}
 	default:
 		v.appliesNothing = true
--- a/internal/fleet/drift/node.go
+++ b/internal/fleet/drift/node.go
@@ -8,49 +8,49 @@
 	"meadowsill/internal/fleet"
 )
 
-// node is what the detector knows of one node's process.
+// node is the detector's state of one node's process.
 type node struct {
 	fleet.Member
-	metAt            fleet.Time // when the detector first met its name
-	heard            bool       // a report has come since the detector began to lead
-	report           fleet.Report
-	receivedAt       fleet.Time // when the last report came
-	countedSince     fleet.Time // since when it is counted: its first report after silence, of this incarnation, in this leadership
-	previousRevision uint64     // revision of the report before; 0: there is none
-	reports          uint64     // since its verdict was last written
-	firstCounted     [2]uint64  // revision and list version of the first report that is counted
-	windows          int        // reports since then
+	firstSeenAt       fleet.Time // when the detector first saw the node's name
+	hasReport         bool       // a report has arrived since the detector began to lead
+	report            fleet.Report
+	receivedAt        fleet.Time // when the last report arrived
+	countedSince      fleet.Time // start of the node's bounds: its first report after a silence, of this incarnation, in this leadership
+	previousRevision  uint64     // revision of the previous report; 0: there is none
+	reportsSinceWrite uint64     // reports since the verdict was last written
+	firstCounted      [2]uint64  // revision and list version of the first report since countedSince
+	countedReports    int        // reports since countedSince
 
-	lags         [2]intentLag // of intent, of the list
+	lags         [2]intentLag // of the intent and of the list
 	trees        [2]treeContent
-	compareAgain bool // to be compared again: the report is of a revision that the detector had not seen
+	compareAgain bool // the report has to be compared again because the detector didn't know its revision yet
 	aheadSince   fleet.Time
 	expectedContent
 
-	lastAnomalies  []Difference // behaviour that the last report showed
-	anomalies      []Difference // and the one before as well
+	lastAnomalies  []Difference // inconsistent counts of the last report
+	anomalies      []Difference // anomalies that both of the last two reports show
 	admittedExcess map[string]float64
 
-	settingsDigest   string // digest of its settings; "" none reported
+	settingsDigest   string // digest of the node's settings; "": not reported
 	overrides        []Override
-	settingsOverride Override // of its settings: who and since when
+	settingsOverride Override // who changed the node's settings, and when
 
-	lateSteps []Difference // what it holds up past its bound
+	lateSteps []Difference // rollout steps that the node has delayed past their bound
 
-	absent      bool // it has no session, since then:
+	absent      bool // the node has had no session since absentSince
 	absentSince fleet.Time
 
-	verdict          evaluation // the last that said something
-	verdictSince     fleet.Time // since when in that state
-	verdictRevision  uint64     // and at which revision of the intent
+	verdict          evaluation // the last evaluation with a state
+	verdictSince     fleet.Time // when the verdict's state began
+	verdictRevision  uint64     // revision of the intent at that time
 	repair           repairState
-	proposedAt       fleet.Time // when a change of its verdict was last proposed
-	proposedRevision uint64     // and against which revision of it
+	proposedAt       fleet.Time // when a change of the verdict was last proposed
+	proposedRevision uint64     // revision of the verdict that the proposal was based on
 	proposing        bool
 	refreshedAt      fleet.Time
 }
 
-// expectedContent is what a node is to hold at a revision, by the book of a generation.
+// expectedContent is what a node must have applied at a revision, according to one generation of the intent history.
 type expectedContent struct {
 	revision   uint64
 	generation uint64
@@ -59,33 +59,33 @@
 	complete   bool
 }
 
-// intentLag is the earliest outstanding revision, and since when it counts.
+// intentLag is the earliest outstanding revision, and when its bound began.
 type intentLag struct {
 	revision uint64
 	since    fleet.Time
 	keys     []string
 }
 
-// treeContent is how one of a node's trees compares with what is intended at the node's revision.
+// treeContent is the result of comparing one of a node's trees with the intent at the node's revision.
 type treeContent struct {
-	compared    bool // it could be compared
+	compared    bool // a comparison was possible
 	same        bool
-	since       fleet.Time // when it was first other
+	since       fleet.Time // when the tree was first found to differ
 	exchange    treeExchange
 	wanted      []string
-	complete    bool // items are all known
+	complete    bool // the differences of all items are known
 	differences []Difference
 	omitted     int
 	isAhead     bool
 }
 
-// longAgo is a time before all others.
+// longAgo is earlier than any other time.
 const longAgo = fleet.Time(-1 << 62)
 
-// maxDifferences is how many items a verdict lists.
+// maxDifferences is the maximum number of differences in a verdict.
 const maxDifferences = 32
 
-// Evidence of a verdict, in the terms of the page's state table.
+// Evidence of a verdict, in the terms of the state table in docs/drift.md.
 const (
 	evidenceSame          = "all as intended"
 	evidenceExclusion     = "a ban"
@@ -104,25 +104,25 @@
 	evidenceNoReport      = "not heard yet by this leader"
 )
 
-// evaluation is what is thought of a node at one look.
+// evaluation is the result of evaluating a node once.
 type evaluation struct {
-	state       string // "" where it is as it was
+	state       string // "": the verdict stays as it was
 	differences []Difference
 	omitted     int
 	overrides   []Override
 	evidence    string
 }
 
-// compareContent evaluates the node's content at its own revision. What can't be compared, as the intent of that revision is not
-// known, stays as it was.
-func (n *node) compareContent(now fleet.Time, b *intentHistory) {
+// compareContent compares the node's content with the intent at the node's own revision. If the intent of that revision
+// is unknown, the previous result stays.
+func (n *node) compareContent(now fleet.Time, history *intentHistory) {
 	r := &n.report
-	if n.compareAgain = !b.started || b.newerThanLeader(r) != ""; n.compareAgain {
+	if n.compareAgain = !history.started || history.newerThanLeader(r) != ""; n.compareAgain {
 		return
 	}
-	if e := &n.expectedContent; e.tree == nil || e.revision != r.Revision || e.generation != b.generation {
-		*e = expectedContent{revision: r.Revision, generation: b.generation}
-		e.items, e.complete = b.expect(r.Revision, n.Member, r.Services)
+	if e := &n.expectedContent; e.tree == nil || e.revision != r.Revision || e.generation != history.generation {
+		*e = expectedContent{revision: r.Revision, generation: history.generation}
+		e.items, e.complete = history.expect(r.Revision, n.Member, r.Services)
 		e.tree = NewTree(e.items)
 	}
 	if e := &n.expectedContent; e.complete {
@@ -130,14 +130,14 @@
 			return isAheadOf(bodyOf(e.items, key), applied, r.Revision)
 		})
 	}
-	if b.withoutList {
+	if history.withoutList {
 		n.trees[1] = treeContent{compared: true, same: true}
-	} else if l := b.listAt(r.List); l != nil && (r.List > 0 || b.newestListRevision == 0) {
+	} else if l := history.listAt(r.List); l != nil && (r.List > 0 || history.newestListRevision == 0) {
 		n.trees[1].compare(now, r, r.ListRoot, listTree, l.tree, l.items, func(string, json.RawMessage) bool { return false })
 	}
 }
 
-func (c *treeContent) compare(now fleet.Time, r *fleet.Report, root, letter string, t *Tree, held []fleet.AppliedItem, ahead func(string, json.RawMessage) bool) {
+func (c *treeContent) compare(now fleet.Time, r *fleet.Report, root, prefix string, t *Tree, expected []fleet.AppliedItem, isItemAhead func(string, json.RawMessage) bool) {
 	if root == t.Root() {
 		*c = treeContent{compared: true, same: true}
 		return
@@ -145,10 +145,10 @@
 	if !c.compared || c.same {
 		*c = treeContent{compared: true, since: now}
 	}
-	c.exchange.takeAnswers(root, letter, r.Applied)
-	keys, wanted := c.exchange.differingKeys(t, letter)
+	c.exchange.addAnswers(root, prefix, r.Applied)
+	keys, wanted := c.exchange.differingKeys(t, prefix)
 	if c.wanted = wanted; len(wanted) > 0 || len(keys) == 0 {
-		return // what was named before stands until all is named again
+		return // the previous differences stay until all new ones are known
 	}
 	c.differences = nil
 	c.omitted = 0
@@ -159,8 +159,8 @@
 			c.omitted += len(keys) - i
 			break
 		}
-		intended, applied := bodyOf(held, k), c.exchange.answers[k].Body
-		c.isAhead = c.isAhead || ahead(k, applied)
+		intended, applied := bodyOf(expected, k), c.exchange.answers[k].Body
+		c.isAhead = c.isAhead || isItemAhead(k, applied)
 		d := Differences(k, intended, applied)
 		if len(d) == 0 {
 			d = []Difference{{Key: k, Field: "digest", Intended: Digest(intended), Applied: c.exchange.answers[k].Digest}}
@@ -172,37 +172,37 @@
 	}
 }
 
-// isAheadOf reports that a node's body of an item is of a revision, uid, generation or epoch above the committed one at
-// the node's own revision: it was never committed.
+// isAheadOf reports whether a node's body of an item has a revision, UID, generation or epoch above the committed one at
+// the node's own revision, which means that it was never committed.
 func isAheadOf(intended, applied json.RawMessage, at uint64) bool {
-	type marks struct {
+	type itemVersions struct {
 		Rev       uint64
 		UID       uint64
 		Epoch     uint64
 		Committed struct{ Generation uint64 }
 	}
-	var want, has marks
-	if json.Unmarshal(applied, &has) != nil {
+	var intendedVersions, appliedVersions itemVersions
+	if json.Unmarshal(applied, &appliedVersions) != nil {
 		return false
 	}
-	if len(intended) > 0 && json.Unmarshal(intended, &want) != nil {
+	if len(intended) > 0 && json.Unmarshal(intended, &intendedVersions) != nil {
 		return false
 	}
 	if len(intended) == 0 {
-		return has.Rev > at || has.UID > at
+		return appliedVersions.Rev > at || appliedVersions.UID > at
 	}
-	return has.Rev > want.Rev || has.UID > want.UID || has.Epoch > want.Epoch || has.UID == want.UID && has.Committed.Generation > want.Committed.Generation
+	return appliedVersions.Rev > intendedVersions.Rev || appliedVersions.UID > intendedVersions.UID || appliedVersions.Epoch > intendedVersions.Epoch || appliedVersions.UID == intendedVersions.UID && appliedVersions.Committed.Generation > intendedVersions.Committed.Generation
 }
 
-// updateLags keeps since when the node has been behind.
-func (n *node) updateLags(b *intentHistory) {
+// updateLags updates since when the node has lagged behind the intent and the list.
+func (n *node) updateLags(history *intentHistory) {
 	for i, at := range []uint64{n.report.Revision, n.report.List} {
 		l := &n.lags[i]
-		if i == 1 && b.withoutList {
+		if i == 1 && history.withoutList {
 			*l = intentLag{}
 			continue
 		}
-		rev, seen, keys := b.outstanding(at, n.Member, n.report.Services, i == 1)
+		rev, seen, keys := history.outstanding(at, n.Member, n.report.Services, i == 1)
 		switch {
 		case rev == 0:
 			*l = intentLag{}
@@ -214,97 +214,99 @@
 	}
 }
 
-// evaluate evaluates the node at now. The first that holds counts. An empty state says nothing new.
-func (n *node) evaluate(now, leadSince fleet.Time, bd *Bounds, b *intentHistory) evaluation {
-	if silence := now - max(n.receivedAt, n.metAt, leadSince); silence >= bd.ReportLifetime {
+// evaluate evaluates the node at now. If several states apply, the first one counts. An empty state means that there is
+// no new result.
+func (n *node) evaluate(now, leadSince fleet.Time, bounds *Bounds, history *intentHistory) evaluation {
+	if silence := now - max(n.receivedAt, n.firstSeenAt, leadSince); silence >= bounds.ReportLifetime {
 		return evaluation{state: Silent, differences: n.verdict.differences, omitted: n.verdict.omitted, overrides: n.verdict.overrides, evidence: evidenceSilent}
 	}
-	if !n.heard || n.receivedAt < leadSince {
+	if !n.hasReport || n.receivedAt < leadSince {
 		return evaluation{}
 	}
-	newer := b.newerThanLeader(&n.report)
-	above := b.started && newer != ""
+	newer := history.newerThanLeader(&n.report)
+	above := history.started && newer != ""
 	if !above {
 		n.aheadSince = longAgo
 	} else if n.aheadSince == longAgo {
 		n.aheadSince = now
 	}
-	if above && now-n.aheadSince >= bd.MaxAheadTime {
-		d := Difference{Key: "*", Field: newer, Intended: strconv.FormatUint(b.revision, 10), Applied: strconv.FormatUint(n.report.Revision, 10)}
+	if above && now-n.aheadSince >= bounds.MaxAheadTime {
+		d := Difference{Key: "*", Field: newer, Intended: strconv.FormatUint(history.revision, 10), Applied: strconv.FormatUint(n.report.Revision, 10)}
 		if newer == "list" {
-			d.Intended, d.Applied = strconv.FormatUint(b.newestRevision, 10), strconv.FormatUint(n.report.List, 10)
+			d.Intended, d.Applied = strconv.FormatUint(history.newestRevision, 10), strconv.FormatUint(n.report.List, 10)
 		}
 		return evaluation{state: Ahead, overrides: slices.Clone(n.overrides), evidence: evidenceAboveLeader, differences: []Difference{d}}
 	}
-	f := evaluation{overrides: slices.Clone(n.overrides)}
-	was := n.verdict.state
-	naming := n.evaluateContent(bd, &f)
+	e := evaluation{overrides: slices.Clone(n.overrides)}
+	previousState := n.verdict.state
+	naming := n.evaluateContent(bounds, &e)
 	if len(n.anomalies) > 0 {
-		f.differences = append(f.differences, n.anomalies...)
-		f.raise(Diverged, evidenceBehaviour)
+		e.differences = append(e.differences, n.anomalies...)
+		e.raise(Diverged, evidenceBehaviour)
 	}
-	lagging := n.evaluateLags(bd, &f)
+	lagging := n.evaluateLags(bounds, &e)
 	if len(n.lateSteps) > 0 {
-		f.differences = append(f.differences, n.lateSteps...)
-		f.raise(Stuck, evidenceLateStep)
+		e.differences = append(e.differences, n.lateSteps...)
+		e.raise(Stuck, evidenceLateStep)
 	}
-	if over := len(f.differences) - maxDifferences; over > 0 {
-		f.differences, f.omitted = f.differences[:maxDifferences], f.omitted+over
+	if over := len(e.differences) - maxDifferences; over > 0 {
+		e.differences, e.omitted = e.differences[:maxDifferences], e.omitted+over
 	}
 	switch {
-	case f.state != "" || above:
-	case was == Diverged && n.verdict.evidence == evidenceBehaviour && n.windows < 3:
-	case was == Stuck && lagging && n.report.Revision <= n.firstCounted[0] && n.report.List <= n.firstCounted[1]:
-	case (was == Diverged || was == Ahead) && (naming || !n.isComparable()): // what was found by an earlier leader stands
+	case e.state != "" || above:
+	case previousState == Diverged && n.verdict.evidence == evidenceBehaviour && n.countedReports < 3:
+	case previousState == Stuck && lagging && n.report.Revision <= n.firstCounted[0] && n.report.List <= n.firstCounted[1]:
+	case (previousState == Diverged || previousState == Ahead) && (naming || !n.isComparable()): // the verdict of an earlier leader stays
 	case naming:
-		f.state, f.evidence = CatchingUp, evidenceNaming
-	case len(f.overrides) > 0:
-		f.state, f.evidence = Overridden, evidenceExclusion
-		if f.overrides[0].Key == fleet.KeySettings {
-			f.evidence = evidenceSettings
+		e.state, e.evidence = CatchingUp, evidenceNaming
+	case len(e.overrides) > 0:
+		e.state, e.evidence = Overridden, evidenceExclusion
+		if e.overrides[0].Key == fleet.KeySettings {
+			e.evidence = evidenceSettings
 		}
 	case lagging:
-		f.state, f.evidence = CatchingUp, evidenceBehind
+		e.state, e.evidence = CatchingUp, evidenceBehind
 	case !n.isComparable():
-		f.state, f.evidence = CatchingUp, evidenceNotComparable
+		e.state, e.evidence = CatchingUp, evidenceNotComparable
 	default:
-		f.state, f.evidence = InStep, evidenceSame
+		e.state, e.evidence = InStep, evidenceSame
 	}
-	return f
+	return e
 }
 
 func (n *node) isComparable() bool { return n.trees[0].compared && n.trees[1].compared }
 
-// restartCounting starts the node's bounds anew.
+// restartCounting measures the node's bounds from now.
 func (n *node) restartCounting(now fleet.Time) {
 	n.countedSince = now
 	n.aheadSince = longAgo
-	n.windows = 0
+	n.countedReports = 0
 	n.firstCounted = [2]uint64{n.report.Revision, n.report.List}
 }
 
-// raise puts a state where there is none yet, or ahead for diverged.
-func (f *evaluation) raise(state, evidence string) {
-	if f.state == "" || state == Ahead {
-		f.state, f.evidence = state, evidence
+// raise sets the state if there is none yet, or if the new state is Ahead.
+func (e *evaluation) raise(state, evidence string) {
+	if e.state == "" || state == Ahead {
+		e.state, e.evidence = state, evidence
 	}
 }
 
-// evaluateContent reports whether content that is other is being named.
-func (n *node) evaluateContent(bd *Bounds, f *evaluation) (naming bool) {
+// evaluateContent adds the differences in content to the evaluation. It reports whether the detector is still
+// identifying the items that differ.
+func (n *node) evaluateContent(bounds *Bounds, e *evaluation) (naming bool) {
 	for i := range n.trees {
 		switch c := &n.trees[i]; {
 		case !c.compared || c.same:
 		case c.complete:
-			f.differences, f.omitted = append(f.differences, c.differences...), f.omitted+c.omitted
+			e.differences, e.omitted = append(e.differences, c.differences...), e.omitted+c.omitted
 			if c.isAhead {
-				f.raise(Ahead, evidenceItemAhead)
+				e.raise(Ahead, evidenceItemAhead)
 			} else {
-				f.raise(Diverged, evidenceOtherContent)
+				e.raise(Diverged, evidenceOtherContent)
 			}
-		case n.receivedAt-max(c.since, n.countedSince) >= bd.MaxLag:
-			f.differences = append(f.differences, Difference{Key: "*", Field: [2]string{"root", "list_root"}[i], Intended: "another", Applied: [2]string{n.report.AppliedRoot, n.report.ListRoot}[i]})
-			f.raise(Diverged, evidenceUnnamed)
+		case n.receivedAt-max(c.since, n.countedSince) >= bounds.MaxLag:
+			e.differences = append(e.differences, Difference{Key: "*", Field: [2]string{"root", "list_root"}[i], Intended: "another", Applied: [2]string{n.report.AppliedRoot, n.report.ListRoot}[i]})
+			e.raise(Diverged, evidenceUnnamed)
 		default:
 			naming = true
 		}
@@ -312,21 +314,22 @@
 	return naming
 }
 
-// evaluateLags reports whether an item is outstanding, and names those that have been for too long.
-func (n *node) evaluateLags(bd *Bounds, f *evaluation) (lagging bool) {
+// evaluateLags adds the items that have been outstanding for too long to the evaluation. It reports whether any item is
+// outstanding.
+func (n *node) evaluateLags(bounds *Bounds, e *evaluation) (lagging bool) {
 	for i, at := range []uint64{n.report.Revision, n.report.List} {
 		l := &n.lags[i]
 		if l.revision == 0 {
 			continue
 		}
 		lagging = true
-		if n.receivedAt-max(l.since, n.countedSince) < bd.MaxLag {
-			continue // as far as its last report tells: it may have been stopped since
+		if n.receivedAt-max(l.since, n.countedSince) < bounds.MaxLag {
+			continue // measured at the last report, because the node may have been stopped since
 		}
 		for _, k := range l.keys {
-			f.differences = append(f.differences, Difference{Key: k, Field: "rev", Intended: "above " + strconv.FormatUint(at, 10), Applied: "older"})
+			e.differences = append(e.differences, Difference{Key: k, Field: "rev", Intended: "above " + strconv.FormatUint(at, 10), Applied: "older"})
 		}
-		f.raise(Stuck, evidenceLate)
+		e.raise(Stuck, evidenceLate)
 	}
 	return lagging
 }
--- a/internal/fleet/drift/repair.go
+++ b/internal/fleet/drift/repair.go
@@ -6,38 +6,38 @@
 	"meadowsill/internal/fleet"
 )
 
-// repairState is a node's repair with what a leader keeps of it in memory.
+// repairState is a node's repair with the part that only the leader's memory has.
 type repairState struct {
 	Repair
-	waitUntil      fleet.Time // the wait runs till then
-	repairedAt     fleet.Time // when it last went back to idle
-	relapseEasedAt fleet.Time // when a relapse was last taken back
-	waiting        bool       // idle and drifting: the first wait runs
-	resendPending  bool       // the next answer is to request the re-sending
-	restartPending bool       // or for the restart
+	waitUntil      fleet.Time // end of the current wait
+	repairedAt     fleet.Time // when the repair last returned to idle
+	relapseEasedAt fleet.Time // when the relapse count was last decreased
+	waiting        bool       // the node is idle and drifts: the first wait runs
+	resendPending  bool       // the next answer must request the re-send
+	restartPending bool       // the next answer must request the restart
 }
 
-// Acts of the log.
+// Actions in the log.
 const (
 	ActResend      = "resend"
 	ActRestart     = "restart"
 	ActTakeOut     = "out"
-	ActReturn      = "back"   // in the load balancer again
-	ActRepaired    = "mended" // after a repair
-	ActSuspectSelf = "doubt"  // the detector suspects itself: nothing more is done
-	ActTrustSelf   = "trust"  // it no longer does
+	ActReturn      = "back"   // back in the load balancer
+	ActRepaired    = "mended" // in step after a repair
+	ActSuspectSelf = "doubt"  // the detector suspects itself: repairs stop
+	ActTrustSelf   = "trust"  // the detector trusts itself again
 	ActAlarm       = "alarm"  // a node is ahead
 )
 
-// delay is the time after the attempt-th step, doubled by each step and each relapse.
+// delay returns the wait after a repair attempt. Each attempt and each relapse doubles it.
 func (r *repairState) delay(b *Bounds, attempt int) time.Duration {
 	return min(b.InitialRepairDelay<<min(attempt+r.Relapses, 16), b.MaxRepairDelay)
 }
 
-// rateLimiter lets one thing happen every so often, and as many as fit a second at once.
+// rateLimiter allows one action per interval, with bursts of as many actions as fit one second.
 type rateLimiter struct{ nextAt fleet.Time }
 
-func (r *rateLimiter) take(now fleet.Time, every time.Duration) bool {
+func (r *rateLimiter) allow(now fleet.Time, every time.Duration) bool {
 	if r.nextAt > now+max(0, time.Second-every) {
 		return false
 	}
@@ -45,7 +45,7 @@
 	return true
 }
 
-// advanceRepair moves one present node's repair on. It gives what was done, or "".
+// advanceRepair advances the repair of one present node. It returns the action that was taken, or "".
 func (det *Detector) advanceRepair(now fleet.Time, n *node, takenOut *int, maxTakenOut int) string {
 	r, b := &n.repair, &det.bounds
 	if r.Step == Idle && r.Relapses > 0 && !Drifts(n.verdict.state) && now-r.relapseEasedAt >= b.RelapseWindow {
@@ -57,7 +57,7 @@
 	case InStep, Overridden:
 		return r.finish(now, b, takenOut)
 	default:
-		return "" // catching up, silent: nothing is known
+		return "" // catching up or silent: the node's content is unknown
 	}
 	switch {
 	case r.Step == TakenOut:
@@ -70,23 +70,23 @@
 			}
 			r.waiting, r.waitUntil = true, now+r.delay(b, 0)
 		}
-		if now >= r.waitUntil && det.resends.take(now, b.ResendInterval) {
+		if now >= r.waitUntil && det.resends.allow(now, b.ResendInterval) {
 			return r.resend(now, b, 1)
 		}
 	case now < r.waitUntil:
 	case r.Step == Resending && r.Resends < b.MaxResends:
-		if det.resends.take(now, b.ResendInterval) {
+		if det.resends.allow(now, b.ResendInterval) {
 			return r.resend(now, b, r.Resends+1)
 		}
 	case r.Step == Resending:
-		if det.disruptive.take(now, b.DisruptiveInterval) {
+		if det.disruptive.allow(now, b.DisruptiveInterval) {
 			r.Step = Restarting
 			r.restartPending = true
 			r.waitUntil = now + r.delay(b, b.MaxResends)
 			return ActRestart
 		}
 	case r.Step == Restarting:
-		if *takenOut < maxTakenOut && det.disruptive.take(now, b.DisruptiveInterval) {
+		if *takenOut < maxTakenOut && det.disruptive.allow(now, b.DisruptiveInterval) {
 			*takenOut++
 			r.Step, r.waitUntil = TakenOut, now+r.delay(b, b.MaxResends)
 			return ActTakeOut
@@ -104,29 +104,29 @@
 	return ActResend
 }
 
-// finish ends a repair, once the node has been in step for its wait where it is out.
+// finish ends a repair. A node that is taken out must first have been in step until the end of its wait.
 func (r *repairState) finish(now fleet.Time, b *Bounds, takenOut *int) string {
 	r.waiting = false
 	if r.Step == Idle || r.Step == TakenOut && now < r.waitUntil {
 		return ""
 	}
-	act := ActRepaired
+	action := ActRepaired
 	if r.Step == TakenOut {
 		*takenOut--
-		act = ActReturn
+		action = ActReturn
 	}
 	*r = repairState{Repair: Repair{Relapses: r.Relapses}, repairedAt: now, relapseEasedAt: now}
-	return act
+	return action
 }
 
-// abandon gives up the place of a node that has no session.
+// abandon resets the repair of a node that has no session.
 func (r *repairState) abandon() {
 	if r.Step != Idle {
 		*r = repairState{Repair: Repair{Relapses: r.Relapses}, repairedAt: r.repairedAt, relapseEasedAt: r.relapseEasedAt}
 	}
 }
 
-// checkPlausibility looks whether so many drift that the detector is the likelier fault.
+// checkPlausibility checks whether so many nodes drift that a fault of the detector itself is more likely.
 func (det *Detector) checkPlausibility(now fleet.Time, drifting, present int) {
 	b := &det.bounds
 	part := float64(drifting) / float64(max(present, 1))
@@ -144,7 +144,7 @@
 	}
 }
 
-// LogEntry is one line of the repair's log. At is by the leader's own clock.
+// LogEntry is one entry of the repair log. LoggedAt is by the leader's own clock.
 type LogEntry struct {
 	Sequence uint64     `json:"seq"`
 	LoggedAt fleet.Time `json:"at_ns"`
@@ -166,7 +166,7 @@
 	}
 }
 
-// Log returns the entries after seq that are still kept, oldest first.
+// Log returns the remembered entries after seq, oldest first.
 func (det *Detector) Log(seq uint64) (out []LogEntry) {
 	from := max(seq, det.logCount-min(det.logCount, uint64(len(det.log))))
 	for i := from; i < det.logCount; i++ {
--- a/internal/fleet/drift/state.go
+++ b/internal/fleet/drift/state.go
@@ -20,19 +20,21 @@
 	Silent     = "silent"
 )
 
-// Drifts reports whether a node of that state holds what it should not: a state that is repaired.
+// Drifts reports whether a node in this state has applied something other than the intent. The detector repairs such
+// states.
 func Drifts(state string) bool { return state == Stuck || state == Diverged || state == Ahead }
 
 // Steps of a node's repair.
 const (
-	Idle       = "" // the page's idle
+	Idle       = "" // "idle" in docs/drift.md
 	Resending  = "resending"
 	Restarting = "restarting"
 	TakenOut   = "out"
 )
 
-// Difference is one field of one item that is not as intended, in JSON. An empty Field is the complete item: "null" is
-// not held, or not intended. Key "*" stands for content that the node does not name.
+// Difference is one field of an item that differs from the intent, with both values in JSON. An empty Field stands for
+// the whole item; "null" then means that the item is not applied, or not intended. The key "*" stands for content that
+// the node has not identified.
 type Difference struct {
 	Key      string `json:"key"`
 	Field    string `json:"field,omitempty"`
@@ -40,77 +42,78 @@
 	Applied  string `json:"applied"`
 }
 
-// Override is a local item that stands against what the rest of the fleet has: legitimate, and never repaired.
+// Override is a local item that differs from the rest of the fleet. It is legitimate and never repaired.
 type Override struct {
 	Key       string       `json:"key"`
 	ChangedBy string       `json:"by,omitempty"`
-	SinceMS   int64        `json:"since_ms,omitempty"` // Unix ms by the node's machine
-	Fields    []Difference `json:"fields,omitempty"`   // of settings: against the fleet's
+	SinceMS   int64        `json:"since_ms,omitempty"` // Unix ms by the clock of the node's machine
+	Fields    []Difference `json:"fields,omitempty"`   // for settings: the differences from the fleet's settings
 }
 
-// Repair is where a node's repair stands.
+// Repair is the replicated state of a node's repair.
 type Repair struct {
 	Step     string `json:"step,omitempty"`
-	Resends  int    `json:"tries,omitempty"`   // re-sends
-	Relapses int    `json:"relapse,omitempty"` // doublings of its first wait
+	Resends  int    `json:"tries,omitempty"`   // number of re-sends
+	Relapses int    `json:"relapse,omitempty"` // how often the first wait is doubled
 }
 
-// Verdict is what is thought of one node. Times are Unix ms by the leader's clock, for people: nothing is decided
-// by them. The first ones stay while the state does, over failovers and the node's restarts.
+// Verdict is the detector's finding on one node. Times are Unix ms by the leader's clock, for operators; no decision
+// uses them. FirstRevision and FirstSeenMS stay as long as the state does, across failovers and restarts of the node.
 type Verdict struct {
 	fleet.Member
 	State         string       `json:"state"`
-	FirstRevision uint64       `json:"first_rev"` // revision of the intent it was first evaluated against
+	FirstRevision uint64       `json:"first_rev"` // revision of the intent that the state was first evaluated against
 	FirstSeenMS   int64        `json:"first_seen_ms"`
 	LastRevision  uint64       `json:"last_rev"`
 	LastSeenMS    int64        `json:"last_seen_ms"`
-	Count         uint64       `json:"count"` // reports, or looks without one, that said so
+	Count         uint64       `json:"count"` // reports, or evaluations without a report, that gave this state
 	Differences   []Difference `json:"items,omitempty"`
-	Omitted       int          `json:"more,omitempty"` // items beyond those listed
+	Omitted       int          `json:"more,omitempty"` // number of differences that are not listed
 	Overrides     []Override   `json:"overrides,omitempty"`
 	Evidence      string       `json:"evidence,omitempty"`
 	Repair        Repair       `json:"repair,omitzero"`
-	Revision      uint64       `json:"rev"` // of the verdict's last change
+	Revision      uint64       `json:"rev"` // revision of the verdict's last change
 }
 
-// Baseline is the fleet's settings: those that most nodes hold.
+// Baseline is the fleet's settings: those that most nodes have.
 type Baseline struct {
 	Digest string          `json:"digest"`
 	Body   json.RawMessage `json:"body,omitempty"`
 }
 
-// Change puts a verdict: its Verdict's First* and Revision are State's to fill in. It is rejected where the node's verdict
-// is no longer the one of IfRevision (0: there is none), or is of a newer incarnation.
+// Change sets a verdict. State fills in the verdict's FirstRevision, FirstSeenMS and Revision. State rejects the change
+// if the node's verdict is no longer at IfRevision (0: there is none) or belongs to a newer incarnation.
 type Change struct {
 	Verdict    Verdict `json:"verdict"`
 	IfRevision uint64  `json:"if_rev"`
 }
 
-// Command is one entry of the replicated log: a step's changes together. AtMS is the leader's wall clock, Unix ms, put
-// in by the shell that proposes it.
+// Command is one entry of the replicated log with all changes of one step. AtMS is the leader's wall clock in Unix ms,
+// set by the caller that proposes the command.
 type Command struct {
 	AtMS     int64             `json:"at_ms"`
 	Set      []Change          `json:"set,omitempty"`
-	Forget   map[string]uint64 `json:"forget,omitempty"` // nodes whose verdicts go, with the revisions of these
+	Forget   map[string]uint64 `json:"forget,omitempty"` // nodes whose verdicts are removed, with the revisions of these verdicts
 	Baseline *Baseline         `json:"baseline,omitempty"`
 }
 
-// State is what survives a failover. It marshals to JSON whole, for snapshots; the zero State is empty and ready.
-// It is not safe for concurrent use.
+// State is the replicated state, which survives a failover. It marshals completely to JSON for snapshots; the zero State
+// is empty and ready to use. It is not safe for concurrent use.
 type State struct {
 	Verdicts map[string]*Verdict `json:"verdicts,omitempty"`
 	Baseline Baseline            `json:"fleet,omitzero"`
-	Revision uint64              `json:"rev"` // of the last change
-	// Incarnations are the least that are taken of every node that has or had a verdict, so that reports of an
-	// earlier run, or of one that has ended, stay rejected. Beyond a bound the oldest go.
+	Revision uint64              `json:"rev"` // revision of the last change
+	// Incarnations contains the lowest accepted incarnation of every node that has or had a verdict, so that reports of
+	// an earlier or ended run stay rejected. Beyond maxIncarnations entries the oldest are removed.
 	Incarnations map[string]uint64 `json:"incarnations,omitempty"`
 }
 
 const maxIncarnations = 8192
 
-// Apply carries out a command. rev gives the revision of the change; it is called at most once, and only where
-// something changes. It may count on its own or be the control plane's: no item of intent changes with it. Parts of a command
-// that came too late change nothing and are named in the error, which is fleet.ErrConflict or fleet.ErrFenced.
+// Apply executes a command. rev returns the revision of the change; it is called at most once, and only if something
+// changes. The revision may have its own counter or be the control plane's, because no item of intent changes with it.
+// Parts of the command that are outdated change nothing and give an error that wraps fleet.ErrConflict or
+// fleet.ErrFenced.
 func (s *State) Apply(c Command, rev func() uint64) error {
 	if s.Verdicts == nil {
 		s.Verdicts, s.Incarnations = map[string]*Verdict{}, map[string]uint64{}
@@ -153,7 +156,7 @@
 			rejected = fmt.Errorf("%w: %s: now at %d", fleet.ErrConflict, node, v.Revision)
 		default:
 			delete(s.Verdicts, node)
-			s.Incarnations[node] = v.Incarnation + 1 // it ended: its next run has a larger one
+			s.Incarnations[node] = v.Incarnation + 1 // this run has ended, and the node's next run has a larger incarnation
 			change()
 		}
 	}
@@ -165,7 +168,8 @@
 	return rejected
 }
 
-// trimIncarnations keeps the incarnations within their bound: first go those of nodes without a verdict, the oldest first.
+// trimIncarnations limits the number of incarnations. It removes only those of nodes without a verdict, the oldest
+// first.
 func (s *State) trimIncarnations() {
 	if len(s.Incarnations) <= maxIncarnations {
 		return
--- a/internal/fleet/drift/tree.go
+++ b/internal/fleet/drift/tree.go
@@ -11,16 +11,17 @@
 )
 
 const (
-	fanOut = 16
-	depth  = 2 // hex digits of a leaf's path
-	leaves = fanOut * fanOut
-	digits = "0123456789abcdef"
+	fanOut    = 16
+	depth     = 2 // hex digits in the path of a leaf
+	leaves    = fanOut * fanOut
+	hexDigits = "0123456789abcdef"
 )
 
-// Tree is a digest tree over items: 256 leaves by the first two hex digits of the hash of an item's key, 16 inner
-// nodes, a root. Building one costs two hashes an item and 273 for the nodes; it holds the items' keys and digests.
+// Tree is a Merkle tree over items. It has 256 leaves, selected by the first two hex digits of the hash of an item's
+// key, 16 inner nodes and a root. Building it takes two hashes per item and 273 for the nodes. It keeps the items' keys
+// and digests.
 type Tree struct {
-	items [leaves][]treeItem // by key
+	items [leaves][]treeItem // sorted by key
 	leaf  [leaves]uint64
 	inner [fanOut]uint64
 	root  uint64
@@ -32,17 +33,17 @@
 	digest string
 }
 
-// NewTree makes the tree over items with different keys, in any order; of items with one key the last counts.
+// NewTree builds the tree over items in any order. If several items have the same key, the last one counts.
 func NewTree(items []fleet.AppliedItem) *Tree {
 	t := &Tree{}
-	for _, h := range items {
-		p := xxhash.Sum64String(h.Key) >> 56
-		at, found := slices.BinarySearchFunc(t.items[p], h.Key, func(f treeItem, k string) int { return strings.Compare(f.key, k) })
+	for _, item := range items {
+		p := xxhash.Sum64String(item.Key) >> 56
+		at, found := slices.BinarySearchFunc(t.items[p], item.Key, func(leafItem treeItem, k string) int { return strings.Compare(leafItem.key, k) })
 		if found {
-			t.items[p][at].digest = h.Digest
+			t.items[p][at].digest = item.Digest
 			continue
 		}
-		t.items[p] = slices.Insert(t.items[p], at, treeItem{h.Key, h.Digest})
+		t.items[p] = slices.Insert(t.items[p], at, treeItem{item.Key, item.Digest})
 		t.size++
 	}
 	var d xxhash.Digest
@@ -51,10 +52,10 @@
 			continue
 		}
 		d.Reset()
-		for _, f := range leaf {
-			d.WriteString(f.key)
+		for _, leafItem := range leaf {
+			d.WriteString(leafItem.key)
 			d.WriteString("\x00")
-			d.WriteString(f.digest)
+			d.WriteString(leafItem.digest)
 			d.WriteString("\x00")
 		}
 		t.leaf[p] = d.Sum64()
@@ -66,11 +67,11 @@
 	return t
 }
 
-// hashChildren is the hash over the hashes of children; 0 where all are empty.
-func hashChildren(of []uint64) uint64 {
+// hashChildren returns the hash over the hashes of the children, or 0 if all of them are empty.
+func hashChildren(hashes []uint64) uint64 {
 	var b [8 * fanOut]byte
 	allEmpty := true
-	for i, h := range of {
+	for i, h := range hashes {
 		binary.BigEndian.PutUint64(b[8*i:], h)
 		allEmpty = allEmpty && h == 0
 	}
@@ -80,14 +81,14 @@
 	return xxhash.Sum64(b[:])
 }
 
-// Root is the digest over all items, 16 hex digits; all 0 for none.
+// Root returns the digest over all items as 16 hex digits, all 0 for an empty tree.
 func (t *Tree) Root() string { return hex(t.root) }
 
-// Len is the number of items.
+// Len returns the number of items.
 func (t *Tree) Len() int { return t.size }
 
-// Diff returns the keys that only one of two trees holds, or both with other digests, in order, and how many hashes
-// of one tree and digests of its items the other's owner had to be given to find them: two trees with k differing keys need at
+// Diff returns the sorted keys that only one of the trees has or that have different digests. hashes is how many hashes
+// and item digests of one tree the owner of the other tree needs to find these keys. For k differing keys that is at
 // most 1 + 16 + 16k hashes and the items of k leaves.
 func Diff(a, b *Tree) (keys []string, hashes int) {
 	if hashes = 1; a.root == b.root {
@@ -102,7 +103,7 @@
 		for p := i * fanOut; p < (i+1)*fanOut; p++ {
 			if a.leaf[p] != b.leaf[p] {
 				hashes += len(b.items[p])
-				keys = append(keys, differing(a.items[p], b.items[p])...)
+				keys = append(keys, diffItems(a.items[p], b.items[p])...)
 			}
 		}
 	}
@@ -110,8 +111,8 @@
 	return keys, hashes
 }
 
-// differing returns the keys in which two sorted lists of items differ.
-func differing(a, b []treeItem) (keys []string) {
+// diffItems returns the keys in which two sorted lists of items differ.
+func diffItems(a, b []treeItem) (keys []string) {
 	for len(a) > 0 || len(b) > 0 {
 		switch {
 		case len(b) == 0 || len(a) > 0 && a[0].key < b[0].key:
@@ -135,7 +136,7 @@
 	}
 	from, to = 0, leaves
 	for _, c := range []byte(path) {
-		i := strings.IndexByte(digits, c)
+		i := strings.IndexByte(hexDigits, c)
 		if i < 0 {
 			return 0, 0, false
 		}
@@ -146,8 +147,8 @@
 	return from, to, true
 }
 
-// at is the hash of the node at a path.
-func (t *Tree) at(path string) uint64 {
+// hashAt returns the hash of the node at a path.
+func (t *Tree) hashAt(path string) uint64 {
 	from, _, _ := leafRange(path)
 	switch len(path) {
 	case 0:
@@ -170,7 +171,7 @@
 func hex(h uint64) string {
 	var b [16]byte
 	for i := range b {
-		b[i] = digits[h>>(60-4*i)&15]
+		b[i] = hexDigits[h>>(60-4*i)&15]
 	}
 	return string(b[:])
 }
--- a/internal/fleet/drift/unit_test.go
+++ b/internal/fleet/drift/unit_test.go
@@ -84,7 +84,7 @@
 			if r.AppliedRoot == ta.Root() {
 				break
 			}
-			x.takeAnswers(r.AppliedRoot, fleetTree, r.Applied)
+			x.addAnswers(r.AppliedRoot, fleetTree, r.Applied)
 			if keys, wanted = x.differingKeys(ta, fleetTree); len(wanted) == 0 {
 				break
 			}
--- a/internal/fleet/drift/verdict_counts.go
+++ b/internal/fleet/drift/verdict_counts.go
@@ -7,42 +7,43 @@
 	"meadowsill/internal/fleet"
 )
 
-// VerdictCounts is what one node's change of verdict means for the counts that are kept of drift.
+// VerdictCounts is the effect of one verdict change on the drift metrics.
 type VerdictCounts struct {
 	fleet.Member
-	State          string         // its new verdict; "" where it goes
-	NewDifferences map[string]int // differences that the verdict before did not name, by the kind of their key
-	EndedState     string         // the verdict of drift that this ends: stuck, diverged or ahead; "" none
-	LastedMS       int64          // how long that lasted, from when it was first seen, by the leaders' wall clocks, ms
+	State          string         // the new state; "" if the verdict is removed
+	NewDifferences map[string]int // differences that the previous verdict didn't have, by the kind of their key
+	EndedState     string         // state that ends with this change if it was stuck, diverged or ahead; else ""
+	LastedMS       int64          // duration of that state in ms, since it was first seen, by the leaders' wall clocks
 }
 
-// VerdictCounts returns what a command means next to the state as it is before the command. It is for people: nothing is decided by it.
+// VerdictCounts returns the effect of a command on the drift metrics, given the state before the command. It is for
+// operators; no decision uses it.
 func (c Command) VerdictCounts(st *State) (out []VerdictCounts) {
-	end := func(t *VerdictCounts, old *Verdict) {
-		if old != nil && Drifts(old.State) && old.State != t.State {
-			t.EndedState, t.LastedMS = old.State, max(0, c.AtMS-old.FirstSeenMS)
+	setEnded := func(counts *VerdictCounts, old *Verdict) {
+		if old != nil && Drifts(old.State) && old.State != counts.State {
+			counts.EndedState, counts.LastedMS = old.State, max(0, c.AtMS-old.FirstSeenMS)
 		}
 	}
 	for i := range c.Set {
 		v := &c.Set[i].Verdict
 		old := st.Verdicts[v.Node]
-		t := VerdictCounts{Member: v.Member, State: v.State, NewDifferences: map[string]int{}}
-		end(&t, old)
+		counts := VerdictCounts{Member: v.Member, State: v.State, NewDifferences: map[string]int{}}
+		setEnded(&counts, old)
 		for _, d := range v.Differences {
 			if Drifts(v.State) && (old == nil || !slices.ContainsFunc(old.Differences, func(o Difference) bool { return o.Key == d.Key && o.Field == d.Field })) {
 				kind, _, _ := strings.Cut(d.Key, "/")
-				t.NewDifferences[kind]++
+				counts.NewDifferences[kind]++
 			}
 		}
-		if t.EndedState != "" || len(t.NewDifferences) > 0 {
-			out = append(out, t)
+		if counts.EndedState != "" || len(counts.NewDifferences) > 0 {
+			out = append(out, counts)
 		}
 	}
 	for node := range c.Forget {
 		if old := st.Verdicts[node]; old != nil {
-			if t := (VerdictCounts{Member: old.Member}); Drifts(old.State) {
-				end(&t, old)
-				out = append(out, t)
+			if counts := (VerdictCounts{Member: old.Member}); Drifts(old.State) {
+				setEnded(&counts, old)
+				out = append(out, counts)
 			}
 		}
 	}
--- a/internal/fleet/drift/view.go
+++ b/internal/fleet/drift/view.go
@@ -7,9 +7,9 @@
 	"meadowsill/internal/fleet"
 )
 
-// Verdicts returns what is thought of every node now, by name: st's verdicts with what the detector has seen since. wallMS is
-// the wall clock at now, Unix ms, for the times that people read. A node that st has in step and that has not yet
-// been heard in this leadership is shown as catching up.
+// Verdicts returns the current verdicts on all nodes, sorted by name: st's verdicts with the changes that the detector
+// has seen since. wallMS is the wall clock at now in Unix ms, for the times that operators read. A node that is in step
+// in st but has not reported in this leadership is shown as catching up.
 func (det *Detector) Verdicts(now fleet.Time, wallMS int64, st *State) []Verdict {
 	names := slices.Collect(maps.Keys(det.nodes))
 	for name := range st.Verdicts {
@@ -26,13 +26,13 @@
 			v = *old
 		}
 		switch {
-		case n == nil || old != nil && (n.verdict.state == "" || (!n.heard || n.receivedAt < det.leaderSince) && n.verdict.state == old.State):
+		case n == nil || old != nil && (n.verdict.state == "" || (!n.hasReport || n.receivedAt < det.leaderSince) && n.verdict.state == old.State):
 			if v.State == InStep {
 				v.State, v.Evidence = CatchingUp, evidenceNoReport
 			}
 		case n.verdict.state == "":
 			continue
-		case n.heard && n.report.Draining && n.absent:
+		case n.hasReport && n.report.Draining && n.absent:
 			continue
 		default:
 			v.Member, v.Repair = n.Member, n.repair.Repair
@@ -47,21 +47,21 @@
 			v.Overrides = n.verdict.overrides
 			v.Evidence = n.verdict.evidence
 			v.LastRevision, v.LastSeenMS = det.intents.revision, wallMS-max(0, now-max(n.receivedAt, det.leaderSince)).Milliseconds()
-			v.Count += n.reports
+			v.Count += n.reportsSinceWrite
 		}
 		out = append(out, v)
 	}
 	return out
 }
 
-// Summary is the fleet at a glance.
+// Summary gives the numbers of nodes by state and by repair step.
 type Summary struct {
-	States         map[string]int `json:"states"`  // nodes by state
-	Repairs        map[string]int `json:"repairs"` // nodes by step of their repair, idle left out
-	SelfSuspecting bool           `json:"suspect"` // the detector suspects itself: no repair is started
+	States         map[string]int `json:"states"`  // number of nodes by state
+	Repairs        map[string]int `json:"repairs"` // number of nodes by repair step, without idle
+	SelfSuspecting bool           `json:"suspect"` // the detector suspects itself and starts no repair
 }
 
-// Summary counts what Verdicts shows.
+// Summary counts the verdicts that Verdicts returns.
 func (det *Detector) Summary(now fleet.Time, st *State) Summary {
 	s := Summary{States: map[string]int{}, Repairs: map[string]int{}, SelfSuspecting: det.selfSuspecting}
 	for _, v := range det.Verdicts(now, 0, st) {
@@ -73,23 +73,24 @@
 	return s
 }
 
-// LocalDetector is an agent's evaluation of its own node: the leader's, with the agent's copy of intent, for one node. It
-// repairs by re-sending alone, and knows no settings of the fleet.
+// LocalDetector is an agent's detector for its own node. It is the leader's detector with the agent's copy of the intent
+// and a single node. Its only repair is the re-send, and it doesn't know the fleet's settings.
 type LocalDetector struct {
 	detector *Detector
 	state    State
 }
 
-// NewLocalDetector makes the evaluation of an agent that has just started.
+// NewLocalDetector returns the detector of an agent that has just started.
 func NewLocalDetector(b Bounds) *LocalDetector { return &LocalDetector{detector: NewDetector(b)} }
 
-// Observe takes the node's report; see Detector.Observe.
+// Observe processes the node's report; see Detector.Observe.
 func (l *LocalDetector) Observe(now fleet.Time, r fleet.Report) error {
 	return l.detector.Observe(now, fleet.NodeView{Member: r.Member, ReceivedAt: now, Report: r})
 }
 
-// Step evaluates the node by the agent's copy. caughtUp says that a replica has answered since the agent's start:
-// until then its copy may be older than what the node holds, and nothing is said to be newer than it.
+// Step evaluates the node against the agent's copy of the intent. caughtUp means that a replica has answered since the
+// agent started. Before that, the copy may be older than the intent that the node has applied, and the node is not
+// considered ahead.
 func (l *LocalDetector) Step(now fleet.Time, in Intended, m fleet.Member, caughtUp bool) {
 	l.detector.bounds.MaxAheadTime = Defaults().MaxAheadTime
 	if !caughtUp {
@@ -101,13 +102,13 @@
 	}
 }
 
-// Answer returns what the agent is to send its node again, and what the next report is to carry.
+// Answer returns the keys that the agent is to send to its node again, and the keys that the next report is to contain.
 func (l *LocalDetector) Answer(node string) (resend, want []string) {
 	resend, want, _, _ = l.detector.Answer(node)
 	return resend, want
 }
 
-// Verdict is the node's; ok is false before there is one.
+// Verdict returns the node's verdict. ok is false if there is none yet.
 func (l *LocalDetector) Verdict(now fleet.Time, wallMS int64, node string) (v Verdict, ok bool) {
 	for _, v := range l.detector.Verdicts(now, wallMS, &l.state) {
 		if v.Node == node {
--- a/internal/fleet/golden_test.go
+++ b/internal/fleet/golden_test.go
@@ -7,7 +7,7 @@
 	"meadowsill/internal/golden"
 )
 
-// The bodies that nodes, agents and the control plane send each other.
+// The JSON of the bodies that nodes, agents and the control plane exchange must stay as in the golden files.
 func TestMessagesOnTheWire(t *testing.T) {
 	golden.JSON[fleet.Intent](t, "intent")
 	golden.JSON[fleet.Directive](t, "directive")
--- a/internal/fleet/scope.go
+++ b/internal/fleet/scope.go
@@ -11,13 +11,14 @@
 	MaxScopeServices    = 128 // services of one node
 )
 
-// Serves reports whether a node whose scope is services holds the tenants of service. A node without a scope holds every
-// tenant, and a tenant without a service is held by every node.
+// Serves reports whether a node with the scope services holds the tenants of service. A node without a scope holds every
+// tenant, and every node holds a tenant without a service.
 func Serves(services []string, service string) bool {
 	return len(services) == 0 || service == "" || slices.Contains(services, service)
 }
 
-// Service is the tenant's: the same in all its generations. None: every node holds it.
+// Service returns the tenant's service, which is the same in all its generations. If it is empty, every node holds the
+// tenant.
 func (t *Tenant) Service() string {
 	switch {
 	case t.Committed != nil:
@@ -28,7 +29,8 @@
 	return ""
 }
 
-// ValidScope checks the services that a node names: sorted, each once, within the limits. The error wraps ErrInvalid.
+// ValidScope checks the services of a node: they must be sorted, without duplicates and within the limits. The error
+// wraps ErrInvalid.
 func ValidScope(services []string) error {
 	if len(services) > MaxScopeServices {
 		return fmt.Errorf("%w: services: %d, at most %d", ErrInvalid, len(services), MaxScopeServices)
