--- a/internal/fleet/drift/detector.go
+++ b/internal/fleet/drift/detector.go
@@ -49,7 +49,7 @@
 }
 
 // Lead starts the detector at a new leader. It discards the state in memory except the log, measures all bounds from
-// now, and continues from the verdicts in st.
+// now, and continues from the replicated state st.
 func (det *Detector) Lead(now fleet.Time, st *State) {
 	log, entryCount := det.log, det.logCount
 	*det = *NewDetector(det.bounds)
--- a/internal/fleet/drift/export_test.go
+++ b/internal/fleet/drift/export_test.go
@@ -7,10 +7,10 @@
 	"meadowsill/policy"
 )
 
-// Feed returns a module what is intended, as the node does: by fleet.AppliedZoneOf and fleet.AppliedTenantOf.
-func Feed(m *policy.Module, at policy.Time, in Intended, self fleet.Member) {
-	b := intentHistory{}
-	b.ingest(0, in)
+// UpdateModule passes the intent to a module as a node does: by fleet.AppliedZoneOf and fleet.AppliedTenantOf.
+func UpdateModule(m *policy.Module, at policy.Time, in Intended, self fleet.Member) {
+	history := intentHistory{}
+	history.ingest(0, in)
 	var list []policy.Server
 	for i, s := range in.Servers {
 		if s.Removed {
@@ -24,18 +24,18 @@
 	}
 	m.Handle(at, policy.EndpointUpdate{Kind: policy.EndpointsComplete, Version: in.Revision, Servers: list})
 	zones := map[string]bool{}
-	for _, e := range b.zones {
+	for _, e := range history.zones {
 		zones[e.zone] = true
 	}
 	for zone := range zones {
 		update := policy.ZoneDirective{Zone: zone, Revision: in.Revision, IntentRevision: in.Revision, Serving: true}
-		if d, rev := b.directive(zone, in.Revision, self); d != nil {
+		if d, rev := history.directive(zone, in.Revision, self); d != nil {
 			h := fleet.AppliedZoneOf(rev, *d, self.Node)
 			update = policy.ZoneDirective{Zone: zone, Revision: rev, IntentRevision: in.Revision, Share: h.Share, Floor: h.Floor, Rate: h.Rate, Trial: h.Trial, ValidFor: time.Duration(h.ValidMS) * time.Millisecond}
 		}
 		m.Handle(at, update)
 	}
-	for _, e := range b.tenants {
+	for _, e := range history.tenants {
 		v := e.newest()
 		update := policy.TenantUpdate{Name: e.key[len(fleet.KeyTenant):], Revision: v.revision, Removed: v.removed}
 		if !v.removed {
@@ -51,30 +51,30 @@
 		}
 		m.Handle(at, update)
 	}
-	if s := b.leases[self.Node].newest().lease; s != nil {
+	if s := history.leases[self.Node].newest().lease; s != nil {
 		m.Handle(at, policy.QuotaLease{Epoch: s.Epoch, Slots: s.Slots, Rates: s.Rates, ValidFor: time.Hour})
 	}
 }
 
-// Book is the detector's book, for the tests from outside that play what is intended.
-type Book struct{ b intentHistory }
+// IntentHistory exports intentHistory to the external tests.
+type IntentHistory struct{ history intentHistory }
 
-func (b *Book) Ingest(in Intended) { b.b.ingest(0, in) }
+func (history *IntentHistory) Ingest(in Intended) { history.history.ingest(0, in) }
 
-func (b *Book) Expect(rev uint64, self fleet.Member, services ...string) ([]fleet.AppliedItem, bool) {
-	return b.b.expect(rev, self, services)
+func (history *IntentHistory) Expect(rev uint64, self fleet.Member, services ...string) ([]fleet.AppliedItem, bool) {
+	return history.history.expect(rev, self, services)
 }
 
-// Node is what the detector has of a node.
+// Node exports node to the external tests.
 type Node struct{ n node }
 
-func Compared(r fleet.Report) *Node { return &Node{node{Member: r.Member, hasReport: true, report: r}} }
+func NewNode(r fleet.Report) *Node { return &Node{node{Member: r.Member, hasReport: true, report: r}} }
 
-func (n *Node) Compare(b *Book) { n.n.compareContent(0, &b.b) }
-func (n *Node) Redo() bool      { return n.n.compareAgain }
-func (n *Node) Judged() bool    { return n.n.isComparable() }
-func (n *Node) Asks() bool      { return len(n.n.trees[1].wanted) > 0 }
-func (n *Node) Same() bool      { return n.n.trees[0].same && n.n.trees[1].same }
+func (n *Node) Compare(history *IntentHistory) { n.n.compareContent(0, &history.history) }
+func (n *Node) NeedsCompareAgain() bool        { return n.n.compareAgain }
+func (n *Node) IsComparable() bool             { return n.n.isComparable() }
+func (n *Node) WantsListKeys() bool            { return len(n.n.trees[1].wanted) > 0 }
+func (n *Node) HasIntendedContent() bool       { return n.n.trees[0].same && n.n.trees[1].same }
 
 var (
 	BodyOf  = bodyOf
--- a/internal/fleet/drift/golden_test.go
+++ b/internal/fleet/drift/golden_test.go
@@ -7,13 +7,13 @@
 	"meadowsill/internal/golden"
 )
 
-// Commands of the replicated log, and the state as snapshots hold it.
+// The JSON of replicated commands and of the state in snapshots must stay as in the golden files.
 func TestStoredBytes(t *testing.T) {
 	golden.JSON[drift.Command](t, "command")
 	golden.JSON[drift.State](t, "state")
 }
 
-// What GET /fleet/v1/drift shows.
+// The JSON of GET /fleet/v1/drift must stay as in the golden files.
 func TestDriftOnTheWire(t *testing.T) {
 	golden.JSON[drift.Summary](t, "summary")
 	golden.JSON[drift.LogEntry](t, "entry")
--- a/internal/fleet/drift/intent_test.go
+++ b/internal/fleet/drift/intent_test.go
@@ -18,93 +18,94 @@
 )
 
 func TestExpectAndDifferences(t *testing.T) {
-	c := simulation.Seed(2)
-	c.Put("zone/z2@z1", simulation.EvacuationDirective(0)) // tie: that for every node holds
-	c.Put("zone/z2@z3", fleet.Directive{Phase: fleet.Evacuated, Share: 0, ValidMS: 1})
-	c.Put("zone/z3", fleet.Directive{Phase: fleet.Recovering, Share: 0.6, Floor: 0.2, Budget: 30, Slots: 10, TrialNodes: []string{"n000"}, ValidMS: 5000})
-	c.Put("zone/a", fleet.Directive{Phase: fleet.Serving, Share: 1})
-	c.Put("zone/a-b", simulation.EvacuationDirective(0.25))
-	c.Put("later/x", []int{1})
-	c.Serve("s3", "gone")
-	c.Drop("tenant/t4")
-	held, err := Expect(c.Intended, fleet.Member{Node: "n000", Zone: "z1"})
+	intent := simulation.NewIntent(2)
+	intent.Put("zone/z2@z1", simulation.EvacuationDirective(0)) // on a tie the directive for all nodes applies
+	intent.Put("zone/z2@z3", fleet.Directive{Phase: fleet.Evacuated, Share: 0, ValidMS: 1})
+	intent.Put("zone/z3", fleet.Directive{Phase: fleet.Recovering, Share: 0.6, Floor: 0.2, Budget: 30, Slots: 10, TrialNodes: []string{"n000"}, ValidMS: 5000})
+	intent.Put("zone/a", fleet.Directive{Phase: fleet.Serving, Share: 1})
+	intent.Put("zone/a-b", simulation.EvacuationDirective(0.25))
+	intent.Put("later/x", []int{1})
+	intent.ListServer("s3", "gone")
+	intent.Remove("tenant/t4")
+	applied, err := Expect(intent.Intended, fleet.Member{Node: "n000", Zone: "z1"})
 	must(t, err == nil, "%v", err)
 	got := map[string]string{}
-	for _, h := range held {
+	for _, h := range applied {
 		got[h.Key] = string(h.Body)
 	}
 	must(t, got["zone/z2"] == `{"rev":1,"valid_ms":5000}`, "%s", got["zone/z2"])
 	must(t, got["zone/z3"] == `{"rev":2,"share":0.5,"valid_ms":5000}`, "%s", got["zone/z3"])
 	must(t, got["zone/a-b"] != "" && got["zone/a"] == "" && got["later/x"] == "" && got["server/s3"] == "" && got["tenant/t4"] == "", "%v", got)
 	must(t, got["share"] == `{"epoch":1,"rates":{"t0":1,"t1":2},"slots":2}`, "%s", got["share"])
-	must(t, len(got) == 3+4+1+11, "%d facts: %v", len(got), slices.Sorted(maps.Keys(got)))
-	other, _ := Expect(c.Intended, fleet.Member{Node: "n000", Zone: "z9"})
-	must(t, string(BodyOf(other, "zone/z3")) == fmt.Sprintf(`{"floor":0.2,"rate":3,"rev":%d,"share":0.6,"trial":true,"valid_ms":5000}`, simulation.ItemRev(c, "zone/z3")), "%s", BodyOf(other, "zone/z3"))
+	must(t, len(got) == 3+4+1+11, "%d items: %v", len(got), slices.Sorted(maps.Keys(got)))
+	other, _ := Expect(intent.Intended, fleet.Member{Node: "n000", Zone: "z9"})
+	must(t, string(BodyOf(other, "zone/z3")) == fmt.Sprintf(`{"floor":0.2,"rate":3,"rev":%d,"share":0.6,"trial":true,"valid_ms":5000}`, simulation.ItemRevision(intent, "zone/z3")), "%s", BodyOf(other, "zone/z3"))
 
 	d := Differences("k", json.RawMessage(`{"a":{"b":[1,{"c":2}]},"d":"x"}`), json.RawMessage(`{"a":{"b":[1,{"c":3},4]},"e":true}`))
 	want := []Difference{{"k", "a.b[1].c", "2", "3"}, {"k", "a.b[2]", "null", "4"}, {"k", "d", `"x"`, "null"}, {"k", "e", "null", "true"}}
 	must(t, cmp.Equal(d, want), "%s", cmp.Diff(want, d))
-	c.Set(fleet.Item{Key: "tenant/t1", Revision: c.Intended.Revision, Body: json.RawMessage(`{"uid":-1}`)})
-	if _, err := Expect(c.Intended, fleet.Member{Node: "n000"}); !errors.Is(err, fleet.ErrInvalid) {
-		t.Errorf("a bad item: %v", err)
+	intent.Set(fleet.Item{Key: "tenant/t1", Revision: intent.Intended.Revision, Body: json.RawMessage(`{"uid":-1}`)})
+	if _, err := Expect(intent.Intended, fleet.Member{Node: "n000"}); !errors.Is(err, fleet.ErrInvalid) {
+		t.Errorf("invalid item: error %v", err)
 	}
 }
 
-// What was changed twice between two looks, or went without notice, is not known for the revisions between; before
-// and after, it is.
-func TestBookBetweenLooks(t *testing.T) {
+// The state of an item that changed twice between two calls of ingest, or was removed without a record, is unknown for
+// the revisions between them. It is known before and after.
+func TestExpectBetweenIngests(t *testing.T) {
 	for key, change := range map[string]func(*simulation.Intent){
-		"zone/z2": func(c *simulation.Intent) {
-			c.Put("zone/z2", simulation.EvacuationDirective(0.5))
-			c.Drop("zone/z2")
-			c.Put("zone/z9", simulation.EvacuationDirective(0.5))
+		"zone/z2": func(intent *simulation.Intent) {
+			intent.Put("zone/z2", simulation.EvacuationDirective(0.5))
+			intent.Remove("zone/z2")
+			intent.Put("zone/z9", simulation.EvacuationDirective(0.5))
 		},
-		"tenant/t1": func(c *simulation.Intent) {
-			c.Intended.Items = slices.DeleteFunc(c.Intended.Items, func(it fleet.Item) bool { return it.Key == "tenant/t1" })
-			c.Put("zone/z9", simulation.EvacuationDirective(0.5))
-			c.Intended.Revision += 2
+		"tenant/t1": func(intent *simulation.Intent) {
+			intent.Intended.Items = slices.DeleteFunc(intent.Intended.Items, func(it fleet.Item) bool { return it.Key == "tenant/t1" })
+			intent.Put("zone/z9", simulation.EvacuationDirective(0.5))
+			intent.Intended.Revision += 2
 		}} {
-		c := simulation.Seed(1)
-		b := Book{}
+		intent := simulation.NewIntent(1)
+		history := IntentHistory{}
 		self := fleet.Member{Node: "n000", Zone: "z2"}
-		b.Ingest(c.Intended)
-		first := c.Intended.Revision
-		change(c)
-		b.Ingest(c.Intended)
+		history.Ingest(intent.Intended)
+		first := intent.Intended.Revision
+		change(intent)
+		history.Ingest(intent.Intended)
 		for n, want := range map[uint64]bool{0: false, first: true, first + 1: false, first + 3: true} {
-			held, complete := b.Expect(n, self)
-			must(t, complete == want, "%s at %d of %d: %v, %v", key, n, first, complete, held)
-			must(t, !complete || (BodyOf(held, key) != nil) == (n == first), "%s at %d: %v", key, n, held)
-			must(t, !complete || (BodyOf(held, "zone/z9") != nil) == (n > first), "%s at %d: %v", key, n, held)
+			applied, complete := history.Expect(n, self)
+			must(t, complete == want, "%s at %d of %d: %v, %v", key, n, first, complete, applied)
+			must(t, !complete || (BodyOf(applied, key) != nil) == (n == first), "%s at %d: %v", key, n, applied)
+			must(t, !complete || (BodyOf(applied, "zone/z9") != nil) == (n > first), "%s at %d: %v", key, n, applied)
 		}
 	}
 }
 
-// A node may hear of the list from a replica before the detector has looked again: it is compared once the detector knows that version.
+// A replica may give a node a new server list before the detector processes the intent again. The detector must compare
+// the node's list only once it knows that version.
 func TestListNewerThanTheDetector(t *testing.T) {
-	c, b := simulation.Seed(1), Book{}
-	b.Ingest(c.Intended)
-	before := c.Intended.Revision
-	c.Serve("s99", "ready")
-	c.Intended.Revision = before // as the control plane has it: no item has changed
-	m := simulation.Module{Member: fleet.Member{Node: "n000", Zone: "z2"}}
-	m.Take(c.Intended)
+	intent, history := simulation.NewIntent(1), IntentHistory{}
+	history.Ingest(intent.Intended)
+	before := intent.Intended.Revision
+	intent.ListServer("s99", "ready")
+	intent.Intended.Revision = before // the control plane keeps the revision, because no item has changed
+	m := simulation.SimulatedModule{Member: fleet.Member{Node: "n000", Zone: "z2"}}
+	m.ApplyIntent(intent.Intended)
 	m.List++
-	n := Compared(m.Report())
-	n.Compare(&b)
-	must(t, n.Redo() && !n.Judged() && !n.Asks(), "compared with a list that was not known")
-	b.Ingest(c.Intended)
-	n.Compare(&b)
-	must(t, !n.Redo() && n.Judged() && n.Same(), "after the judge has looked")
+	n := NewNode(m.Report())
+	n.Compare(&history)
+	must(t, n.NeedsCompareAgain() && !n.IsComparable() && !n.WantsListKeys(), "compared although the list version was unknown")
+	history.Ingest(intent.Intended)
+	n.Compare(&history)
+	must(t, !n.NeedsCompareAgain() && n.IsComparable() && n.HasIntendedContent(), "after the detector processed the list")
 }
 
-// An agent that is cut off from the control plane still finds that its node holds something else, and has it sent
-// again; a copy older than what the node holds makes no alarm until a replica has answered.
-func TestLocal(t *testing.T) {
-	c, m := simulation.Seed(1), &simulation.Module{Member: fleet.Member{Node: "n000", Zone: "z1", Incarnation: 5}}
+// An agent that is disconnected from the control plane must still detect that its node has applied something else, and
+// send it again. A copy that is older than what the node has applied must cause no alarm until a replica has answered.
+func TestLocalDetector(t *testing.T) {
+	intent, m := simulation.NewIntent(1), &simulation.SimulatedModule{Member: fleet.Member{Node: "n000", Zone: "z1", Incarnation: 5}}
 	l, now := NewLocalDetector(Defaults()), fleet.Time(0)
-	m.Take(c.Intended)
-	old := c.Intended
+	m.ApplyIntent(intent.Intended)
+	old := intent.Intended
 	run := func(in Intended, caughtUp bool, want string) Verdict {
 		t.Helper()
 		var resent []string
@@ -118,19 +119,19 @@
 		}
 		v, ok := l.Verdict(now, 0, m.Node)
 		must(t, ok && v.State == want, "%+v, want %s", v, want)
-		must(t, (len(resent) > 0) == Drifts(want), "re-sent %v", resent)
+		must(t, (len(resent) > 0) == Drifts(want), "items sent again: %v", resent)
 		return v
 	}
-	run(c.Intended, false, InStep)
-	m.Plant = simulation.PlantItem("tenant/t2", nil)
-	must(t, simulation.HasDifference(run(c.Intended, false, Diverged).Differences, "tenant/t2", ""), "not named")
-	m.Plant = nil
-	run(c.Intended, false, InStep)
-	c.Put("zone/z2", simulation.EvacuationDirective(0.9))
-	m.Take(c.Intended)
+	run(intent.Intended, false, InStep)
+	m.AlterApplied = simulation.ReplaceItem("tenant/t2", nil)
+	must(t, simulation.HasDifference(run(intent.Intended, false, Diverged).Differences, "tenant/t2", ""), "the difference is not listed")
+	m.AlterApplied = nil
+	run(intent.Intended, false, InStep)
+	intent.Put("zone/z2", simulation.EvacuationDirective(0.9))
+	m.ApplyIntent(intent.Intended)
 	run(old, false, InStep)
 	run(old, true, Ahead)
-	run(c.Intended, true, InStep)
+	run(intent.Intended, true, InStep)
 }
 
 func must(t rapid.TB, ok bool, format string, args ...any) {
--- a/internal/fleet/drift/node.go
+++ b/internal/fleet/drift/node.go
@@ -181,17 +181,17 @@
 		Epoch     uint64
 		Committed struct{ Generation uint64 }
 	}
-	var intendedVersions, appliedVersions itemVersions
-	if json.Unmarshal(applied, &appliedVersions) != nil {
+	var want, got itemVersions
+	if json.Unmarshal(applied, &got) != nil {
 		return false
 	}
-	if len(intended) > 0 && json.Unmarshal(intended, &intendedVersions) != nil {
+	if len(intended) > 0 && json.Unmarshal(intended, &want) != nil {
 		return false
 	}
 	if len(intended) == 0 {
-		return appliedVersions.Rev > at || appliedVersions.UID > at
+		return got.Rev > at || got.UID > at
 	}
-	return appliedVersions.Rev > intendedVersions.Rev || appliedVersions.UID > intendedVersions.UID || appliedVersions.Epoch > intendedVersions.Epoch || appliedVersions.UID == intendedVersions.UID && appliedVersions.Committed.Generation > intendedVersions.Committed.Generation
+	return got.Rev > want.Rev || got.UID > want.UID || got.Epoch > want.Epoch || got.UID == want.UID && got.Committed.Generation > want.Committed.Generation
 }
 
 // updateLags updates since when the node has lagged behind the intent and the list.
--- a/internal/fleet/drift/repair.go
+++ b/internal/fleet/drift/repair.go
@@ -37,11 +37,11 @@
 // rateLimiter allows one action per interval, with bursts of as many actions as fit one second.
 type rateLimiter struct{ nextAt fleet.Time }
 
-func (r *rateLimiter) allow(now fleet.Time, every time.Duration) bool {
-	if r.nextAt > now+max(0, time.Second-every) {
+func (r *rateLimiter) allow(now fleet.Time, interval time.Duration) bool {
+	if r.nextAt > now+max(0, time.Second-interval) {
 		return false
 	}
-	r.nextAt = max(r.nextAt, now) + every
+	r.nextAt = max(r.nextAt, now) + interval
 	return true
 }
 
--- a/internal/fleet/drift/scope_test.go
+++ b/internal/fleet/drift/scope_test.go
@@ -9,47 +9,48 @@
 	"meadowsill/internal/fleet/drift/simulation"
 )
 
-// scopedNode is a node of one service that reports what it holds of an intent, and an agent's detector of it.
+// scopedNode is a node with the scope of one service that reports what it has applied, together with its agent's
+// detector.
 type scopedNode struct {
-	member fleet.Member
-	seq    uint64
-	now    fleet.Time
-	held   []fleet.AppliedItem
-	at     uint64 // revision that it holds
-	want   []string
-	judge  *LocalDetector
+	member   fleet.Member
+	seq      uint64
+	now      fleet.Time
+	applied  []fleet.AppliedItem
+	revision uint64 // revision of the applied intent
+	wanted   []string
+	detector *LocalDetector
 }
 
 func newScopedNode() *scopedNode {
-	return &scopedNode{member: fleet.Member{Node: "n000", Zone: "z1", Incarnation: 5}, judge: NewLocalDetector(Defaults())}
+	return &scopedNode{member: fleet.Member{Node: "n000", Zone: "z1", Incarnation: 5}, detector: NewLocalDetector(Defaults())}
 }
 
-// take has the node hold what is intended for its scope.
-func (n *scopedNode) take(t *testing.T, in Intended) {
+// applyIntent makes the node apply the intent for its scope.
+func (n *scopedNode) applyIntent(t *testing.T, in Intended) {
 	t.Helper()
-	held, err := Expect(in, n.member, "billing")
+	applied, err := Expect(in, n.member, "billing")
 	must(t, err == nil, "%v", err)
-	n.held, n.at = held, in.Revision
+	n.applied, n.revision = applied, in.Revision
 }
 
-// run has the node report for some seconds, and gives the verdict.
-func (n *scopedNode) run(t *testing.T, in Intended) Verdict {
+// runReports makes the node report for some seconds, and returns the verdict.
+func (n *scopedNode) runReports(t *testing.T, in Intended) Verdict {
 	t.Helper()
 	for range 70 {
 		n.now += 100 * time.Millisecond
 		n.seq++
-		r := fleet.Report{Member: n.member, Services: []string{"billing"}, Sequence: n.seq, Revision: n.at, List: in.Revision, WindowMS: 100}
-		FillReport(&r, n.held, n.want)
-		must(t, n.judge.Observe(n.now, r) == nil, "refused")
-		_, n.want = n.judge.Answer(n.member.Node)
-		n.judge.Step(n.now, in, n.member, true)
+		r := fleet.Report{Member: n.member, Services: []string{"billing"}, Sequence: n.seq, Revision: n.revision, List: in.Revision, WindowMS: 100}
+		FillReport(&r, n.applied, n.wanted)
+		must(t, n.detector.Observe(n.now, r) == nil, "refused")
+		_, n.wanted = n.detector.Answer(n.member.Node)
+		n.detector.Step(n.now, in, n.member, true)
 	}
-	v, ok := n.judge.Verdict(n.now, 0, n.member.Node)
+	v, ok := n.detector.Verdict(n.now, 0, n.member.Node)
 	must(t, ok, "no verdict")
 	return v
 }
 
-func scoped(uid, generation uint64, service string) fleet.Tenant {
+func scopedTenant(uid, generation uint64, service string) fleet.Tenant {
 	tenant := simulation.CommittedTenant(uid, generation, 100)
 	tenant.Committed.Spec.Service = service
 	return tenant
@@ -57,67 +58,68 @@
 
 // scopedIntent has tenants without a service, of billing and of search.
 func scopedIntent() *simulation.Intent {
-	c := simulation.Seed(1)
-	c.Put("tenant/bill", scoped(90, 1, "billing"))
-	c.Put("tenant/find", scoped(91, 1, "search"))
-	return c
+	intent := simulation.NewIntent(1)
+	intent.Put("tenant/bill", scopedTenant(90, 1, "billing"))
+	intent.Put("tenant/find", scopedTenant(91, 1, "search"))
+	return intent
 }
 
-// Of a node with a scope only the tenants of its services, and those without a service, are expected.
+// A node with a scope is only expected to have the tenants of its services, and those without a service.
 func TestExpectInScope(t *testing.T) {
-	c := scopedIntent()
-	held, err := Expect(c.Intended, fleet.Member{Node: "n000", Zone: "z1"}, "billing")
+	intent := scopedIntent()
+	applied, err := Expect(intent.Intended, fleet.Member{Node: "n000", Zone: "z1"}, "billing")
 	must(t, err == nil, "%v", err)
-	must(t, BodyOf(held, "tenant/t0") != nil && BodyOf(held, "tenant/bill") != nil, "%v", held)
-	must(t, BodyOf(held, "tenant/find") == nil, "a tenant of another service is expected: %v", held)
-	complete, _ := Expect(c.Intended, fleet.Member{Node: "n000", Zone: "z1"})
-	must(t, len(complete) == len(held)+1, "%d facts without a scope, %d with", len(complete), len(held))
+	must(t, BodyOf(applied, "tenant/t0") != nil && BodyOf(applied, "tenant/bill") != nil, "%v", applied)
+	must(t, BodyOf(applied, "tenant/find") == nil, "a tenant of another service is expected: %v", applied)
+	complete, _ := Expect(intent.Intended, fleet.Member{Node: "n000", Zone: "z1"})
+	must(t, len(complete) == len(applied)+1, "%d items without a scope, %d with", len(complete), len(applied))
 }
 
-// A node that holds its scope is in step, whatever changes outside of it, also where it has not heard of that; what it lacks
-// inside, and what it holds outside, is named.
+// A node that has applied its scope must be in step whatever changes outside the scope, even if it has not been notified
+// of the change. A missing tenant inside the scope and an applied one outside must be listed.
 func TestEvaluatedInScope(t *testing.T) {
-	c, n := scopedIntent(), newScopedNode()
-	n.take(t, c.Intended)
-	v := n.run(t, c.Intended)
+	intent, n := scopedIntent(), newScopedNode()
+	n.applyIntent(t, intent.Intended)
+	v := n.runReports(t, intent.Intended)
 	must(t, v.State == InStep, "%+v", v)
-	c.Put("tenant/find", scoped(91, 2, "search"))
-	c.Drop("tenant/find")
-	v = n.run(t, c.Intended)
-	must(t, v.State == CatchingUp || v.State == InStep, "after a change outside of its scope: %+v", v)
-	n.take(t, c.Intended)
-	v = n.run(t, c.Intended)
+	intent.Put("tenant/find", scopedTenant(91, 2, "search"))
+	intent.Remove("tenant/find")
+	v = n.runReports(t, intent.Intended)
+	must(t, v.State == CatchingUp || v.State == InStep, "after a change outside the scope: %+v", v)
+	n.applyIntent(t, intent.Intended)
+	v = n.runReports(t, intent.Intended)
 	must(t, v.State == InStep, "%+v", v)
 
-	c.Put("tenant/bill", scoped(90, 2, "billing"))
-	v = n.run(t, c.Intended)
-	must(t, v.State == Stuck && simulation.HasDifference(v.Differences, "tenant/bill", "rev"), "after a change inside of its scope: %+v", v)
-	n.take(t, c.Intended)
-	v = n.run(t, c.Intended)
+	intent.Put("tenant/bill", scopedTenant(90, 2, "billing"))
+	v = n.runReports(t, intent.Intended)
+	must(t, v.State == Stuck && simulation.HasDifference(v.Differences, "tenant/bill", "rev"), "after a change inside the scope: %+v", v)
+	n.applyIntent(t, intent.Intended)
+	v = n.runReports(t, intent.Intended)
 	must(t, v.State == InStep, "%+v", v)
 
-	n.held = simulation.PlantItem("tenant/bill", nil)(n.held)
-	v = n.run(t, c.Intended)
-	must(t, v.State == Diverged && simulation.HasDifference(v.Differences, "tenant/bill", ""), "without a tenant of its scope: %+v", v)
+	n.applied = simulation.ReplaceItem("tenant/bill", nil)(n.applied)
+	v = n.runReports(t, intent.Intended)
+	must(t, v.State == Diverged && simulation.HasDifference(v.Differences, "tenant/bill", ""), "without a tenant of the scope: %+v", v)
 
-	c.Put("tenant/find", scoped(c.Intended.Revision+1, 1, "search"))
-	n.take(t, c.Intended)
-	n.held = simulation.PlantItem("tenant/find", fleet.AppliedTenant{UID: c.Intended.Revision, Revision: c.Intended.Revision})(n.held)
-	v = n.run(t, c.Intended)
-	must(t, v.State == Diverged && simulation.HasDifference(v.Differences, "tenant/find", ""), "with a tenant outside of its scope: %+v", v)
+	intent.Put("tenant/find", scopedTenant(intent.Intended.Revision+1, 1, "search"))
+	n.applyIntent(t, intent.Intended)
+	n.applied = simulation.ReplaceItem("tenant/find", fleet.AppliedTenant{UID: intent.Intended.Revision, Revision: intent.Intended.Revision})(n.applied)
+	v = n.runReports(t, intent.Intended)
+	must(t, v.State == Diverged && simulation.HasDifference(v.Differences, "tenant/find", ""), "with a tenant outside the scope: %+v", v)
 }
 
-// A name that is removed and named again in another service is outstanding at a node of the first, until it has dropped it.
+// A tenant name that is removed and reused in another service must be outstanding at a node of the first service until
+// the node has dropped the tenant.
 func TestNameMovesOutOfTheScope(t *testing.T) {
-	c, n := scopedIntent(), newScopedNode()
-	n.take(t, c.Intended)
-	must(t, n.run(t, c.Intended).State == InStep, "not in step")
-	c.Drop("tenant/bill")
-	c.Put("tenant/bill", scoped(c.Intended.Revision+1, 1, "search"))
-	v := n.run(t, c.Intended)
+	intent, n := scopedIntent(), newScopedNode()
+	n.applyIntent(t, intent.Intended)
+	must(t, n.runReports(t, intent.Intended).State == InStep, "not in step")
+	intent.Remove("tenant/bill")
+	intent.Put("tenant/bill", scopedTenant(intent.Intended.Revision+1, 1, "search"))
+	v := n.runReports(t, intent.Intended)
 	must(t, v.State == Stuck && simulation.HasDifference(v.Differences, "tenant/bill", "rev"), "%+v", v)
-	n.take(t, c.Intended)
-	must(t, BodyOf(n.held, "tenant/bill") == nil, "it holds the tenant that has its name now")
-	v = n.run(t, c.Intended)
+	n.applyIntent(t, intent.Intended)
+	must(t, BodyOf(n.applied, "tenant/bill") == nil, "the node has applied the new tenant of that name")
+	v = n.runReports(t, intent.Intended)
 	must(t, v.State == InStep, "%+v", v)
 }
--- a/internal/fleet/drift/simulation/harness_test.go
+++ b/internal/fleet/drift/simulation/harness_test.go
@@ -9,74 +9,74 @@
 	. "meadowsill/internal/fleet/drift"
 )
 
-// harness is a leader and a few nodes without a network: the first node is the one that is tested.
+// harness is a leader and a few nodes without a network. The first node is the one under test.
 type harness struct {
 	*Intent
-	j       *Detector
-	st      *State
-	now     fleet.Time
-	rev     uint64
-	nodes   []*Module
-	present []fleet.Member
-	quiet   bool // the first node sends nothing
-	late    map[string][]Difference
-	each    func()
-	refused []error
+	detector        *Detector
+	replicatedState *State
+	now             fleet.Time
+	revision        uint64
+	nodes           []*SimulatedModule
+	present         []fleet.Member
+	firstNodeMuted  bool // the first node sends no reports
+	lateSteps       map[string][]Difference
+	afterStep       func()
+	rejected        []error
 }
 
 func newHarness(nodes int) *harness {
-	h := &harness{Intent: Seed(nodes), j: NewDetector(Defaults()), st: &State{}, now: time.Hour}
+	h := &harness{Intent: NewIntent(nodes), detector: NewDetector(Defaults()), replicatedState: &State{}, now: time.Hour}
 	for i := range nodes {
-		h.nodes = append(h.nodes, &Module{Member: fleet.Member{Node: nodeName(i), Zone: "z1", Incarnation: 100}, local: []fleet.AppliedItem{settings(nodes)}})
+		h.nodes = append(h.nodes, &SimulatedModule{Member: fleet.Member{Node: nodeName(i), Zone: "z1", Incarnation: 100}, local: []fleet.AppliedItem{settings(nodes)}})
 		h.present = append(h.present, h.nodes[i].Member)
 	}
-	h.hear()
-	h.j.Lead(h.now, h.st)
+	h.deliverIntent()
+	h.detector.Lead(h.now, h.replicatedState)
 	return h
 }
 
-func (h *harness) hear() {
+func (h *harness) deliverIntent() {
 	for _, m := range h.nodes {
-		m.Take(h.Intended)
+		m.ApplyIntent(h.Intended)
 	}
 }
 
-// send has a node report, and takes the answer.
-func (h *harness) send(m *Module) (resend []string) {
-	if err := h.j.Observe(h.now, fleet.NodeView{Member: m.Member, ReceivedAt: h.now, Report: m.Report()}); err != nil {
-		h.refused = append(h.refused, err)
+// sendReport sends a node's report to the detector, and gives the answer to the node.
+func (h *harness) sendReport(m *SimulatedModule) (resend []string) {
+	if err := h.detector.Observe(h.now, fleet.NodeView{Member: m.Member, ReceivedAt: h.now, Report: m.Report()}); err != nil {
+		h.rejected = append(h.rejected, err)
 	}
-	resend, m.Wanted, _, _ = h.j.Answer(m.Node)
+	resend, m.Wanted, _, _ = h.detector.Answer(m.Node)
 	return resend
 }
 
 func (h *harness) step() {
 	in := h.Intended
-	in.LateSteps = h.late
-	for _, c := range h.j.Step(h.now, h.st, in, h.present) {
+	in.LateSteps = h.lateSteps
+	for _, c := range h.detector.Step(h.now, h.replicatedState, in, h.present) {
 		c.AtMS = int64(h.now / ms)
-		h.st.Apply(c, func() uint64 { h.rev++; return h.rev })
+		h.replicatedState.Apply(c, func() uint64 { h.revision++; return h.revision })
 	}
 }
 
-// run lets time go by: a step each 100 ms, a report each 500 ms, or at once where one is wanted.
+// run advances the time: a step every 100 ms, and a report every 500 ms, or at once if the detector requested one.
 func (h *harness) run(d time.Duration) {
 	for end := h.now + d; h.now < end; {
 		h.now += 100 * ms
 		for i, m := range h.nodes {
-			if (i > 0 || !h.quiet) && (h.now%(500*ms) == 0 || m.Wanted != nil) {
-				h.send(m)
+			if (i > 0 || !h.firstNodeMuted) && (h.now%(500*ms) == 0 || m.Wanted != nil) {
+				h.sendReport(m)
 			}
 		}
 		h.step()
-		if h.each != nil {
-			h.each()
+		if h.afterStep != nil {
+			h.afterStep()
 		}
 	}
 }
 
 func (h *harness) verdict(i int) Verdict {
-	for _, v := range h.j.Verdicts(h.now, int64(h.now/ms), h.st) {
+	for _, v := range h.detector.Verdicts(h.now, int64(h.now/ms), h.replicatedState) {
 		if v.Node == nodeName(i) {
 			return v
 		}
@@ -84,12 +84,12 @@
 	return Verdict{State: "none"}
 }
 
-// mend makes the first node right again.
-func (h *harness) mend() {
+// resetFirstNode removes the faults of the first node.
+func (h *harness) resetFirstNode() {
 	m := h.nodes[0]
-	*m = Module{Member: m.Member, sequence: m.sequence, local: []fleet.AppliedItem{settings(len(h.nodes))}}
-	h.quiet = false
-	m.Take(h.Intended)
+	*m = SimulatedModule{Member: m.Member, sequence: m.sequence, local: []fleet.AppliedItem{settings(len(h.nodes))}}
+	h.firstNodeMuted = false
+	m.ApplyIntent(h.Intended)
 }
 
 func must(t rapid.TB, ok bool, format string, args ...any) {
--- a/internal/fleet/drift/simulation/intent.go
+++ b/internal/fleet/drift/simulation/intent.go
@@ -12,89 +12,89 @@
 
 const ms = time.Millisecond
 
-// Intent is a control plane's items as a run makes them.
+// Intent is the intent of a simulated control plane.
 type Intent struct{ Intended drift.Intended }
 
-// Put has an item say body from a new revision on, and gives that.
-func (c *Intent) Put(key string, body any) uint64 {
-	c.Intended.Revision++
+// Put sets an item's body at a new revision, and returns the revision.
+func (intent *Intent) Put(key string, body any) uint64 {
+	intent.Intended.Revision++
 	b, err := json.Marshal(body)
 	if err != nil {
 		panic(err)
 	}
-	return c.Set(fleet.Item{Key: key, Revision: c.Intended.Revision, Body: b})
+	return intent.Set(fleet.Item{Key: key, Revision: intent.Intended.Revision, Body: b})
 }
 
-// Drop takes an item away.
-func (c *Intent) Drop(key string) uint64 {
-	c.Intended.Revision++
-	return c.Set(fleet.Item{Key: key, Revision: c.Intended.Revision, Removed: true})
+// Remove removes an item at a new revision, and returns the revision.
+func (intent *Intent) Remove(key string) uint64 {
+	intent.Intended.Revision++
+	return intent.Set(fleet.Item{Key: key, Revision: intent.Intended.Revision, Removed: true})
 }
 
-// Set puts an item in place of the one with its key.
-func (c *Intent) Set(it fleet.Item) uint64 {
-	c.Intended.Items = slices.DeleteFunc(slices.Clone(c.Intended.Items), func(o fleet.Item) bool { return o.Key == it.Key })
-	c.Intended.Items = append(c.Intended.Items, it)
+// Set replaces the item with the same key.
+func (intent *Intent) Set(it fleet.Item) uint64 {
+	intent.Intended.Items = slices.DeleteFunc(slices.Clone(intent.Intended.Items), func(o fleet.Item) bool { return o.Key == it.Key })
+	intent.Intended.Items = append(intent.Intended.Items, it)
 	return it.Revision
 }
 
-// Serve lists a server in a state; in "removed" it is off the list.
-func (c *Intent) Serve(id, state string) {
-	c.Intended.Revision++
-	s := drift.ListedServer{ID: id, Revision: c.Intended.Revision, Removed: state == "gone", Body: fleet.AppliedServer{Zone: "z1", Kind: "k", State: state, Weight: 1}}
-	c.Intended.Servers = slices.DeleteFunc(slices.Clone(c.Intended.Servers), func(o drift.ListedServer) bool { return o.ID == id })
-	c.Intended.Servers = append(c.Intended.Servers, s)
+// ListServer sets a server's state in the list. The state "gone" removes the server.
+func (intent *Intent) ListServer(id, state string) {
+	intent.Intended.Revision++
+	s := drift.ListedServer{ID: id, Revision: intent.Intended.Revision, Removed: state == "gone", Body: fleet.AppliedServer{Zone: "z1", Kind: "k", State: state, Weight: 1}}
+	intent.Intended.Servers = slices.DeleteFunc(slices.Clone(intent.Intended.Servers), func(o drift.ListedServer) bool { return o.ID == id })
+	intent.Intended.Servers = append(intent.Intended.Servers, s)
 }
 
-// EvacuationDirective is a directive to leave a zone but for a share.
+// EvacuationDirective returns a directive that evacuates a zone down to a share.
 func EvacuationDirective(share float64) fleet.Directive {
 	return fleet.Directive{Phase: fleet.Evacuated, Share: share, ValidMS: 5000}
 }
 
-// CommittedTenant is a tenant with one generation committed.
+// CommittedTenant returns a tenant with one committed generation.
 func CommittedTenant(uid, gen uint64, rate float64) fleet.Tenant {
 	return fleet.Tenant{UID: uid, Committed: &fleet.Generation{Number: gen, Digest: "00", Spec: fleet.Spec{Name: "t", Quota: fleet.Quota{Rate: rate, Burst: rate}}}}
 }
 
-// Seed is an intent of 3 zones (one of them left), a few tenants, servers and the shares of the nodes.
-func Seed(nodes int) *Intent {
-	c := &Intent{}
-	c.Intended.Servers = []drift.ListedServer{}
-	c.Put("zone/z2", EvacuationDirective(0))
-	c.Put("zone/z3@z1", EvacuationDirective(0.5))
+// NewIntent returns an intent with 3 zones (one of them evacuated), a few tenants, servers and the shares of the nodes.
+func NewIntent(nodes int) *Intent {
+	intent := &Intent{}
+	intent.Intended.Servers = []drift.ListedServer{}
+	intent.Put("zone/z2", EvacuationDirective(0))
+	intent.Put("zone/z3@z1", EvacuationDirective(0.5))
 	for i := range 5 {
-		c.Put(fmt.Sprintf("tenant/t%d", i), CommittedTenant(c.Intended.Revision+1, 1, 100))
+		intent.Put(fmt.Sprintf("tenant/t%d", i), CommittedTenant(intent.Intended.Revision+1, 1, 100))
 	}
 	for i := range 12 {
-		c.Serve(fmt.Sprintf("s%d", i), "ready")
+		intent.ListServer(fmt.Sprintf("s%d", i), "ready")
 	}
 	for i := range nodes {
-		c.Put("share/"+nodeName(i), fleet.QuotaLease{Epoch: 1, Slots: nodes, Rates: map[string]float64{"t0": 1, "t1": 2}})
+		intent.Put("share/"+nodeName(i), fleet.QuotaLease{Epoch: 1, Slots: nodes, Rates: map[string]float64{"t0": 1, "t1": 2}})
 	}
-	return c
+	return intent
 }
 
 func nodeName(i int) string { return fmt.Sprintf("n%03d", i) }
 
-// Module is a node's process as a run has it: what it was sent, and a planted fault over it.
-type Module struct {
+// SimulatedModule is the state of a simulated node's process: what it received, and the faults that a test injects.
+type SimulatedModule struct {
 	fleet.Member
 	sequence uint64
 	revision uint64
-	List     uint64 // the version of the list that it reports
+	List     uint64 // version of the server list that the node reports
 	applied  []fleet.AppliedItem
 	local    []fleet.AppliedItem
 	Wanted   []string
-	// takes nothing more; answers no wants
+	// ignoresIntent: the node applies no further intent. ignoresWants: the node doesn't answer requests for keys.
 	ignoresIntent bool
 	ignoresWants  bool
-	Plant         func([]fleet.AppliedItem) []fleet.AppliedItem // what it holds in place of what it was sent
+	AlterApplied  func([]fleet.AppliedItem) []fleet.AppliedItem // if set, changes the items that the node reports as applied
 	falsifyCounts func(*fleet.Report)
 	draining      bool
 }
 
-// Take has the node take what is intended for it.
-func (m *Module) Take(in drift.Intended) {
+// ApplyIntent makes the node apply the intent that concerns it.
+func (m *SimulatedModule) ApplyIntent(in drift.Intended) {
 	if m.ignoresIntent {
 		return
 	}
@@ -110,13 +110,13 @@
 	m.List = in.Revision
 }
 
-// Report is the next one, with what was wanted.
-func (m *Module) Report() fleet.Report {
+// Report returns the node's next report, with the requested keys.
+func (m *SimulatedModule) Report() fleet.Report {
 	m.sequence++
 	r := fleet.Report{Member: m.Member, Sequence: m.sequence, Revision: m.revision, List: m.List, WindowMS: 500, Draining: m.draining}
 	applied := append(slices.Clone(m.applied), m.local...)
-	if m.Plant != nil {
-		applied = m.Plant(applied)
+	if m.AlterApplied != nil {
+		applied = m.AlterApplied(applied)
 	}
 	wanted := m.Wanted
 	if m.ignoresWants {
@@ -132,31 +132,31 @@
 
 // AppliedItem returns an item as a node reports it.
 func AppliedItem(key string, v any) fleet.AppliedItem {
-	h, _, err := drift.AppliedItemOf(key, v)
+	item, _, err := drift.AppliedItemOf(key, v)
 	if err != nil {
 		panic(err)
 	}
-	return h
+	return item
 }
 
 func settings(nodes int) fleet.AppliedItem {
-	h := AppliedItem(fleet.KeySettings, fleet.AppliedSettings{Nodes: nodes, MaxAttempts: 3})
-	h.ChangedBy, h.SinceMS = "SIGHUP", 17
-	return h
+	item := AppliedItem(fleet.KeySettings, fleet.AppliedSettings{Nodes: nodes, MaxAttempts: 3})
+	item.ChangedBy, item.SinceMS = "SIGHUP", 17
+	return item
 }
 
-// PlantItem returns a plant that puts v in place of an item, or takes it away where v is nil.
-func PlantItem(key string, v any) func([]fleet.AppliedItem) []fleet.AppliedItem {
-	return func(held []fleet.AppliedItem) []fleet.AppliedItem {
-		held = slices.DeleteFunc(slices.Clone(held), func(h fleet.AppliedItem) bool { return h.Key == key })
+// ReplaceItem returns a fault that replaces an item by v, or removes it if v is nil.
+func ReplaceItem(key string, v any) func([]fleet.AppliedItem) []fleet.AppliedItem {
+	return func(items []fleet.AppliedItem) []fleet.AppliedItem {
+		items = slices.DeleteFunc(slices.Clone(items), func(item fleet.AppliedItem) bool { return item.Key == key })
 		if v != nil {
-			held = append(held, AppliedItem(key, v))
+			items = append(items, AppliedItem(key, v))
 		}
-		return held
+		return items
 	}
 }
 
-// HasDifference reports whether a difference is of key, and of field.
+// HasDifference reports whether a difference with this key and field is among items.
 func HasDifference(items []drift.Difference, key, field string) bool {
 	return slices.ContainsFunc(items, func(d drift.Difference) bool { return d.Key == key && d.Field == field })
 }
--- a/internal/fleet/drift/simulation/world.go
+++ b/internal/fleet/drift/simulation/world.go
@@ -12,16 +12,16 @@
 	"meadowsill/internal/fleet/drift"
 )
 
-// Rules are what a run holds the controller to.
+// Rules are the requirements that a run checks.
 type Rules struct {
 	Bounds drift.Bounds
-	Rows   map[string]bool // "state|evidence" of every verdict that may be said; nil: any
+	Rows   map[string]bool // "state|evidence" of every verdict that is allowed; nil: any
 }
 
-var errUnlistedVerdict = errors.New("in no row of the page")
+var errUnlistedVerdict = errors.New("the verdict is in no row of the table in docs/drift.md")
 
-// world is a fleet on a network that drops, delays, doubles and reorders, in simulated time. The leader's clock is
-// off from the world's by skew. Nodes stamp incarnations with clocks that are off by up to 2 s.
+// world is a simulated fleet whose network drops, delays, duplicates and reorders messages. The leader's clock differs
+// from the simulation's by skew. Nodes set their incarnations by clocks that are off by up to 2 s.
 type world struct {
 	*Intent
 	random      *rand.Rand
@@ -31,31 +31,31 @@
 	state       *drift.State
 	revision    uint64
 	nodes       []*simNode
-	queue       []timedEvent // by time
+	queue       []timedEvent // sorted by time
 	loss        float64
-	paused      fleet.Time // the leader, till then
+	pausedUntil fleet.Time // until then the leader is paused
 	stepAt      fleet.Time
-	commands    []drift.Command // proposed, not yet applied
+	commands    []drift.Command // proposed but not yet applied
 	onVerdict   func(v drift.Verdict)
 	resent      int
 	maxTakenOut int
-	replayable  []fleet.Report // some reports, for replays
-	applied     drift.Intended // what the leader's own state machine has come to
+	replayable  []fleet.Report // sample of earlier reports to replay
+	applied     drift.Intended // intent that the leader's own state machine has applied
 	appliedAt   fleet.Time
 	rules       Rules
-	violation   error // the first verdict in no row
+	violation   error // the first verdict that is in no row
 }
 
 type simNode struct {
-	Module
-	running      bool
-	paused       fleet.Time // till then
-	session      fleet.Time // when the leader last was notified of it, in the world's time
-	reportAt     fleet.Time
-	incarnations int  // counts its runs
-	fetching     bool // intent is on its way
-	watchHangs   bool // planted: its agent's watch hangs
-	heardAt      fleet.Time
+	SimulatedModule
+	running          bool
+	pausedUntil      fleet.Time // the node is paused until then
+	sessionRenewedAt fleet.Time // when the leader last received a report, in simulated time
+	reportAt         fleet.Time
+	runs             int  // number of runs so far
+	fetching         bool // a request for the intent is pending
+	watchHangs       bool // injected fault: the watch of the node's agent hangs
+	lastReportAt     fleet.Time
 }
 
 type timedEvent struct {
@@ -63,10 +63,10 @@
 	run func()
 }
 
-func newWorld(nodes int, seedOf uint64, loss float64, r Rules) *world {
-	w := &world{Intent: Seed(nodes), random: rand.New(rand.NewPCG(seedOf, 1)), now: time.Hour, detector: drift.NewDetector(r.Bounds), state: &drift.State{}, loss: loss, rules: r}
+func newWorld(nodes int, seed uint64, loss float64, r Rules) *world {
+	w := &world{Intent: NewIntent(nodes), random: rand.New(rand.NewPCG(seed, 1)), now: time.Hour, detector: drift.NewDetector(r.Bounds), state: &drift.State{}, loss: loss, rules: r}
 	for i := range nodes {
-		n := &simNode{Module: Module{Member: fleet.Member{Node: nodeName(i), Zone: fmt.Sprintf("z%d", 1+i%3)}}}
+		n := &simNode{SimulatedModule: SimulatedModule{Member: fleet.Member{Node: nodeName(i), Zone: fmt.Sprintf("z%d", 1+i%3)}}}
 		w.nodes = append(w.nodes, n)
 		w.start(n)
 	}
@@ -74,32 +74,32 @@
 	return w
 }
 
-func (w *world) after(d time.Duration, f func()) {
+func (w *world) schedule(d time.Duration, f func()) {
 	i, _ := slices.BinarySearchFunc(w.queue, w.now+d+1, func(e timedEvent, at fleet.Time) int { return cmp.Compare(e.due, at) })
 	w.queue = slices.Insert(w.queue, i, timedEvent{w.now + d, f})
 }
 
-// deliver has a message arrive: late, twice or never.
+// deliver delivers a message with a delay, and possibly twice or never.
 func (w *world) deliver(f func()) {
-	times := 1
+	copies := 1
 	if x := w.random.Float64(); x < w.loss {
-		times = 0
+		copies = 0
 	} else if x > 0.98 {
-		times = 2
+		copies = 2
 	}
-	for range times {
-		w.after(time.Duration(2+w.random.IntN(100))*ms, f)
+	for range copies {
+		w.schedule(time.Duration(2+w.random.IntN(100))*ms, f)
 	}
 }
 
-// start runs a node's process: it fetches intent before it reports, so its first report is not empty.
+// start starts a node's process. It fetches the intent before it reports, so the first report is not empty.
 func (w *world) start(n *simNode) {
-	n.incarnations++
+	n.runs++
 	skew := time.Duration(w.random.IntN(4000)-2000) * ms
 	n.Incarnation = max(n.Incarnation+1, uint64(w.now+10*time.Second+skew))
-	n.Module = Module{Member: n.Member, local: []fleet.AppliedItem{settings(50)}, Plant: n.Plant}
+	n.SimulatedModule = SimulatedModule{Member: n.Member, local: []fleet.AppliedItem{settings(50)}, AlterApplied: n.AlterApplied}
 	n.running = true
-	n.paused = 0
+	n.pausedUntil = 0
 	n.fetching = false
 	n.reportAt = w.now + time.Duration(w.random.IntN(500))*ms
 	w.fetch(n)
@@ -107,64 +107,64 @@
 
 func (w *world) stop(n *simNode) {
 	n.draining = true
-	w.send(n)
+	w.sendReport(n)
 	n.running = false
 }
 
-// fetch is the watch of intent: it answers with all that is intended when it is checked.
+// fetch simulates the watch of the intent. The answer contains the intent as it was when the request was sent.
 func (w *world) fetch(n *simNode) {
 	if n.fetching || n.watchHangs {
 		return
 	}
 	n.fetching = true
-	incarnation, in := n.incarnations, w.Intended
-	w.after(500*ms, func() { n.fetching = n.fetching && n.incarnations != incarnation })
+	incarnation, in := n.runs, w.Intended
+	w.schedule(500*ms, func() { n.fetching = n.fetching && n.runs != incarnation })
 	w.deliver(func() {
-		if n.incarnations == incarnation && n.running && w.now >= n.paused && in.Revision > n.revision {
-			n.Take(in)
+		if n.runs == incarnation && n.running && w.now >= n.pausedUntil && in.Revision > n.revision {
+			n.ApplyIntent(in)
 			n.fetching = false
 		}
 	})
 }
 
-func (w *world) send(n *simNode) {
+func (w *world) sendReport(n *simNode) {
 	r := n.Report()
 	n.reportAt = w.now + time.Duration(500+w.random.IntN(500))*ms
 	if w.random.IntN(50) == 0 {
 		w.replayable = append(w.replayable, r)
 	}
-	incarnation := n.incarnations
+	incarnation := n.runs
 	w.deliver(func() { w.arrive(n, r, incarnation) })
 }
 
 func (w *world) arrive(n *simNode, r fleet.Report, incarnation int) {
-	if w.now < w.paused {
-		w.after(w.paused-w.now, func() { w.arrive(n, r, incarnation) })
+	if w.now < w.pausedUntil {
+		w.schedule(w.pausedUntil-w.now, func() { w.arrive(n, r, incarnation) })
 		return
 	}
 	if w.detector.Observe(w.now+w.skew, fleet.NodeView{Member: r.Member, ReceivedAt: w.now + w.skew, Report: r}) != nil {
 		return
 	}
-	n.session, n.heardAt = w.now, w.now
+	n.sessionRenewedAt, n.lastReportAt = w.now, w.now
 	if r.Draining {
-		n.session = -time.Hour
+		n.sessionRenewedAt = -time.Hour
 	}
 	resend, want, _, _ := w.detector.Answer(n.Node)
 	w.resent += len(resend)
 	w.deliver(func() {
-		if n.incarnations != incarnation || !n.running {
+		if n.runs != incarnation || !n.running {
 			return
 		}
 		if n.Wanted = want; len(want) > 0 {
 			n.reportAt = min(n.reportAt, w.now+50*ms)
 		}
 		if len(resend) > 0 && !n.watchHangs {
-			n.Take(w.Intended)
+			n.ApplyIntent(w.Intended)
 		}
 	})
 }
 
-// tick is 20 ms of the world.
+// tick advances the simulation by 20 ms.
 func (w *world) tick() {
 	w.now += 20 * ms
 	for len(w.queue) > 0 && w.queue[0].due <= w.now {
@@ -173,17 +173,17 @@
 		run()
 	}
 	for _, n := range w.nodes {
-		if !n.running || w.now < n.paused {
+		if !n.running || w.now < n.pausedUntil {
 			continue
 		}
 		if n.revision < w.Intended.Revision {
 			w.fetch(n)
 		}
 		if w.now >= n.reportAt && n.revision > 0 {
-			w.send(n)
+			w.sendReport(n)
 		}
 	}
-	if w.now < w.paused || w.now < w.stepAt {
+	if w.now < w.pausedUntil || w.now < w.stepAt {
 		return
 	}
 	w.stepAt = w.now + 100*ms
@@ -196,11 +196,11 @@
 	}
 	var present []fleet.Member
 	for _, n := range w.nodes {
-		if w.now-n.session < 6*time.Second && n.session > 0 {
+		if w.now-n.sessionRenewedAt < 6*time.Second && n.sessionRenewedAt > 0 {
 			present = append(present, n.Member)
 		}
 	}
-	if w.random.IntN(8) > 0 { // else raft is slow: the commands wait for a step
+	if w.random.IntN(8) > 0 { // otherwise raft is slow, and the commands wait for the next step
 		for _, c := range w.commands {
 			c.AtMS = int64(w.now / ms)
 			w.state.Apply(c, func() uint64 { w.revision++; return w.revision })
@@ -208,10 +208,10 @@
 		w.commands = nil
 	}
 	w.commands = append(w.commands, w.detector.Step(w.now+w.skew, w.state, w.applied, present)...)
-	outs := 0
+	takenOut := 0
 	for _, v := range w.detector.Verdicts(w.now+w.skew, int64(w.now/ms), w.state) {
 		if v.Repair.Step == drift.TakenOut {
-			outs++
+			takenOut++
 		}
 		if w.rules.Rows != nil && !w.rules.Rows[v.State+"|"+v.Evidence] {
 			w.violation = cmp.Or(w.violation, fmt.Errorf("%w: %+v", errUnlistedVerdict, v))
@@ -220,7 +220,7 @@
 			w.onVerdict(v)
 		}
 	}
-	w.maxTakenOut = max(w.maxTakenOut, outs)
+	w.maxTakenOut = max(w.maxTakenOut, takenOut)
 }
 
 func (w *world) run(d time.Duration) {
@@ -229,10 +229,10 @@
 	}
 }
 
-// failover elects another leader, with another clock and nothing but what is replicated.
+// failover elects another leader with another clock, which has only the replicated state.
 func (w *world) failover() {
 	w.commands = nil
-	w.replayable = slices.DeleteFunc(w.replayable, func(r fleet.Report) bool { // a new leader takes the first it is notified of a run
+	w.replayable = slices.DeleteFunc(w.replayable, func(r fleet.Report) bool { // a new leader accepts the first report that it gets of a run
 		return slices.ContainsFunc(w.nodes, func(n *simNode) bool { return n.Member == r.Member })
 	})
 	w.skew = time.Duration(w.random.IntN(4000)-2000) * ms
@@ -244,43 +244,44 @@
 	return w.nodes[slices.IndexFunc(w.nodes, func(n *simNode) bool { return n.Node == name })]
 }
 
-// churn changes what is intended.
-func (w *world) churn() {
+// changeIntent makes a random change to the intent.
+func (w *world) changeIntent() {
 	switch w.random.IntN(6) {
 	case 0:
 		w.Put("zone/z2", EvacuationDirective(float64(w.random.IntN(10))/10))
 	case 1:
 		w.Put("zone/z1@z3", EvacuationDirective(float64(w.random.IntN(10))/10))
 	case 2:
-		w.Drop("zone/z2")
+		w.Remove("zone/z2")
 	case 3:
 		w.Put(fmt.Sprintf("tenant/t%d", w.random.IntN(5)), CommittedTenant(1+w.random.Uint64N(w.Intended.Revision), 2, 50))
 	case 4:
-		w.Serve(fmt.Sprintf("s%d", w.random.IntN(12)), []string{"ready", "draining", "gone"}[w.random.IntN(3)])
+		w.ListServer(fmt.Sprintf("s%d", w.random.IntN(12)), []string{"ready", "draining", "gone"}[w.random.IntN(3)])
 	case 5:
 		n := w.nodes[w.random.IntN(len(w.nodes))]
 		w.Put("share/"+n.Node, fleet.QuotaLease{Epoch: w.Intended.Revision, Slots: len(w.nodes), Rates: map[string]float64{"t0": w.random.Float64()}})
 	}
 }
 
-// calm fails the test where a verdict says drift, or in step of a node that has not been heard.
-func (w *world) calm(fail func(string, ...any)) func(drift.Verdict) {
+// checkNoDrift returns a check that fails if a verdict says drift, or says in step for a node that hasn't reported for
+// 2.2 s.
+func (w *world) checkNoDrift(fail func(string, ...any)) func(drift.Verdict) {
 	return func(v drift.Verdict) {
 		if drift.Drifts(v.State) {
 			fail("at %v: %+v", w.now-time.Hour, v)
 		}
-		if n := w.node(v.Node); v.State == drift.InStep && w.now-n.heardAt > 2200*ms {
-			fail("at %v: in step, last heard %v ago: %+v", w.now-time.Hour, w.now-n.heardAt, v)
+		if n := w.node(v.Node); v.State == drift.InStep && w.now-n.lastReportAt > 2200*ms {
+			fail("at %v: shown in step, last report %v ago: %+v", w.now-time.Hour, w.now-n.lastReportAt, v)
 		}
 	}
 }
 
-// roll restarts every node in turn, each away for a second or two.
-func (w *world) roll(every time.Duration) {
+// rollingRestart restarts the nodes one after the other, each with a downtime of one to two seconds.
+func (w *world) rollingRestart(every time.Duration) {
 	for i, n := range w.nodes {
-		w.after(time.Duration(i)*every, func() {
+		w.schedule(time.Duration(i)*every, func() {
 			w.stop(n)
-			w.after(time.Duration(1000+w.random.IntN(1000))*ms, func() { w.start(n) })
+			w.schedule(time.Duration(1000+w.random.IntN(1000))*ms, func() { w.start(n) })
 		})
 	}
 }
--- a/internal/fleet/drift/unit_test.go
+++ b/internal/fleet/drift/unit_test.go
@@ -31,7 +31,7 @@
 		}
 	}
 	a, _ := Canonical(fleet.AppliedRules{Generation: 3, Rate: 5, ClassRates: map[string]float64{"x": 1, "b": 2}})
-	b, _ := Canonical(struct { // another package's type: other order, omitempty, unknown to it what is zero
+	b, _ := Canonical(struct { // a type of another package: other field order, omitempty, zero fields left out
 		ClassRates map[string]float64 `json:"class_rates,omitempty"`
 		Rate       int                `json:"rate"`
 		Generation uint8              `json:"generation,omitempty"`
@@ -39,22 +39,22 @@
 	must(t, string(a) == string(b), "%s\n%s", a, b)
 }
 
-// items draws two sets of items that share most.
-func facts(t *rapid.T) (a, b []fleet.AppliedItem, differ []string) {
+// drawItems draws two sets of items with most items in common.
+func drawItems(t *rapid.T) (a, b []fleet.AppliedItem, differ []string) {
 	n := rapid.SampledFrom([]int{0, 1, 5, 40, 300, 1500}).Draw(t, "facts")
-	odd := rapid.MapOf(rapid.IntRange(0, n+3), rapid.SampledFrom([]string{"other", "a only", "b only"})).Draw(t, "odd")
+	changed := rapid.MapOf(rapid.IntRange(0, n+3), rapid.SampledFrom([]string{"other", "a only", "b only"})).Draw(t, "odd")
 	for i := range n + 4 {
-		h := hold(fmt.Sprintf("tenant/t%d", i), fleet.AppliedTenant{UID: 1 + uint64(i)})
-		o := hold(h.Key, fleet.AppliedTenant{UID: 1 + uint64(i), Revision: 9})
-		switch what := odd[i]; {
-		case i >= n && what == "":
-		case what == "":
+		h := appliedItem(fmt.Sprintf("tenant/t%d", i), fleet.AppliedTenant{UID: 1 + uint64(i)})
+		o := appliedItem(h.Key, fleet.AppliedTenant{UID: 1 + uint64(i), Revision: 9})
+		switch variant := changed[i]; {
+		case i >= n && variant == "":
+		case variant == "":
 			a, b = append(a, h), append(b, h)
-		case what == "other":
+		case variant == "other":
 			a = append(a, h)
 			b = append(b, o)
 			differ = append(differ, h.Key)
-		case what == "a only":
+		case variant == "a only":
 			a, differ = append(a, h), append(differ, h.Key)
 		default:
 			b, differ = append(b, o), append(differ, h.Key)
@@ -64,23 +64,23 @@
 	return a, b, differ
 }
 
-// The tree finds exactly the keys that differ, for few hashes; and so does the exchange over reports, in at most five
-// answers, with the bodies of those that are shown, each report within its limit.
+// Diff must find exactly the keys that differ, with few hashes. The exchange over reports must find the same keys within
+// five answers, with the bodies of those that are shown, and each report must stay within its limit.
 func TestTreeAndExchange(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		a, b, differ := facts(t)
+		a, b, differ := drawItems(t)
 		ta, tb := NewTree(a), NewTree(b)
 		keys, hashes := Diff(ta, tb)
 		must(t, slices.Equal(keys, differ) && (len(differ) == 0) == (ta.Root() == tb.Root()), "%v, want %v", keys, differ)
 		maximum := 1 + fanOut + len(differ)*(fanOut+2+2*len(b)/leaves+12)
-		must(t, hashes <= maximum, "%d hashes for %d keys of %d facts", hashes, len(differ), len(b))
+		must(t, hashes <= maximum, "%d hashes for %d keys of %d items", hashes, len(differ), len(b))
 		var x treeExchange
 		var wanted []string
 		for round := 0; ; round++ {
 			var r fleet.Report
 			FillReport(&r, b, wanted)
 			out, _ := json.Marshal(r)
-			must(t, len(out) <= fleet.MaxReportBytes && round <= 5, "round %d: %d bytes, asked for %v", round, len(out), wanted)
+			must(t, len(out) <= fleet.MaxReportBytes && round <= 5, "round %d: %d bytes, requested %v", round, len(out), wanted)
 			if r.AppliedRoot == ta.Root() {
 				break
 			}
@@ -89,7 +89,7 @@
 				break
 			}
 		}
-		must(t, slices.Equal(keys, differ), "named %v, want %v", keys, differ)
+		must(t, slices.Equal(keys, differ), "found %v, want %v", keys, differ)
 		for _, k := range keys[:min(len(keys), maxBodies)] {
 			want := bodyOf(b, k)
 			must(t, string(x.answers[k].Body) == string(want), "%s: body %s, want %s", k, x.answers[k].Body, want)
@@ -97,18 +97,18 @@
 	})
 }
 
-// What Want requests and nobody knows, or too much at once, gives a report within its limit.
+// A report must stay within its limit if want contains unknown keys or requests too much at once.
 func TestFillIsBounded(t *testing.T) {
-	var held []fleet.AppliedItem
+	var items []fleet.AppliedItem
 	want := []string{"", "~", "~*", "=*", "~zz", "~333", "nobody", "~0*"}
 	for i := range 9000 {
-		h := hold(fmt.Sprintf("server/s%d", i), fleet.AppliedServer{Zone: "z", Kind: "some kind of machine", State: "ready", Weight: 1})
-		held, want = append(held, h), append(want, h.Key)
+		h := appliedItem(fmt.Sprintf("server/s%d", i), fleet.AppliedServer{Zone: "z", Kind: "some kind of machine", State: "ready", Weight: 1})
+		items, want = append(items, h), append(want, h.Key)
 	}
 	var r fleet.Report
-	FillReport(&r, held, want)
+	FillReport(&r, items, want)
 	out, _ := json.Marshal(r)
-	must(t, len(out) <= fleet.MaxReportBytes && len(r.Applied) > 500, "%d bytes, %d facts", len(out), len(r.Applied))
+	must(t, len(out) <= fleet.MaxReportBytes && len(r.Applied) > 500, "%d bytes, %d items", len(out), len(r.Applied))
 }
 
 func TestStateRejects(t *testing.T) {
@@ -128,12 +128,12 @@
 		}
 	}
 	must(t, put(8, 11, Stuck) == nil && s.Verdicts["n"].Count == 4 && s.Verdicts["n"].FirstRevision == 3 && s.Verdicts["n"].Revision == 12, "%+v", s.Verdicts["n"])
-	must(t, errors.Is(s.Apply(Command{Forget: map[string]uint64{"n": 11}}, next), fleet.ErrConflict), "forgotten at an older revision")
+	must(t, errors.Is(s.Apply(Command{Forget: map[string]uint64{"n": 11}}, next), fleet.ErrConflict), "a verdict was removed by an outdated command")
 	must(t, s.Apply(Command{Forget: map[string]uint64{"n": 12, "m": 3}}, next) == nil && len(s.Verdicts) == 0, "forget")
-	must(t, errors.Is(put(8, 0, Stuck), fleet.ErrFenced) && put(9, 0, Stuck) == nil, "a forgotten run came back")
+	must(t, errors.Is(put(8, 0, Stuck), fleet.ErrFenced) && put(9, 0, Stuck) == nil, "a verdict on an ended run was accepted")
 }
 
-func hold(key string, v any) fleet.AppliedItem {
+func appliedItem(key string, v any) fleet.AppliedItem {
 	h, _, err := AppliedItemOf(key, v)
 	if err != nil {
 		panic(err)
