--- a/policy/applied.go
+++ b/policy/applied.go
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// What the module says that it has applied, read from what it decides by. The JSON names are those of the
-// messages of package fleet, so that both give the same canonical form and digest.
+// This file describes the state that the module has applied, read from the state that its decisions use. The
+// JSON names are those of the messages of package fleet, so that both give the same canonical form and
+// digest.
 
 type (
 	appliedZone struct {
@@ -83,7 +84,7 @@
 	}
 )
 
-// Keys of applied items; a name follows the slash.
+// Keys of applied items. Those that end with a slash are prefixes, followed by a name.
 const (
 	keyZone      = "zone/"
 	keyTenant    = "tenant/"
@@ -93,14 +94,14 @@
 	keySettings  = "settings"
 )
 
-// Names of server states in applied items.
+// Server states in applied items.
 const (
 	stateReady    = "ready"
 	stateDraining = "draining"
 )
 
-// Applied returns everything that the module decides by, in the order of the keys; nothing without
-// Settings.Fleet. Its values share nothing with the module that changes later.
+// Applied returns all items of the state that the module's decisions are based on, sorted by key, or nil
+// without Settings.Fleet. The values share no memory with the module that changes later.
 func (m *Module) Applied() []AppliedItem {
 	if m.fleet == nil {
 		return nil
@@ -152,20 +153,20 @@
 	}
 }
 
-func (g *TenantRules) applied() *appliedRules {
-	if g == nil {
+func (r *TenantRules) applied() *appliedRules {
+	if r == nil {
 		return nil
 	}
 	rules := &appliedRules{
-		Generation:     g.Generation,
-		Digest:         g.Digest,
-		Classes:        g.Classes,
-		Rate:           g.Rate,
-		Burst:          g.Burst,
-		ClassRates:     g.ClassRates,
-		RejectUnrouted: g.RejectUnrouted,
-	}
-	for _, route := range g.Routes {
+		Generation:     r.Generation,
+		Digest:         r.Digest,
+		Classes:        r.Classes,
+		Rate:           r.Rate,
+		Burst:          r.Burst,
+		ClassRates:     r.ClassRates,
+		RejectUnrouted: r.RejectUnrouted,
+	}
+	for _, route := range r.Routes {
 		rules.Routes = append(rules.Routes, appliedRoute(route))
 	}
 	return rules
--- a/policy/events.go
+++ b/policy/events.go
@@ -2,19 +2,20 @@
 
 import "time"
 
-// Event is something that happened. The types below and in fleet_events.go are all there are.
+// Event is something that has happened at the node. The types in this file and in fleet_events.go are all the
+// events.
 type Event interface{ event() }
 
 // Events.
 type (
-	// RequestArrived is a new request; the module owes it one final answer.
+	// RequestArrived is a new request, to which the module must give exactly one final answer.
 	RequestArrived struct {
 		ID          RequestID
 		Class       string
 		Tenant      string
 		Key         string
 		Timeout     time.Duration // until the client stops waiting for this request
-		WorkHint    time.Duration // expected work, where HasWorkHint
+		WorkHint    time.Duration // expected work, if HasWorkHint is set
 		HasWorkHint bool
 		IsRetry     bool // the client has sent it before
 		IsWrite     bool
@@ -25,30 +26,31 @@
 		Version uint64
 		Servers []Server
 	}
-	// AttemptEnded tells how one attempt went. Each Forward gets one.
+	// AttemptEnded is the outcome of an attempt. Each Forward leads to exactly one.
 	AttemptEnded struct {
 		ID       RequestID
 		Attempt  int
 		Server   ServerID
-		Answered bool // the request has had its final answer
+		Answered bool // the request has received its final answer
 		Elapsed  time.Duration
 		Code     OutcomeCode
-		Report   *LoadReport // nil if none came
+		Report   *LoadReport // nil if the outcome carries none
 	}
-	// StreamStarted says that a streamed answer has begun.
+	// StreamStarted says that the streamed answer of an attempt has begun.
 	StreamStarted struct {
 		ID      RequestID
 		Attempt int
 		Server  ServerID
 		Elapsed time.Duration
 	}
-	// BodyStarted says that a part of a long request's body that is not buffered is being forwarded: the request
-	// can't be replayed. The client's time counts from the body's end, and the caller watches it from then on.
+	// BodyStarted says that the caller forwards a part of a long request body without buffering it, so that
+	// the request can't be replayed. The client's timeout counts from the end of the body; the caller
+	// enforces it from then on.
 	BodyStarted struct {
 		ID      RequestID
 		Attempt int
 	}
-	// RequestAbandoned says that the client has gone; nothing is owed.
+	// RequestAbandoned says that the client has disconnected; the request needs no answer any more.
 	RequestAbandoned struct{ ID RequestID }
 	// HealthCheckEnded is the result of a HealthCheck.
 	HealthCheckEnded struct {
@@ -57,23 +59,24 @@
 		Elapsed time.Duration
 		Report  *LoadReport
 	}
-	// MessageReceived comes from another node.
+	// MessageReceived is a message from another node.
 	MessageReceived struct {
 		From int
 		Data []byte
 	}
-	// TimerFired answers a SetTimer.
+	// TimerFired says that the delay of a SetTimer has passed.
 	TimerFired struct{ Token int64 }
-	// ServerExcluded says that the operators exclude a server, whatever the list says of it, until a
-	// ServerIncluded.
+	// ServerExcluded says that the operators have excluded a server. The exclusion holds regardless of the
+	// endpoint list, until a ServerIncluded.
 	ServerExcluded struct{ Server ServerID }
-	// ServerIncluded says that the operators include a server again, and since when: it was restarted before
-	// that.
+	// ServerIncluded says that the operators have included a server again at the time At. The server was
+	// restarted before that.
 	ServerIncluded struct {
 		Server ServerID
 		At     Time
 	}
-	// SettingsChanged brings other settings. What is open keeps the class and the limits that it came under.
+	// SettingsChanged replaces the settings. Open requests keep the class and the limits under which they
+	// arrived.
 	SettingsChanged struct{ Settings Settings }
 )
 
--- a/policy/fleet_state.go
+++ b/policy/fleet_state.go
@@ -6,29 +6,31 @@
 	"slices"
 )
 
-// maxRate is the largest rate that a sound control plane sends, requests/s.
+// maxRate is the largest rate that is accepted from the control plane, in requests/s. It also limits bursts
+// and route weights.
 const maxRate = 1e7
 
-// fleetState is what is known of the control plane's intent while Settings.Fleet is set.
+// fleetState is the control plane's intent as far as the module has received it. It exists while
+// Settings.Fleet is set.
 type fleetState struct {
 	zones       map[string]*zoneState
-	zoneOrder   []*zoneState // by zone
+	zoneOrder   []*zoneState // sorted by zone
 	tenants     map[string]*fleetTenant
-	tenantOrder []*fleetTenant // by name
+	tenantOrder []*fleetTenant // sorted by name
 	lease       QuotaLease
 	leaseUntil  Time
 	windowStart Time
 
-	fullSubsetSize int // of the subset as it is without directives
-	ringStart      int // where on the ring of ready servers it began
+	fullSubsetSize int // number of servers in the subset before directives are applied
+	ringStart      int // index on the ring of ready servers at which that subset starts
 }
 
 func newFleetState(now Time) *fleetState {
 	return &fleetState{zones: map[string]*zoneState{}, tenants: map[string]*fleetTenant{}, windowStart: now}
 }
 
-// handleFleetEvent takes an event of the control plane. FleetSynced changes no decision: a tenant that is not
-// delivered yet is rejected as an unknown one.
+// handleFleetEvent applies an event of the control plane. FleetSynced changes no decision: requests of a
+// tenant that has not been delivered yet are rejected like those of an unknown tenant.
 func (m *Module) handleFleetEvent(e Event) {
 	if m.fleet == nil {
 		return
@@ -43,8 +45,8 @@
 	}
 }
 
-// adoptTenants takes the settings' tenants: each is generation 1 of the settings until intent commits one of
-// its own.
+// adoptTenants adds the tenants that the settings name. The settings' rules count as generation 1 of such a
+// tenant until the control plane commits a generation of its own.
 func (f *fleetState) adoptTenants(tenants []Tenant) {
 	for _, t := range f.tenants {
 		t.fromSettings = false
@@ -58,14 +60,14 @@
 	}
 }
 
-// putTenant puts a tenant in the place of the one of its name.
+// putTenant adds a tenant, in place of any earlier tenant of the same name.
 func (f *fleetState) putTenant(t *fleetTenant) {
 	f.tenants[t.name] = t
 	f.tenantOrder = slices.SortedFunc(maps.Values(f.tenants),
 		func(a, b *fleetTenant) int { return cmp.Compare(a.name, b.name) })
 }
 
-// governs reports whether the control plane has an intent for a tenant, which ends the settings' one.
+// governs reports whether the control plane's intent for a tenant applies in place of the settings' rules.
 func (f *fleetState) governs(name string) bool {
 	return f != nil && f.tenants[name] != nil && !f.tenants[name].fromSettings
 }
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// Idempotency says what a second execution of a request would do.
+// Idempotency says whether a request may be executed more than once.
 type Idempotency int
 
 const (
-	// NonIdempotent requests must never run twice.
+	// NonIdempotent requests must not be executed twice.
 	NonIdempotent Idempotency = iota
-	// IdempotentByKey requests carry an idempotency key by which a group of servers drops repeats.
+	// IdempotentByKey requests carry an idempotency key by which a group of servers drops duplicates.
 	IdempotentByKey
-	// Idempotent requests may run any number of times.
+	// Idempotent requests may be executed any number of times.
 	Idempotent
 )
 
@@ -18,24 +18,24 @@
 type KeyScope int
 
 const (
-	// KeyScopeCell is one cell of servers.
+	// KeyScopeCell is the servers of one cell.
 	KeyScopeCell KeyScope = iota
-	// KeyScopeZone is one zone.
+	// KeyScopeZone is the servers of one zone.
 	KeyScopeZone
-	// KeyScopeAll is every server.
+	// KeyScopeAll is all servers.
 	KeyScopeAll
 )
 
 // Class describes one kind of request.
 type Class struct {
 	Name             string
-	PriorityWeight   float64       // value of one request that is answered within its latency objective
+	PriorityWeight   float64       // value of a request that is answered within its latency objective
 	LatencyObjective time.Duration // an answer within this time has the full value
-	ObjectivePerWork float64       // the objective grows by this many times the request's work
-	Deadline         time.Duration // how long the client waits in all, over its own retries
-	LateWeight       float64       // part of the value that an answer past the objective still has
+	ObjectivePerWork float64       // multiple of the request's work that is added to the objective
+	Deadline         time.Duration // how long the client waits in total, including its own retries
+	LateWeight       float64       // fraction of the value that an answer after the objective still has
 	Idempotency      Idempotency
-	KeyScope         KeyScope      // for IdempotentByKey: the group that drops repeats
+	KeyScope         KeyScope      // for IdempotentByKey: the group that drops duplicates
 	DedupWindow      time.Duration // for IdempotentByKey: how long the group remembers a key
 	Streamed         bool          // the answer is a stream
 }
@@ -44,62 +44,62 @@
 type Tenant struct {
 	Name  string
 	Quota float64 // requests/s over all nodes
-	Share float64 // part of the capacity that the quota stands for
+	Share float64 // fraction of the capacity that the quota corresponds to
 }
 
-// Settings are what a node is given at its start.
+// Settings is the configuration of a node. SettingsChanged replaces it at run time.
 type Settings struct {
-	Nodes     int    // how many nodes use these servers
-	NodeIndex int    // this node's number among them
+	Nodes     int    // number of nodes that use these servers
+	NodeIndex int    // index of this node among them
 	Zone      string // this node's zone
 	Zones     []string
 	Kinds     []string // machine kinds
 	Classes   []Class
 	Tenants   []Tenant
 
-	MaxAttempts         int           // of one request
+	MaxAttempts         int           // most attempts of one request
 	MayHedge            bool          // two attempts of a request may be in flight at once
 	MayCancel           bool          // CancelAttempt is allowed
 	MayHealthCheck      bool          // HealthCheck is allowed
 	MayMessagePeers     bool          // SendMessage is allowed
 	SendsRetryAfter     bool          // clients are sent Reject.RetryAfter
 	MaxRetryAfter       time.Duration // the longest Retry-After that clients follow
-	ClientsMarkRetries  bool          // RequestArrived.IsRetry is set
+	ClientsMarkRetries  bool          // clients mark retries, so that RequestArrived.IsRetry is set
 	ConnectTimeout      time.Duration
-	MinTick             time.Duration    // events come no closer together than this
-	PollsEndpoints      bool             // list changes come only after Subscribe or FetchEndpoints
-	WeightKnown         bool             // Server.Weight tells something of the machine's size
-	WeightFallsWithLoad bool             // Server.Weight falls as the server fills
-	OverQuotaWeight     float64          // value of a request over its tenant's quota, as a part
-	WeightByWork        bool             // value counts by unit of work, not by request
+	MinTick             time.Duration    // least time between two events
+	PollsEndpoints      bool             // changes of the list arrive only after Subscribe or FetchEndpoints
+	WeightKnown         bool             // Server.Weight depends on the machine's size
+	WeightFallsWithLoad bool             // Server.Weight falls as the server's load rises
+	OverQuotaWeight     float64          // fraction of its value that a request over its tenant's quota has
+	WeightByWork        bool             // value is counted per unit of work, not per request
 	LoadReportSource    LoadReportSource // where load reports come from
-	LoadReportFields    []string         // names of the values in them
+	LoadReportFields    []string         // names of the values in load reports
 
 	Family             string   // the kind of service
-	TierIndex          int      // the tier that this node forwards to, by its place in Tiers
+	TierIndex          int      // index in Tiers of the tier that this node forwards to
 	Tiers              []string // names of the tiers
-	KeyAffinity        bool     // a server that handled a key recently needs less work for it
+	KeyAffinity        bool     // a server needs less work for a key that it handled recently
 	PropagatesDeadline bool     // a server's calls to the next tier carry the request's remaining time
-	MaxStreamsPerConn  int      // attempts that one connection carries at once
+	MaxStreamsPerConn  int      // concurrent attempts per connection
 	ConnIdleTimeout    time.Duration
 	MaxOpenRequests    int           // requests that this node can have open
-	CPUPerSecond       time.Duration // what this node may spend on decisions
-	CPUPerRequest      time.Duration // the same for a request with its outcomes; 0: no limit
+	CPUPerSecond       time.Duration // CPU time per second that this node may spend on decisions
+	CPUPerRequest      time.Duration // CPU time that it may spend on a request and its outcomes; 0: no limit
 	Goal               Goal
 	Prices             Prices
 
-	AnswerSlack          time.Duration // a final answer this long past the deadline still counts
-	MaxPollInterval      time.Duration // without a subscription the endpoint list is polled at least this often
-	DrainGrace           time.Duration // attempts to a draining server must have stopped by then
-	SlowStartMinCapacity float64       // part of its capacity that a server starts with, at least
-	SlowStartWindow      time.Duration // a started server has warmed up after this time
-	OverloadFactor       float64       // a server that warms up fails beyond this multiple of its capacity
-	OverloadDuration     time.Duration // when that lasts so long
+	AnswerSlack          time.Duration // time after the deadline in which a final answer still counts
+	MaxPollInterval      time.Duration // longest time between polls of the endpoint list without a subscription
+	DrainGrace           time.Duration // time in which attempts to a draining server must stop
+	SlowStartMinCapacity float64       // least fraction of its capacity that a server starts with
+	SlowStartWindow      time.Duration // time in which a started server warms up
+	OverloadFactor       float64       // multiple of its capacity beyond which a server that is warming up fails
+	OverloadDuration     time.Duration // how long such an overload must last for the server to fail
 
-	Fleet bool // the control plane sends fleet events (fleet_events.go); a tenant that none names is rejected
+	Fleet bool // the control plane sends fleet events (fleet_events.go); unknown tenants are rejected
 }
 
-// Goal weighs the parts of the result.
+// Goal holds the weights of the parts of the result.
 type Goal struct {
 	Total       float64
 	WorstWindow float64
@@ -107,20 +107,20 @@
 	WorstTenant float64
 }
 
-// Prices are points off the result, each for one unit of what it names.
+// Prices are the points that the result loses for each unit of the named quantity.
 type Prices struct {
 	Connection, Handshake, CrossZone, WastedWork, LateFailure, HealthCheck, Message, Migrations, Origin,
 	ListLines, Fleet float64
 }
 
-// LoadReportSource is the way load reports reach a node.
+// LoadReportSource says how load reports reach a node.
 type LoadReportSource int
 
 const (
-	// LoadReportsNone means there are none.
+	// LoadReportsNone means that there are no load reports.
 	LoadReportsNone LoadReportSource = iota
-	// LoadReportsByHealthCheck means only results of health checks carry them.
+	// LoadReportsByHealthCheck means that only results of health checks carry load reports.
 	LoadReportsByHealthCheck
-	// LoadReportsByAnswer means outcomes of attempts carry them too.
+	// LoadReportsByAnswer means that outcomes of attempts carry load reports too.
 	LoadReportsByAnswer
 )
--- a/policy/tenant_quota.go
+++ b/policy/tenant_quota.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// GuaranteedPart is the part of every quota that is divided evenly among all slots for good; the rest is
-// leased. It is the control plane's, which divides by the same.
+// GuaranteedPart is the fraction of every quota that is permanently divided evenly among all slots; the rest
+// is leased. The control plane divides the quotas by the same constant.
 const GuaranteedPart = 0.2
 
-// maxLeaseTime is the longest time that a lease holds.
+// maxLeaseTime is the longest validity of a quota lease.
 const maxLeaseTime = time.Hour
 
-// applyQuotaLease takes the leased quotas; those of an older division change nothing.
+// applyQuotaLease replaces the leased quotas. A lease of an older division changes nothing.
 func (m *Module) applyQuotaLease(e QuotaLease) {
 	f := m.fleet
 	if e.Epoch < f.lease.Epoch || e.Slots < 0 {
@@ -29,7 +29,8 @@
 	f.leaseUntil = m.now + min(max(0, e.ValidFor), maxLeaseTime)
 }
 
-// quotaSlots is what guaranteed parts and bursts of quotas are divided by.
+// quotaSlots returns the number of nodes among which the guaranteed parts and the bursts of quotas are
+// divided.
 func (m *Module) quotaSlots() float64 {
 	if n := m.fleet.lease.Slots; n > 0 {
 		return float64(n)
@@ -37,23 +38,23 @@
 	return float64(m.settings.Nodes)
 }
 
-// tenantRates returns a tenant's quota here, requests/s: the guaranteed part, which it always has, and what
-// is leased. A lease that was of another tenant of its name is none: the control plane sees to it that others
-// sum up.
+// tenantRates returns a tenant's quota at this node in requests/s: the guaranteed part, which the tenant
+// always has, and the leased part. A lease that was divided for an earlier tenant of the same name counts as
+// none. The control plane ensures that the sum of all other leases stays within the quota.
 func (m *Module) tenantRates(t *fleetTenant) (guaranteed, leased float64) {
 	if t.committed == nil || t.quotaWithdrawn {
 		return 0, 0
 	}
 	rate := t.committed.Rate
 	leased = m.fleet.lease.Rates[t.name]
-	if t.leaseVoid || !(leased >= 0) { // not a number either
+	if t.leaseVoid || !(leased >= 0) { // also where leased is NaN
 		leased = 0
 	}
 	return GuaranteedPart * rate / m.quotaSlots(), math.Min(leased, (1-GuaranteedPart)*rate)
 }
 
-// refillTenant lets what a tenant's quota allows grow up to now, the leased part for as long as the lease
-// held.
+// refillTenant refills a tenant's token buckets up to the present time. The leased part refills only for the
+// time that the lease was valid.
 func (m *Module) refillTenant(t *fleetTenant) {
 	g, since := t.committed, t.refilledAt
 	t.refilledAt = m.now
@@ -74,9 +75,10 @@
 	}
 }
 
-// admitTenant takes a request under its tenant's committed generation, by which it is served to its end. Over
-// the quota, which all nodes share, or outside the namespace it is rejected without an attempt, as it is
-// where no generation is committed. A request that names no tenant has no quota.
+// admitTenant reports whether a request is admitted under its tenant's committed generation, which applies to
+// the request until its end. A request is rejected without an attempt if it exceeds the quota, which all
+// nodes share, if its class is outside the namespace, or if no generation is committed. A request that names
+// no tenant has no quota.
 func (m *Module) admitTenant(r *request, name string) bool {
 	if m.fleet == nil || name == "" {
 		return true
@@ -100,7 +102,7 @@
 	return true
 }
 
-// leaveTenant ends a request's place among its tenant's open ones.
+// leaveTenant removes a request from its tenant's count of open requests.
 func (r *request) leaveTenant() {
 	if r.tenant != nil {
 		r.tenant.open--
@@ -108,11 +110,12 @@
 	}
 }
 
-func (g *TenantRules) allowsClass(name string) bool {
-	return len(g.Classes) == 0 || slices.Contains(g.Classes, name)
+func (r *TenantRules) allowsClass(name string) bool {
+	return len(r.Classes) == 0 || slices.Contains(r.Classes, name)
 }
 
-// takeQuota takes a request's token from its tenant's quota, and from that of its class.
+// takeQuota takes a token for a request from its tenant's quota, and from the quota of its class if the class
+// has one. It reports whether there was a token.
 func (m *Module) takeQuota(r *request, t *fleetTenant) bool {
 	m.refillTenant(t)
 	class := r.class.Name
--- a/policy/tenant_routing.go
+++ b/policy/tenant_routing.go
@@ -2,10 +2,11 @@
 
 import "path"
 
-// minRouteServers is how many servers of a route a subset is to have: fewer leave no choice.
+// minRouteServers is the number of a route's servers that a subset should contain: with fewer there is too
+// little choice.
 const minRouteServers = 4
 
-// matches reports whether a route names a server.
+// matches reports whether a route selects a server.
 func (t *TenantRoute) matches(s *server) bool {
 	if t.ID != "" {
 		if ok, _ := path.Match(t.ID, s.Name); !ok {
@@ -15,8 +16,9 @@
 	return (t.Zone == "" || t.Zone == s.Zone) && (t.Kind == "" || t.Kind == s.Kind)
 }
 
-// chooseRoute draws a request's route by weight among those that match a server in use, and reports whether
-// the request may be served. Where no route matches, the generation says so.
+// chooseRoute draws a request's route by weight among the tenant's routes that match a server in use, and
+// reports whether the request may be served. If no route matches, the committed generation's RejectUnrouted
+// decides.
 func (m *Module) chooseRoute(r *request, t *fleetTenant) bool {
 	sum := 0.0
 	for _, route := range t.routes {
@@ -25,19 +27,19 @@
 	if sum == 0 {
 		return len(t.committed.Routes) == 0 || !t.committed.RejectUnrouted
 	}
-	at := m.random.float64() * sum
+	remaining := m.random.float64() * sum
 	for _, route := range t.routes {
 		r.route = route
-		if at < route.Weight {
+		if remaining < route.Weight {
 			break
 		}
-		at -= route.Weight
+		remaining -= route.Weight
 	}
 	return true
 }
 
-// addRouteServers adds to the subset what a tenant's routes need, from the node's place on the ring on, and
-// notes which routes match a server in use.
+// addRouteServers adds the servers that a tenant's routes need to the subset, from the node's start position
+// on the ring, and records which routes match a server in use.
 func (m *Module) addRouteServers(t *fleetTenant) {
 	t.routes = t.routes[:0]
 	if t.committed == nil || t.removed {
@@ -45,14 +47,15 @@
 	}
 	for i := range t.committed.Routes {
 		route := &t.committed.Routes[i]
-		if m.serversOfRoute(route) > 0 && route.Weight > 0 {
+		if m.addServersOfRoute(route) > 0 && route.Weight > 0 {
 			t.routes = append(t.routes, route)
 		}
 	}
 }
 
-// serversOfRoute fills the subset up to minRouteServers of a route, and returns how many it has.
-func (m *Module) serversOfRoute(route *TenantRoute) int {
+// addServersOfRoute adds servers of a route to the subset until it has minRouteServers of them, and returns
+// how many it has.
+func (m *Module) addServersOfRoute(route *TenantRoute) int {
 	count := 0
 	for _, s := range m.subset.servers {
 		if route.matches(s) {
--- a/policy/tenant_update.go
+++ b/policy/tenant_update.go
@@ -7,54 +7,56 @@
 	"slices"
 )
 
-// fleetTenant is a tenant as the control plane knows it.
+// fleetTenant is the state of a tenant: the control plane's intent for it, its token buckets and its
+// requests.
 type fleetTenant struct {
 	name           string
 	uid            uint64
 	revision       uint64 // of the item
-	intentRevision uint64 // of the intent that it was read from
+	intentRevision uint64 // of the intent that the item was read from
 	committed      *TenantRules
 	staged         *TenantRules
-	fromSettings   bool // the settings name it, and the control plane has committed nothing yet
+	fromSettings   bool // the settings name the tenant, and the control plane has not committed a generation
 	removing       bool
 	quotaWithdrawn bool
 	removed        bool
 
-	tokens      float64            // requests that its quota allows now
-	classTokens map[string]float64 // the same by class, where a class has a rate
+	tokens      float64            // requests that the quota allows now
+	classTokens map[string]float64 // requests that a class's quota allows now, for classes with a rate
 	refilledAt  Time
-	leaseVoid   bool           // its lease was divided for another tenant of its name
-	routes      []*TenantRoute // those that match a server in use, at the last choice of a subset
+	leaseVoid   bool           // the lease was divided for an earlier tenant of the same name
+	routes      []*TenantRoute // routes that matched a server in use when the subset was last chosen
 
-	open int // requests
-	// Requests of this window.
+	open int // open requests
+	// Requests in the current window.
 	arrived  int
 	admitted int
 }
 
-// applyTenantUpdate takes what is intended for a tenant. An older item changes nothing, nor does what no
-// sound control plane commits. A name used again, which has another UID, has nothing of the tenant before.
+// applyTenantUpdate applies the control plane's intent for a tenant. An older item changes nothing, nor does
+// an item whose committed generation is invalid. A tenant that reuses a name has another UID and inherits
+// neither the tokens nor the lease of the earlier tenant.
 func (m *Module) applyTenantUpdate(e TenantUpdate) {
 	t := m.fleet.tenants[e.Name]
 	switch {
 	case e.Name == "", t != nil && t.revision > 0 && !t.isOlderThan(e):
 		return
-	case e.Committed != nil && e.Committed.flaw() != "":
+	case e.Committed != nil && e.Committed.invalidReason() != "":
 		return
 	}
 	if t == nil || t.uid != e.UID {
 		t = m.replaceTenant(t, e)
 	}
-	m.refillTenant(t) // what came by so far was under the old rate
+	m.refillTenant(t) // tokens up to now accrue at the old rate
 	t.apply(e)
 	if t.committed != nil {
 		t.fromSettings = false
-		delete(m.localQuotas, t.name) // the settings' quota of it ends
+		delete(m.localQuotas, t.name) // the settings' quota no longer applies
 	}
 	m.addRouteServers(t)
 }
 
-// replaceTenant puts a new tenant in the place of the one of its name, if there is one.
+// replaceTenant adds a new tenant, in place of the earlier tenant of the same name if there is one.
 func (m *Module) replaceTenant(earlier *fleetTenant, e TenantUpdate) *fleetTenant {
 	t := &fleetTenant{
 		name:        e.Name,
@@ -71,7 +73,7 @@
 	return t
 }
 
-// apply takes an update's content.
+// apply copies the content of an update into the tenant's state.
 func (t *fleetTenant) apply(e TenantUpdate) {
 	t.revision, t.intentRevision = e.Revision, max(e.IntentRevision, e.Revision)
 	t.committed, t.staged = e.Committed, e.Staged
@@ -81,13 +83,13 @@
 		t.committed, t.staged = nil, nil
 	}
 	if e.Removed && t.fromSettings {
-		t.uid = 0 // its first rollout was rolled back: the settings' rules go on
+		t.uid = 0 // the tenant's first rollout was rolled back: the settings' rules stay in force
 	}
 }
 
-// isOlderThan reports whether an update is newer than what is known. A tenant that leaves the node's scope or
-// comes back to it does so under the revision that it had: of an intent that is no older, that counts as
-// well.
+// isOlderThan reports whether the tenant's state is older than an update. A tenant keeps its item's revision
+// when it leaves the node's scope or returns to it. Such an update therefore counts as newer too, provided
+// that its intent is not older.
 func (t *fleetTenant) isOlderThan(e TenantUpdate) bool {
 	if e.IntentRevision == 0 {
 		return e.Revision > t.revision
@@ -95,7 +97,7 @@
 	return e.IntentRevision >= t.intentRevision && (e.Revision > t.revision || e.Removed != t.removed)
 }
 
-// rejectReason tells why a generation can't be served here, or nothing if it can.
+// rejectReason returns why this node can't serve a generation, or "" if it can.
 func (m *Module) rejectReason(g *TenantRules) string {
 	for _, class := range g.Classes {
 		if !m.settings.hasClass(class) {
@@ -113,30 +115,30 @@
 			return fmt.Sprintf("routes[%d]: no listed server matches", i)
 		}
 	}
-	return g.flaw()
+	return g.invalidReason()
 }
 
 func (s *Settings) hasClass(name string) bool {
 	return slices.ContainsFunc(s.Classes, func(c Class) bool { return c.Name == name })
 }
 
-// flaw tells what is wrong with a generation wherever it is served, or nothing.
-func (g *TenantRules) flaw() string {
-	if !validRate(g.Rate) || !validRate(g.Burst) {
-		return fmt.Sprintf("quota: rate %v, burst %v", g.Rate, g.Burst)
+// invalidReason returns why a generation is invalid at every node, or "" if it is valid.
+func (r *TenantRules) invalidReason() string {
+	if !validRate(r.Rate) || !validRate(r.Burst) {
+		return fmt.Sprintf("quota: rate %v, burst %v", r.Rate, r.Burst)
 	}
-	for _, class := range slices.Sorted(maps.Keys(g.ClassRates)) {
-		if rate := g.ClassRates[class]; !(rate >= 0 && rate <= g.Rate) {
+	for _, class := range slices.Sorted(maps.Keys(r.ClassRates)) {
+		if rate := r.ClassRates[class]; !(rate >= 0 && rate <= r.Rate) {
 			return fmt.Sprintf("quota.classes: class %q with rate %v", class, rate)
 		}
 	}
-	for i, r := range g.Routes {
-		if _, err := path.Match(r.ID, ""); err != nil || !(r.Weight > 0 && r.Weight <= maxRate) {
-			return fmt.Sprintf("routes[%d]: id %q, weight %v", i, r.ID, r.Weight)
+	for i, route := range r.Routes {
+		if _, err := path.Match(route.ID, ""); err != nil || !(route.Weight > 0 && route.Weight <= maxRate) {
+			return fmt.Sprintf("routes[%d]: id %q, weight %v", i, route.ID, route.Weight)
 		}
 	}
 	return ""
 }
 
-// validRate reports whether a rate is within bounds, and a number.
+// validRate reports whether a rate is between 0 and maxRate, and not NaN.
 func validRate(rate float64) bool { return rate >= 0 && rate <= maxRate }
--- a/policy/zone_budget.go
+++ b/policy/zone_budget.go
@@ -6,35 +6,36 @@
 )
 
 const (
-	zoneTokenLifetime = 250 * time.Millisecond // what a rate allows lapses: no burst is saved up over the fleet
-	subsetBudgetPart  = 0.5                    // of a server's budget, for those who have it in their subsets
-	maxZoneCredit     = 2.0                    // attempts that a zone's share saves up
+	zoneTokenLifetime = 250 * time.Millisecond // unused tokens expire, so that the fleet saves up no burst
+	subsetBudgetPart  = 0.5                    // of a server's budget, for nodes that have it in their subsets
+	maxZoneCredit     = 2.0                    // most attempts that a zone's share saves up
 )
 
-// zoneBudget is this node's part of the rate that a directive allows at one server, as a token bucket.
+// zoneBudget is a token bucket for this node's part of the rate that a directive allows at one server.
 type zoneBudget struct {
 	tokens float64
-	at     Time // 0: nothing has been counted
+	at     Time // of the last refill; 0: the bucket has not been used
 }
 
-// zoneBudgetAllows refills a server's budget and reports whether it has an attempt. A rate is an even part of
-// all nodes: the few that have a server in their subsets use what the others leave of its budget, but for a
-// margin.
+// zoneBudgetAllows refills a server's budget and reports whether the budget allows an attempt. A directive's
+// rate is an even part for each of all nodes, but only a few nodes have a given server in their subsets.
+// These also use the parts that the other nodes leave unused, up to subsetBudgetPart of the server's whole
+// budget, which leaves a margin.
 func (m *Module) zoneBudgetAllows(z *zoneState, s *server) bool {
 	nodesPart := subsetBudgetPart * float64(len(m.endpoints.ready)) / float64(max(1, m.fleet.fullSubsetSize))
 	rate := z.Rate * math.Max(1, nodesPart)
 	if !m.isCurrent(z) {
-		rate *= z.Floor / z.Share // the floor's own budget is not known: as much less as its share
+		rate *= z.Floor / z.Share // the rate at the floor is not known: scale it like the share
 	}
 	m.refillZoneBudget(&s.zoneBudget, rate)
 	return s.zoneBudget.tokens >= 1
 }
 
-// refillZoneBudget lets a server's part of its zone's rate grow. What is not used within zoneTokenLifetime is
-// lost, so that nodes that had nothing to send save up no burst that meets at one server.
+// refillZoneBudget refills a server's budget. Tokens that are not used within zoneTokenLifetime expire, so
+// that idle nodes can't save up tokens and then send a joint burst to one server.
 func (m *Module) refillZoneBudget(b *zoneBudget, rate float64) {
 	if b.at == 0 {
-		b.tokens, b.at = m.random.float64(), m.now // a first request from every node at once would be a burst
+		b.tokens, b.at = m.random.float64(), m.now // first requests from all nodes at once would be a burst
 	}
 	b.tokens += rate * (m.now - b.at).Seconds()
 	b.at = m.now
@@ -50,7 +51,8 @@
 	}
 }
 
-// resetZoneBudgets forgets what a zone's servers were sent without a rate.
+// resetZoneBudgets resets the budgets of a zone's servers, which still count attempts made without a rate
+// limit.
 func (m *Module) resetZoneBudgets(zone string) {
 	for _, s := range m.servers {
 		if s.Zone == zone {
@@ -59,8 +61,9 @@
 	}
 }
 
-// accrueZoneCredit gives each zone with a directive its share of an attempt of a request: as much as the
-// ordinary choice would send there. It is counted, not drawn, and little of it is saved up.
+// accrueZoneCredit credits each zone that has a directive with its share of a request's attempt: the fraction
+// that ordinary selection would send there, times the directive's share. The credit is counted, not drawn at
+// random, and saves up no more than maxZoneCredit.
 func (m *Module) accrueZoneCredit(r *request) {
 	if m.fleet == nil {
 		return
@@ -74,15 +77,15 @@
 	}
 }
 
-// spendZoneCredit takes an attempt from a limited zone's share.
+// spendZoneCredit takes an attempt from the credit of a server's zone, if a directive limits that zone.
 func (m *Module) spendZoneCredit(s *server) {
 	if z := m.limitingDirective(s); z != nil {
 		z.credit = math.Max(0, z.credit-1)
 	}
 }
 
-// zonesWithCredit returns the zones with a directive that an attempt may go to now, before all others: their
-// rates soon lapse.
+// zonesWithCredit returns the zones with a directive that an attempt may go to now. Selection tries them
+// before all others, because unused tokens of their rates soon expire.
 func (m *Module) zonesWithCredit() (zones []*zoneState) {
 	if m.fleet == nil {
 		return nil
--- a/policy/zone_routing.go
+++ b/policy/zone_routing.go
@@ -6,22 +6,22 @@
 	"slices"
 )
 
-// zoneState is the control plane's directive on a zone. Without one nothing here changes a decision or draws
-// a number.
+// zoneState is the control plane's directive on a zone and its state. Without a directive the code in this
+// file changes no decision and draws no random number.
 type zoneState struct {
 	ZoneDirective
-	issuedAt   Time    // when it had Age 0
-	subsetPart float64 // part of the ordinary subset that is in the zone
-	credit     float64 // attempts that its share allows now
+	issuedAt   Time    // when the directive's Age was 0
+	subsetPart float64 // fraction of the ordinary subset that is in the zone
+	credit     float64 // attempts that the share allows now
 }
 
-// valid reports whether a directive makes sense; one that does not changes nothing.
-func (e *ZoneDirective) valid() bool {
-	return e.Share >= 0 && e.Share <= 1 && e.Floor >= 0 && e.Floor <= 1 && e.Rate >= 0 && e.Rate <= maxRate &&
-		e.Age >= 0 && e.ValidFor >= 0
+// valid reports whether a directive's values are within bounds. An invalid directive changes nothing.
+func (z *ZoneDirective) valid() bool {
+	return z.Share >= 0 && z.Share <= 1 && z.Floor >= 0 && z.Floor <= 1 && z.Rate >= 0 && z.Rate <= maxRate &&
+		z.Age >= 0 && z.ValidFor >= 0
 }
 
-// directive returns the one on a zone, or nil.
+// directive returns the directive on a zone, or nil.
 func (m *Module) directive(zone string) *zoneState {
 	if m.fleet == nil {
 		return nil
@@ -29,7 +29,7 @@
 	return m.fleet.zones[zone]
 }
 
-// isCurrent reports whether a directive is not older than it is valid.
+// isCurrent reports whether a directive is no older than its ValidFor.
 func (m *Module) isCurrent(z *zoneState) bool { return m.now-z.issuedAt <= z.ValidFor }
 
 // triesZone reports whether this node sends trial requests to a zone.
@@ -37,8 +37,8 @@
 	return z != nil && z.Trial && !z.Serving && m.isCurrent(z)
 }
 
-// zoneShare is the part of the ordinary attempts that may go to a zone's servers: 1 without a directive, the
-// floor under one that has outlived its validity.
+// zoneShare returns the fraction of the ordinary attempts that may go to a zone's servers: 1 without a
+// directive, and the floor under a directive that has expired.
 func (m *Module) zoneShare(z *zoneState) float64 {
 	switch {
 	case z == nil || z.Serving:
@@ -49,8 +49,8 @@
 	return z.Floor
 }
 
-// limitingDirective returns the directive that limits traffic to a server's zone, or nil: servers of a
-// limited zone are no part of the ordinary choice.
+// limitingDirective returns the directive that limits traffic to a server's zone, or nil. Servers of a
+// limited zone take no part in ordinary selection.
 func (m *Module) limitingDirective(s *server) *zoneState {
 	z := m.directive(s.Zone)
 	if z != nil && !z.Serving && (m.zoneShare(z) < 1 || z.Rate > 0) {
@@ -59,8 +59,8 @@
 	return nil
 }
 
-// applyZoneDirective takes a directive. One that is older than the present one changes nothing; the same
-// again confirms it.
+// applyZoneDirective applies a directive. A directive that is older than the present one changes nothing; the
+// same directive again confirms the present one.
 func (m *Module) applyZoneDirective(e ZoneDirective) {
 	z := m.fleet.zones[e.Zone]
 	e.IntentRevision = max(e.IntentRevision, e.Revision)
@@ -70,7 +70,7 @@
 	if z == nil {
 		z = m.addZone(e.Zone)
 	}
-	share, tried := m.zoneShare(z), m.triesZone(z)
+	oldShare, wasTrial := m.zoneShare(z), m.triesZone(z)
 	changed := e.Revision != z.Revision
 	issuedAt := m.now - e.Age
 	if !changed && e.Serving == z.Serving {
@@ -81,12 +81,12 @@
 	}
 	e.Floor = math.Min(e.Floor, e.Share)
 	z.ZoneDirective, z.issuedAt = e, issuedAt
-	if changed || m.zoneShare(z) != share || m.triesZone(z) != tried {
-		m.zoneChanged(z, share, tried)
+	if changed || m.zoneShare(z) != oldShare || m.triesZone(z) != wasTrial {
+		m.zoneChanged(z, oldShare, wasTrial)
 	}
 }
 
-// addZone begins to follow the directives on a zone.
+// addZone adds the state of a zone that has had no directive so far.
 func (m *Module) addZone(zone string) *zoneState {
 	z := &zoneState{ZoneDirective: ZoneDirective{Zone: zone, Serving: true}, credit: m.random.float64()}
 	m.fleet.zones[zone] = z
@@ -95,14 +95,16 @@
 	return z
 }
 
-// zoneChanged follows a step of a zone's directive, which had a share and was tried or not before. What is
-// open in a zone just evacuated goes elsewhere, and each of its servers is ejected, so that it is met by a
-// trial with a short delay; such trials begin at once as the zone returns.
-func (m *Module) zoneChanged(z *zoneState, share float64, tried bool) {
+// zoneChanged applies a change of a zone's directive to the subset and to the zone's servers. oldShare is the
+// share before the change, and wasTrial says whether this node sent trial requests to the zone then. If the
+// zone has just been evacuated, its open requests are retried elsewhere and each of its servers is ejected,
+// so that a trial request with a short delay has to readmit the server. Such trials begin as soon as the zone
+// returns.
+func (m *Module) zoneChanged(z *zoneState, oldShare float64, wasTrial bool) {
 	evacuated := m.zoneShare(z) == 0 && !m.triesZone(z)
-	wasEvacuated := share == 0 && !tried
+	wasEvacuated := oldShare == 0 && !wasTrial
 	m.chooseSubset()
-	if evacuated == wasEvacuated && m.zoneShare(z) == share {
+	if evacuated == wasEvacuated && m.zoneShare(z) == oldShare {
 		return
 	}
 	for _, s := range m.endpoints.listed {
@@ -122,15 +124,16 @@
 	}
 }
 
-// cancelForRetry calls off idempotent requests that are in flight in a zone just evacuated, the oldest first,
-// as many as further attempts are allowed: each end makes one elsewhere.
+// cancelForRetry cancels attempts of idempotent requests that are in flight in a zone that has just been
+// evacuated, the oldest request first. It cancels at most as many as the retry budget allows, because the end
+// of each leads to an attempt elsewhere.
 func (m *Module) cancelForRetry(zone string) {
 	allowed := int(m.retryBudget)
 	for _, r := range m.open {
 		if allowed < 1 {
 			return
 		}
-		if !r.mayMove() {
+		if !r.mayCancelForRetry() {
 			continue
 		}
 		last := len(r.attempts) - 1
@@ -141,14 +144,16 @@
 	}
 }
 
-// mayMove reports whether a request's only attempt in flight may be called off in favour of another one.
-func (r *request) mayMove() bool {
+// mayCancelForRetry reports whether a request's only attempt in flight may be cancelled in favour of another
+// attempt.
+func (r *request) mayCancelForRetry() bool {
 	return len(r.attempts) > 0 && r.mayForward() && r.inFlight == 1 && r.class.Idempotency == Idempotent &&
 		r.rules.MayCancel && len(r.attempts) < r.rules.MaxAttempts
 }
 
-// directiveAllows is the control plane's part of the rules on forwarding: the request's route, zones that are
-// evacuated, and their rates. A trial is an idempotent request's first attempt.
+// directiveAllows reports whether the control plane's rules allow forwarding a request to a server: the
+// request's route, and the share and rate of a directive on the server's zone. Only the first attempt of an
+// idempotent request can be a trial request.
 func (m *Module) directiveAllows(r *request, s *server) bool {
 	if m.fleet == nil {
 		return true
@@ -167,9 +172,9 @@
 	return z.Rate == 0 || m.zoneBudgetAllows(z, s)
 }
 
-// applyDirectivesToSubset takes an evacuated zone's servers out of the subset, and makes up for what the node
-// lacks there, and in zones that give only a part, by as many servers of others: from the node's place on the
-// ring on.
+// applyDirectivesToSubset removes the servers of evacuated zones from the subset. It replaces the capacity
+// that the node lacks there, and in zones with a share below 1, by servers of other zones, taken from
+// position start on the ring.
 func (m *Module) applyDirectivesToSubset(start int) {
 	if m.fleet == nil {
 		return
@@ -189,8 +194,8 @@
 	}
 }
 
-// removeEvacuated takes the servers of evacuated zones out of the subset, notes what part of it each zone
-// has, and returns how many servers the directives take away.
+// removeEvacuated removes the servers of evacuated zones from the subset, records the fraction of the subset
+// that each zone has, and returns how many servers' worth of traffic the directives withhold.
 func (m *Module) removeEvacuated() (missing float64) {
 	part := 1 / float64(max(1, len(m.subset.servers)))
 	for _, z := range m.fleet.zoneOrder {
