--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// The sizes are steps towards the plan of docs/CAPACITY.md, 26,000 app servers and 170,000 tenants. Those of tenants end
-// where a module takes seconds to load them all.
+// The sizes approach the plan of docs/CAPACITY.md, 26,000 app servers and 170,000 tenants. The numbers of tenants stop at
+// the size at which a module takes seconds to load all tenants.
 var (
 	benchServers = []int{1000, 5000, 13_000, 26_000}
 	benchTenants = []int{500, 1000, 2000, 4000}
 )
 
-// BenchmarkCapacityListOneChange is the module's update for one changed server, after a request rate of 77 a second.
+// BenchmarkCapacityListOneChange measures an EndpointUpdate with one changed server. The plan expects 77 such changes/s.
 func BenchmarkCapacityListOneChange(b *testing.B) {
 	for _, n := range benchServers {
 		m := New(sparseSettings(2200), 1)
@@ -28,8 +28,8 @@
 	}
 }
 
-// BenchmarkCapacityTick is the module's round of checks, which its timer requests each 25 ms, while no request is open. Every
-// twentieth takes in what was learned.
+// BenchmarkCapacityTick measures the module's round of checks, which its timer starts every 25 ms, while no request is open.
+// Every twentieth round also updates the estimates.
 func BenchmarkCapacityTick(b *testing.B) {
 	for _, n := range benchServers {
 		m := New(sparseSettings(2200), 1)
@@ -44,7 +44,7 @@
 	}
 }
 
-// benchFleetModule holds n committed tenants of the fleet.
+// benchFleetModule returns a module with n committed tenants of the control plane.
 func benchFleetModule(n int) *Module {
 	settings := sparseSettings(2200)
 	settings.Fleet = true
@@ -58,7 +58,7 @@
 	return m
 }
 
-// BenchmarkCapacityWindow is what a module with n tenants gives for each report.
+// BenchmarkCapacityWindow measures Window for a module with n tenants, which each report calls.
 func BenchmarkCapacityWindow(b *testing.B) {
 	for _, n := range benchTenants {
 		m := benchFleetModule(n)
@@ -72,7 +72,7 @@
 	}
 }
 
-// BenchmarkCapacityApplied is what a module with n tenants lists for each report.
+// BenchmarkCapacityApplied measures Applied for a module with n tenants, which each report calls.
 func BenchmarkCapacityApplied(b *testing.B) {
 	for _, n := range benchTenants {
 		m := benchFleetModule(n)
@@ -84,7 +84,7 @@
 	}
 }
 
-// BenchmarkCapacityAppliedList is the same of a module with a list and no tenants.
+// BenchmarkCapacityAppliedList measures Applied for a module with n listed servers and no tenants.
 func BenchmarkCapacityAppliedList(b *testing.B) {
 	for _, n := range benchServers {
 		settings := sparseSettings(2200)
@@ -103,7 +103,8 @@
 	}
 }
 
-// BenchmarkCapacityTenantsLoad is a new module that loads n tenants, one by one, as a node's start or a complete answer has it.
+// BenchmarkCapacityTenantsLoad measures a new module that loads n tenants one at a time, as at a node's start or at a complete
+// answer of the control plane.
 func BenchmarkCapacityTenantsLoad(b *testing.B) {
 	for _, n := range benchTenants {
 		b.Run(fmt.Sprintf("tenants=%d", n), func(b *testing.B) {
--- a/policy/conformance_test.go
+++ b/policy/conformance_test.go
@@ -12,7 +12,7 @@
 	"github.com/BurntSushi/toml"
 )
 
-// A row of testdata/conformance.toml, which says what its fields mean.
+// conformanceRow is a row of testdata/conformance.toml, which describes the fields.
 type conformanceRow struct {
 	Clause    string
 	Event     string
@@ -58,53 +58,55 @@
 	codeNames  = []string{"ok", "error", "rejected", "timeout", "connect", "reset", "cancelled", "not-sent"}
 )
 
-func conformanceSettings(overlap bool) Settings {
-	s := Settings{Nodes: 1, Zone: "a", Zones: []string{"a", "b"}, MaxAttempts: 3, MayHedge: overlap, MinTick: 5 * time.Millisecond,
+func conformanceSettings(mayHedge bool) Settings {
+	s := Settings{Nodes: 1, Zone: "a", Zones: []string{"a", "b"}, MaxAttempts: 3, MayHedge: mayHedge, MinTick: 5 * time.Millisecond,
 		SlowStartMinCapacity: 0.4, SlowStartWindow: 8 * time.Second, OverloadFactor: 4, OverloadDuration: time.Second}
-	for name, effect := range map[string]Idempotency{"safe": Idempotent, "unsafe": NonIdempotent, "cell": IdempotentByKey, "zone": IdempotentByKey, "all": IdempotentByKey} {
-		s.Classes = append(s.Classes, Class{Name: name, PriorityWeight: 8, LatencyObjective: time.Second, Deadline: 2 * time.Second, Idempotency: effect,
+	for name, idempotency := range map[string]Idempotency{"safe": Idempotent, "unsafe": NonIdempotent, "cell": IdempotentByKey,
+		"zone": IdempotentByKey, "all": IdempotentByKey} {
+		s.Classes = append(s.Classes, Class{Name: name, PriorityWeight: 8, LatencyObjective: time.Second, Deadline: 2 * time.Second,
+			Idempotency: idempotency,
 			KeyScope: map[string]KeyScope{"zone": KeyScopeZone, "all": KeyScopeAll}[name], DedupWindow: 500 * time.Millisecond, LateWeight: 0.25})
 	}
 	s.Classes = append(s.Classes, Class{Name: "bulk", PriorityWeight: 1, LatencyObjective: time.Second, Deadline: 2 * time.Second, Idempotency: Idempotent})
 	return s
 }
 
-// threshold reads a count such as "H-1" or "2" at a server with L, H and R.
+// threshold parses a count such as "H-1" or "2" for a server with thresholds L, H and R, where h is H.
 func threshold(t *testing.T, text string, h float64) float64 {
-	v := 0.0
+	sum := 0.0
 	sign := 1.0
 	base := map[string]float64{"L": lowThresholdPart * h, "H": h, "R": blockThresholdFactor*h + 1}
 	for _, part := range strings.SplitAfter(strings.NewReplacer("-", "-|", "+", "+|").Replace(text), "|") {
-		next := 1.0
+		nextSign := 1.0
 		if strings.HasSuffix(part, "-|") {
-			next = -1
+			nextSign = -1
 		}
 		part = strings.TrimRight(part, "+-|")
-		x, named := base[part]
+		value, named := base[part]
 		if f, err := strconv.ParseFloat(part, 64); err == nil {
-			x = f
+			value = f
 		} else if !named && part != "" {
-			t.Fatalf("%q is no count", text)
+			t.Fatalf("%q is not a count", text)
 		}
-		v, sign = v+sign*x, next
+		sum, sign = sum+sign*value, nextSign
 	}
-	return v
+	return sum
 }
 
-// run puts a module in the row's state, runs its event and tells what comes of it.
-func (c conformanceRow) run(t *testing.T, seed int64) string {
-	m, now := New(conformanceSettings(c.MayHedge), seed), time.Hour
+// run puts a module into the row's state, passes the row's event to the module and describes the outcome.
+func (row conformanceRow) run(t *testing.T, seed int64) string {
+	m, now := New(conformanceSettings(row.MayHedge), seed), time.Hour
 	list := EndpointUpdate{Kind: EndpointsComplete}
-	for i, s := range c.Servers {
+	for i, s := range row.Servers {
 		list.Servers = append(list.Servers, Server{ID: ServerID(i + 1), Zone: s.Zone, Cell: s.Cell})
 	}
-	m.arrivals.smoothed, m.arrivals.lastAt = 1e4, now // a busy node: its own counts tell
+	m.arrivals.smoothed, m.arrivals.lastAt = 1e4, now // a busy node relies on its own counts
 	m.Handle(now, list)
 	m.latency.mean = 0.05
 	m.retryBudget = 1
 	m.weights.mean = m.weights.max
 	var h float64
-	for i, s := range c.Servers {
+	for i, s := range row.Servers {
 		k := m.serverByID(ServerID(i + 1))
 		_, h = m.serverLoad(k)
 		k.inFlight, k.overload.mode = threshold(t, s.N, h), Mode(max(0, slices.Index(modeNames, s.Mode)))
@@ -128,15 +130,15 @@
 	if h < 1 || lowThresholdPart*h >= h || h >= blockThresholdFactor*h+1 {
 		t.Fatalf("L, H and R are %v, %v, %v", lowThresholdPart*h, h, blockThresholdFactor*h+1)
 	}
-	if c.Budget != nil {
-		m.retryBudget = *c.Budget
+	if row.Budget != nil {
+		m.retryBudget = *row.Budget
 	}
 	timeout := 2 * time.Second
-	if c.TimeoutMS > 0 {
-		timeout = time.Duration(c.TimeoutMS) * time.Millisecond
+	if row.TimeoutMS > 0 {
+		timeout = time.Duration(row.TimeoutMS) * time.Millisecond
 	}
-	r := &request{id: "r", class: m.classNamed(c.Class), rules: m.settings, arrivedAt: now, deadline: now + timeout, priority: c.Class != "bulk"}
-	for _, a := range c.Attempts {
+	r := &request{id: "r", class: m.classNamed(row.Class), rules: m.settings, arrivedAt: now, deadline: now + timeout, priority: row.Class != "bulk"}
+	for _, a := range row.Attempts {
 		code := slices.Index(codeNames, a.Code)
 		r.attempts = append(r.attempts, attempt{server: m.serverByID(ServerID(a.Server)), sentAt: now, ended: a.Code != "in-flight",
 			mayHaveRun: code < 0 || code != int(Rejected) && code != int(ConnectFailed) && code != int(NotSent)})
@@ -145,26 +147,26 @@
 			r.attempts[len(r.attempts)-1].server.inFlight++
 		}
 	}
-	if len(c.Attempts) > 0 {
+	if len(row.Attempts) > 0 {
 		m.requests["r"], m.open = r, append(m.open, r)
 	}
-	for i, s := range c.Servers { // what the list and the operators say last
+	for i, s := range row.Servers { // the latest state from the list and the operators
 		m.Handle(now, EndpointUpdate{Kind: EndpointsChanged, Servers: []Server{{ID: ServerID(i + 1), Zone: s.Zone, Cell: s.Cell,
 			State: ServerState(max(0, slices.Index(stateNames, s.State)))}}})
 		if s.Excluded {
 			m.Handle(now, ServerExcluded{Server: ServerID(i + 1)})
 		}
 	}
-	m.shedding.dropPriority = c.Q1
-	m.shedding.dropOther = c.Q2
-	m.shedding.priorityArrivals = c.N1
-	m.shedding.otherArrivals = c.N2
-	later := now + time.Duration(c.AfterMS)*time.Millisecond
-	last := len(c.Attempts) - 1
-	end := AttemptEnded{ID: "r", Attempt: last, Code: OutcomeCode(max(0, slices.Index(codeNames, c.Code)))}
-	switch c.Event {
+	m.shedding.dropPriority = row.Q1
+	m.shedding.dropOther = row.Q2
+	m.shedding.priorityArrivals = row.N1
+	m.shedding.otherArrivals = row.N2
+	later := now + time.Duration(row.AfterMS)*time.Millisecond
+	last := len(row.Attempts) - 1
+	end := AttemptEnded{ID: "r", Attempt: last, Code: OutcomeCode(max(0, slices.Index(codeNames, row.Code)))}
+	switch row.Event {
 	case "arrive":
-		return describe(m.Handle(later, RequestArrived{ID: "r", Class: c.Class, Timeout: timeout}))
+		return describe(m.Handle(later, RequestArrived{ID: "r", Class: row.Class, Timeout: timeout}))
 	case "ended":
 		return describe(m.Handle(later, end))
 	case "twice":
@@ -186,12 +188,12 @@
 		m.Handle(later, TimerFired{})
 		return fmt.Sprintf("q1 %.2f q2 %.2f", m.shedding.dropPriority, m.shedding.dropOther)
 	case "split":
-		q1, q2 := ShedSplit(c.Q, c.N1, c.N2)
+		q1, q2 := ShedSplit(row.Q, row.N1, row.N2)
 		return fmt.Sprintf("q1 %.2f q2 %.2f", q1, q2)
 	case "report", "look":
-		if c.Event == "report" {
-			m.applyLoadReport(m.serverByID(1), &LoadReport{InFlight: c.InFlight, HasInFlight: true})
-		} else if c.Code != "" {
+		if row.Event == "report" {
+			m.applyLoadReport(m.serverByID(1), &LoadReport{InFlight: row.InFlight, HasInFlight: true})
+		} else if row.Code != "" {
 			m.Handle(now, end)
 		}
 		m.now = later
@@ -202,14 +204,14 @@
 		slices.Sort(modes)
 		return strings.Join(modes, ", ")
 	}
-	t.Fatalf("%q is no event", c.Event)
+	t.Fatalf("unknown event %q", row.Event)
 	return ""
 }
 
-// describe tells the actions that concern clients and servers.
-func describe(all []Action) string {
+// describe lists the actions that concern clients and servers.
+func describe(actions []Action) string {
 	var out []string
-	for _, a := range all {
+	for _, a := range actions {
 		switch a := a.(type) {
 		case Forward:
 			out = append(out, fmt.Sprint("send ", a.Server))
@@ -225,21 +227,21 @@
 	return strings.Join(out, ", ")
 }
 
-// TestConformance runs every row with many seeds: what comes of it is all of want, and nothing else.
+// TestConformance runs every row with 60 seeds. The outcomes must be all of the row's want, and no others.
 func TestConformance(t *testing.T) {
 	var table struct{ Row []conformanceRow }
 	md, err := toml.DecodeFile("testdata/conformance.toml", &table)
 	if err != nil || len(md.Undecoded()) > 0 || len(table.Row) < 50 {
 		t.Fatalf("%v, unknown keys %v, %d rows", err, md.Undecoded(), len(table.Row))
 	}
-	for i, c := range table.Row {
+	for i, row := range table.Row {
 		got := map[string]bool{}
 		for seed := int64(1); seed <= 60; seed++ {
-			got[c.run(t, seed)] = true
+			got[row.run(t, seed)] = true
 		}
-		slices.Sort(c.Want)
-		if seen := slices.Sorted(maps.Keys(got)); c.Clause == "" || !slices.Equal(seen, c.Want) {
-			t.Errorf("row %d, %s: %q, want %q", i+1, c.Clause, seen, c.Want)
+		slices.Sort(row.Want)
+		if seen := slices.Sorted(maps.Keys(got)); row.Clause == "" || !slices.Equal(seen, row.Want) {
+			t.Errorf("row %d, %s: %q, want %q", i+1, row.Clause, seen, row.Want)
 		}
 	}
 }
--- a/policy/digest_test.go
+++ b/policy/digest_test.go
@@ -2,12 +2,13 @@
 
 package policy_test
 
-// A digest of the module's decisions, held by testdata/decisions.txt: random legal events, the fleet's among them, are given to
-// modules of many seeds, and what they answer is hashed. A change that is meant to alter no decision leaves the file as it is.
-// The encoding names no Go identifier, so that it outlives renames; the text of log lines is left out. Only on amd64: other
-// architectures fuse multiplications and additions, which changes the last bits.
+// This file compares digests of the module's decisions with those recorded in testdata/decisions.txt. Modules with many seeds
+// get random legal events, among them events of the control plane, and the test hashes the actions that they return. A change
+// that is not meant to alter decisions must leave the file as it is. The encoding contains no Go identifiers, so that renames
+// do not change it, and it leaves out the text of log lines. The test runs only on amd64: other architectures fuse
+// multiplications and additions, which changes the last bits.
 //
-// To record the file anew after a change that is meant to alter decisions: go test -run TestDecisionsDigest -args -record
+// To record the file again after a change that is meant to alter decisions: go test -run TestDecisionsDigest -args -record
 
 import (
 	"bytes"
@@ -24,11 +25,11 @@
 	"meadowsill/policy"
 )
 
-var recordDigest = flag.Bool("record", false, "record testdata/decisions.txt anew")
+var recordDigest = flag.Bool("record", false, "record testdata/decisions.txt again")
 
 const digestSeeds = 200
 
-// writeActions adds actions to a digest and returns how many counted.
+// writeActions adds actions to a digest and returns the number of actions added, which are all but log lines.
 func writeActions(h hash.Hash, actions []policy.Action) int {
 	count := 0
 	for _, a := range actions {
@@ -61,7 +62,7 @@
 	return count
 }
 
-// writeWindow adds what the module reports of a window.
+// writeWindow adds the module's observations of a window to a digest.
 func writeWindow(h hash.Hash, w policy.FleetWindow) {
 	fmt.Fprintln(h, "window", int64(w.Start))
 	for _, z := range w.Zones {
@@ -72,19 +73,19 @@
 	}
 }
 
-// writeApplied adds what the module says it holds.
+// writeApplied adds the state that the module reports as applied to a digest.
 func writeApplied(h hash.Hash, m *policy.Module) error {
-	for _, fact := range m.Applied() {
-		value, err := json.Marshal(fact.Value)
+	for _, item := range m.Applied() {
+		value, err := json.Marshal(item.Value)
 		if err != nil {
 			return err
 		}
-		fmt.Fprintf(h, "held %s %s\n", fact.Key, value)
+		fmt.Fprintf(h, "held %s %s\n", item.Key, value)
 	}
 	return nil
 }
 
-// feedFleet returns the module one random event of the fleet or of the operators' settings.
+// feedFleet feeds the module one random event of the control plane, or changed settings.
 func feedFleet(w *world, i int) {
 	revision := uint64(1 + i - w.random.Intn(5)%(i+1))
 	switch w.random.Intn(4) {
@@ -117,7 +118,7 @@
 	}
 }
 
-// decisionDigest runs one seed and returns its line of the file.
+// decisionDigest runs the world with one seed and returns the seed's line of decisions.txt.
 func decisionDigest(t *testing.T, seed int64) string {
 	t.Helper()
 	h, count := sha256.New(), 0
@@ -158,7 +159,7 @@
 	}
 	got, recorded := bytes.Split(digests.Bytes(), []byte("\n")), bytes.Split(want, []byte("\n"))
 	if len(got) != len(recorded) {
-		t.Fatalf("%d lines, %d are recorded", len(got), len(recorded))
+		t.Fatalf("%d digests, but %d are recorded", len(got), len(recorded))
 	}
 	for i := range got {
 		if !bytes.Equal(got[i], recorded[i]) {
--- a/policy/fleet_scope_test.go
+++ b/policy/fleet_scope_test.go
@@ -7,10 +7,10 @@
 	"meadowsill/policy"
 )
 
-// A tenant leaves the node's scope and comes back to it under the item that it had, as the intent goes on or stays. What an older
-// intent said of it changes nothing.
+// TestTenantLeavesScopeAndReturns checks that a tenant can leave the node's scope and return to it under the item that it had, at
+// the same intent or at a newer one. An update that was read from an older intent changes nothing.
 func TestTenantLeavesScopeAndReturns(t *testing.T) {
-	at := func(revision, intent uint64) policy.TenantUpdate {
+	committed := func(revision, intent uint64) policy.TenantUpdate {
 		return policy.TenantUpdate{Name: "x", UID: 1, Revision: revision, IntentRevision: intent, Committed: rules(revision, nil)}
 	}
 	removed := func(revision, intent uint64) policy.TenantUpdate {
@@ -18,72 +18,73 @@
 	}
 	for name, c := range map[string]struct {
 		events     []policy.Event
-		generation uint64 // held at the end; 0: none
+		generation uint64 // in force at the end; 0: none
 	}{
-		"leaves":                               {[]policy.Event{at(5, 9), removed(9, 9)}, 0},
-		"leaves at its own revision":           {[]policy.Event{at(9, 9), removed(9, 9)}, 0},
-		"returns at the same intent":           {[]policy.Event{at(5, 9), removed(9, 9), at(5, 9)}, 5},
-		"returns at a newer intent":            {[]policy.Event{at(5, 9), removed(9, 9), at(5, 12)}, 5},
-		"leaves twice":                         {[]policy.Event{at(5, 9), removed(9, 9), at(5, 9), removed(9, 9)}, 0},
-		"an older intent after it left":        {[]policy.Event{at(5, 9), removed(12, 12), at(5, 9)}, 0},
-		"an older intent after it returned":    {[]policy.Event{at(5, 9), removed(9, 9), at(5, 12), removed(9, 9)}, 5},
-		"an older item of a newer intent":      {[]policy.Event{at(7, 9), at(5, 12)}, 7},
-		"returns, then its next generation":    {[]policy.Event{at(5, 9), removed(9, 9), at(5, 9), at(12, 12)}, 12},
-		"removed for good, its name not again": {[]policy.Event{at(5, 9), removed(12, 12), removed(12, 13)}, 0},
+		"leaves":                                {[]policy.Event{committed(5, 9), removed(9, 9)}, 0},
+		"leaves at its own revision":            {[]policy.Event{committed(9, 9), removed(9, 9)}, 0},
+		"returns at the same intent":            {[]policy.Event{committed(5, 9), removed(9, 9), committed(5, 9)}, 5},
+		"returns at a newer intent":             {[]policy.Event{committed(5, 9), removed(9, 9), committed(5, 12)}, 5},
+		"leaves twice":                          {[]policy.Event{committed(5, 9), removed(9, 9), committed(5, 9), removed(9, 9)}, 0},
+		"an older intent after it left":         {[]policy.Event{committed(5, 9), removed(12, 12), committed(5, 9)}, 0},
+		"an older intent after it returned":     {[]policy.Event{committed(5, 9), removed(9, 9), committed(5, 12), removed(9, 9)}, 5},
+		"an older item of a newer intent":       {[]policy.Event{committed(7, 9), committed(5, 12)}, 7},
+		"returns, then the next generation":     {[]policy.Event{committed(5, 9), removed(9, 9), committed(5, 9), committed(12, 12)}, 12},
+		"removed for good, name not used again": {[]policy.Event{committed(5, 9), removed(12, 12), removed(12, 13)}, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := harnessSettings()
 			s.Fleet = true
-			r := newHarness(t, s, 4)
+			h := newHarness(t, s, 4)
 			for _, e := range c.events {
-				r.feed(e)
+				h.feed(e)
 			}
-			r.run(time.Second, 20, "priority")
-			if served := r.submit("x", "priority") != 0; served != (c.generation > 0) {
-				t.Errorf("served: %v, want generation %d", served, c.generation)
+			h.run(time.Second, 20, "priority")
+			if served := h.submit("x", "priority") != 0; served != (c.generation > 0) {
+				t.Errorf("served: %v, want generation %d in force", served, c.generation)
 			}
 			applied := uint64(0)
-			for _, w := range r.module.Window(r.now).Tenants {
+			for _, w := range h.module.Window(h.now).Tenants {
 				applied = w.Committed
 			}
 			if applied != c.generation {
-				t.Errorf("holds generation %d, want %d", applied, c.generation)
+				t.Errorf("generation %d is in force, want %d", applied, c.generation)
 			}
 		})
 	}
 }
 
-// T7: what is open as a tenant leaves the scope keeps its generation's route to its end, also where the tenant comes back with another
-// meanwhile; new requests are rejected, then served by the next.
+// TestOpenRequestsOutliveTheScope is T7: a request that is open when its tenant leaves the scope keeps its generation's route to its
+// end, also if the tenant returns with another generation in the meantime. New requests are rejected while the tenant is out of scope,
+// and served by the new generation after that.
 func TestOpenRequestsOutliveTheScope(t *testing.T) {
-	r := zonesHarness(t, 30)
-	at := func(revision uint64, server string) policy.TenantUpdate {
+	h := zonesHarness(t, 30)
+	routedTo := func(revision uint64, server string) policy.TenantUpdate {
 		return policy.TenantUpdate{Name: "x", UID: 1, Revision: revision, IntentRevision: revision, Committed: rules(revision, func(g *policy.TenantRules) {
 			g.Rate = 1e4
 			g.RejectUnrouted = true
 			g.Routes = []policy.TenantRoute{{ID: server, Weight: 1}}
 		})}
 	}
-	r.feed(at(5, "s3"))
-	r.run(time.Second, 0, "")
-	r.delay = func(policy.ServerID) (time.Duration, policy.OutcomeCode) { return time.Second, policy.OK }
-	if sent := r.submit("x", "priority"); sent != 3 {
-		t.Fatalf("sent to %d", sent)
+	h.feed(routedTo(5, "s3"))
+	h.run(time.Second, 0, "")
+	h.delay = func(policy.ServerID) (time.Duration, policy.OutcomeCode) { return time.Second, policy.OK }
+	if sent := h.submit("x", "priority"); sent != 3 {
+		t.Fatalf("sent to server %d, want 3", sent)
 	}
-	r.feed(policy.TenantUpdate{Name: "x", UID: 1, Revision: 9, IntentRevision: 9, Removed: true})
-	if sent := r.submit("x", "priority"); sent != 0 {
-		t.Errorf("out of scope: sent to %d", sent)
+	h.feed(policy.TenantUpdate{Name: "x", UID: 1, Revision: 9, IntentRevision: 9, Removed: true})
+	if sent := h.submit("x", "priority"); sent != 0 {
+		t.Errorf("tenant out of scope: sent to server %d, want a rejection", sent)
 	}
-	r.feed(at(12, "s5"))
-	if w := r.module.Window(r.now).Tenants; len(w) != 1 || w[0].Open != 1 {
-		t.Errorf("while one is open: %+v", w)
+	h.feed(routedTo(12, "s5"))
+	if w := h.module.Window(h.now).Tenants; len(w) != 1 || w[0].Open != 1 {
+		t.Errorf("with one request open: tenants %+v", w)
 	}
-	r.run(100*time.Millisecond, 0, "")
-	if sent := r.submit("x", "priority"); sent != 5 {
-		t.Errorf("in scope again: sent to %d", sent)
+	h.run(100*time.Millisecond, 0, "")
+	if sent := h.submit("x", "priority"); sent != 5 {
+		t.Errorf("tenant in scope again: sent to server %d, want 5", sent)
 	}
-	r.run(2*time.Second, 0, "")
-	if w := r.module.Window(r.now).Tenants; len(w) != 1 || w[0].Open != 0 || r.failed != 0 {
-		t.Errorf("at the end: %+v, %d failed", w, r.failed)
+	h.run(2*time.Second, 0, "")
+	if w := h.module.Window(h.now).Tenants; len(w) != 1 || w[0].Open != 0 || h.failed != 0 {
+		t.Errorf("at the end: tenants %+v, %d requests failed", w, h.failed)
 	}
 }
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -9,7 +9,7 @@
 	"meadowsill/policy"
 )
 
-// harness feeds one module with a fleet of servers whose delays the test sets.
+// harness drives one module and simulates servers whose answers and delays the test sets.
 type harness struct {
 	t           *testing.T
 	module      *policy.Module
@@ -20,10 +20,10 @@
 	finalAnswer map[policy.RequestID]policy.Action
 	attempts    map[policy.RequestID]int
 	answered    map[policy.RequestID]bool
-	retries     int           // of a rejected client, after its backoff
-	timeout     time.Duration // of a first attempt
+	retries     int           // most retries of a rejected client, each after its Retry-After
+	timeout     time.Duration // until the client stops waiting, its retries included
 	work        func(policy.RequestID) time.Duration
-	retryAfters []time.Duration // that rejected clients were notified
+	retryAfters []time.Duration // Retry-After values of the rejections
 	inTime      map[string]int
 	arrivedAt   map[policy.RequestID]time.Duration
 	rejected    int
@@ -49,90 +49,91 @@
 }
 
 func newHarness(t *testing.T, s policy.Settings, servers int) *harness {
-	r := &harness{t: t, module: policy.New(s, 5), now: time.Hour, sent: map[policy.ServerID]int{}, answered: map[policy.RequestID]bool{},
+	h := &harness{t: t, module: policy.New(s, 5), now: time.Hour, sent: map[policy.ServerID]int{}, answered: map[policy.RequestID]bool{},
 		finalAnswer: map[policy.RequestID]policy.Action{}, attempts: map[policy.RequestID]int{}, timeout: 2 * time.Second,
 		inTime: map[string]int{}, arrivedAt: map[policy.RequestID]time.Duration{}}
-	r.work = func(policy.RequestID) time.Duration { return 0 }
-	r.delay = func(policy.ServerID) (time.Duration, policy.OutcomeCode) { return 50 * time.Millisecond, policy.OK }
+	h.work = func(policy.RequestID) time.Duration { return 0 }
+	h.delay = func(policy.ServerID) (time.Duration, policy.OutcomeCode) { return 50 * time.Millisecond, policy.OK }
 	var list []policy.Server
 	for i := range servers {
 		list = append(list, policy.Server{ID: policy.ServerID(i + 1), Zone: "z"})
 	}
-	r.feed(policy.EndpointUpdate{Kind: policy.EndpointsCached, Servers: list})
-	return r
+	h.feed(policy.EndpointUpdate{Kind: policy.EndpointsCached, Servers: list})
+	return h
 }
 
-func (r *harness) feed(e policy.Event) {
-	for _, a := range r.module.Handle(r.now, e) {
+func (h *harness) feed(e policy.Event) {
+	for _, a := range h.module.Handle(h.now, e) {
 		switch a := a.(type) {
 		case policy.Forward:
-			r.sent[a.Server]++
-			leg := r.attempts[a.ID]
-			r.attempts[a.ID]++
-			d, code := r.delay(a.Server)
-			d += r.work(a.ID)
-			if d > a.Timeout {
-				d, code = a.Timeout, policy.TimedOut
+			h.sent[a.Server]++
+			attempt := h.attempts[a.ID]
+			h.attempts[a.ID]++
+			elapsed, code := h.delay(a.Server)
+			elapsed += h.work(a.ID)
+			if elapsed > a.Timeout {
+				elapsed, code = a.Timeout, policy.TimedOut
 			}
-			r.pending = append(r.pending, harnessEvent{r.now + d, policy.AttemptEnded{ID: a.ID, Attempt: leg, Server: a.Server, Code: code, Elapsed: d}})
+			h.pending = append(h.pending, harnessEvent{h.now + elapsed, policy.AttemptEnded{ID: a.ID, Attempt: attempt, Server: a.Server, Code: code,
+				Elapsed: elapsed}})
 		case policy.CancelAttempt:
-			r.pending = append(r.pending, harnessEvent{r.now + time.Millisecond, policy.AttemptEnded{ID: a.ID, Attempt: a.Attempt, Code: policy.Cancelled}})
+			h.pending = append(h.pending, harnessEvent{h.now + time.Millisecond, policy.AttemptEnded{ID: a.ID, Attempt: a.Attempt, Code: policy.Cancelled}})
 		case policy.Reject:
-			r.rejected++
-			r.answered[a.ID], r.finalAnswer[a.ID] = true, a
-			r.retryAfters = append(r.retryAfters, a.RetryAfter)
-			class, attempt, _ := strings.Cut(string(a.ID), "/")
-			if left := r.timeout - (r.now + a.RetryAfter - r.arrivedAt[policy.RequestID(class)]); len(attempt) < r.retries && left > 0 {
-				id := policy.RequestID(class + "/" + attempt + "x")
-				r.pending = append(r.pending, harnessEvent{r.now + a.RetryAfter, policy.RequestArrived{ID: id, Class: strings.TrimRight(class,
-					"0123456789"), Timeout: left}})
+			h.rejected++
+			h.answered[a.ID], h.finalAnswer[a.ID] = true, a
+			h.retryAfters = append(h.retryAfters, a.RetryAfter)
+			firstID, retrySuffix, _ := strings.Cut(string(a.ID), "/")
+			if remaining := h.timeout - (h.now + a.RetryAfter - h.arrivedAt[policy.RequestID(firstID)]); len(retrySuffix) < h.retries && remaining > 0 {
+				id := policy.RequestID(firstID + "/" + retrySuffix + "x")
+				h.pending = append(h.pending, harnessEvent{h.now + a.RetryAfter, policy.RequestArrived{ID: id, Class: strings.TrimRight(firstID,
+					"0123456789"), Timeout: remaining}})
 			}
 		case policy.Fail:
-			r.failed++
-			r.answered[a.ID], r.finalAnswer[a.ID] = true, a
+			h.failed++
+			h.answered[a.ID], h.finalAnswer[a.ID] = true, a
 		case policy.SetTimer:
-			r.pending = append(r.pending, harnessEvent{r.now + a.After, policy.TimerFired{Token: a.Token}})
+			h.pending = append(h.pending, harnessEvent{h.now + a.After, policy.TimerFired{Token: a.Token}})
 		case policy.Log:
-			r.logged++
+			h.logged++
 		case policy.Subscribe:
-			r.polls++
-			r.pending = append(r.pending, harnessEvent{r.now + time.Second, policy.EndpointUpdate{Kind: policy.EndpointsFailed}})
+			h.polls++
+			h.pending = append(h.pending, harnessEvent{h.now + time.Second, policy.EndpointUpdate{Kind: policy.EndpointsFailed}})
 		}
 	}
 }
 
-// run runs some time with so many arrivals a second of a class.
-func (r *harness) run(length time.Duration, rate float64, class string) {
+// run runs the module for length, with rate arrivals per second of a class.
+func (h *harness) run(length time.Duration, rate float64, class string) {
 	arrived := 0.0
-	for end := r.now + length; r.now < end; r.now += 5 * time.Millisecond {
+	for end := h.now + length; h.now < end; h.now += 5 * time.Millisecond {
 		var rest, now []harnessEvent
-		for _, d := range r.pending {
-			if d.at <= r.now {
-				now = append(now, d)
+		for _, p := range h.pending {
+			if p.at <= h.now {
+				now = append(now, p)
 			} else {
-				rest = append(rest, d)
+				rest = append(rest, p)
 			}
 		}
-		r.pending = rest
-		for _, d := range now {
-			if e, ok := d.event.(policy.AttemptEnded); ok {
-				e.Answered = r.answered[e.ID] || e.Code == policy.OK
+		h.pending = rest
+		for _, p := range now {
+			if e, ok := p.event.(policy.AttemptEnded); ok {
+				e.Answered = h.answered[e.ID] || e.Code == policy.OK
 				first, _, _ := strings.Cut(string(e.ID), "/")
-				if e.Code == policy.OK && !r.answered[e.ID] && r.now-r.arrivedAt[policy.RequestID(first)] < 600*time.Millisecond {
-					r.inTime[strings.TrimRight(first, "0123456789")]++
+				if e.Code == policy.OK && !h.answered[e.ID] && h.now-h.arrivedAt[policy.RequestID(first)] < 600*time.Millisecond {
+					h.inTime[strings.TrimRight(first, "0123456789")]++
 				}
-				r.answered[e.ID] = e.Answered
-				d.event = e
+				h.answered[e.ID] = e.Answered
+				p.event = e
 			}
-			r.feed(d.event)
+			h.feed(p.event)
 		}
 		for arrived += rate * 0.005; arrived >= 1; arrived-- {
-			r.lastID++
-			id := policy.RequestID(fmt.Sprint(class, r.lastID))
-			r.arrivedAt[id] = r.now
-			r.feed(policy.RequestArrived{ID: id, Class: class, Timeout: r.timeout})
+			h.lastID++
+			id := policy.RequestID(fmt.Sprint(class, h.lastID))
+			h.arrivedAt[id] = h.now
+			h.feed(policy.RequestArrived{ID: id, Class: class, Timeout: h.timeout})
 		}
 	}
 }
 
-func (r *harness) reset() { r.sent, r.rejected, r.failed = map[policy.ServerID]int{}, 0, 0 }
+func (h *harness) reset() { h.sent, h.rejected, h.failed = map[policy.ServerID]int{}, 0, 0 }
