--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -13,7 +13,7 @@
 	benchTenants = []int{500, 1000, 2000, 4000}
 )
 
-// BenchmarkCapacityListOneChange measures an EndpointUpdate with one changed server. The plan expects 77 such changes/s.
+// BenchmarkCapacityListOneChange measures an EndpointUpdate with one changed server. The plan has 77 requests/s per node.
 func BenchmarkCapacityListOneChange(b *testing.B) {
 	for _, n := range benchServers {
 		m := New(sparseSettings(2200), 1)
--- a/policy/conformance_test.go
+++ b/policy/conformance_test.go
@@ -65,7 +65,7 @@
 		"zone": IdempotentByKey, "all": IdempotentByKey} {
 		s.Classes = append(s.Classes, Class{Name: name, PriorityWeight: 8, LatencyObjective: time.Second, Deadline: 2 * time.Second,
 			Idempotency: idempotency,
-			KeyScope: map[string]KeyScope{"zone": KeyScopeZone, "all": KeyScopeAll}[name], DedupWindow: 500 * time.Millisecond, LateWeight: 0.25})
+			KeyScope:    map[string]KeyScope{"zone": KeyScopeZone, "all": KeyScopeAll}[name], DedupWindow: 500 * time.Millisecond, LateWeight: 0.25})
 	}
 	s.Classes = append(s.Classes, Class{Name: "bulk", PriorityWeight: 1, LatencyObjective: time.Second, Deadline: 2 * time.Second, Idempotency: Idempotent})
 	return s
--- a/policy/rollout_test.go
+++ b/policy/rollout_test.go
@@ -8,42 +8,43 @@
 	"time"
 )
 
-// A whole fleet of modules around warming servers: each server counts what all nodes send it while it warms up.
+// This file simulates a whole fleet of modules while servers are replaced: each warming server counts the attempts that it gets
+// from all nodes.
 
-// rollout is the make of a fleet, and what happens to it while servers warm up.
+// rollout configures a simulated fleet, and the events while its servers warm up.
 type rollout struct {
 	settings       Settings
 	work           []time.Duration // mean work by class, on a core of speed 1
-	mix            []float64       // part of the requests by class
+	mix            []float64       // fraction of the requests by class
 	nodes          int
 	servers        int
 	cores          int
-	speeds         []float64 // by kind: every second server is of the second
-	newServerSpeed float64   // how much faster new servers are, once warm
-	// part of what the warm servers can do; from 10 s before the slow-start window's end on
+	speeds         []float64 // by kind of server; the kinds alternate
+	newServerSpeed float64   // speed of new servers, once warm, as a multiple of the old ones'
+	// load as a fraction of the warm servers' capacity; laterLoad applies from the time that surge gives, if it is not 0
 	load         float64
 	laterLoad    float64
-	replacedPart float64 // of the servers that are replaced, within spread
+	replacedPart float64 // fraction of the servers that are replaced, over the time spread
 	spread       time.Duration
-	restarts     float64       // part of the nodes that restart within the slow-start window
-	lull         float64       // load in the first half of the slow-start window, if not 0
-	early        bool          // the nodes restart as servers do, not later
-	awayTime     time.Duration // for so long servers are away before they return warming under their ids; 0: others come
-	errorPart    float64       // part of the answers of warming servers that are errors
-	length       time.Duration // of the run from the release on; 0: until all are warm
-	surge        time.Duration // from the release to the later load; 0: half of the slow-start window
+	restarts     float64       // fraction of the nodes that restart within the slow-start window
+	lull         float64       // load between the rollout's start and the later load; 0: load
+	early        bool          // the nodes restart within 1 s from the middle of spread
+	awayTime     time.Duration // how long servers are away before they return under their ids; 0: new ids replace them
+	errorPart    float64       // fraction of the answers of warming servers that are errors
+	length       time.Duration // of the run from the rollout's start; 0: until all servers are warm
+	surge        time.Duration // from the rollout's start to the later load; 0: spread and half of the slow-start window
 }
 
-// rolloutResult is what came of it.
+// rolloutResult holds the results of a simulated rollout. N is a warming server's budget of attempts in OverloadDuration.
 type rolloutResult struct {
-	maxExcessRoots float64 // most calls beyond the budget N, in roots of N
-	maxExcess      float64 // most calls beyond N+2√N+2
-	// warming servers that got more than N+2√N+2; all of them
+	maxExcessRoots float64 // most attempts beyond the budget N, in units of √N
+	maxExcess      float64 // most attempts beyond N+2√N+2
+	// warming counts the servers that warmed up, overBudget those of them that got more than N+2√N+2 attempts
 	overBudget   int
 	warming      int
-	servedPart   float64 // of the requests' weight that was answered in time, from the release on
-	usedCapacity float64 // part of the warming servers' capacity that was used
-	maxRatio     float64 // most calls as a part of N
+	servedPart   float64 // fraction of the requests' weight that was answered in time, from the rollout's start on
+	usedCapacity float64 // fraction of the warming servers' capacity that was used
+	maxRatio     float64 // most attempts as a multiple of N
 }
 
 type warmingSend struct {
@@ -63,109 +64,109 @@
 	isWarming  bool
 }
 
-// capacityPart is the least part of its capacity that a started server has.
-func (c *rollout) capacityPart(s *warmingServer, now Time) float64 {
-	if s.started == 0 || now >= s.started+c.settings.SlowStartWindow {
+// capacityPart returns the least fraction of its capacity that a server has while it warms up, and 1 after that.
+func (r *rollout) capacityPart(s *warmingServer, now Time) float64 {
+	if s.started == 0 || now >= s.started+r.settings.SlowStartWindow {
 		return 1
 	}
-	return c.settings.SlowStartMinCapacity + (1-c.settings.SlowStartMinCapacity)*(now-s.started).Seconds()/c.settings.SlowStartWindow.Seconds()
+	return r.settings.SlowStartMinCapacity + (1-r.settings.SlowStartMinCapacity)*(now-s.started).Seconds()/r.settings.SlowStartWindow.Seconds()
 }
 
-func (c *rollout) run(seed int64) (o rolloutResult) {
-	o.maxExcessRoots, o.maxExcess = math.Inf(-1), math.Inf(-1)
+func (r *rollout) run(seed int64) (result rolloutResult) {
+	result.maxExcessRoots, result.maxExcess = math.Inf(-1), math.Inf(-1)
 	const warmUp = 12 * time.Second
-	r := rand.New(rand.NewSource(seed))
+	rng := rand.New(rand.NewSource(seed))
 	mean := 0.0
-	for i, w := range c.work {
-		mean += c.mix[i] * w.Seconds()
+	for i, w := range r.work {
+		mean += r.mix[i] * w.Seconds()
 	}
 	zones := []string{"a", "b", "c", "d"}
 	servers, capacity := map[ServerID]*warmingServer{}, 0.0
 	list := map[ServerID]Server{}
-	add := func(id ServerID, zone string, started Time, like float64, kind string) {
-		sv := &warmingServer{started: started, speed: like, notified: map[*Module]bool{}, free: make([]Time, c.cores)}
-		for i := range sv.free {
-			sv.free[i] = started
+	add := func(id ServerID, zone string, started Time, coreSpeed float64, kind string) {
+		target := &warmingServer{started: started, speed: coreSpeed, notified: map[*Module]bool{}, free: make([]Time, r.cores)}
+		for i := range target.free {
+			target.free[i] = started
 		}
-		servers[id] = sv
+		servers[id] = target
 		list[id] = Server{ID: id, Zone: zone, Kind: kind, StartedAt: started}
 	}
-	for i := range c.servers {
-		speed := c.speeds[i%len(c.speeds)]
-		add(ServerID(i+1), zones[i/2%4], 0, speed, fmt.Sprint("kind", i%len(c.speeds)))
-		capacity += float64(c.cores) * speed / mean
+	for i := range r.servers {
+		speed := r.speeds[i%len(r.speeds)]
+		add(ServerID(i+1), zones[i/2%4], 0, speed, fmt.Sprint("kind", i%len(r.speeds)))
+		capacity += float64(r.cores) * speed / mean
 	}
 	var q eventQueue
 	start := time.Hour
 	at := func(t Time, node int, e Event) { heap.Push(&q, queuedEvent{t, node, e}) }
-	nodes := make([]*Module, c.nodes)
-	began := make([]int, c.nodes) // times the node started: timers and outcomes of an older process are dropped
-	full := func() (l EndpointUpdate) {
+	nodes := make([]*Module, r.nodes)
+	starts := make([]int, r.nodes) // how often each node has started: timers and outcomes of an earlier process are dropped
+	completeList := func() (l EndpointUpdate) {
 		l.Kind = EndpointsComplete
-		for id := ServerID(1); id <= ServerID(3*c.servers); id++ {
+		for id := ServerID(1); id <= ServerID(3*r.servers); id++ {
 			if s, ok := list[id]; ok {
 				l.Servers = append(l.Servers, s)
 			}
 		}
 		return l
 	}
-	boot := func(self int, now Time) {
-		s := c.settings
-		s.Nodes = c.nodes
+	startNode := func(self int, now Time) {
+		s := r.settings
+		s.Nodes = r.nodes
 		s.NodeIndex = self
 		s.Zones = zones
 		s.Zone = zones[self%4]
-		began[self]++
-		nodes[self] = New(s, seed*100003+int64(self)*17+int64(began[self]))
-		nodes[self].Handle(now, full())
+		starts[self]++
+		nodes[self] = New(s, seed*100003+int64(self)*17+int64(starts[self]))
+		nodes[self].Handle(now, completeList())
 		for _, s := range list {
 			servers[s.ID].notified[nodes[self]] = true
 		}
-		at(now+time.Duration(r.Intn(25))*time.Millisecond, self, TimerFired{Token: int64(began[self])})
+		at(now+time.Duration(rng.Intn(25))*time.Millisecond, self, TimerFired{Token: int64(starts[self])})
 	}
-	for self := range c.nodes {
-		boot(self, start)
+	for self := range r.nodes {
+		startNode(self, start)
 	}
-	t0 := start + warmUp
-	end := t0 + c.spread + c.settings.SlowStartWindow
-	if c.length > 0 {
-		end = t0 + c.length
+	rolloutStart := start + warmUp
+	end := rolloutStart + r.spread + r.settings.SlowStartWindow
+	if r.length > 0 {
+		end = rolloutStart + r.length
 	}
-	// events of the world itself stand under node -2: a function is run
-	var todo []func(now Time)
-	plan := func(t Time, f func(now Time)) {
-		todo = append(todo, f)
-		at(t, -2, TimerFired{Token: int64(len(todo) - 1)})
+	// Node -2 stands for events of the simulation itself, which run a function.
+	var functions []func(now Time)
+	schedule := func(t Time, f func(now Time)) {
+		functions = append(functions, f)
+		at(t, -2, TimerFired{Token: int64(len(functions) - 1)})
 	}
-	replaced := int(c.replacedPart * float64(c.servers))
-	for k, i := range r.Perm(c.servers)[:replaced] {
-		old, id := ServerID(i+1), ServerID(c.servers+k+1)
-		from := t0 + time.Duration(float64(c.spread)*float64(k)/float64(max(1, replaced)))
-		if c.awayTime > 0 {
+	replaced := int(r.replacedPart * float64(r.servers))
+	for k, i := range rng.Perm(r.servers)[:replaced] {
+		old, id := ServerID(i+1), ServerID(r.servers+k+1)
+		from := rolloutStart + time.Duration(float64(r.spread)*float64(k)/float64(max(1, replaced)))
+		if r.awayTime > 0 {
 			id = old
-			plan(from-c.awayTime, func(Time) { servers[old].away = true })
+			schedule(from-r.awayTime, func(Time) { servers[old].away = true })
 		}
-		plan(from, func(now Time) {
-			was := list[old]
-			if c.awayTime == 0 {
+		schedule(from, func(now Time) {
+			oldEntry := list[old]
+			if r.awayTime == 0 {
 				delete(list, old)
 			}
-			removed := was
+			removed := oldEntry
 			removed.State = Removed
-			add(id, was.Zone, now, servers[old].speed*c.newServerSpeed, was.Kind)
-			neu := list[id]
-			if list[id] = was; c.awayTime == 0 {
+			add(id, oldEntry.Zone, now, servers[old].speed*r.newServerSpeed, oldEntry.Kind)
+			newEntry := list[id]
+			if list[id] = oldEntry; r.awayTime == 0 {
 				delete(list, id)
 			}
-			plan(now+time.Duration(300+r.Intn(700))*time.Millisecond, func(now Time) {
-				list[id] = neu
+			schedule(now+time.Duration(300+rng.Intn(700))*time.Millisecond, func(now Time) {
+				list[id] = newEntry
 				for self := range nodes {
-					n, gen := self, began[self]
-					plan(now+time.Duration(r.Intn(600))*time.Millisecond, func(now Time) {
-						if began[n] == gen && nodes[n] != nil {
+					n, startCount := self, starts[self]
+					schedule(now+time.Duration(rng.Intn(600))*time.Millisecond, func(now Time) {
+						if starts[n] == startCount && nodes[n] != nil {
 							servers[id].notified[nodes[n]] = true
-							entries := []Server{removed, neu}
-							if c.awayTime > 0 {
+							entries := []Server{removed, newEntry}
+							if r.awayTime > 0 {
 								entries = entries[1:]
 							}
 							nodes[n].Handle(now, EndpointUpdate{Kind: EndpointsChanged, Servers: entries})
@@ -175,118 +176,118 @@
 			})
 		})
 	}
-	for _, self := range r.Perm(c.nodes)[:int(c.restarts*float64(c.nodes))] {
-		from := t0 + c.spread/2 + time.Duration(r.Float64()*0.5*float64(c.settings.SlowStartWindow))
-		if c.early {
-			from = t0 + c.spread/2 + time.Duration(r.Float64()*float64(time.Second))
+	for _, self := range rng.Perm(r.nodes)[:int(r.restarts*float64(r.nodes))] {
+		from := rolloutStart + r.spread/2 + time.Duration(rng.Float64()*0.5*float64(r.settings.SlowStartWindow))
+		if r.early {
+			from = rolloutStart + r.spread/2 + time.Duration(rng.Float64()*float64(time.Second))
 		}
-		plan(from, func(now Time) {
+		schedule(from, func(now Time) {
 			nodes[self] = nil
-			plan(now+time.Duration(500+r.Intn(500))*time.Millisecond, func(now Time) { boot(self, now) })
+			schedule(now+time.Duration(500+rng.Intn(500))*time.Millisecond, func(now Time) { startNode(self, now) })
 		})
 	}
-	type live struct {
-		came     Time
-		class    int
-		legs     int
-		over     bool
-		attempts int
-		gen      int
-		node     int
-		timed    []bool
+	type liveRequest struct {
+		arrivedAt  Time
+		class      int
+		attempts   int
+		over       bool
+		retries    int
+		startCount int
+		node       int
+		timed      []bool
 	}
-	reqs := map[RequestID]*live{}
+	requests := map[RequestID]*liveRequest{}
 	id := 0
-	requested := 0.0
-	inTime := 0.0
-	done := 0.0
-	could := 0.0
+	offeredWeight := 0.0
+	inTimeWeight := 0.0
+	warmingAnswers := 0.0
+	capacityAnswers := 0.0
 	at(start, -1, nil)
-	weight := make([]float64, c.nodes)
+	weight := make([]float64, r.nodes)
 	sum := 0.0
 	for i := range weight {
-		weight[i] = 0.5 + r.ExpFloat64()*0.5
+		weight[i] = 0.5 + rng.ExpFloat64()*0.5
 		sum += weight[i]
 	}
-	carry := func(now Time, node int, actions []Action) {
+	carryOut := func(now Time, node int, actions []Action) {
 		for _, a := range actions {
 			switch a := a.(type) {
 			case SetTimer:
-				at(now+a.After, node, TimerFired{Token: int64(began[node])})
+				at(now+a.After, node, TimerFired{Token: int64(starts[node])})
 			case Forward:
-				q := reqs[a.ID]
-				leg := q.legs
-				q.legs++
+				q := requests[a.ID]
+				attempt := q.attempts
+				q.attempts++
 				q.timed = append(q.timed, false)
-				sv := servers[a.Server]
-				part := c.capacityPart(sv, now)
+				target := servers[a.Server]
+				part := r.capacityPart(target, now)
 				if part < 1 {
-					sv.isWarming = true
-					sv.sends = append(sv.sends, warmingSend{now, sv.notified[nodes[node]]})
+					target.isWarming = true
+					target.sends = append(target.sends, warmingSend{now, target.notified[nodes[node]]})
 					n, notified := 0, 0
-					for k := len(sv.sends) - 1; k >= 0 && sv.sends[k].at > now-c.settings.OverloadDuration; k-- {
-						if n++; sv.sends[k].notified {
+					for k := len(target.sends) - 1; k >= 0 && target.sends[k].at > now-r.settings.OverloadDuration; k-- {
+						if n++; target.sends[k].notified {
 							notified++
 						}
 					}
 					if 3*notified <= 2*n {
-						n = notified // no break of the rule
+						n = notified // a third or more come from nodes that have no notice of the start: not a violation
 					}
-					budget := c.settings.OverloadFactor * part * float64(c.cores) * sv.speed / mean * c.settings.OverloadDuration.Seconds()
-					o.maxExcessRoots = math.Max(o.maxExcessRoots, (float64(n)-budget)/math.Sqrt(budget))
-					o.maxRatio = math.Max(o.maxRatio, float64(n)/budget)
+					budget := r.settings.OverloadFactor * part * float64(r.cores) * target.speed / mean * r.settings.OverloadDuration.Seconds()
+					result.maxExcessRoots = math.Max(result.maxExcessRoots, (float64(n)-budget)/math.Sqrt(budget))
+					result.maxRatio = math.Max(result.maxRatio, float64(n)/budget)
 					over := float64(n) - budget - 2*math.Sqrt(budget) - 2
-					o.maxExcess = math.Max(o.maxExcess, over)
-					sv.overBudget = sv.overBudget || over > 0
+					result.maxExcess = math.Max(result.maxExcess, over)
+					target.overBudget = target.overBudget || over > 0
 				}
 				first := 0
-				for i := range sv.free {
-					if sv.free[i] < sv.free[first] {
+				for i := range target.free {
+					if target.free[i] < target.free[first] {
 						first = i
 					}
 				}
-				work := time.Duration(r.ExpFloat64() * float64(c.work[q.class]) / sv.speed / part)
-				began := max(now, sv.free[first])
-				took := a.Timeout
+				work := time.Duration(rng.ExpFloat64() * float64(r.work[q.class]) / target.speed / part)
+				starts := max(now, target.free[first])
+				elapsed := a.Timeout
 				code := TimedOut
 				switch {
-				case sv.away:
-					took, code = 3*time.Millisecond, Reset
-				case part < 1 && r.Float64() < c.errorPart:
-					took, code = 5*time.Millisecond, ServerError
-				case sv.inFlight >= 10*c.cores:
-					took, code = 2*time.Millisecond, Rejected
-				case began < now+a.Timeout:
-					sv.free[first] = began + work
-					if began+work < now+a.Timeout {
-						took, code = began+work-now+time.Millisecond, OK
+				case target.away:
+					elapsed, code = 3*time.Millisecond, Reset
+				case part < 1 && rng.Float64() < r.errorPart:
+					elapsed, code = 5*time.Millisecond, ServerError
+				case target.inFlight >= 10*r.cores:
+					elapsed, code = 2*time.Millisecond, Rejected
+				case starts < now+a.Timeout:
+					target.free[first] = starts + work
+					if starts+work < now+a.Timeout {
+						elapsed, code = starts+work-now+time.Millisecond, OK
 					}
 				}
 				if code != Rejected && code != Reset && code != ServerError {
-					sv.inFlight++
+					target.inFlight++
 				}
-				at(now+took, node, AttemptEnded{ID: a.ID, Attempt: leg, Server: a.Server, Code: code, Elapsed: took})
+				at(now+elapsed, node, AttemptEnded{ID: a.ID, Attempt: attempt, Server: a.Server, Code: code, Elapsed: elapsed})
 			case Reject:
-				q := reqs[a.ID]
+				q := requests[a.ID]
 				q.over = true
-				if q.attempts < 2 && r.Float64() < 0.6 {
-					q.attempts++
+				if q.retries < 2 && rng.Float64() < 0.6 {
+					q.retries++
 					old := *q
-					plan(now+max(a.RetryAfter, 5*time.Millisecond), func(now Time) {
+					schedule(now+max(a.RetryAfter, 5*time.Millisecond), func(now Time) {
 						id++
 						rid := RequestID(fmt.Sprint(id))
-						k := &live{came: old.came, class: old.class, attempts: old.attempts, node: r.Intn(c.nodes)}
-						timeout := c.settings.Classes[old.class].Deadline - (now - old.came)
+						k := &liveRequest{arrivedAt: old.arrivedAt, class: old.class, retries: old.retries, node: rng.Intn(r.nodes)}
+						timeout := r.settings.Classes[old.class].Deadline - (now - old.arrivedAt)
 						if nodes[k.node] == nil || timeout <= 0 {
 							return
 						}
-						reqs[rid], k.gen = k, began[k.node]
-						at(now, k.node, RequestArrived{ID: rid, Class: c.settings.Classes[old.class].Name, Timeout: timeout})
+						requests[rid], k.startCount = k, starts[k.node]
+						at(now, k.node, RequestArrived{ID: rid, Class: r.settings.Classes[old.class].Name, Timeout: timeout})
 					})
 				}
 			case CancelAttempt:
 			case Fail:
-				reqs[a.ID].over = true
+				requests[a.ID].over = true
 			}
 		}
 	}
@@ -295,64 +296,64 @@
 		now = d.at
 		switch {
 		case d.node == -2:
-			todo[d.event.(TimerFired).Token](now)
+			functions[d.event.(TimerFired).Token](now)
 			continue
 		case d.node == -1:
-			load, turn := c.load, t0+c.spread+c.settings.SlowStartWindow/2
-			if c.surge > 0 {
-				turn = t0 + c.surge
+			load, laterLoadAt := r.load, rolloutStart+r.spread+r.settings.SlowStartWindow/2
+			if r.surge > 0 {
+				laterLoadAt = rolloutStart + r.surge
 			}
 			switch {
-			case now > t0 && c.lull > 0 && now < turn:
-				load = c.lull
-			case now > turn && c.laterLoad > 0:
-				load = c.laterLoad
+			case now > rolloutStart && r.lull > 0 && now < laterLoadAt:
+				load = r.lull
+			case now > laterLoadAt && r.laterLoad > 0:
+				load = r.laterLoad
 			}
-			at(now+time.Duration(r.ExpFloat64()/(load*capacity)*float64(time.Second)), -1, nil)
+			at(now+time.Duration(rng.ExpFloat64()/(load*capacity)*float64(time.Second)), -1, nil)
 			id++
 			class := 0
-			for x := r.Float64(); class < len(c.mix)-1; class++ {
-				if x -= c.mix[class]; x < 0 {
+			for x := rng.Float64(); class < len(r.mix)-1; class++ {
+				if x -= r.mix[class]; x < 0 {
 					break
 				}
 			}
 			node := 0
-			for x := r.Float64() * sum; node < c.nodes-1; node++ {
+			for x := rng.Float64() * sum; node < r.nodes-1; node++ {
 				if x -= weight[node]; x < 0 {
 					break
 				}
 			}
-			if now > t0 {
-				requested += c.settings.Classes[class].PriorityWeight
+			if now > rolloutStart {
+				offeredWeight += r.settings.Classes[class].PriorityWeight
 			}
 			if nodes[node] == nil {
 				continue
 			}
 			rid := RequestID(fmt.Sprint(id))
-			reqs[rid] = &live{came: now, class: class, node: node, gen: began[node]}
-			d = queuedEvent{now, node, RequestArrived{ID: rid, Class: c.settings.Classes[class].Name, Timeout: c.settings.Classes[class].Deadline}}
+			requests[rid] = &liveRequest{arrivedAt: now, class: class, node: node, startCount: starts[node]}
+			d = queuedEvent{now, node, RequestArrived{ID: rid, Class: r.settings.Classes[class].Name, Timeout: r.settings.Classes[class].Deadline}}
 		}
 		m := nodes[d.node]
 		switch e := d.event.(type) {
 		case TimerFired:
-			if e.Token != int64(began[d.node]) {
+			if e.Token != int64(starts[d.node]) {
 				continue
 			}
 		case AttemptEnded:
-			q := reqs[e.ID]
-			sv := servers[e.Server]
+			q := requests[e.ID]
+			target := servers[e.Server]
 			if e.Code != Rejected && e.Code != Reset && e.Code != ServerError {
-				sv.inFlight--
+				target.inFlight--
 			}
-			if q.gen != began[d.node] {
+			if q.startCount != starts[d.node] {
 				continue
 			}
 			if e.Code == OK {
-				if part := c.capacityPart(sv, now); part < 1 {
-					done++
+				if part := r.capacityPart(target, now); part < 1 {
+					warmingAnswers++
 				}
-				if class := c.settings.Classes[q.class]; !q.over && q.came > t0 && now-q.came <= class.LatencyObjective {
-					inTime += class.PriorityWeight
+				if class := r.settings.Classes[q.class]; !q.over && q.arrivedAt > rolloutStart && now-q.arrivedAt <= class.LatencyObjective {
+					inTimeWeight += class.PriorityWeight
 				}
 			}
 			e.Answered = q.over || e.Code == OK
@@ -362,17 +363,17 @@
 		if m == nil {
 			continue
 		}
-		carry(now, d.node, m.Handle(now, d.event))
+		carryOut(now, d.node, m.Handle(now, d.event))
 	}
-	for _, sv := range servers {
-		if sv.started > 0 {
-			o.warming++
-			could += (1 + c.settings.SlowStartMinCapacity) / 2 * c.settings.SlowStartWindow.Seconds() * float64(c.cores) * sv.speed / mean
-			if sv.overBudget {
-				o.overBudget++
+	for _, target := range servers {
+		if target.started > 0 {
+			result.warming++
+			capacityAnswers += (1 + r.settings.SlowStartMinCapacity) / 2 * r.settings.SlowStartWindow.Seconds() * float64(r.cores) * target.speed / mean
+			if target.overBudget {
+				result.overBudget++
 			}
 		}
 	}
-	o.servedPart, o.usedCapacity = inTime/requested, done/math.Max(1, could)
-	return o
+	result.servedPart, result.usedCapacity = inTimeWeight/offeredWeight, warmingAnswers/math.Max(1, capacityAnswers)
+	return result
 }
--- a/policy/world_check_test.go
+++ b/policy/world_check_test.go
@@ -1,6 +1,6 @@
 package policy_test
 
-// An independent checker of the rules, for the world of world_test.go.
+// This file checks the rules on the module's actions, independently of the module's code, for the world of world_test.go.
 
 import (
 	"fmt"
@@ -13,7 +13,7 @@
 	w.violations = append(w.violations, fmt.Sprintf("%v: ", w.now)+fmt.Sprintf(format, args...))
 }
 
-// sameGroup is the checker's own reading of the scopes.
+// sameGroup implements key scopes independently of the module.
 func sameGroup(s policy.KeyScope, a, b *listed) bool {
 	return s == policy.KeyScopeAll || s == policy.KeyScopeZone && a.Zone == b.Zone || s == policy.KeyScopeCell && a.Cell == b.Cell
 }
@@ -86,7 +86,7 @@
 			return
 		}
 		q.attempts = append(q.attempts, sentAttempt{server: a.Server, at: w.now})
-		w.outcome(a, q, len(q.attempts)-1)
+		w.scheduleOutcome(a, q, len(q.attempts)-1)
 	case policy.Reject:
 		q := w.finalAnswer(a.ID)
 		if q == nil {
@@ -107,7 +107,7 @@
 			w.violate("forbidden or unknown cancel")
 			return
 		}
-		w.later(time.Millisecond, pending{id: a.ID, event: policy.AttemptEnded{ID: a.ID, Attempt: a.Attempt,
+		w.schedule(time.Millisecond, scheduledEvent{id: a.ID, event: policy.AttemptEnded{ID: a.ID, Attempt: a.Attempt,
 			Server: q.attempts[a.Attempt].server, Code: policy.Cancelled}})
 	case policy.HealthCheck:
 		if !w.settings.MayHealthCheck {
@@ -122,12 +122,12 @@
 		if w.random.Intn(20) == 0 {
 			late = time.Duration(w.random.Intn(200)) * time.Millisecond
 		}
-		w.later(a.After+late, pending{event: policy.TimerFired{Token: a.Token}})
+		w.schedule(a.After+late, scheduledEvent{event: policy.TimerFired{Token: a.Token}})
 	case policy.Subscribe, policy.FetchEndpoints:
 		if w.random.Intn(3) == 0 {
-			w.later(time.Second, pending{event: policy.EndpointUpdate{Kind: policy.EndpointsFailed}})
+			w.schedule(time.Second, scheduledEvent{event: policy.EndpointUpdate{Kind: policy.EndpointsFailed}})
 		} else {
-			w.later(50*time.Millisecond, pending{event: policy.EndpointUpdate{Kind: policy.EndpointsChanged}})
+			w.schedule(50*time.Millisecond, scheduledEvent{event: policy.EndpointUpdate{Kind: policy.EndpointsChanged}})
 		}
 	}
 }
--- a/policy/world_test.go
+++ b/policy/world_test.go
@@ -1,7 +1,7 @@
 package policy_test
 
-// A small world that drives the module through legal but unkind events; its checker is in worldcheck_test.go. Nothing
-// here uses the module's own code beyond its interface.
+// This file simulates a small world that drives the module through legal but adverse events. The checker of the rules is
+// in world_check_test.go. Both use the module only through its interface.
 
 import (
 	"fmt"
@@ -29,13 +29,13 @@
 
 type listed struct {
 	policy.Server
-	drainNotifiedAt time.Duration // when the node was notified that it drains or is removed; 0: it is ready
+	drainNotifiedAt time.Duration // when the node was told that the server is draining or removed; 0: the server is ready
 	startNotified   bool
-	excluded        bool          // excluded by the operators
-	includedAt      time.Duration // when it was last given back
+	excluded        bool          // by the operators
+	includedAt      time.Duration // when the operators last included it again
 }
 
-type pending struct {
+type scheduledEvent struct {
 	at    time.Duration
 	order int
 	event policy.Event
@@ -46,23 +46,23 @@
 	settings   policy.Settings
 	random     *rand.Rand
 	now        time.Duration
-	queue      []pending
+	queue      []scheduledEvent
 	order      int
 	requests   map[policy.RequestID]*liveRequest
 	servers    map[policy.ServerID]*listed
 	ids        []policy.ServerID
 	sends      map[policy.ServerID][]time.Duration
-	capacity   float64 // requests a second that this node's quota lease of a warm server can do
+	capacity   float64 // this node's part of the capacity of a warm server, requests/s
 	module     *policy.Module
 	mutate     func(w *world, a []policy.Action) []policy.Action
 	events     []policy.Event
 	times      []time.Duration
 	actions    []string
 	violations []string
-	next       int
+	lastID     int
 }
 
-func (w *world) later(d time.Duration, p pending) {
+func (w *world) schedule(d time.Duration, p scheduledEvent) {
 	w.order++
 	p.at, p.order = w.now+max(d, w.settings.MinTick), w.order
 	w.queue = append(w.queue, p)
@@ -80,34 +80,35 @@
 	}
 }
 
-// outcome plans how an attempt ends.
-func (w *world) outcome(a policy.Forward, q *liveRequest, n int) {
+// scheduleOutcome schedules the outcome of an attempt.
+func (w *world) scheduleOutcome(a policy.Forward, q *liveRequest, n int) {
 	limit := q.deadline - w.now
 	if a.Timeout != 0 {
 		limit = min(limit, a.Timeout)
 	}
 	codes := []policy.OutcomeCode{policy.OK, policy.OK, policy.OK, policy.OK, policy.OK, policy.ServerError,
 		policy.Rejected, policy.TimedOut, policy.ConnectFailed, policy.Reset, policy.NotSent}
-	code, took := codes[w.random.Intn(len(codes))], time.Duration(1+w.random.Intn(400))*time.Millisecond
+	code, elapsed := codes[w.random.Intn(len(codes))], time.Duration(1+w.random.Intn(400))*time.Millisecond
 	if uint32(a.Server)%5 == uint32(w.now.Seconds()/7)%5 && w.random.Intn(2) == 0 {
-		code = policy.TimedOut // some servers are silent for a while
+		code = policy.TimedOut // some servers give no answers for a while
 	}
-	if code == policy.TimedOut || took > limit {
-		code, took = policy.TimedOut, limit
+	if code == policy.TimedOut || elapsed > limit {
+		code, elapsed = policy.TimedOut, limit
 	}
-	if q.class.Streamed && code == policy.OK && took > 10*time.Millisecond && w.random.Intn(2) == 0 {
-		w.later(took/2, pending{event: policy.StreamStarted{ID: a.ID, Attempt: n, Server: a.Server, Elapsed: took / 2}})
+	if q.class.Streamed && code == policy.OK && elapsed > 10*time.Millisecond && w.random.Intn(2) == 0 {
+		w.schedule(elapsed/2, scheduledEvent{event: policy.StreamStarted{ID: a.ID, Attempt: n, Server: a.Server, Elapsed: elapsed / 2}})
 	}
 	var report *policy.LoadReport
 	if w.random.Intn(3) == 0 {
 		report = &policy.LoadReport{InFlight: float64(w.random.Intn(30)), HasInFlight: w.random.Intn(4) > 0}
 	}
-	w.later(took, pending{id: a.ID, event: policy.AttemptEnded{ID: a.ID, Attempt: n, Server: a.Server, Elapsed: took,
+	w.schedule(elapsed, scheduledEvent{id: a.ID, event: policy.AttemptEnded{ID: a.ID, Attempt: n, Server: a.Server, Elapsed: elapsed,
 		Code: code, Report: report}})
 }
 
-// deliver hands an event over, as the wire would: one outcome for each attempt, none for what the node forgot.
-func (w *world) deliver(p pending) {
+// deliver passes a scheduled event to the module, as a real node would: each attempt has one outcome, and there is none for
+// requests that a restarted node has forgotten.
+func (w *world) deliver(p scheduledEvent) {
 	switch e := p.event.(type) {
 	case policy.AttemptEnded:
 		q := w.requests[e.ID]
@@ -138,10 +139,10 @@
 	w.handle(p.event)
 }
 
-// arrivals and changes of the list.
+// arrive passes a new request to the module.
 func (w *world) arrive() {
-	w.next++
-	id := policy.RequestID(fmt.Sprintf("%036d", w.next))
+	w.lastID++
+	id := policy.RequestID(fmt.Sprintf("%036d", w.lastID))
 	c := w.settings.Classes[w.random.Intn(len(w.settings.Classes))]
 	timeout := time.Duration(float64(c.Deadline) * (0.3 + 0.7*w.random.Float64()))
 	if w.random.Intn(50) == 0 {
@@ -149,7 +150,7 @@
 	}
 	w.requests[id] = &liveRequest{class: c, deadline: w.now + timeout}
 	if w.random.Intn(40) == 0 {
-		w.later(timeout/2, pending{event: policy.RequestAbandoned{ID: id}})
+		w.schedule(timeout/2, scheduledEvent{event: policy.RequestAbandoned{ID: id}})
 	}
 	e := policy.RequestArrived{ID: id, Class: c.Name, Timeout: timeout}
 	if len(w.settings.Tenants) > 0 {
@@ -159,25 +160,25 @@
 }
 
 func (w *world) newServer(started time.Duration) policy.Server {
-	w.next++
-	return policy.Server{ID: policy.ServerID(w.next*2654435761 + 1), Zone: fmt.Sprint("z", w.random.Intn(2)),
+	w.lastID++
+	return policy.Server{ID: policy.ServerID(w.lastID*2654435761 + 1), Zone: fmt.Sprint("z", w.random.Intn(2)),
 		Cell: w.random.Intn(3), Weight: 1, StartedAt: started}
 }
 
-// notify records what a list says and passes it on.
-func (w *world) notify(kind policy.EndpointUpdateKind, entries []policy.Server) {
-	in := map[policy.ServerID]bool{}
-	for _, n := range entries {
-		s := w.servers[n.ID]
+// updateEndpoints records the entries of an endpoint update and passes the update to the module.
+func (w *world) updateEndpoints(kind policy.EndpointUpdateKind, entries []policy.Server) {
+	present := map[policy.ServerID]bool{}
+	for _, entry := range entries {
+		s := w.servers[entry.ID]
 		if s == nil {
 			s = &listed{}
-			w.servers[n.ID] = s
-			w.ids = append(w.ids, n.ID)
+			w.servers[entry.ID] = s
+			w.ids = append(w.ids, entry.ID)
 		}
-		s.startNotified = n.State == policy.Ready && n.StartedAt > 0
-		s.Server = n
-		in[n.ID] = true
-		if n.State == policy.Ready {
+		s.startNotified = entry.State == policy.Ready && entry.StartedAt > 0
+		s.Server = entry
+		present[entry.ID] = true
+		if entry.State == policy.Ready {
 			s.drainNotifiedAt = 0
 		} else if s.drainNotifiedAt == 0 {
 			s.drainNotifiedAt = w.now
@@ -185,7 +186,7 @@
 	}
 	if kind != policy.EndpointsChanged {
 		for _, id := range w.ids {
-			if s := w.servers[id]; !in[id] && s.drainNotifiedAt == 0 {
+			if s := w.servers[id]; !present[id] && s.drainNotifiedAt == 0 {
 				s.drainNotifiedAt, s.State = w.now, policy.Removed
 			}
 		}
@@ -211,7 +212,7 @@
 				all = append(all, e)
 			}
 		}
-		w.notify(policy.EndpointsComplete, all)
+		w.updateEndpoints(policy.EndpointsComplete, all)
 		return
 	case 5:
 		if w.settings.PollsEndpoints {
@@ -219,11 +220,11 @@
 		}
 		return
 	}
-	w.notify(policy.EndpointsChanged, []policy.Server{s})
+	w.updateEndpoints(policy.EndpointsChanged, []policy.Server{s})
 }
 
-// exclude takes a server out, or back if it is out.
-func (w *world) exclude() {
+// toggleExclusion excludes a random server, or includes it again if it is excluded.
+func (w *world) toggleExclusion() {
 	s := w.servers[w.ids[w.random.Intn(len(w.ids))]]
 	if s.excluded = !s.excluded; s.excluded {
 		w.handle(policy.ServerExcluded{Server: s.ID})
@@ -246,10 +247,10 @@
 		all = append(all, w.newServer(0))
 	}
 	w.servers, w.ids = map[policy.ServerID]*listed{}, nil
-	w.notify(policy.EndpointsCached, all)
+	w.updateEndpoints(policy.EndpointsCached, all)
 }
 
-// run runs a stretch of time; restarts reports whether the node may be restarted in between.
+// run advances the world by length, with rate arrivals per second. With restarts the node may restart meanwhile.
 func (w *world) run(length time.Duration, rate float64, restarts bool) {
 	const step = 5 * time.Millisecond
 	for end := w.now + length; w.now < end; w.now += step {
@@ -270,7 +271,7 @@
 			w.changeList()
 		}
 		if w.random.Intn(300) == 0 {
-			w.exclude()
+			w.toggleExclusion()
 		}
 		if restarts && w.random.Intn(1500) == 0 {
 			w.start()
