--- a/cmd/balancer/main.go
+++ b/cmd/balancer/main.go
@@ -15,7 +15,7 @@
 	"meadowsill/internal/node"
 )
 
-const gcPercent = 400 // the heap is small: fewer collections leave the one core to requests
+const gcPercent = 400 // the heap is small; fewer collections leave more of the single core for requests
 
 func main() {
 	if err := run(); err != nil {
@@ -25,9 +25,9 @@
 }
 
 func run() error {
-	// It is never undone: a second SIGTERM, as the process ends by the first, would kill it.
+	// The handler is never removed: a second SIGTERM would otherwise kill the process while it ends because of the first.
 	ctx, _ := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
-	hup := make(chan os.Signal, 1) // what comes while one is dealt with needs no more than one further look
+	hup := make(chan os.Signal, 1) // any number of SIGHUPs that arrive during a reload need only one more reload
 	signal.Notify(hup, syscall.SIGHUP)
 	c, err := node.LoadConfig(os.Getenv)
 	if err != nil {
--- a/cmd/balancer/main_test.go
+++ b/cmd/balancer/main_test.go
@@ -21,7 +21,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// The test binary is the program when this is set.
+// asProgram is the environment variable that makes the test binary run main instead of the tests.
 const asProgram = "STARLINGVALVE_TEST_AS_PROGRAM"
 
 func TestMain(m *testing.M) {
@@ -32,7 +32,7 @@
 	os.Exit(m.Run())
 }
 
-func program(t *testing.T, config string) (*exec.Cmd, *bytes.Buffer) {
+func newCommand(t *testing.T, config string) (*exec.Cmd, *bytes.Buffer) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(path, []byte(config), 0o600); err != nil {
 		t.Fatal(err)
@@ -43,7 +43,7 @@
 	return cmd, &log
 }
 
-func configOf(cmd *exec.Cmd) string {
+func configPath(cmd *exec.Cmd) string {
 	for _, v := range cmd.Env {
 		if path, ok := strings.CutPrefix(v, "GW_CONFIG="); ok {
 			return path
@@ -53,7 +53,7 @@
 }
 
 func TestBadConfiguration(t *testing.T) {
-	cmd, log := program(t, `{"name":"n0"}`)
+	cmd, log := newCommand(t, `{"name":"n0"}`)
 	cmd.Run()
 	if code := cmd.ProcessState.ExitCode(); code != 1 || strings.Count(log.String(), "\n") != 1 || !strings.Contains(log.String(), "listen") {
 		t.Errorf("exit code %d, log %q", code, log)
@@ -71,8 +71,8 @@
 		t.Fatal(err)
 	}
 	config := string(text)
-	cmd, _ := program(t, fmt.Sprintf(config, discovery.Addr()))
-	cmd.Env = append(cmd.Env, "GW_DISCOVERY="+discovery.Addr().String()) // as it was at the start
+	cmd, _ := newCommand(t, fmt.Sprintf(config, discovery.Addr()))
+	cmd.Env = append(cmd.Env, "GW_DISCOVERY="+discovery.Addr().String()) // the address at the start
 	cmd.Stderr = nil
 	log, err := cmd.StderrPipe()
 	if err != nil {
@@ -90,16 +90,16 @@
 	client := http.Client{Timeout: 20 * time.Second}
 	resp, err := client.Get("http://" + listen + "/health/live")
 	if err != nil || resp.StatusCode != http.StatusOK {
-		t.Errorf("after %q: %v, %v", lines.Text(), resp, err)
+		t.Errorf("liveness check after log line %q: %v, %v", lines.Text(), resp, err)
 	}
-	// A configuration that can't be read changes nothing at SIGHUP; the next one moves discovery.
-	path := configOf(cmd)
+	// A SIGHUP with an invalid configuration changes nothing. The next one brings a new address of discovery.
+	path := configPath(cmd)
 	if err := os.WriteFile(path, []byte("{"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	cmd.Process.Signal(syscall.SIGHUP)
 	if lines.Scan(); !strings.Contains(lines.Text(), "configuration rejected") {
-		t.Errorf("at SIGHUP with a broken file: %q", lines.Text())
+		t.Errorf("after a SIGHUP with an invalid file: %q", lines.Text())
 	}
 	moved, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -112,7 +112,7 @@
 	cmd.Process.Signal(syscall.SIGHUP)
 	moved.(*net.TCPListener).SetDeadline(time.Now().Add(20 * time.Second))
 	if conn, err := moved.Accept(); err != nil {
-		t.Errorf("no call at the new address: %v", err)
+		t.Errorf("no connection to the new address of discovery: %v", err)
 	} else {
 		conn.Close()
 	}
@@ -124,7 +124,8 @@
 	}
 }
 
-// sharedPort returns an address that nobody but the processes which share it can take: a socket stays bound to it.
+// sharedPort returns an address that only processes that set SO_REUSEPORT can bind. It reserves the port by a socket that stays
+// bound until the end of the test.
 func sharedPort(t *testing.T) string {
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM, 0)
 	if err != nil {
@@ -144,25 +145,26 @@
 	return fmt.Sprintf("127.0.0.1:%d", name.(*unix.SockaddrInet4).Port)
 }
 
-// An upgrade: the program is started again while the older process runs, with another admin address. Requests go on being served,
-// each on a new connection, while the newer process says yes and the older one is ended; a ban goes over.
+// TestUpgrade checks a hot restart: the program is started again while the older process runs, with another admin address. Requests,
+// each on a new connection, must be answered throughout, while the newer process becomes ready and the older one is terminated. The
+// newer process takes over the exclusion of a server.
 func TestUpgrade(t *testing.T) {
 	text, err := os.ReadFile("testdata/config.json")
 	if err != nil {
 		t.Fatal(err)
 	}
-	var banned atomic.Int64
+	var excludedRequests atomic.Int64
 	server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
 	defer server.Close()
-	other := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { banned.Add(1) }))
-	defer other.Close()
+	excluded := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { excludedRequests.Add(1) }))
+	defer excluded.Close()
 	listen := sharedPort(t)
-	entry := `{"id":"s-0000000%d","addr":%q,"zone":"z","kind":"k","cell":0,"state":"ready","weight":1,"started_ms":0}`
+	serverEntry := `{"id":"s-0000000%d","addr":%q,"zone":"z","kind":"k","cell":0,"state":"ready","weight":1,"started_ms":0}`
 	config := strings.Replace(fmt.Sprintf(string(text), listen), `"limits":{}`, `"limits":{},"known":{"version":1,"full":true,"servers":[`+
-		fmt.Sprintf(entry, 1, server.Listener.Addr())+","+fmt.Sprintf(entry, 2, other.Listener.Addr())+`]}`, 1)
+		fmt.Sprintf(serverEntry, 1, server.Listener.Addr())+","+fmt.Sprintf(serverEntry, 2, excluded.Listener.Addr())+`]}`, 1)
 	dir := t.TempDir()
-	run := func() (*exec.Cmd, string) {
-		cmd, _ := program(t, config)
+	startNode := func() (*exec.Cmd, string) {
+		cmd, _ := newCommand(t, config)
 		cmd.Env = append(cmd.Env, "GW_LISTEN="+listen, "GW_ADMIN_ADDR=127.0.0.1:0", "TMPDIR="+dir)
 		cmd.Stderr = nil
 		log, err := cmd.StderrPipe()
@@ -186,11 +188,11 @@
 		case addr := <-admin:
 			return cmd, addr
 		case <-time.After(20 * time.Second):
-			t.Fatal("no admin API")
+			t.Fatal("the admin API does not open")
 			return nil, ""
 		}
 	}
-	call := func(admin, line, want string) {
+	callAdmin := func(admin, line, want string) {
 		t.Helper()
 		for end := time.Now().Add(20 * time.Second); ; time.Sleep(5 * time.Millisecond) {
 			c, err := net.Dial("tcp", admin)
@@ -205,33 +207,33 @@
 				return
 			}
 			if time.Now().After(end) {
-				t.Fatalf("%s: %q", line, got)
+				t.Fatalf("admin call %s: unexpected answer %q", line, got)
 			}
 		}
 	}
-	var served, wrong atomic.Int64
+	var sent, failures atomic.Int64
 	stop := make(chan struct{})
 	var clients sync.WaitGroup
-	poll := func() {
+	sendRequest := func() {
 		req, _ := http.NewRequest(http.MethodPost, "http://"+listen+"/c", nil)
-		req.Header.Set("X-Correlation-Id", fmt.Sprint("id", served.Add(1)))
+		req.Header.Set("X-Correlation-Id", fmt.Sprint("id", sent.Add(1)))
 		req.Header.Set("X-Time-Left", "1")
 		req.Close = true
 		resp, err := http.DefaultClient.Do(req)
 		if err != nil {
 			t.Error(err)
-			wrong.Add(1)
+			failures.Add(1)
 			return
 		}
 		resp.Body.Close()
 		if resp.StatusCode != http.StatusOK && resp.StatusCode != http.StatusServiceUnavailable {
 			t.Errorf("status %d", resp.StatusCode)
-			wrong.Add(1)
+			failures.Add(1)
 		}
 	}
-	older, admin := run()
-	call(admin, "readyz", "ACK")
-	call(admin, "exclude s-00000002", "ACK")
+	older, admin := startNode()
+	callAdmin(admin, "readyz", "ACK")
+	callAdmin(admin, "exclude s-00000002", "ACK")
 	for range 4 {
 		clients.Go(func() {
 			for {
@@ -239,26 +241,26 @@
 				case <-stop:
 					return
 				default:
-					poll()
+					sendRequest()
 				}
 			}
 		})
 	}
 	for range 2 {
-		newer, newAdmin := run()
-		call(newAdmin, "readyz", "ACK")
+		newer, newAdmin := startNode()
+		callAdmin(newAdmin, "readyz", "ACK")
 		older.Process.Signal(syscall.SIGTERM)
 		if err := older.Wait(); err != nil {
 			t.Errorf("the older process: %v", err)
 		}
 		older = newer
 	}
-	for n := served.Load(); served.Load() < n+50 && wrong.Load() == 0; {
+	for n := sent.Load(); sent.Load() < n+50 && failures.Load() == 0; {
 		time.Sleep(time.Millisecond)
 	}
 	close(stop)
 	clients.Wait()
-	if banned.Load() > 0 {
-		t.Errorf("the server that is out got %d requests", banned.Load())
+	if excludedRequests.Load() > 0 {
+		t.Errorf("the excluded server got %d requests", excludedRequests.Load())
 	}
 }
--- a/cmd/balancer/many_clients_test.go
+++ b/cmd/balancer/many_clients_test.go
@@ -14,8 +14,9 @@
 	"time"
 )
 
-// Clients that come all at once and rest, or send nothing, fill the places while discovery is down, under a real limit of descriptors.
-// Discovery is called all the same, and another client gets in once some of them may be closed.
+// TestManyClientsLeaveDescriptors guards against clients that take all file descriptors. Under a real descriptor limit and with discovery
+// down, many clients connect at once and stay idle or send nothing. The node must still be able to call discovery, and must accept
+// another client once it may close some idle connections.
 func TestManyClientsLeaveDescriptors(t *testing.T) {
 	t.Parallel()
 	const sockets = 64
@@ -32,7 +33,7 @@
 				return
 			}
 			calls.Add(1)
-			c.Close() // it is down
+			c.Close() // discovery is down
 		}
 	}()
 	text, err := os.ReadFile("testdata/config.json")
@@ -41,7 +42,7 @@
 	}
 	config := strings.Replace(fmt.Sprintf(string(text), discovery.Addr()), `"limits":{}`,
 		fmt.Sprintf(`"limits":{"cores":1,"memory_mb":192,"sockets":%d}`, sockets), 1)
-	cmd, _ := program(t, config)
+	cmd, _ := newCommand(t, config)
 	limited := exec.Command("/bin/sh", "-c", fmt.Sprintf(`ulimit -n %d; exec "$0"`, sockets), cmd.Path)
 	limited.Env = cmd.Env
 	log, err := limited.StderrPipe()
@@ -64,12 +65,12 @@
 			}
 		}
 	}()
-	const patient = 20 * time.Second
+	const testTimeout = 20 * time.Second
 	var addr string
 	select {
 	case addr = <-listen:
-	case <-time.After(patient):
-		t.Fatal("it does not serve")
+	case <-time.After(testTimeout):
+		t.Fatal("the node does not start to serve")
 	}
 	for i := range sockets / 2 {
 		c, err := net.Dial("tcp", addr)
@@ -78,24 +79,24 @@
 		}
 		defer c.Close()
 		if i >= sockets/4 {
-			continue // it sends nothing, and takes one of the last places
+			continue // this client sends nothing and holds one of the last connections
 		}
 		io.WriteString(c, "GET /health/live HTTP/1.1\r\nHost: h\r\n\r\n")
-		c.SetReadDeadline(time.Now().Add(patient))
+		c.SetReadDeadline(time.Now().Add(testTimeout))
 		if _, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil {
 			t.Fatal(err)
 		}
 	}
 	before := calls.Load()
-	client := http.Client{Timeout: patient}
+	client := http.Client{Timeout: testTimeout}
 	if resp, err := client.Get("http://" + addr + "/health/ready"); err != nil {
-		t.Errorf("kept out by idle clients: %v", err)
+		t.Errorf("a new client is kept out by idle ones: %v", err)
 	} else {
 		resp.Body.Close()
 	}
-	for end := time.Now().Add(patient); calls.Load() < before+2; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); calls.Load() < before+2; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("discovery is not called any more")
+			t.Fatal("the node no longer calls discovery")
 		}
 	}
 }
--- a/cmd/balancer/signals_test.go
+++ b/cmd/balancer/signals_test.go
@@ -17,22 +17,23 @@
 	"time"
 )
 
-const patient = 20 * time.Second
+const testTimeout = 20 * time.Second
 
-// running is the program as a process, its log by lines.
-type running struct {
+// nodeProcess is the program running as a process, with the lines of its log.
+type nodeProcess struct {
 	*exec.Cmd
 	lines  chan string
 	config string
 }
 
-// begin starts the program. A configuration of "" is a pipe, on which it waits until the test writes.
-func begin(t *testing.T, config string, env ...string) *running {
+// startProcess starts the program. If config is empty, the configuration file is a named pipe, and the program waits until the test
+// writes to it.
+func startProcess(t *testing.T, config string, env ...string) *nodeProcess {
 	t.Helper()
-	cmd, _ := program(t, config)
-	r := &running{Cmd: cmd, lines: make(chan string, 1000), config: configOf(cmd)}
+	cmd, _ := newCommand(t, config)
+	p := &nodeProcess{Cmd: cmd, lines: make(chan string, 1000), config: configPath(cmd)}
 	if config == "" {
-		r.pipe(t)
+		p.pipe(t)
 	}
 	cmd.Env = append(append(cmd.Env, "TMPDIR="+t.TempDir()), env...)
 	cmd.Stderr = nil
@@ -43,92 +44,92 @@
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	guard := time.AfterFunc(3*patient, func() { cmd.Process.Kill() })
+	guard := time.AfterFunc(3*testTimeout, func() { cmd.Process.Kill() })
 	t.Cleanup(func() { guard.Stop(); cmd.Process.Kill(); cmd.Wait() })
 	go func() {
-		defer close(r.lines)
+		defer close(p.lines)
 		for s := bufio.NewScanner(log); s.Scan(); {
-			r.lines <- s.Text()
+			p.lines <- s.Text()
 		}
 	}()
-	return r
+	return p
 }
 
-// await reads the log up to a line that has text. It gives what comes after it.
-func (r *running) await(t *testing.T, text string) string {
+// awaitLog reads the log up to a line that contains text, and returns the part of the line after text.
+func (p *nodeProcess) awaitLog(t *testing.T, text string) string {
 	t.Helper()
-	for late := time.After(patient); ; {
+	for timeout := time.After(testTimeout); ; {
 		select {
-		case line, ok := <-r.lines:
+		case line, ok := <-p.lines:
 			if _, rest, found := strings.Cut(line, text); found {
 				return rest
 			}
 			if !ok {
-				t.Fatalf("it ended without %q", text)
+				t.Fatalf("the process ended without logging %q", text)
 			}
-		case <-late:
-			t.Fatalf("no %q", text)
+		case <-timeout:
+			t.Fatalf("no log line contains %q", text)
 		}
 	}
 }
 
-func (r *running) signal(t *testing.T, s syscall.Signal) {
+func (p *nodeProcess) signal(t *testing.T, s syscall.Signal) {
 	t.Helper()
-	if err := r.Process.Signal(s); err != nil {
+	if err := p.Process.Signal(s); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// ends waits for its end with code 0.
-func (r *running) ends(t *testing.T) {
+// awaitExit waits until the process has ended, and fails the test unless the exit code is 0.
+func (p *nodeProcess) awaitExit(t *testing.T) {
 	t.Helper()
-	guard := time.AfterFunc(patient, func() { r.Process.Kill() })
+	guard := time.AfterFunc(testTimeout, func() { p.Process.Kill() })
 	defer guard.Stop()
-	for range r.lines {
+	for range p.lines {
 	}
-	if err := r.Wait(); err != nil {
-		t.Errorf("it ended with %v", err)
+	if err := p.Wait(); err != nil {
+		t.Errorf("the process ended with %v", err)
 	}
 }
 
-// pipe lays a pipe where the configuration is.
-func (r *running) pipe(t *testing.T) {
+// pipe replaces the configuration file by a named pipe.
+func (p *nodeProcess) pipe(t *testing.T) {
 	t.Helper()
-	if err := syscall.Mkfifo(r.config+".pipe", 0o600); err != nil {
+	if err := syscall.Mkfifo(p.config+".pipe", 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if err := os.Rename(r.config+".pipe", r.config); err != nil {
+	if err := os.Rename(p.config+".pipe", p.config); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// put lays another file where the configuration is, whatever is being read there.
-func (r *running) put(t *testing.T, text string) {
+// replaceConfig replaces the configuration file. A reader of the earlier file is not affected.
+func (p *nodeProcess) replaceConfig(t *testing.T, text string) {
 	t.Helper()
-	if err := os.WriteFile(r.config+".new", []byte(text), 0o600); err != nil {
+	if err := os.WriteFile(p.config+".new", []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if err := os.Rename(r.config+".new", r.config); err != nil {
+	if err := os.Rename(p.config+".new", p.config); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// reading waits until the program reads the pipe.
-func (r *running) reading(t *testing.T) *os.File {
+// awaitConfigRead waits until the program reads the pipe, and returns the pipe's writing end.
+func (p *nodeProcess) awaitConfigRead(t *testing.T) *os.File {
 	t.Helper()
-	for end := time.Now().Add(patient); ; time.Sleep(time.Millisecond) {
-		f, err := os.OpenFile(r.config, os.O_WRONLY|syscall.O_NONBLOCK, 0)
+	for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
+		f, err := os.OpenFile(p.config, os.O_WRONLY|syscall.O_NONBLOCK, 0)
 		if err == nil {
 			t.Cleanup(func() { f.Close() })
 			return f
 		}
 		if time.Now().After(end) {
-			t.Fatalf("it does not read: %v", err)
+			t.Fatalf("the process does not read its configuration: %v", err)
 		}
 	}
 }
 
-// silentDiscovery takes calls and answers none.
+// silentDiscovery returns the address of a discovery server that accepts connections but never answers.
 func silentDiscovery(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -148,27 +149,28 @@
 	return fmt.Sprintf(string(text), discovery)
 }
 
-// SIGTERM at the start ends the program with code 0: as it reads its configuration, without an admin API and with one; and
-// with one, before it has a list and listens for clients. Further SIGTERMs, up to its end, change nothing.
-func TestTerminateAtTheStart(t *testing.T) {
+// TestTerminateDuringStart checks that a SIGTERM during the start ends the program with code 0: while it reads its configuration,
+// without and with an admin API, and, with an admin API, before it has an endpoint list and listens for clients. Further SIGTERMs
+// until its end change nothing.
+func TestTerminateDuringStart(t *testing.T) {
 	t.Parallel()
 	config := configText(t, silentDiscovery(t))
 	for _, admin := range []string{"", "127.0.0.1:0"} {
 		t.Run("admin="+admin, func(t *testing.T) {
 			t.Parallel()
-			r := begin(t, "", "GW_ADMIN_ADDR="+admin)
-			pipe := r.reading(t)
-			r.signal(t, syscall.SIGTERM)
+			p := startProcess(t, "", "GW_ADMIN_ADDR="+admin)
+			pipe := p.awaitConfigRead(t)
+			p.signal(t, syscall.SIGTERM)
 			io.WriteString(pipe, config)
 			pipe.Close()
-			r.ends(t)
+			p.awaitExit(t)
 		})
 	}
 	t.Run("no list", func(t *testing.T) {
 		t.Parallel()
-		r := begin(t, config, "GW_ADMIN_ADDR=127.0.0.1:0")
-		admin, _, _ := strings.Cut(r.await(t, "admin="), " ")
-		held, err := net.Dial("tcp", admin) // an operator that finishes no line holds up no end
+		p := startProcess(t, config, "GW_ADMIN_ADDR=127.0.0.1:0")
+		admin, _, _ := strings.Cut(p.awaitLog(t, "admin="), " ")
+		held, err := net.Dial("tcp", admin) // an operator's unfinished line must not delay the exit
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -176,74 +178,74 @@
 		io.WriteString(held, "evac")
 		ended := make(chan struct{})
 		defer close(ended)
-		go func() { // SIGTERM again and again, up to the process's end: it is killed by none
+		go func() { // repeated SIGTERMs until the process ends must not kill it
 			for {
 				select {
 				case <-ended:
 					return
 				default:
-					r.Process.Signal(syscall.SIGTERM)
+					p.Process.Signal(syscall.SIGTERM)
 				}
 			}
 		}()
-		for line := range r.lines {
+		for line := range p.lines {
 			if strings.Contains(line, "msg=serving") {
-				t.Errorf("it serves: %s", line)
+				t.Errorf("the node serves without an endpoint list: %s", line)
 			}
 		}
-		r.ends(t)
+		p.awaitExit(t)
 		if c, err := net.Dial("tcp", admin); err == nil {
 			c.Close()
-			t.Error("the admin API is open after the end")
+			t.Error("the admin API is still open after the process ended")
 		}
 	})
 }
 
-// A SIGHUP that comes as the configuration is read, at the start or by an earlier one, has it read once more: the later
-// file holds.
-func TestReloadDuringARead(t *testing.T) {
+// TestReloadDuringConfigRead guards against a lost reload. A SIGHUP that arrives while the configuration is being read, at the start
+// or because of an earlier SIGHUP, must cause another read, so that the later file is in force.
+func TestReloadDuringConfigRead(t *testing.T) {
 	t.Parallel()
 	discovery := silentDiscovery(t)
 	config := configText(t, discovery)
 	second := strings.Replace(config, `"max_attempts":6`, `"max_attempts":5`, 1)
 	third := strings.Replace(config, `"max_attempts":6`, `"max_attempts":4`, 1)
-	r := begin(t, "")
-	pipe := r.reading(t)
-	r.put(t, second)
-	r.signal(t, syscall.SIGHUP)
+	p := startProcess(t, "")
+	pipe := p.awaitConfigRead(t)
+	p.replaceConfig(t, second)
+	p.signal(t, syscall.SIGHUP)
 	io.WriteString(pipe, config)
 	pipe.Close()
-	r.await(t, "msg=serving")
-	r.await(t, `msg="configuration applied" classes=1 attempts=5`)
-	r.pipe(t)
-	r.signal(t, syscall.SIGHUP)
-	pipe = r.reading(t)
-	r.put(t, third)
-	r.signal(t, syscall.SIGHUP)
-	r.signal(t, syscall.SIGHUP)
-	io.WriteString(pipe, second[:len(second)/2]) // half a file is none
+	p.awaitLog(t, "msg=serving")
+	p.awaitLog(t, `msg="configuration applied" classes=1 attempts=5`)
+	p.pipe(t)
+	p.signal(t, syscall.SIGHUP)
+	pipe = p.awaitConfigRead(t)
+	p.replaceConfig(t, third)
+	p.signal(t, syscall.SIGHUP)
+	p.signal(t, syscall.SIGHUP)
+	io.WriteString(pipe, second[:len(second)/2]) // half a file is invalid
 	pipe.Close()
-	r.await(t, `msg="configuration rejected"`)
-	r.await(t, `msg="configuration applied" classes=1 attempts=4`)
-	r.signal(t, syscall.SIGTERM)
-	r.ends(t)
+	p.awaitLog(t, `msg="configuration rejected"`)
+	p.awaitLog(t, `msg="configuration applied" classes=1 attempts=4`)
+	p.signal(t, syscall.SIGTERM)
+	p.awaitExit(t)
 }
 
-// holder is an app server that holds its requests until let is closed.
-type holder struct {
-	came   chan struct{}
-	let    chan struct{}
-	config string // of a node that knows it
+// holdingServer is an app server that holds its requests until released is closed.
+type holdingServer struct {
+	arrived  chan struct{}
+	released chan struct{}
+	config   string // configuration of a node that knows this server
 }
 
-func newHolder(t *testing.T) *holder {
+func newHoldingServer(t *testing.T) *holdingServer {
 	t.Helper()
-	h := &holder{came: make(chan struct{}), let: make(chan struct{})}
+	h := &holdingServer{arrived: make(chan struct{}), released: make(chan struct{})}
 	server := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, req *http.Request) {
-		h.came <- struct{}{}
+		h.arrived <- struct{}{}
 		select {
-		case <-h.let:
-		case <-req.Context().Done(): // the program has ended
+		case <-h.released:
+		case <-req.Context().Done(): // the node has ended
 		}
 	}))
 	t.Cleanup(server.Close)
@@ -254,10 +256,10 @@
 	return h
 }
 
-// ask sends a request and waits until it is held. What comes of it is sent.
-func (h *holder) ask(t *testing.T, listen string) <-chan error {
+// sendRequest sends a request and waits until the server holds it. The returned channel receives the outcome.
+func (h *holdingServer) sendRequest(t *testing.T, listen string) <-chan error {
 	t.Helper()
-	for end := time.Now().Add(patient); ; time.Sleep(10 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout); ; time.Sleep(10 * time.Millisecond) {
 		answer := make(chan error, 1)
 		go func() {
 			req, _ := http.NewRequest(http.MethodPost, "http://"+listen+"/c", nil)
@@ -270,100 +272,102 @@
 			answer <- err
 		}()
 		select {
-		case <-h.came:
+		case <-h.arrived:
 			return answer
-		case err := <-answer: // the node may reject by what it has seen so far
+		case err := <-answer: // the node may reject requests because of its earlier observations
 			if err == nil || err.Error() != "status 503" || time.Now().After(end) {
-				t.Fatalf("answered at once: %v", err)
+				t.Fatalf("the request was not held but answered: %v", err)
 			}
 		}
 	}
 }
 
-// held is the program with a request that is held.
-func held(t *testing.T) (*running, *holder, <-chan error) {
+// startWithHeldRequest starts the program and sends it a request that its app server holds.
+func startWithHeldRequest(t *testing.T) (*nodeProcess, *holdingServer, <-chan error) {
 	t.Helper()
-	h := newHolder(t)
-	r := begin(t, h.config)
-	listen, _, _ := strings.Cut(r.await(t, "listen="), " ")
-	return r, h, h.ask(t, listen)
+	h := newHoldingServer(t)
+	p := startProcess(t, h.config)
+	listen, _, _ := strings.Cut(p.awaitLog(t, "listen="), " ")
+	return p, h, h.sendRequest(t, listen)
 }
 
-// SIGTERM as a reload waits for its file: the drain does not wait for it. What is held is answered, further signals in
-// the drain harm nothing, and the program ends with code 0 with the reload still waiting.
-func TestTerminateDuringAReload(t *testing.T) {
+// TestTerminateDuringReload checks a SIGTERM that arrives while a reload waits for its file. The drain must not wait for the reload:
+// the held request is answered, further signals during the drain change nothing, and the program ends with code 0 while the reload
+// still waits.
+func TestTerminateDuringReload(t *testing.T) {
 	t.Parallel()
-	r, h, answer := held(t)
-	r.pipe(t)
-	r.signal(t, syscall.SIGHUP)
-	r.reading(t) // and nothing is written
-	r.signal(t, syscall.SIGTERM)
-	r.await(t, "msg=draining")
-	r.signal(t, syscall.SIGHUP)
-	r.signal(t, syscall.SIGTERM)
-	close(h.let)
+	p, h, answer := startWithHeldRequest(t)
+	p.pipe(t)
+	p.signal(t, syscall.SIGHUP)
+	p.awaitConfigRead(t) // the test writes nothing to the pipe
+	p.signal(t, syscall.SIGTERM)
+	p.awaitLog(t, "msg=draining")
+	p.signal(t, syscall.SIGHUP)
+	p.signal(t, syscall.SIGTERM)
+	close(h.released)
 	if err := <-answer; err != nil {
-		t.Errorf("the request that was held: %v", err)
+		t.Errorf("the held request failed: %v", err)
 	}
-	r.ends(t)
+	p.awaitExit(t)
 }
 
-// A reload in the drain is taken, what is applied is answered under the rules it came under, and the program ends.
-func TestReloadInTheDrain(t *testing.T) {
+// TestReloadDuringDrain checks that a reload during the drain is applied, that the held request is answered under the rules under
+// which it arrived, and that the program then ends.
+func TestReloadDuringDrain(t *testing.T) {
 	t.Parallel()
-	r, h, answer := held(t)
-	r.signal(t, syscall.SIGTERM)
-	r.await(t, "msg=draining")
-	r.put(t, strings.Replace(h.config, `"name":"c"`, `"name":"other"`, 1))
-	r.signal(t, syscall.SIGHUP)
-	r.await(t, `msg="configuration applied" classes=1`)
-	close(h.let)
+	p, h, answer := startWithHeldRequest(t)
+	p.signal(t, syscall.SIGTERM)
+	p.awaitLog(t, "msg=draining")
+	p.replaceConfig(t, strings.Replace(h.config, `"name":"c"`, `"name":"other"`, 1))
+	p.signal(t, syscall.SIGHUP)
+	p.awaitLog(t, `msg="configuration applied" classes=1`)
+	close(h.released)
 	if err := <-answer; err != nil {
-		t.Errorf("the request that was held: %v", err)
+		t.Errorf("the held request failed: %v", err)
 	}
-	r.ends(t)
+	p.awaitExit(t)
 }
 
-// The orders of a hand-over. A newer process that is killed as it has the listener takes its own requests with it: the
-// older one sees it gone and gets all that is new, and what it held is answered. With both ended at once, each answers
-// what it took.
-func TestHandOverOrders(t *testing.T) {
+// TestHotRestartOrders checks the orders in which the processes of a hot restart can end. If the newer process is killed while it owns
+// the listener, its own requests fail; the older process detects that, gets all new requests, and answers those that it holds. If
+// both processes are terminated at once, each answers the requests that it has accepted.
+func TestHotRestartOrders(t *testing.T) {
 	t.Parallel()
-	h, listen, dir := newHolder(t), sharedPort(t), t.TempDir()
-	run := func() *running {
+	h, listen, dir := newHoldingServer(t), sharedPort(t), t.TempDir()
+	run := func() *nodeProcess {
 		t.Helper()
-		r := begin(t, h.config, "GW_LISTEN="+listen, "GW_ADMIN_ADDR=127.0.0.1:0", "TMPDIR="+dir)
-		r.await(t, "msg=serving")
-		return r
+		p := startProcess(t, h.config, "GW_LISTEN="+listen, "GW_ADMIN_ADDR=127.0.0.1:0", "TMPDIR="+dir)
+		p.awaitLog(t, "msg=serving")
+		return p
 	}
 	older := run()
-	first := h.ask(t, listen)
+	first := h.sendRequest(t, listen)
 	newer := run()
-	lost := h.ask(t, listen)
-	older.await(t, "present=true")
+	lost := h.sendRequest(t, listen)
+	older.awaitLog(t, "present=true")
 	newer.Process.Kill()
 	if err := <-lost; err == nil {
-		t.Error("the killed process has answered")
+		t.Error("the request at the killed process was answered")
 	}
-	older.await(t, "present=false")
-	second := h.ask(t, listen)
+	older.awaitLog(t, "present=false")
+	second := h.sendRequest(t, listen)
 	next := run()
-	third := h.ask(t, listen)
+	third := h.sendRequest(t, listen)
 	older.signal(t, syscall.SIGTERM)
 	next.signal(t, syscall.SIGTERM)
-	older.await(t, "msg=draining")
-	next.await(t, "msg=draining")
-	close(h.let)
+	older.awaitLog(t, "msg=draining")
+	next.awaitLog(t, "msg=draining")
+	close(h.released)
 	for i, answer := range []<-chan error{first, second, third} {
 		if err := <-answer; err != nil {
-			t.Errorf("request %d: %v", i, err)
+			t.Errorf("request %d failed: %v", i, err)
 		}
 	}
-	older.ends(t)
-	next.ends(t)
+	older.awaitExit(t)
+	next.awaitExit(t)
 }
 
-// An address that another has ends the program with one plain line, and code 1.
+// TestAddressInUse checks that an address that another process uses ends the program with one line on stderr and exit code 1.
 func TestAddressInUse(t *testing.T) {
 	t.Parallel()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -372,12 +376,12 @@
 	}
 	defer l.Close()
 	for variable, name := range map[string]string{"GW_LISTEN": "listen", "GW_ADMIN_ADDR": "admin_addr"} {
-		cmd, log := program(t, configText(t, silentDiscovery(t)))
-		cmd.Env = append(cmd.Env, "TMPDIR="+filepath.Dir(configOf(cmd)), variable+"="+l.Addr().String())
+		cmd, log := newCommand(t, configText(t, silentDiscovery(t)))
+		cmd.Env = append(cmd.Env, "TMPDIR="+filepath.Dir(configPath(cmd)), variable+"="+l.Addr().String())
 		cmd.Run()
 		if code := cmd.ProcessState.ExitCode(); code != 1 || strings.Count(log.String(), "\n") != 1 ||
 			!strings.Contains(log.String(), name+": ") || !strings.Contains(log.String(), "in use") {
-			t.Errorf("%s: code %d, log %q", variable, code, log)
+			t.Errorf("%s: exit code %d, log %q", variable, code, log)
 		}
 	}
 }
--- a/policy/rollout_test.go
+++ b/policy/rollout_test.go
@@ -53,15 +53,15 @@
 }
 
 type warmingServer struct {
-	started    Time // 0: long ago
-	speed      float64
-	free       []Time
-	sends      []warmingSend
-	notified   map[*Module]bool
-	away       bool
-	inFlight   int
-	overBudget bool
-	isWarming  bool
+	started     Time // 0: long ago
+	speed       float64
+	coresFreeAt []Time
+	sends       []warmingSend
+	notified    map[*Module]bool
+	away        bool
+	inFlight    int
+	overBudget  bool
+	isWarming   bool
 }
 
 // capacityPart returns the least fraction of its capacity that a server has while it warms up, and 1 after that.
@@ -84,9 +84,9 @@
 	servers, capacity := map[ServerID]*warmingServer{}, 0.0
 	list := map[ServerID]Server{}
 	add := func(id ServerID, zone string, started Time, coreSpeed float64, kind string) {
-		target := &warmingServer{started: started, speed: coreSpeed, notified: map[*Module]bool{}, free: make([]Time, r.cores)}
-		for i := range target.free {
-			target.free[i] = started
+		target := &warmingServer{started: started, speed: coreSpeed, notified: map[*Module]bool{}, coresFreeAt: make([]Time, r.cores)}
+		for i := range target.coresFreeAt {
+			target.coresFreeAt[i] = started
 		}
 		servers[id] = target
 		list[id] = Server{ID: id, Zone: zone, Kind: kind, StartedAt: started}
@@ -241,13 +241,13 @@
 					target.overBudget = target.overBudget || over > 0
 				}
 				first := 0
-				for i := range target.free {
-					if target.free[i] < target.free[first] {
+				for i := range target.coresFreeAt {
+					if target.coresFreeAt[i] < target.coresFreeAt[first] {
 						first = i
 					}
 				}
 				work := time.Duration(rng.ExpFloat64() * float64(r.work[q.class]) / target.speed / part)
-				starts := max(now, target.free[first])
+				starts := max(now, target.coresFreeAt[first])
 				elapsed := a.Timeout
 				code := TimedOut
 				switch {
@@ -258,7 +258,7 @@
 				case target.inFlight >= 10*r.cores:
 					elapsed, code = 2*time.Millisecond, Rejected
 				case starts < now+a.Timeout:
-					target.free[first] = starts + work
+					target.coresFreeAt[first] = starts + work
 					if starts+work < now+a.Timeout {
 						elapsed, code = starts+work-now+time.Millisecond, OK
 					}
--- a/policy/world_check_test.go
+++ b/policy/world_check_test.go
@@ -14,7 +14,7 @@
 }
 
 // sameGroup implements key scopes independently of the module.
-func sameGroup(s policy.KeyScope, a, b *listed) bool {
+func sameGroup(s policy.KeyScope, a, b *listedServer) bool {
 	return s == policy.KeyScopeAll || s == policy.KeyScopeZone && a.Zone == b.Zone || s == policy.KeyScopeCell && a.Cell == b.Cell
 }
 
--- a/policy/world_test.go
+++ b/policy/world_test.go
@@ -27,7 +27,7 @@
 	streaming bool
 }
 
-type listed struct {
+type listedServer struct {
 	policy.Server
 	drainNotifiedAt time.Duration // when the node was told that the server is draining or removed; 0: the server is ready
 	startNotified   bool
@@ -49,7 +49,7 @@
 	queue      []scheduledEvent
 	order      int
 	requests   map[policy.RequestID]*liveRequest
-	servers    map[policy.ServerID]*listed
+	servers    map[policy.ServerID]*listedServer
 	ids        []policy.ServerID
 	sends      map[policy.ServerID][]time.Duration
 	capacity   float64 // this node's part of the capacity of a warm server, requests/s
@@ -171,7 +171,7 @@
 	for _, entry := range entries {
 		s := w.servers[entry.ID]
 		if s == nil {
-			s = &listed{}
+			s = &listedServer{}
 			w.servers[entry.ID] = s
 			w.ids = append(w.ids, entry.ID)
 		}
@@ -246,7 +246,7 @@
 	for len(all) < 4 {
 		all = append(all, w.newServer(0))
 	}
-	w.servers, w.ids = map[policy.ServerID]*listed{}, nil
+	w.servers, w.ids = map[policy.ServerID]*listedServer{}, nil
 	w.updateEndpoints(policy.EndpointsCached, all)
 }
 
@@ -287,7 +287,7 @@
 
 func newWorld(seed int64) *world {
 	r := rand.New(rand.NewSource(seed))
-	w := &world{random: r, now: time.Hour, servers: map[policy.ServerID]*listed{}, sends: map[policy.ServerID][]time.Duration{}}
+	w := &world{random: r, now: time.Hour, servers: map[policy.ServerID]*listedServer{}, sends: map[policy.ServerID][]time.Duration{}}
 	ms := func(lo, hi int) time.Duration { return time.Duration(lo+r.Intn(hi-lo)) * time.Millisecond }
 	w.settings = policy.Settings{Nodes: 1 + r.Intn(6), Zone: "z0", MaxAttempts: 1 + r.Intn(5), MayHedge: r.Intn(2) == 0,
 		MayCancel: r.Intn(3) > 0, MayHealthCheck: r.Intn(2) == 0, MayMessagePeers: r.Intn(2) == 0, SendsRetryAfter: r.Intn(2) == 0,
