--- a/policy/fleet_events.go
+++ b/policy/fleet_events.go
@@ -13,7 +13,7 @@
 	// ZoneDirective is the control plane's directive on a zone, as it applies to this node.
 	ZoneDirective struct {
 		Zone           string
-		Revision       uint64 // of the item
+		Revision       uint64 // revision of the item
 		IntentRevision uint64
 		Serving        bool    // no directive is in force, or it has been withdrawn
 		Share          float64 // fraction of the ordinary attempts that may go to the zone's servers, 0 to 1
@@ -26,8 +26,8 @@
 	// TenantUpdate is the control plane's intent for a tenant. Requests are served under Committed only.
 	TenantUpdate struct {
 		Name           string
-		UID            uint64 // of the tenant
-		Revision       uint64 // of the item
+		UID            uint64 // identifies the tenant; a reused name has another UID
+		Revision       uint64 // revision of the item
 		IntentRevision uint64
 		Committed      *TenantRules
 		Staged         *TenantRules
--- a/policy/rollout_test.go
+++ b/policy/rollout_test.go
@@ -21,7 +21,8 @@
 	cores          int
 	speeds         []float64 // by kind of server; the kinds alternate
 	newServerSpeed float64   // speed of new servers, once warm, as a multiple of the old ones'
-	// load as a fraction of the warm servers' capacity; laterLoad applies from the time that surge gives, if it is not 0
+	// load as a fraction of the warm servers' capacity; laterLoad applies from the time that surge gives, if it is not 0: by
+	// default 10 s before the end of a slow-start window of 20 s
 	load         float64
 	laterLoad    float64
 	replacedPart float64 // fraction of the servers that are replaced, over the time spread
@@ -31,7 +32,7 @@
 	early        bool          // the nodes restart within 1 s from the middle of spread
 	awayTime     time.Duration // how long servers are away before they return under their ids; 0: new ids replace them
 	errorPart    float64       // fraction of the answers of warming servers that are errors
-	length       time.Duration // of the run from the rollout's start; 0: until all servers are warm
+	length       time.Duration // duration of the run from the rollout's start; 0: until all servers are warm
 	surge        time.Duration // from the rollout's start to the later load; 0: spread and half of the slow-start window
 }
 
--- a/policy/tenant_update.go
+++ b/policy/tenant_update.go
@@ -12,8 +12,8 @@
 type fleetTenant struct {
 	name           string
 	uid            uint64
-	revision       uint64 // of the item
-	intentRevision uint64 // of the intent that the item was read from
+	revision       uint64 // revision of the item
+	intentRevision uint64 // revision of the intent that the item was read from
 	committed      *TenantRules
 	staged         *TenantRules
 	fromSettings   bool // the settings name the tenant, and the control plane has not committed a generation
--- a/policy/zone_budget.go
+++ b/policy/zone_budget.go
@@ -7,14 +7,14 @@
 
 const (
 	zoneTokenLifetime = 250 * time.Millisecond // unused tokens expire, so that the fleet saves up no burst
-	subsetBudgetPart  = 0.5                    // of a server's budget, for nodes that have it in their subsets
+	subsetBudgetPart  = 0.5                    // fraction of a server's budget for nodes that have it in subsets
 	maxZoneCredit     = 2.0                    // most attempts that a zone's share saves up
 )
 
 // zoneBudget is a token bucket for this node's part of the rate that a directive allows at one server.
 type zoneBudget struct {
 	tokens float64
-	at     Time // of the last refill; 0: the bucket has not been used
+	at     Time // time of the last refill; 0: the bucket has not been used
 }
 
 // zoneBudgetAllows refills a server's budget and reports whether the budget allows an attempt. A directive's
