--- a/internal/node/accept.go
+++ b/internal/node/accept.go
@@ -10,16 +10,17 @@
 	"golang.org/x/sys/unix"
 )
 
-// clientListener accepts no more connections than there are descriptors for. Beyond it they wait, for the moment that
-// refusing takes. It keeps *net.TCPConn in sight, as a wrapper would hide CloseWrite from net/http, which then
-// resets connections with an answer on them.
+// clientListener accepts clients' connections, but no more of them than it has slots, that is, descriptors. Further
+// connections wait in the kernel's accept queue for the short time until a slot is free. The connections that it returns
+// embed *net.TCPConn: if a wrapper hid CloseWrite from net/http, net/http would reset connections on which an answer is
+// still on its way.
 type clientListener struct {
 	*net.TCPListener
-	slots     chan struct{}
+	slots     chan struct{} // holds one element for each slot that is taken
 	restart   *hotRestart
 	conns     *connections
-	done      chan struct{} // closed with the listener
-	closeOnce func() error  // closes it, once
+	done      chan struct{} // closed when the listener is closed
+	closeOnce func() error  // closes the listener at the first call
 }
 
 func newClientListener(tcp *net.TCPListener, limit int, restart *hotRestart, conns *connections) *clientListener {
@@ -30,11 +31,12 @@
 
 func (l *clientListener) Close() error { return l.closeOnce() }
 
-// hasWaitingConn reports whether a connection is there that the kernel has accepted and the node has not: it would be reset if
-// the listener closed now.
+// hasWaitingConn reports whether the kernel's accept queue holds a connection that the node has not accepted yet. Such a
+// connection would be reset if the listener were closed now.
 func (l *clientListener) hasWaitingConn() bool { return polled(l, unix.POLLIN)&unix.POLLIN != 0 }
 
-// polled returns which of the events a socket has now, or its end. Where the system can't say, it has none.
+// polled returns which of the given poll events are set on a socket now, and the events for an error or hang-up, which
+// poll always reports. It returns none if the socket can't be polled.
 func polled(s syscall.Conn, events int16) (has int16) {
 	raw, err := s.SyscallConn()
 	if err != nil {
@@ -52,27 +54,30 @@
 	return has
 }
 
+// clientConn is a client's connection. net/http's serving goroutine reads it, and so does net/http's background reader
+// while a request is being handled.
 type clientConn struct {
 	*net.TCPConn
 	conns          *connections
 	releaseSlot    func()
 	framing        framing
 	acceptedAt     time.Time
-	reused         atomic.Bool  // a request on it has been read
-	servedRequests atomic.Int64 // requests that are over
-	lastReadAt     atomic.Int64 // when something came last, in Unix nanoseconds
-	peerEnded      atomic.Bool  // the peer's end has been read: nothing can come any more
-	closing        atomic.Bool  // the node closes it: what comes is not taken
+	reused         atomic.Bool  // a request's body has been read on the connection before
+	servedRequests atomic.Int64 // number of requests that are over
+	lastReadAt     atomic.Int64 // time of the last read that returned bytes, in Unix nanoseconds
+	peerEnded      atomic.Bool  // a read met the peer's end of the connection: nothing more can arrive
+	closing        atomic.Bool  // the node is closing the connection: bytes that arrive now are dropped
 	closeOnce      sync.Once
 
-	takenRequests    int64        // requests that the handler has got; the serving goroutine's
-	answeredRequests atomic.Int64 // of these, those whose answer has begun
-	pipelined        []byte       // what came behind a request that was out; the reader's
-	hasPipelined     atomic.Bool  // there is something in pipelined
-	flooded          atomic.Bool  // more came than is kept: the connection ends with the answer
+	takenRequests    int64        // number of requests that the handler has got; only the serving goroutine uses it
+	answeredRequests atomic.Int64 // takenRequests as of the last answer that has begun
+	pipelined        []byte       // bytes that came after a request in flight; only the reader uses it
+	hasPipelined     atomic.Bool  // pipelined is not empty
+	flooded          atomic.Bool  // more pipelined bytes came than the node keeps: the connection ends with the answer
 }
 
-// bodyDeadline is when a body that does not begin is given up.
+// bodyDeadline returns the time by which a request's body has to begin. On a new connection that is at least
+// bodyStartTimeout from now and otherwise bodyConnDeadline from the accept; on a reused one it is reusedBodyTimeout from now.
 func (c *clientConn) bodyDeadline() time.Time {
 	minimum := time.Now().Add(bodyStartTimeout)
 	switch {
@@ -86,8 +91,8 @@
 	return minimum
 }
 
-// Accept counts a connection before it returns it: net/http tracks it only later, and a drain that saw none in between
-// would reset it.
+// Accept waits for a free slot and returns the next connection, which it has counted before. net/http reports the
+// connection only later, and a drain that saw no open connection in between would reset it.
 func (l *clientListener) Accept() (net.Conn, error) {
 	select {
 	case l.slots <- struct{}{}:
--- a/internal/node/connections.go
+++ b/internal/node/connections.go
@@ -9,27 +9,27 @@
 	"time"
 )
 
-const shedInterval = 50 * time.Millisecond
+const shedInterval = 50 * time.Millisecond // between two runs of shedIdle while there are too many connections
 
-// connections counts the clients' connections, from the accept until the descriptor is free. Above the limit new
-// requests are rejected at once and those closed that have been idle longest, so that there is always a slot to read and
-// answer what has been accepted.
+// connections counts the clients' connections, each from its accept until its descriptor is free. Above the limit the node
+// rejects new requests at once and closes the connections that have been idle longest, so that there is always a slot in
+// which to read and answer the requests of connections that it has accepted.
 type connections struct {
 	mu          sync.Mutex // guards count, idle, ended and shedding
 	count       int
 	limit       int
 	restart     *hotRestart
-	idle        map[net.Conn]time.Time // since when
-	ended       map[net.Conn]bool      // ended by the node, still counted; what comes on them is not taken
-	shedding    bool                   // there are still too many: shedIdle comes again
-	beforeClose func(net.Conn)         // set by tests: called between the look at a socket and its close
+	idle        map[net.Conn]time.Time // idle connections, and the time from which each has been idle
+	ended       map[net.Conn]bool      // connections that the node has ended and still counts; requests on them are not served
+	shedding    bool                   // there are still too many connections, and a timer will run shedIdle again
+	beforeClose func(net.Conn)         // set by tests: called between the check for unread data and the close
 }
 
 func newConnections(limit int) *connections {
 	return &connections{limit: limit, idle: map[net.Conn]time.Time{}, ended: map[net.Conn]bool{}}
 }
 
-// accepted counts a connection that has been accepted.
+// accepted counts a new connection, and sheds idle ones if there are too many now.
 func (c *connections) accepted() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -37,7 +37,7 @@
 	c.shedIdle()
 }
 
-// released counts one out whose descriptor is free.
+// released stops counting a connection whose descriptor is free.
 func (c *connections) released(conn net.Conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -45,8 +45,10 @@
 	c.count--
 }
 
-// shedIdle frees a slot at each arrival, so that none is rejected while another is idle, and as long as there are too many:
-// once all places are taken nobody comes, and those that were too young at the last arrival would keep everybody out.
+// shedIdle closes idle connections, the longest idle first, until the count is within the limit. It runs at each accept, so
+// that no request is rejected while some connection is idle. While there are too many connections it also runs every
+// shedInterval: once all slots are taken there are no more accepts, and connections that were idle for less than minIdleTime
+// at the last one would keep all new clients out. The caller holds mu.
 func (c *connections) shedIdle() {
 	if c.count == 0 || !c.isOverLimit() {
 		return
@@ -75,36 +77,40 @@
 	}
 }
 
+// overLimit is isOverLimit for callers that don't hold mu.
 func (c *connections) overLimit() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.isOverLimit()
 }
 
+// open returns the number of connections whose descriptors are in use.
 func (c *connections) open() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.count
 }
 
-// waitUntilNone waits until no connection is open, but not for longer than maximum.
+// waitUntilNone waits until no connection is open, but at most for the given time.
 func (c *connections) waitUntilNone(maximum time.Duration) {
 	for begun := time.Now(); c.open() > 0 && time.Since(begun) < maximum; time.Sleep(drainPollInterval) {
 	}
 }
 
-// isOverLimit reports whether there are too many that may bring requests. Those that wait for their peers' end bring none:
-// for their sake no request is rejected.
+// isOverLimit reports whether more connections that may carry requests are open than the limit allows, including those of
+// the other process of a hot restart. Connections that the node has ended and that wait for their peer's end carry no
+// requests, so they are not a reason to reject any. The caller holds mu.
 func (c *connections) isOverLimit() bool { return c.count-len(c.ended)+c.restart.clients() > c.limit }
 
-// overLimitWithEnded reports whether there are too many with those, whose places are wanted then.
+// overLimitWithEnded reports whether there are too many connections if those that the node has ended count too. Their slots
+// are needed then.
 func (c *connections) overLimitWithEnded() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.count+c.restart.clients() > c.limit
 }
 
-// markEnded notes that the node has ended a connection.
+// markEnded records that the node has ended a connection.
 func (c *connections) markEnded(conn net.Conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -117,6 +123,7 @@
 	return c.ended[conn]
 }
 
+// track follows a connection's state. It is the ConnState hook of the HTTP server.
 func (c *connections) track(conn net.Conn, state http.ConnState) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -133,7 +140,7 @@
 	}
 }
 
-// closeIdle closes the connections that have been idle for that long.
+// closeIdle closes the connections that have been idle for at least the given time.
 func (c *connections) closeIdle(minimum time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -144,7 +151,8 @@
 	}
 }
 
-// closeIdleForOthers closes those that a client can't count on, or all if there are too many with those of a newer process.
+// closeIdleForOthers closes the connections that have been idle for minIdleTime, on which clients can't count any more. If
+// there are too many connections, including those of a newer process of this node, it closes all idle ones.
 func (c *connections) closeIdleForOthers() {
 	minimum := minIdleTime
 	if c.overLimit() {
@@ -153,8 +161,8 @@
 	c.closeIdle(minimum)
 }
 
-// close closes an idle connection, but not one on which a request has come or is being read: its client would have to
-// send it again. What comes after the look crosses the close, and is read by nobody.
+// close closes an idle connection, unless a request has arrived or is being read on it, which the client would have to send
+// again. Bytes that arrive after the check cross the close and are not read as a request. The caller holds mu.
 func (c *connections) close(conn net.Conn) {
 	own, _ := conn.(*clientConn)
 	if own != nil && own.hasPendingRequest() && !own.isStalled() || !hasNoUnreadData(conn) {
@@ -172,7 +180,7 @@
 	conn.Close()
 }
 
-// hasNoUnreadData reports whether nothing has come that is not read yet, not even the end.
+// hasNoUnreadData reports whether the socket holds neither unread bytes nor an unread end of the connection.
 func hasNoUnreadData(conn net.Conn) bool {
 	s, ok := conn.(syscall.Conn)
 	if !ok {
--- a/internal/node/framing.go
+++ b/internal/node/framing.go
@@ -7,22 +7,24 @@
 	"sync/atomic"
 )
 
-// framing follows where requests begin and end on a client's connection. net/http drops the Content-Length of a
-// chunked request: its sender may have meant another end of the body, and what follows as a request to be part of it.
+// framing follows where requests begin and end on a client's connection, and detects those that have both a Content-Length
+// and a Transfer-Encoding. net/http drops the Content-Length of such a request. The sender may have meant the body to end
+// elsewhere, and bytes that net/http would take for the next request to be part of that body (request smuggling).
 type framing struct {
-	ambiguous atomic.Bool  // such a request has come
-	requests  atomic.Int64 // that have begun
+	ambiguous atomic.Bool  // a request with both headers has come
+	requests  atomic.Int64 // number of requests of which at least one byte has come
 
-	part             framingPart
-	line             []byte // what has come of a line; of a long one the beginning
-	remaining        int64  // bytes of a body or chunk, with what ends a chunk
-	length           int64  // what the head says, -1 if it says nothing
-	chunked          bool
-	headStarted      bool  // the head's first line has come
-	requestCounted   bool  // of the head's first line something has come
-	completeRequests int64 // requests that have come complete
+	part             framingPart // the part of a request to which the next byte belongs
+	line             []byte      // the bytes of the current line so far, at most maxHeaderLine
+	remaining        int64       // bytes left of the current body or chunk, including the line end after a chunk
+	length           int64       // the Content-Length of the current head, or -1 if it has none
+	chunked          bool        // the current head has a Transfer-Encoding
+	headStarted      bool        // the current head's first line has come
+	requestCounted   bool        // a byte of the current head's first line has come, so the request is counted in requests
+	completeRequests int64       // number of requests that have come in full
 }
 
+// framingPart is a part of an HTTP/1.1 request.
 type framingPart int
 
 const (
@@ -31,12 +33,12 @@
 	inChunkSize
 	inChunk
 	inTrailer
-	unparsable // net/http does not take what has come, and closes the connection
+	unparsable // net/http rejects the request and closes the connection, so framing stops here
 )
 
-const maxHeaderLine = 128 // bytes of a line: no header that matters here is longer
+const maxHeaderLine = 128 // bytes kept of a line: no header that matters here is longer
 
-// observe takes what has been read.
+// observe follows the framing over the next bytes that have been read from the connection.
 func (f *framing) observe(p []byte) {
 	for len(p) > 0 && f.part != unparsable {
 		if f.part == inBody || f.part == inChunk {
@@ -62,6 +64,7 @@
 	}
 }
 
+// takeLine handles a complete line of a head, a trailer or a chunk size.
 func (f *framing) takeLine(line string) {
 	switch f.part {
 	case inChunkSize:
@@ -82,12 +85,13 @@
 	case inHead:
 		if line != "" {
 			f.header(line)
-		} else if f.headStarted { // net/http passes over empty lines before a request
+		} else if f.headStarted { // net/http ignores empty lines before a request
 			f.endHead()
 		}
 	}
 }
 
+// header handles a line of a head: the request line, or a header field.
 func (f *framing) header(line string) {
 	if !f.headStarted {
 		f.headStarted = true
@@ -100,7 +104,7 @@
 	case strings.EqualFold(name, "Content-Length"):
 		n, err := strconv.ParseInt(strings.TrimSpace(value), 10, 63)
 		if err != nil {
-			n = 0 // net/http does not take it
+			n = 0 // net/http rejects the request
 		}
 		f.length = n
 	case strings.EqualFold(name, "Transfer-Encoding"):
@@ -108,6 +112,7 @@
 	}
 }
 
+// endHead handles the empty line that ends a head.
 func (f *framing) endHead() {
 	f.headStarted, f.requestCounted = false, false
 	switch {
@@ -123,7 +128,7 @@
 	}
 }
 
-// endRequest is that of a request.
+// endRequest counts a request that has come in full. The next byte belongs to the head of another one.
 func (f *framing) endRequest() {
 	f.part = inHead
 	f.completeRequests++
--- a/internal/node/pipelining.go
+++ b/internal/node/pipelining.go
@@ -9,13 +9,14 @@
 	"golang.org/x/sys/unix"
 )
 
-// maxPipelinedBytes is how much is kept of what comes behind a request while it is out. A client sends one request at a time:
-// what is more than a small request is a flood.
+// maxPipelinedBytes is how many bytes the node keeps of those that a client sends after a request in flight. Clients send one
+// request at a time, so more than a small request is a flood.
 const maxPipelinedBytes = maxHeaderBytes
 
-// Read hands net/http what has come. While a request is out net/http has one byte read, to notice the client's end. It
-// takes any byte for the next request and looks no further: an end behind the byte would not be seen. So that read
-// ends with the client, or once the answer begins.
+// Read reads from the connection for net/http. While a request is in flight, net/http reads a single byte in the background
+// to detect the client's end. It would take any byte for the start of the next request and read no further, and so miss an
+// end that follows the byte. Read therefore returns from such a call only when the client ends the connection or the answer
+// begins, and keeps the bytes that arrive until then for later reads.
 func (c *clientConn) Read(p []byte) (int, error) {
 	if len(p) == 1 && c.hasRequestInFlight() {
 		if err := c.readPipelined(p); err != nil {
@@ -26,14 +27,14 @@
 	case c.closing.Load():
 		return 0, errConnClosing
 	case c.flooded.Load():
-		return 0, io.EOF // some of what came is lost: nothing behind it is a request
+		return 0, io.EOF // some bytes were dropped, so those that follow can't be read as a request
 	case len(c.pipelined) > 0:
 		n := copy(p, c.pipelined)
 		if c.pipelined = c.pipelined[n:]; len(c.pipelined) == 0 {
 			c.pipelined = nil
 		}
 		c.framing.observe(p[:n])
-		c.hasPipelined.Store(len(c.pipelined) > 0) // after that, or it would seem for a moment that nothing has come
+		c.hasPipelined.Store(len(c.pipelined) > 0) // after observe, or hasPendingRequest could be false for a moment
 		return n, nil
 	}
 	n, err := c.receive(p)
@@ -43,13 +44,14 @@
 	return n, err
 }
 
-// receive reads from the socket. What crosses the node's own close is no request any more.
+// receive reads from the socket. It drops bytes that cross the node's own close of the connection: they are not served as a
+// request.
 func (c *clientConn) receive(p []byte) (int, error) {
 	if c.closing.Load() {
 		return 0, errConnClosing
 	}
 	n, err := c.TCPConn.Read(p)
-	if c.closing.Load() { // it was closed meanwhile
+	if c.closing.Load() { // the node has begun to close the connection during the read
 		return 0, errConnClosing
 	}
 	if n > 0 {
@@ -61,12 +63,13 @@
 	return n, err
 }
 
-// hasRequestInFlight reports whether a request has been read completely and its answer has not begun.
+// hasRequestInFlight reports whether a request has been read in full and its answer has not begun.
 func (c *clientConn) hasRequestInFlight() bool {
 	return c.framing.completeRequests > c.answeredRequests.Load()
 }
 
-// readPipelined reads behind a request that is out. What it keeps is for the reads to come; of a flood it keeps nothing.
+// readPipelined reads the bytes that come while a request is in flight, and keeps them for later calls of Read. If they are
+// more than maxPipelinedBytes it keeps none of them.
 func (c *clientConn) readPipelined(p []byte) error {
 	for c.hasRequestInFlight() {
 		n, err := c.receive(p)
@@ -78,7 +81,7 @@
 				c.pipelined = append(c.pipelined, p[:n]...)
 			}
 			c.hasPipelined.Store(len(c.pipelined) > 0)
-			if len(p) == 1 { // nothing comes behind most requests, and no more space is needed for them
+			if len(p) == 1 { // a larger buffer is taken only now, as most requests are followed by no bytes
 				piece := copyBuffers.Get().(*[copyBufferSize]byte)
 				defer copyBuffers.Put(piece)
 				p = piece[:]
@@ -91,22 +94,23 @@
 	return nil
 }
 
-// countTaken counts a request that the handler has got.
+// countTaken counts a request that the handler has got. A nil c is allowed, also in answerStarted and clientLeft.
 func (c *clientConn) countTaken() {
 	if c != nil {
 		c.takenRequests++
 	}
 }
 
-// answerStarted notes that the answer begins: what comes from now on may be the next request, of any size.
+// answerStarted records that the answer to the current request begins. Bytes that arrive from now on may belong to the next
+// request, which may have any size.
 func (c *clientConn) answerStarted() {
 	if c != nil {
 		c.answeredRequests.Store(c.takenRequests)
 	}
 }
 
-// clientLeft reports whether the client has ended its side or reset the connection, also behind bytes that are not read yet.
-// Where the system can't say, the client counts as there until a read meets its end.
+// clientLeft reports whether the client has closed its side of the connection or reset it, even if unread bytes precede the
+// end. If the socket can't be polled, the client counts as connected until a read meets its end.
 func (c *clientConn) clientLeft() bool {
 	return c != nil && polled(c, unix.POLLRDHUP)&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
 }
--- a/internal/node/read_request.go
+++ b/internal/node/read_request.go
@@ -12,16 +12,16 @@
 	"meadowsill/policy"
 )
 
-// requestError is why a request is rejected before it reaches the event loop.
+// requestError is the reason for which a request is rejected before it reaches the event loop.
 type requestError struct {
 	status int
 	reason string
 }
 
-// Error returns the reason, which is the answer's body.
+// Error returns the reason, which becomes the body of the answer.
 func (e *requestError) Error() string { return e.reason }
 
-// statusOf returns the status of the answer to a request that can't be read.
+// statusOf returns the HTTP status of the answer to a request that readRequest has rejected.
 func statusOf(err error) int {
 	if rejected := (*requestError)(nil); errors.As(err, &rejected) {
 		return rejected.status
@@ -29,10 +29,10 @@
 	return http.StatusBadRequest
 }
 
-// readRequest takes in a request, or says in a *requestError what is wrong with it.
+// readRequest checks a request's head and reads its body, or the beginning of a long one. Its error is a *requestError.
 func (f *frontend) readRequest(w http.ResponseWriter, r *http.Request, rules *requestRules, className string, client *clientConn) (*request, error) {
 	class, known := rules.classes[className]
-	if !known { // an app server's answer to it would be held against the server
+	if !known { // an app server's answer to such a request would count as the server's fault
 		return nil, &requestError{http.StatusNotFound, "no such path"}
 	}
 	if err := checkHead(r, class); err != nil {
@@ -73,7 +73,7 @@
 	}, nil
 }
 
-// checkHead returns what is wrong with a request's method, version and required fields.
+// checkHead returns an error if a request's method, HTTP version or headers are not as its class requires.
 func checkHead(r *http.Request, class policy.Class) error {
 	method := http.MethodPost
 	if class.Idempotency == policy.Idempotent {
@@ -82,8 +82,8 @@
 	switch {
 	case r.Method != method:
 		return &requestError{http.StatusMethodNotAllowed, method + " only"}
-	// net/http drops the Content-Length of a chunked request, and the Transfer-Encoding of an HTTP/1.0 one: the
-	// peer may have meant another end of the body, and what follows here as a request to be part of it.
+	// net/http drops the Content-Length of a chunked request, and the Transfer-Encoding of an HTTP/1.0 one. The peer may
+	// have meant the body to end elsewhere, and bytes that look like the next request here to be part of that body.
 	case !r.ProtoAtLeast(1, 1):
 		return &requestError{http.StatusHTTPVersionNotSupported, "HTTP/1.1 only"}
 	case r.ContentLength != 0 && method == http.MethodGet:
@@ -96,7 +96,7 @@
 	return nil
 }
 
-// readBodyStart reads a body, or the beginning of a long one, whose rest is nil if there is none.
+// readBodyStart reads a request's body, or the first part of a long one. rest is nil if body is the complete body.
 func readBodyStart(w http.ResponseWriter, r *http.Request, client *clientConn) (body []byte, rest *upload, err error) {
 	control := http.NewResponseController(w)
 	if r.ContentLength != 0 {
@@ -114,11 +114,11 @@
 			return body, rest, nil
 		}
 	}
-	control.SetReadDeadline(time.Time{}) // else it would end the wait for the client's going
+	control.SetReadDeadline(time.Time{}) // the body's deadline would end the read that detects the client's end
 	return body, nil, nil
 }
 
-// arrivedEvent is what the policy is told of a request, but for its timeout.
+// arrivedEvent returns the event that notifies the module of a request. The event loop sets its Timeout.
 func arrivedEvent(r *http.Request, class string) policy.RequestArrived {
 	e := policy.RequestArrived{
 		ID:      policy.RequestID(r.Header.Get("X-Correlation-Id")),
@@ -136,7 +136,8 @@
 	return e
 }
 
-// hasFlag reports whether a field of X-Facts, name=value separated by commas, is set.
+// hasFlag reports whether text, the value of X-Facts, has a field of the given name with a value other than empty, "0" and
+// "false". X-Facts is a comma-separated list of name=value fields.
 func hasFlag(text, name string) bool {
 	for field := range strings.SplitSeq(text, ",") {
 		if n, v, _ := strings.Cut(strings.TrimSpace(field), "="); n == name {
@@ -146,7 +147,7 @@
 	return false
 }
 
-// endToEnd copies a header without what belongs to one connection or is the node's own.
+// endToEnd copies a header without its hop-by-hop fields and without the fields that the node sets or uses itself.
 func endToEnd(h http.Header) http.Header {
 	out := h.Clone()
 	for _, field := range h["Connection"] {
