--- a/internal/node/accept.go
+++ b/internal/node/accept.go
@@ -62,7 +62,7 @@
 	releaseSlot    func()
 	framing        framing
 	acceptedAt     time.Time
-	reused         atomic.Bool  // a request's body has been read on the connection before
+	reused         atomic.Bool  // the node has begun to read a request's body on the connection
 	servedRequests atomic.Int64 // number of requests that are over
 	lastReadAt     atomic.Int64 // time of the last read that returned bytes, in Unix nanoseconds
 	peerEnded      atomic.Bool  // a read met the peer's end of the connection: nothing more can arrive
@@ -76,8 +76,9 @@
 	flooded          atomic.Bool  // more pipelined bytes came than the node keeps: the connection ends with the answer
 }
 
-// bodyDeadline returns the time by which a request's body has to begin. On a new connection that is at least
-// bodyStartTimeout from now and otherwise bodyConnDeadline from the accept; on a reused one it is reusedBodyTimeout from now.
+// bodyDeadline returns the time by which a request's body has to begin. For the first body on a connection that is
+// bodyConnDeadline after the accept, but no earlier than bodyStartTimeout from now; for a later one it is reusedBodyTimeout
+// from now. A nil c is allowed.
 func (c *clientConn) bodyDeadline() time.Time {
 	minimum := time.Now().Add(bodyStartTimeout)
 	switch {
--- a/internal/node/answer_wait.go
+++ b/internal/node/answer_wait.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// answerWait is a request that waits for its final answer: at first for the event loop to take it, then for the loop's
-// answer, and all along for its client to go, for its time to end and for the node to end. It is of one goroutine, the
-// handler's.
+// answerWait is the state of a request's handler while it waits for the final answer. It waits for the event loop to take the
+// request and then for the loop's answer, and at the same time for the client's end, the request's deadline and the node's
+// end. Only the handler's goroutine uses it.
 type answerWait struct {
 	frontend *frontend
 	writer   http.ResponseWriter
@@ -16,22 +16,22 @@
 	request  *request
 	client   *clientConn
 
-	start       func()          // has the event loop start the request
-	events      chan<- func()   // the event loop's; nil once the loop has the request
-	uploaded    <-chan struct{} // closed when the body has come in full, from when on the client's time counts; else nil
-	drainClosed <-chan struct{} // only while the body comes
-	checkClient <-chan time.Time
-	clientGone  <-chan struct{}
-	overdue     *time.Timer
+	start       func()           // has the event loop start the request
+	events      chan<- func()    // the event loop's queue; nil once start is in it
+	uploaded    <-chan struct{}  // closed when a long body has come in full; nil unless one is still being read
+	drainClosed <-chan struct{}  // the frontend's; nil unless a long body is still being read
+	checkClient <-chan time.Time // ticks for a check of the client's connection; nil unless a long body is still being read
+	clientGone  <-chan struct{}  // closed when net/http has seen the client's end; nil while a long body is being read
+	overdue     *time.Timer      // fires overdueDelay after the request's deadline
 }
 
-// awaitAnswer gives a request to the event loop, and its client the final answer.
+// awaitAnswer passes a request to the event loop, and sends the final answer to the client.
 func (f *frontend) awaitAnswer(w http.ResponseWriter, r *http.Request, req *request, client *clientConn) {
 	wait := &answerWait{frontend: f, writer: w, received: r, request: req, client: client, events: f.loop.events}
 	wait.start = func() { f.loop.startRequest(req) }
 	lifetime := r.Context()
 	if req.upload != nil {
-		lifetime = context.WithoutCancel(lifetime) // a body that is no longer read ends the context too
+		lifetime = context.WithoutCancel(lifetime) // net/http ends its context also when the reading of the body is interrupted
 	}
 	req.context, req.cancel = context.WithCancel(lifetime)
 	defer req.cancel()
@@ -39,7 +39,7 @@
 	defer wait.overdue.Stop()
 	if req.upload == nil {
 		wait.clientGone = r.Context().Done()
-	} else { // clientGone stays nil: a body that is no longer read ends the context too
+	} else { // clientGone stays nil: net/http ends the context also when the reading of the body is interrupted
 		defer req.upload.close()
 		wait.uploaded = req.upload.complete
 		wait.drainClosed = f.drainClosed
@@ -51,11 +51,11 @@
 	}
 }
 
-// next handles what comes next, and reports whether the request is over.
+// next waits for one event and handles it. It reports whether the request is over.
 func (a *answerWait) next() (over bool) {
 	f := a.frontend
 	select {
-	case a.events <- a.start: // it may be full for long: the client may go before, or its time end
+	case a.events <- a.start: // the queue may be full for long, so that the client's end or the deadline comes first
 		a.events = nil
 	case final := <-a.request.answer:
 		a.finish(final)
@@ -84,12 +84,12 @@
 	return false
 }
 
-// finish gives the client the final answer.
+// finish sends the final answer to the client.
 func (a *answerWait) finish(final answer) {
 	a.frontend.finishRequest(a.writer, a.received, a.request, final)
 }
 
-// leave ends the request: nothing is begun from here on, however late the loop is notified of it.
+// leave abandons the request. No attempt begins from here on, however late the event loop handles the event for it.
 func (a *answerWait) leave() {
 	a.request.cancel()
 	if a.events == nil {
@@ -97,22 +97,23 @@
 	}
 }
 
-// abort ends the request without an answer, as its client has gone. Without the panic net/http would answer 200 to a
-// client that reads on.
+// abort ends the request without an answer, as its client has left. Without the panic net/http would send status 200 to a
+// client that has only closed its sending side and still reads.
 func (a *answerWait) abort() {
 	a.leave()
 	panic(http.ErrAbortHandler)
 }
 
-// unansweredStatus is the status for a request that the node's own end answers.
+// unansweredStatus returns the status for a request that has no answer when the node ends.
 func (a *answerWait) unansweredStatus() int {
-	if a.events != nil { // never sent on
+	if a.events != nil { // the event loop does not have the request, so it was never forwarded
 		return http.StatusServiceUnavailable
 	}
 	return http.StatusBadGateway
 }
 
-// bodyCompleted has the client's time count from now, and its going be seen by the request's context.
+// bodyCompleted starts the client's timeout when a long body has come in full. From then on the end of net/http's context
+// shows the client's end.
 func (a *answerWait) bodyCompleted() {
 	a.uploaded = nil
 	a.drainClosed = nil
@@ -121,7 +122,7 @@
 	a.overdue.Reset(a.request.upload.patience + overdueDelay)
 }
 
-// stopUpload rejects the request at the drain's end if its body's rest has not been forwarded yet.
+// stopUpload rejects the request when the drain takes no more requests, unless its body has come in full.
 func (a *answerWait) stopUpload() (over bool) {
 	a.drainClosed = nil
 	if !a.request.upload.stopEarly() {
@@ -132,7 +133,8 @@
 	return true
 }
 
-// contextEnded ends the request if it was the client that ended the context, and not the end of the body's reading.
+// contextEnded aborts the request if net/http's context has ended because of the client's end. The context also ends when the
+// node itself interrupts the reading of the body.
 func (a *answerWait) contextEnded() {
 	if a.request.upload != nil && a.request.upload.body.stopped.Load() {
 		a.clientGone = nil
@@ -141,7 +143,7 @@
 	a.abort()
 }
 
-// timeEnded answers a request whose client waits no longer. While a body is being forwarded its time does not count.
+// timeEnded answers a request whose client waits no longer. The deadline does not apply while its body is being forwarded.
 func (a *answerWait) timeEnded() (over bool) {
 	if a.uploaded != nil && a.request.upload.isTaken() {
 		return false
--- a/internal/node/attempts.go
+++ b/internal/node/attempts.go
@@ -12,26 +12,26 @@
 	"meadowsill/policy"
 )
 
-// request is a client's request as the front end has read it.
+// request is a client's request as the frontend has read it.
 type request struct {
-	arrived  policy.RequestArrived // but for Timeout
-	class    policy.Class          // as the rules had it when the request came
+	arrived  policy.RequestArrived // the event loop sets its Timeout
+	class    policy.Class          // as in the rules that were in force when the request came
 	rules    *requestRules
-	deadline time.Time // the client has its answer by then
+	deadline time.Time // by which the client has to have its answer
 	method   string
 	url      *url.URL
 	header   http.Header
 	body     []byte
-	upload   *upload     // what follows on a long body's beginning, or nil
-	answer   chan answer // holds one: the final answer
-	// context ends as the client goes or the request is over, whichever the node sees first: from then on no attempt is
-	// begun. cancel is what ends it; the loop calls it as the request gets its final answer.
+	upload   *upload     // the rest of a long body, or nil; body is its beginning
+	answer   chan answer // takes the final answer; has a buffer of one
+	// context ends when the client leaves or the request is over, whichever the node sees first. No attempt begins after that.
+	// cancel ends it; the event loop calls cancel when the request gets its final answer.
 	context context.Context
 	cancel  context.CancelFunc
 
-	writeLock sync.Mutex // held while the kernel takes a piece of it, and as it becomes over
+	writeLock sync.Mutex // held while the kernel takes a part of the request, and while the request is marked as answered
 
-	// The rest belongs to the loop.
+	// Only the event loop uses the fields below.
 	answered bool
 	inFlight int
 	attempts []*attempt
@@ -43,20 +43,20 @@
 	header     http.Header
 	body       []byte
 	retryAfter time.Duration
-	stream     *io.PipeReader // what follows on a long answer's beginning, or nil
-	length     int64          // of a long answer; -1 if it is not known
+	stream     *io.PipeReader // the rest of a long answer, or nil; body is its beginning
+	length     int64          // of a long answer, in bytes; -1 if it is not known
 }
 
 type attempt struct {
 	sentAt   time.Time
 	cancel   context.CancelFunc
-	neverRan bool // and has ended
+	neverRan bool // the attempt has ended, and the server has not run the request
 }
 
-// startRequest takes a request from the front end. An id that is still open is not taken twice: the module would not
-// answer it, and its effect could happen twice.
+// startRequest takes a request from the frontend. It rejects a request whose id is that of an open one: the module would not
+// answer the second request, and its effect could happen twice.
 func (l *eventLoop) startRequest(r *request) {
-	if r.context.Err() != nil { // its client left while it stood in the queue
+	if r.context.Err() != nil { // the client left while the request was in the queue
 		return
 	}
 	if l.requests[r.arrived.ID] != nil {
@@ -64,7 +64,7 @@
 		return
 	}
 	if now := l.rules.Load(); r.rules != now && now.classes[r.class.Name] != r.class {
-		// It was read under rules that have just changed; the module would take it for one of the new class.
+		// The rules have changed since the request was read, and the module would apply the new class to it.
 		r.answer <- answer{status: http.StatusServiceUnavailable}
 		return
 	}
@@ -73,14 +73,14 @@
 	l.handle(r.arrived)
 }
 
-// abandonRequest ends a request whose client has gone.
+// abandonRequest ends a request for whose answer nobody waits any more.
 func (l *eventLoop) abandonRequest(r *request) {
 	if l.requests[r.arrived.ID] == r && !r.answered {
 		l.closeRequest(r)
 		l.handle(policy.RequestAbandoned{ID: r.arrived.ID})
 	}
 	select {
-	case a := <-r.answer: // which nobody takes any more
+	case a := <-r.answer: // nobody else will take it
 		if a.stream != nil {
 			a.stream.CloseWithError(errClientClosed)
 		}
@@ -88,6 +88,7 @@
 	}
 }
 
+// finishRequest gives a request its final answer, unless it has one.
 func (l *eventLoop) finishRequest(id policy.RequestID, a answer) {
 	if r := l.requests[id]; r != nil && !r.answered {
 		l.closeRequest(r)
@@ -95,8 +96,8 @@
 	}
 }
 
-// markAnswered makes a request over. No piece of it is being written just then and none is begun after, so its final answer,
-// which comes after this, holds of all that was sent.
+// markAnswered ends the request's context. It waits for a write of the request that is under way, and no write begins after it.
+// The final answer, which is given after this, therefore takes into account all that was sent.
 func (r *request) markAnswered() {
 	r.answered = true
 	r.writeLock.Lock()
@@ -104,7 +105,7 @@
 	r.cancel()
 }
 
-// closeRequest ends a request and forgets it once its attempts are in.
+// closeRequest marks a request as answered and, if none of its attempts is in flight, forgets it.
 func (l *eventLoop) closeRequest(r *request) {
 	r.markAnswered()
 	if r.inFlight == 0 {
@@ -112,6 +113,7 @@
 	}
 }
 
+// startAttempt begins an attempt that the module requests.
 func (l *eventLoop) startAttempt(a policy.Forward) {
 	r := l.requests[a.ID]
 	if r == nil {
@@ -152,13 +154,14 @@
 	})
 }
 
-// idempotencyDeadline is when the last byte of a further attempt has to be written, with what is kept for it to arrive. The window
-// counts from the sending of the first attempt that may have run. sent is when the loop took that up, and so not later.
+// idempotencyDeadline returns the time by which the last byte of a further attempt has to be written. It lies a margin before
+// the end of the deduplication window, in which the bytes reach the server. The window counts from the sending of the first
+// attempt that may have run. sent is when the event loop started that attempt, which is no later than its sending.
 func idempotencyDeadline(sent time.Time, window time.Duration) time.Time {
 	return sent.Add(window - min(dedupWindowMargin, window/2))
 }
 
-// streamAnswer passes a long answer on to the client: it is the final one.
+// streamAnswer gives a request a long answer, which is still being read, as its final answer.
 func (l *eventLoop) streamAnswer(a policy.Forward, n int, long answer) {
 	r := l.requests[a.ID]
 	if r == nil || r.answered {
@@ -170,7 +173,7 @@
 	l.handle(policy.StreamStarted{ID: a.ID, Attempt: n, Server: a.Server, Elapsed: time.Since(r.attempts[n].sentAt)})
 }
 
-// endAttempt notifies the module of an attempt's end; the first answer goes to the client.
+// endAttempt notifies the module of an attempt's end. The first successful answer goes to the client.
 func (l *eventLoop) endAttempt(a policy.Forward, n int, res result) {
 	r := l.requests[a.ID]
 	t := r.attempts[n]
@@ -187,7 +190,7 @@
 		l.handle(policy.RequestAbandoned{ID: a.ID})
 	}
 	if errors.Is(res.err, errRequestOver) {
-		r.answered = true // its client went, and the event for that is on its way: no further attempt
+		r.answered = true // no further attempt: the client has left, and the event for that is on its way
 	}
 	if res.err != nil {
 		l.log.Debug("attempt", "id", a.ID, "server", a.Server, "code", res.code, "err", res.err)
@@ -206,6 +209,7 @@
 	})
 }
 
+// checkHealth begins a health check that the module requests.
 func (l *eventLoop) checkHealth(id policy.ServerID) {
 	h := l.backends.host(id)
 	path := "/stats"
--- a/internal/node/exchange.go
+++ b/internal/node/exchange.go
@@ -18,23 +18,23 @@
 	"meadowsill/policy"
 )
 
-// exchange is one request to a backend.
+// exchange is one request to an app server, and its answer.
 type exchange struct {
-	request   context.Context // once it has ended, nothing is written; nil: it does not end
-	writeLock *sync.Mutex     // held while something is, and as request is ended with a final answer; nil: no need
+	request   context.Context // the context of the client's request, after whose end nothing is written; nil if there is none
+	writeLock *sync.Mutex     // request.writeLock: held during each write, and while the final answer ends the context; may be nil
 	method    string
 	url       *url.URL
 	header    http.Header
 	body      []byte
-	deadline  time.Time // the node waits no longer
-	writeBy   time.Time // if set, nothing is written from then on
+	deadline  time.Time // until which the node waits for the answer
+	writeBy   time.Time // after which nothing is written, unless it is zero
 
-	upload     *upload                                                     // what follows on body, or nil
-	onBodySent func()                                                      // called when some of that is about to be sent
-	onStream   func(resp *http.Response, held []byte, rest *io.PipeReader) // takes a long answer; nil: none is taken
+	upload     *upload                                                     // the rest of a long body after body, or nil
+	onBodySent func()                                                      // called before the first byte of upload is read and sent
+	onStream   func(resp *http.Response, held []byte, rest *io.PipeReader) // receives a long answer; if nil, long answers fail
 }
 
-// result is how an exchange ended.
+// result is the outcome of an exchange.
 type result struct {
 	code   policy.OutcomeCode
 	report *policy.LoadReport
@@ -43,13 +43,13 @@
 	err    error
 }
 
-// roundTrip makes an exchange and blocks until it is over. An end of ctx calls it off.
+// roundTrip makes an exchange and blocks until it is over. The end of ctx cancels it.
 func (b *upstreams) roundTrip(ctx context.Context, h *upstreamHost, x *exchange) result {
 	if h == nil {
 		return result{code: policy.ConnectFailed, err: errHostClosed}
 	}
 	dialing := ctx
-	if x.request != nil { // a dial takes time, and its request may end: nothing is written then, and no leave is needed
+	if x.request != nil { // if the request ends during the dial nothing has been written, so the attempt ends without a cancel
 		var let context.CancelFunc
 		dialing, let = context.WithCancel(ctx)
 		defer let()
@@ -68,7 +68,7 @@
 			return result{code: policy.ConnectFailed, err: err}
 		}
 		r := b.exchangeOn(ctx, h, c, x)
-		if errors.Is(r.err, errUnexpectedBytes) { // the connection is closed by now, and the next one is another
+		if errors.Is(r.err, errUnexpectedBytes) { // that connection is closed now; the next try takes another one
 			continue
 		}
 		if r.code == policy.TimedOut {
@@ -78,13 +78,13 @@
 	}
 }
 
-// exchangeOn makes an exchange on a connection, and gives that back.
+// exchangeOn makes an exchange on a connection, and releases the connection.
 func (b *upstreams) exchangeOn(ctx context.Context, h *upstreamHost, c *upstreamConn, x *exchange) result {
 	c.SetDeadline(x.deadline)
 	stop := context.AfterFunc(ctx, func() { c.SetDeadline(time.Unix(1, 0)) })
 	w := newWriter(ctx, b, h, c, x)
 	r, keep := writeAndRead(ctx, w)
-	// One that has begun may set its deadline at any time, also when the next request is on the connection.
+	// A callback that has begun may set its deadline at any time, even when the connection carries the next request.
 	stopped := w.unhook()
 	stopped = stop() && stopped
 	switch {
@@ -104,7 +104,7 @@
 	return r
 }
 
-// writeAndRead writes a request and reads its answer. keep reports whether the connection can take another.
+// writeAndRead writes a request and reads its answer. keep is true if the connection can carry another request.
 func writeAndRead(ctx context.Context, w *requestWriter) (r result, keep bool) {
 	x := w.exchange
 	left := max(0, time.Until(x.deadline))
@@ -135,9 +135,9 @@
 	return readResult(ctx, w.conn, x, req)
 }
 
-// readResult reads the answer to a request.
+// readResult reads the answer to a request. keep is true if the connection can carry another request.
 func readResult(ctx context.Context, c *upstreamConn, x *exchange, req *http.Request) (r result, keep bool) {
-	c.remaining.remaining = maxBufferedAnswer // http.ReadResponse itself takes a header of any size, and any number of interim answers
+	c.remaining.remaining = maxBufferedAnswer // http.ReadResponse has no limit on the header's size or the number of interim answers
 	resp, err := http.ReadResponse(c.reader, req)
 	for err == nil && resp.StatusCode < 200 && resp.StatusCode != http.StatusSwitchingProtocols {
 		resp, err = http.ReadResponse(c.reader, req)
@@ -154,11 +154,11 @@
 		}
 		return result{code: code, err: err}, false
 	}
-	if !complete { // it has gone to the client
+	if !complete { // readAnswer has relayed the body to the client
 		return result{code: policy.OK, report: parseReport(resp.Header.Get("X-Backend-Load"))}, !resp.Close
 	}
-	// An answer that may have no body ends with its head, whatever length it states: what it may mean as a body is on its
-	// way, and would be read as the beginning of the next answer.
+	// An answer whose status allows no body ends with its head, whatever length it states. If the server sends a body all the
+	// same, it would be read as the beginning of the next answer.
 	headOnly := resp.StatusCode < 200 || resp.StatusCode == http.StatusNoContent || resp.StatusCode == http.StatusNotModified
 	r = result{code: policy.ServerError, report: parseReport(resp.Header.Get("X-Backend-Load")), header: resp.Header, body: body}
 	switch status := resp.StatusCode; {
@@ -170,7 +170,7 @@
 	return r, !resp.Close && !headOnly
 }
 
-// parseReport reads a load report. One with no field that is known and a number is none.
+// parseReport parses a load report. It returns nil if the text has no known field with a finite number.
 func parseReport(text string) *policy.LoadReport {
 	var r policy.LoadReport
 	known := false
@@ -186,7 +186,7 @@
 	return &r
 }
 
-// checkHealth checks the health of a backend.
+// checkHealth makes a health check of an app server. A load report may come in the answer's header or its body.
 func (b *upstreams) checkHealth(ctx context.Context, h *upstreamHost, path string) result {
 	r := b.roundTrip(ctx, h, &exchange{method: http.MethodGet, url: &url.URL{Path: path, Host: "api.internal"}, deadline: time.Now().Add(healthCheckTimeout)})
 	if r.report == nil && r.code == policy.OK {
--- a/internal/node/frontend.go
+++ b/internal/node/frontend.go
@@ -13,36 +13,38 @@
 )
 
 const (
-	// requestHeadTimeout is for a request's head, from its connection's start or its first bytes on. Peers that send no
-	// request are owed an end within 3 s of connecting, and each holds a client's place until then.
+	// requestHeadTimeout limits the time for a request's head, counted from the start of its connection or from the head's
+	// first bytes. The node has to end connections of peers that send no request within 3 s of connecting, and each of them
+	// holds a client's slot until then.
 	requestHeadTimeout      = 2200 * time.Millisecond
-	answerWriteTimeout      = 5 * time.Second // for the client to take its answer
+	answerWriteTimeout      = 5 * time.Second // for the client to read its answer
 	idleConnTimeout         = 2 * time.Minute
-	minIdleTime             = 2 * time.Second       // a client may count on its connection for so long
-	clientCheckInterval     = 25 * time.Millisecond // for the client's end while its body is not read to the end
+	minIdleTime             = 2 * time.Second       // an idle connection stays open for at least this long: clients count on it
+	clientCheckInterval     = 25 * time.Millisecond // between checks for the client's end while its body is still being read
 	evacuationSweepInterval = 100 * time.Millisecond
-	otherProcessPoll        = 2 * time.Millisecond // for a client of the other process to go
+	otherProcessPoll        = 2 * time.Millisecond // between checks whether the other process has closed a client's connection
 	maxHeaderBytes          = 16 << 10
 	maxClientTimeout        = time.Hour // no client waits longer
-	// clientTimeoutMargin is kept from a client's patience: an answer has to get to it and be read by then.
+	// clientTimeoutMargin is subtracted from the time that a client waits, so that the answer reaches the client and is read
+	// before that time ends.
 	clientTimeoutMargin = 10 * time.Millisecond
-	busyRetryAfter      = 500 * time.Millisecond // the backoff for a client that the node itself has no capacity for
+	busyRetryAfter      = 500 * time.Millisecond // Retry-After of a rejection for which the node's own limits are the reason
 
-	healthPath = "health" // of the health checks: no class has the name
+	healthPath = "health" // first path element of the health checks; no class has this name
 )
 
-// frontend serves clients.
+// frontend serves clients' requests and the load balancer's health checks.
 type frontend struct {
 	loop            *eventLoop
 	log             *slog.Logger
-	listening       atomic.Bool   // for clients
-	draining        atomic.Bool   // the process ends
-	drainClosed     chan struct{} // closed when the drain takes no more
-	answersOver     chan struct{} // closed when the drain waits for no more answers
-	evacuated       atomic.Bool   // by the operators, until they want it back
-	openRequests    atomic.Int64  // requests
+	listening       atomic.Bool   // the node listens for clients
+	draining        atomic.Bool   // the process is ending
+	drainClosed     chan struct{} // closed when the drain takes no more requests
+	answersOver     chan struct{} // closed when the drain stops waiting for answers
+	evacuated       atomic.Bool   // the operators have evacuated the node, and have not ended that yet
+	openRequests    atomic.Int64  // number of requests being served
 	maxOpenRequests int64
-	fleet           *fleetClient // nil: in no fleet
+	fleet           *fleetClient // nil if the node is in no fleet
 	connections     *connections
 }
 
@@ -58,6 +60,7 @@
 	return f
 }
 
+// server returns the HTTP server for clients.
 func (f *frontend) server() *http.Server {
 	return &http.Server{
 		Handler:           f,
@@ -72,7 +75,7 @@
 	}
 }
 
-// notReadyReason says why clients are not to come, or nothing if they may.
+// notReadyReason returns why the node does not want requests, or "" if it does.
 func (f *frontend) notReadyReason() string {
 	switch {
 	case f.draining.Load():
@@ -85,11 +88,12 @@
 	return f.fleet.notReadyReason()
 }
 
-// isDrainClosed reports whether the drain takes no more. A request that passes as it closes is one that came before: its deadline
-// was set before the look, and so lies within the time that the drain waits for answers.
+// isDrainClosed reports whether the drain takes no more requests. A request that passes this check at the moment at which the
+// drain closes counts as one from before: its deadline was set before the check, and so lies within the time for which the
+// drain waits for answers.
 func (f *frontend) isDrainClosed() bool { return isClosed(f.drainClosed) }
 
-// isClosed reports whether a channel that is only ever closed has been.
+// isClosed reports whether a channel is closed on which nothing is ever sent.
 func isClosed(c <-chan struct{}) bool {
 	select {
 	case <-c:
@@ -99,23 +103,24 @@
 	}
 }
 
-// isLeaving reports whether clients are to go: each answer closes its connection.
+// isLeaving reports whether clients should go to other nodes. While it is true, each answer closes its connection.
 func (f *frontend) isLeaving() bool { return f.draining.Load() || f.evacuated.Load() }
 
-// closeEvacuatedIdle closes, while the node is evacuated, connections that are idle and that their clients can't count on.
+// closeEvacuatedIdle closes the connections that have been idle for minIdleTime if the node is evacuated.
 func (f *frontend) closeEvacuatedIdle() {
 	if f.evacuated.Load() {
 		f.connections.closeIdle(minIdleTime)
 	}
 }
 
+// connKey is the key under which a request's context holds its connection.
 type connKey struct{}
 
-// ServeHTTP answers a client's request, or the health checks of the load balancer in front of the nodes.
+// ServeHTTP answers a client's request, or a health check of the load balancer in front of the nodes.
 func (f *frontend) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	conn, _ := r.Context().Value(connKey{}).(net.Conn)
 	if conn != nil && f.connections.isEnded(conn) {
-		panic(http.ErrAbortHandler) // it crossed the close: its client sends it again on another connection
+		panic(http.ErrAbortHandler) // the request crossed the close: the client sends it again on another connection
 	}
 	client, _ := conn.(*clientConn)
 	client.countTaken()
@@ -142,7 +147,7 @@
 	}
 }
 
-// serveRequest answers a request of a class, if the node has capacity for it.
+// serveRequest answers a request of a class. It rejects the request if the node has no capacity for it.
 func (f *frontend) serveRequest(w http.ResponseWriter, r *http.Request, class string, client *clientConn) {
 	rules := f.loop.rules.Load()
 	if !f.reserve(rules.MaxOpenRequests) {
@@ -156,19 +161,19 @@
 		http.Error(w, err.Error(), statusOf(err))
 		return
 	}
-	if f.isDrainClosed() { // what comes in full so late may have no answer by SIGKILL; another process has capacity for it
+	if f.isDrainClosed() { // a request that is complete so late may have no answer by SIGKILL; another process has capacity for it
 		w.Header().Set("Connection", "close")
 		f.writeAnswer(w, answer{status: http.StatusServiceUnavailable})
 		return
 	}
-	if client.clientLeft() { // the read that looks for the client's end may come only after an attempt that begins at once
+	if client.clientLeft() { // net/http's read for the client's end may come only after an attempt that begins at once
 		panic(http.ErrAbortHandler)
 	}
 	f.awaitAnswer(w, r, req, client)
 }
 
-// reserve counts a request as open and reports true, unless the node has as many as it may have. The caller counts it
-// down again.
+// reserve counts a request as open and returns true, unless the node already serves as many as it may. After true the caller
+// has to decrement openRequests again.
 func (f *frontend) reserve(maxOpen int) bool {
 	open := f.openRequests.Add(1)
 	if open > f.maxOpenRequests || maxOpen > 0 && open > int64(maxOpen) || f.connections.overLimit() {
@@ -178,12 +183,12 @@
 	return true
 }
 
-// finishRequest returns a request its final answer.
+// finishRequest sends a request's final answer to the client.
 func (f *frontend) finishRequest(w http.ResponseWriter, r *http.Request, req *request, a answer) {
 	client, _ := r.Context().Value(connKey{}).(*clientConn)
 	client.answerStarted()
 	if req.upload != nil && !req.upload.isComplete() || client != nil && client.flooded.Load() {
-		w.Header().Set("Connection", "close") // the rest of the body, or what came behind it, is not read
+		w.Header().Set("Connection", "close") // the rest of the body, or the bytes after it, will not be read
 	}
 	f.writeAnswer(w, a)
 	if a.stream != nil {
@@ -191,7 +196,7 @@
 	}
 }
 
-// writeAnswer sends the final answer. It is the only one: each request comes here once.
+// writeAnswer writes a request's final answer, or the beginning of a long one. It is called once for each request.
 func (f *frontend) writeAnswer(w http.ResponseWriter, a answer) {
 	h := w.Header()
 	if a.header != nil {
@@ -201,7 +206,7 @@
 			h["Connection"] = closing
 		}
 	}
-	if f.isLeaving() { // it may have begun while the request was out
+	if f.isLeaving() { // the drain or evacuation may have begun while the request was in flight
 		h.Set("Connection", "close")
 	}
 	h.Del("Content-Length")
--- a/internal/node/linger.go
+++ b/internal/node/linger.go
@@ -5,29 +5,32 @@
 	"time"
 )
 
-// How the node closes a client's connection. A close over unread bytes, or before bytes that are on their way, resets
-// the connection, and the reset may take an answer along that the client has not read. So the node ends its own side
-// first, and reads and drops what still comes until the peer has ended too.
+// This file has the lingering close of a client's connection. A close with unread bytes in the socket, or with bytes still
+// on their way, resets the connection, and a reset may destroy an answer that the client has not read yet. The node
+// therefore closes its own side first, and reads and drops the bytes that still arrive until the peer has closed its side.
 
 const (
-	finTimeout      = 500 * time.Millisecond // for the peer's end
-	finShortTimeout = 50 * time.Millisecond  // while places are short
-	maxFinBytes     = 256 << 10              // dropped at most: a flood is no reason to read on
+	finTimeout      = 500 * time.Millisecond // for the peer to close its side
+	finShortTimeout = 50 * time.Millisecond  // the same while slots are short
+	maxFinBytes     = 256 << 10              // bytes that are dropped at most; a flood is not read further
 	finBufferSize   = 4 << 10
 )
 
-// errConnClosing is of a kind that net/http takes for a broken connection, and does not answer.
+// errConnClosing is returned by reads on a connection that the node is closing. net/http takes an error of this type for a
+// broken connection and does not answer it.
 var errConnClosing = &net.OpError{Op: "read", Net: "tcp", Err: net.ErrClosed}
 
-// endIdle ends an idle connection and wakes net/http, which waits on it for a request and closes it then. What comes
-// after the mark is never given to net/http. A request that was read in full before it finds the connection shed.
+// endIdle ends an idle connection. It interrupts net/http's read for the next request, on which net/http closes the
+// connection. Bytes that arrive after closing is set are never passed to net/http. If net/http has read a full request
+// before, ServeHTTP aborts that request, as the connection is marked as ended.
 func (c *clientConn) endIdle() {
-	c.closing.Store(true) // before the deadline: a read that begins later sees the mark, one that waits the deadline
+	c.closing.Store(true) // before the deadline: a read that begins later sees closing, and a waiting one meets the deadline
 	c.TCPConn.CloseWrite()
 	c.SetReadDeadline(time.Unix(1, 0))
 }
 
-// Close ends the node's side at once. The descriptor and the place go once the peer has ended too, within bounds.
+// Close closes the node's side of the connection at once. The descriptor and the slot are released when the peer has closed
+// its side too, or at the limits on time and bytes.
 func (c *clientConn) Close() error {
 	c.closeOnce.Do(func() {
 		c.closing.Store(true)
@@ -47,9 +50,11 @@
 	return nil
 }
 
-// CloseWrite is called by net/http, which then sleeps and closes. What comes is dropped while it sleeps.
+// CloseWrite is called by net/http, which then sleeps for a while and calls Close. Being Close, it drops the bytes that
+// arrive during the sleep.
 func (c *clientConn) CloseWrite() error { return c.Close() }
 
+// linger reads and drops bytes until the peer's end, the read deadline or maxFinBytes, and then releases the connection.
 func (c *clientConn) linger() {
 	defer c.release()
 	piece := make([]byte, finBufferSize)
@@ -62,23 +67,25 @@
 	}
 }
 
+// release closes the descriptor and frees the slot.
 func (c *clientConn) release() {
 	c.TCPConn.Close()
 	c.releaseSlot()
 }
 
-// hasPendingRequest reports whether something has come of a request that is not over, perhaps while the one before was answered.
+// hasPendingRequest reports whether bytes have come of a request that is not over. They may have come while the request
+// before it was being answered.
 func (c *clientConn) hasPendingRequest() bool {
 	return c.hasPipelined.Load() || c.framing.requests.Load() > c.servedRequests.Load()
 }
 
-// isStalled reports whether what has come is a beginning that does not go on. net/http waits for the first four bytes of a
-// further request as long as for none.
+// isStalled reports whether the last bytes came longer ago than requestHeadTimeout, so that a request that has begun does not
+// continue. net/http itself applies only the idle timeout until the first four bytes of a further request have come.
 func (c *clientConn) isStalled() bool {
 	return time.Since(time.Unix(0, c.lastReadAt.Load())) > requestHeadTimeout
 }
 
-// requestDone notes that a request is over. What has come of a next one by now stays heard.
+// requestDone counts a request that is over. If bytes of the next request have come already, that one stays pending.
 func (c *clientConn) requestDone() {
 	if c.framing.requests.Load() > c.servedRequests.Load() {
 		c.servedRequests.Add(1)
--- a/internal/node/request_writer.go
+++ b/internal/node/request_writer.go
@@ -12,31 +12,31 @@
 	"meadowsill/policy"
 )
 
-// How a request is written to a backend. Until the kernel has its last byte an attempt has not run, and may be let go
-// without leave to cancel; from then on it may have run.
+// This file has the writing of a request to an app server. Until the kernel has taken the last byte the attempt has not run,
+// and the node may give it up even where it may not cancel attempts. After that the attempt may have run.
 
 var (
 	errRequestOver     = errors.New("the request is over")
-	errDedupWindowOver = errors.New("the keyed window is over")
-	errUnexpectedBytes = errors.New("what has come on the connection belongs to no request")
+	errDedupWindowOver = errors.New("the deduplication window is over")
+	errUnexpectedBytes = errors.New("the connection has bytes that belong to no request")
 )
 
-// requestWriter writes a request to a connection. Before each piece that the kernel takes at once it looks at all that
-// may have changed: connecting takes time, a write may stall, and what counts is the last byte.
+// requestWriter writes a request to a connection. Before each write system call it checks again whether the request may still
+// be sent: connecting takes time, a write may stall, and the time at which the last byte is written decides.
 type requestWriter struct {
 	ctx       context.Context
 	upstreams *upstreams
 	host      *upstreamHost
 	conn      *upstreamConn
 	exchange  *exchange
-	deadline  func() time.Time // when what is written is too late; the zero time is never
-	started   bool             // the kernel has taken something
-	stopped   atomic.Bool      // no more is wanted
-	unhook    func() bool      // from the end of the request, which is nothing to it after the last byte
+	deadline  func() time.Time // returns when it is too late to write, or the zero time for no limit
+	started   bool             // the kernel has taken at least one byte
+	stopped   atomic.Bool      // an early answer has ended the writing
+	unhook    func() bool      // ends the effect of the request's end on the connection; called after the last byte
 }
 
-// newWriter begins to heed the end of the request, which ends a write that stalls. Writers set their deadline and look at
-// the request after that: an end that came before would have set another.
+// newWriter returns a writer, and has the end of the request interrupt a stalled write by a write deadline in the past.
+// Writers set their own deadline and check the request after that, as they may have replaced the deadline of an earlier end.
 func newWriter(ctx context.Context, b *upstreams, h *upstreamHost, c *upstreamConn, x *exchange) *requestWriter {
 	w := &requestWriter{ctx: ctx, upstreams: b, host: h, conn: c, exchange: x, deadline: func() time.Time { return x.deadline }}
 	w.unhook = func() bool { return true }
@@ -46,12 +46,12 @@
 	return w
 }
 
-// lastByteDeadline is when the last byte has to be written.
+// lastByteDeadline returns the time by which the last byte has to be written, or the zero time for no limit.
 func (w *requestWriter) lastByteDeadline() time.Time {
 	return earliest(w.deadline(), w.exchange.writeBy)
 }
 
-// earliest returns the first of two times; the zero time is never.
+// earliest returns the earlier of two times, where the zero time stands for no limit.
 func earliest(a, b time.Time) time.Time {
 	if a.IsZero() || !b.IsZero() && b.Before(a) {
 		return b
@@ -59,13 +59,13 @@
 	return a
 }
 
-// Write writes all of p, or says why not; then p's last byte is not written: an error comes with no more than a part.
+// Write writes all of p. If it returns an error, the last byte of p has not been written.
 func (w *requestWriter) Write(p []byte) (n int, err error) {
 	w.conn.SetWriteDeadline(w.lastByteDeadline())
 	return w.write(p)
 }
 
-// patientWriter gives each piece its time, but none beyond the request's.
+// patientWriter is a requestWriter that allows stallTimeout for each call of Write, within the limits of the request.
 type patientWriter struct{ *requestWriter }
 
 func (w patientWriter) Write(p []byte) (int, error) {
@@ -73,7 +73,7 @@
 	return w.write(p)
 }
 
-// write is Write under the deadline that is set.
+// write is Write under the write deadline that the connection has.
 func (w *requestWriter) write(p []byte) (n int, err error) {
 	waited := w.conn.raw.Write(func(fd uintptr) bool {
 		for n < len(p) && err == nil {
@@ -83,7 +83,7 @@
 		}
 		if err == syscall.EAGAIN {
 			err = nil
-			return false // called again when there is space, or the deadline comes
+			return false // raw.Write calls the function again when the socket has space, and returns at the deadline
 		}
 		return true
 	})
@@ -94,13 +94,13 @@
 		err = waited
 	}
 	if why := w.stopReason(); why != nil && errors.Is(err, os.ErrDeadlineExceeded) {
-		err = why // it set the deadline
+		err = why // the actual reason, for which the write deadline was set
 	}
 	return n, err
 }
 
-// writePiece has the kernel take what it has space for. A request's end waits for that moment, and after it none begins: so a
-// request that the node has answered as never sent is not sent after all.
+// writePiece writes as much of p as the socket has space for. markAnswered waits for a writePiece that is under way, and none
+// writes after it. So a request that the node has answered as never sent is not sent afterwards.
 func (w *requestWriter) writePiece(fd int, p []byte) (int, error) {
 	if w.exchange.writeLock != nil {
 		w.exchange.writeLock.Lock()
@@ -110,11 +110,12 @@
 		return 0, err
 	}
 	if !w.started {
-		// A list that comes within the write does not end it: for drains a send counts from its first byte.
+		// Only checked before the first byte, which is the time of sending that counts when a server drains: an endpoint list
+		// that comes during the write does not end it.
 		if w.upstreams.isClosed(w.host) {
 			return 0, errHostClosed
 		}
-		// What comes after this look and before the answer can't be distinguished from the answer.
+		// Bytes that come after this check and before the answer can't be distinguished from the answer.
 		if w.conn.reused && w.exchange.upload == nil && !isIdle(fd) {
 			return 0, errUnexpectedBytes
 		}
@@ -129,7 +130,7 @@
 	}
 }
 
-// stopReason says why no more of the request may be written, or nothing if it may.
+// stopReason returns the error for which no more of the request may be written, or nil.
 func (w *requestWriter) stopReason() error {
 	now := time.Now()
 	switch limit := w.deadline(); {
@@ -147,13 +148,14 @@
 	return nil
 }
 
-// isUntouched reports whether the connection is as it was before: nothing was written, and not for any fault of its own.
+// isUntouched reports whether the connection is in the state in which it was before: nothing was written, and the reason was
+// not a fault of the connection.
 func (w *requestWriter) isUntouched(err error) bool {
 	return !w.started && w.exchange.upload == nil && (errors.Is(err, errRequestOver) || errors.Is(err, errDedupWindowOver) ||
 		errors.Is(err, os.ErrDeadlineExceeded) || w.ctx.Err() != nil && errors.Is(err, w.ctx.Err()))
 }
 
-// unsentResult is the outcome of an attempt whose last byte is not written: it never ran.
+// unsentResult returns the outcome of an attempt whose last byte has not been written, so that it never ran.
 func (w *requestWriter) unsentResult(err error) result {
 	switch {
 	case errors.Is(err, errRequestOver), errors.Is(err, errDedupWindowOver):
--- a/internal/node/streaming.go
+++ b/internal/node/streaming.go
@@ -9,35 +9,37 @@
 	"time"
 )
 
-// Bodies over 64 KiB, which are relayed as they come: the limits, and answers' (upload.go has requests').
+// This file has the limits of bodies over 64 KiB, which the node relays while they arrive, and the relaying of answers with
+// such bodies. upload.go has the relaying of requests.
 
 const (
-	maxLongBody       = 32 << 20 // bytes of a body, either way
+	maxLongBody       = 32 << 20 // bytes of a body, of a request or an answer
 	copyBufferSize    = 16 << 10
-	kernelBufferSize  = 64 << 10                // of the kernel's buffers under a long body
-	minBodyRate       = 48e3                    // bytes a second that a client sends at least: 64,000, with some slack
-	bodyConnDeadline  = 2750 * time.Millisecond // from connecting on, a peer that sends nothing more is ended
+	kernelBufferSize  = 64 << 10                // bytes of the kernel's socket buffers for a long body
+	minBodyRate       = 48e3                    // bytes per second; clients send at least 64,000, and the rest is slack
+	bodyConnDeadline  = 2750 * time.Millisecond // from the accept, for the first body to begin; the node ends silent peers then
 	bodyStartTimeout  = 550 * time.Millisecond  // for a body to begin, at least
-	reusedBodyTimeout = requestHeadTimeout      // the same on a kept connection
+	reusedBodyTimeout = requestHeadTimeout      // for a body to begin on a reused connection
 	stallTimeout      = 6 * time.Second         // for any progress on a long body
-	streamDelay       = 100 * time.Millisecond  // an answer of unknown length is held for so long: it may be a short one
+	streamDelay       = 100 * time.Millisecond  // an answer of unknown length is buffered for this long: it may be a short one
 )
 
 var copyBuffers = sync.Pool{New: func() any { return new([copyBufferSize]byte) }}
 
-// streamedAnswer is an answer that is held back until it is complete, or is begun to be passed on.
+// streamedAnswer is an answer's body that is buffered until it is complete or the node begins to relay it. Relayed bytes go
+// through a pipe to the client's handler.
 type streamedAnswer struct {
-	onStart func(held []byte, rest *io.PipeReader)
+	onStart func(held []byte, rest *io.PipeReader) // called when the relaying begins, with the bytes buffered until then
 	ctx     context.Context
 
 	mu       sync.Mutex // guards the fields below
 	buffered []byte
 	started  bool
-	pipe     *io.PipeWriter
-	unhook   func() bool // stops what the end of ctx would do to the pipe
+	pipe     *io.PipeWriter // nil until the relaying begins
+	unhook   func() bool    // cancels the closing of the pipe at the end of ctx
 }
 
-// start begins to pass the answer on, if it has not begun.
+// start begins to relay the answer, unless that has begun already.
 func (d *streamedAnswer) start() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -55,10 +57,10 @@
 	}
 }
 
-// errClientClosed is an end that the server has no part in.
-var errClientClosed = errors.New("the client takes no more")
+// errClientClosed is the error of a transfer that ended for a reason on the client's side, and not the server's.
+var errClientClosed = errors.New("the client receives no more")
 
-// write holds a piece back or passes it on, and then blocks until it is taken.
+// write buffers a part of the body or, once the relaying has begun, passes it on and blocks until the handler has read it.
 func (d *streamedAnswer) write(p []byte) error {
 	d.mu.Lock()
 	if !d.started {
@@ -76,7 +78,7 @@
 	return nil
 }
 
-// finish is called when no more comes. It reports whether the answer was buffered completely.
+// finish ends the body, with err if it is incomplete. It reports whether the whole body is in the buffer.
 func (d *streamedAnswer) finish(err error) (complete bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -85,11 +87,12 @@
 		d.pipe.CloseWithError(err) // io.EOF for nil
 		return false
 	}
-	d.started = true // the timer comes too late
+	d.started = true // so that the timer does not start the relaying any more
 	return err == nil
 }
 
-// readAnswer reads an answer's body. One that is short is returned whole; the rest of a longer one goes to x.begin.
+// readAnswer reads an answer's body. It returns a short body whole; a longer one it relays through x.onStream, and complete
+// is false then.
 func readAnswer(ctx context.Context, c *upstreamConn, x *exchange, resp *http.Response) (body []byte, complete bool, err error) {
 	if resp.ContentLength > maxLongBody {
 		return nil, false, errTooLarge
@@ -101,11 +104,12 @@
 		}
 		return body, err == nil, err
 	}
-	c.remaining.remaining = 2 * maxLongBody // with its framing
+	c.remaining.remaining = 2 * maxLongBody // with space for the chunk framing
 	c.SetReadBuffer(kernelBufferSize)
-	patient := func() { // from its beginning on an answer may take its time, also the piece that is waited for
+	// Once an answer is being relayed only stalls limit its time. The new deadline also applies to a read that is waiting.
+	patient := func() {
 		if c.SetReadDeadline(time.Now().Add(stallTimeout)); ctx.Err() != nil {
-			c.SetReadDeadline(time.Unix(1, 0)) // as the end of ctx does
+			c.SetReadDeadline(time.Unix(1, 0)) // again: the line above may have replaced the deadline that the end of ctx set
 		}
 	}
 	d := &streamedAnswer{ctx: ctx, onStart: func(held []byte, rest *io.PipeReader) {
@@ -146,15 +150,17 @@
 	return d.buffered, complete, err
 }
 
+// hasStarted reports whether the relaying has begun, or the answer has ended before.
 func (d *streamedAnswer) hasStarted() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.started
 }
 
-// relayStream passes a long answer on to the client. A client that can't have it whole has its connection closed within it.
+// relayStream relays a long answer to the client. If the answer can't be relayed in full, the client's connection is closed
+// within it.
 func (f *frontend) relayStream(w http.ResponseWriter, r *http.Request, a answer) {
-	defer a.stream.CloseWithError(errClientClosed) // after the end nobody sees it
+	defer a.stream.CloseWithError(errClientClosed) // has no effect if the stream has ended
 	if conn, ok := r.Context().Value(connKey{}).(interface{ SetWriteBuffer(int) error }); ok {
 		conn.SetWriteBuffer(kernelBufferSize)
 	}
--- a/internal/node/upload.go
+++ b/internal/node/upload.go
@@ -15,14 +15,14 @@
 	"meadowsill/policy"
 )
 
-// Requests' bodies over 64 KiB.
+// This file has request bodies over 64 KiB, which the node relays while they arrive.
 
-// pacedBody reads a request's body, for as long as it comes fast enough.
+// pacedBody reads a request's body for as long as the client sends it at minBodyRate or faster.
 type pacedBody struct {
 	io.Reader
 	control     *http.ResponseController
-	deadline    time.Time // at the least rate, for what has come so far
-	deadlineSet time.Time
+	deadline    time.Time // for the next bytes; each byte read extends it by the time that the byte takes at minBodyRate
+	deadlineSet time.Time // the deadline that the connection has; it is only set again when it has moved far enough
 	stopped     atomic.Bool
 }
 
@@ -39,19 +39,19 @@
 	return n, err
 }
 
-// interrupt ends a read that waits, and any that follows.
+// interrupt ends a waiting read, and makes all later ones fail.
 func (b *pacedBody) interrupt() {
 	b.stopped.Store(true)
 	b.control.SetReadDeadline(time.Unix(1, 0))
 }
 
-// readBody reads a body, or its first 64 KiB; then more is true if there may be more of it.
+// readBody reads a body up to a little more than maxBufferedBody. more is true if the end of the body has not been seen.
 func (b *pacedBody) readBody(length int64) (body []byte, more bool, err error) {
 	size := int64(maxBufferedBody)
 	if length >= 0 {
 		size = min(size, length)
 	}
-	capacity := int(size) + 1 // the end is seen when nothing more comes
+	capacity := int(size) + 1 // with space for another byte, so that the read after the last byte sees the end
 	body = make([]byte, 0, min(capacity, copyBufferSize))
 	for err == nil && len(body) < capacity {
 		if len(body) == cap(body) {
@@ -67,7 +67,7 @@
 	return body, err == nil, err
 }
 
-// bodyError is the answer to a client whose body can't be read.
+// bodyError returns the rejection of a request whose body can't be read because of err.
 func bodyError(err error) *requestError {
 	if tooLarge := (*http.MaxBytesError)(nil); errors.As(err, &tooLarge) {
 		return &requestError{http.StatusRequestEntityTooLarge, "the body is too large"}
@@ -78,25 +78,26 @@
 	return &requestError{http.StatusBadRequest, "the body is malformed"}
 }
 
-// upload is the rest of a long request's body, beyond what is kept of it. It can be sent once.
+// upload is the rest of a long request's body, after the beginning that the node has buffered. It is not stored, so only one
+// attempt can send it.
 type upload struct {
 	body     *pacedBody
-	length   int64         // of the complete body; -1 if it is not known
-	patience time.Duration // of the client, from the last byte on
+	length   int64         // of the complete body, in bytes; -1 if it is not known
+	patience time.Duration // how long the client waits for an answer after the last byte of its body
 	client   *clientConn
 	complete chan struct{} // closed when the last byte has been read
 
 	mu             sync.Mutex     // guards the fields below
-	reader         *requestWriter // who reads it
+	reader         *requestWriter // the attempt that reads the body, or nil
 	closed         bool
-	clientError    error
-	clientDeadline time.Time // when its client waits no longer; set before complete is closed
+	clientError    error     // the error of the read from the client, if any
+	clientDeadline time.Time // when the client stops waiting for the answer; set before complete is closed
 }
 
-var errBodyUnavailable = errors.New("the rest of the body is not to be had")
+var errBodyUnavailable = errors.New("the rest of the body is not available")
 
-// read reads for the first that comes: of two attempts each would get a part. It is not called again after the last
-// byte or an error.
+// read reads from the body for the attempt that calls it first, and fails for any other: two attempts would each get a part
+// of the body. It is not called again after the last byte or an error.
 func (u *upload) read(w *requestWriter, p []byte) (int, error) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -109,7 +110,7 @@
 	}
 	n, err := u.body.Read(p)
 	switch {
-	case err == io.EOF && u.client.clientLeft(): // what it sent may have lain here for long; its end lies behind
+	case err == io.EOF && u.client.clientLeft(): // the client may have ended long ago, with its bytes unread in the socket
 		n, err = 0, errClientClosed
 	case err == io.EOF:
 		u.clientDeadline = time.Now().Add(u.patience)
@@ -121,14 +122,14 @@
 	return n, err
 }
 
-// readError is the client's error, if there was one.
+// readError returns the error with which the client's body ended early, or nil.
 func (u *upload) readError() error {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.clientError
 }
 
-// close ends the reading, also one that waits.
+// close ends the reading of the body, including a read that waits.
 func (u *upload) close() {
 	if !u.isComplete() {
 		u.body.interrupt()
@@ -138,22 +139,25 @@
 	u.closed = true
 }
 
-// stopEarly ends the reading, and reports whether that came before the last byte. If it did not, the request may have run:
-// the last byte may come in the instant in which the drain takes no more.
+// stopEarly ends the reading of the body, and reports whether it ended before the last byte. If it did not, the request may
+// have run: the last byte may come at the moment at which the drain stops taking requests.
 func (u *upload) stopEarly() bool {
 	u.close()
 	return !u.isComplete()
 }
 
+// isTaken reports whether an attempt has begun to read the body, or the reading has ended.
 func (u *upload) isTaken() bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.reader != nil || u.closed
 }
 
+// isComplete reports whether the last byte has been read from the client.
 func (u *upload) isComplete() bool { return isClosed(u.complete) }
 
-// answerDeadline is when its client waits no longer. Before the last byte has come there is no such time.
+// answerDeadline returns the time at which the client stops waiting for the answer, or the zero time, for no limit, as long as
+// the last byte of the body has not come.
 func (u *upload) answerDeadline() time.Time {
 	if !u.isComplete() {
 		return time.Time{}
@@ -161,15 +165,16 @@
 	return u.clientDeadline
 }
 
-// uploadError is an error of the client's.
+// uploadError is an attempt's error of which the client's connection or body is the cause, and not the server.
 type uploadError struct{ error }
 
-// readFunc is a function that reads.
+// readFunc makes a function an io.Reader.
 type readFunc func([]byte) (int, error)
 
 func (r readFunc) Read(p []byte) (int, error) { return r(p) }
 
-// uploadAndRead is writeAndRead for a long body. The server may answer before it has all of it; then it has not run.
+// uploadAndRead is writeAndRead for a request with a long body. If the server answers before it has received the whole body,
+// the request has not run.
 func uploadAndRead(ctx context.Context, w *requestWriter, req *http.Request) (r result, keep bool) {
 	u := w.exchange.upload
 	c := w.conn
@@ -177,7 +182,9 @@
 	if u.isTaken() {
 		return result{code: policy.NotSent, err: errBodyUnavailable}, false
 	}
-	if c.reused && !w.upstreams.usable(c) { // later it would look like an answer within the body, which is read only once
+	// Bytes that belong to no request have to be noticed now. Later they would look like an answer within the body, and the
+	// body could not be read again for another connection.
+	if c.reused && !w.upstreams.usable(c) {
 		return result{code: policy.ConnectFailed, err: errUnexpectedBytes}, false
 	}
 	c.SetWriteBuffer(kernelBufferSize)
@@ -185,9 +192,9 @@
 	req.ContentLength, req.Body = u.length, io.NopCloser(io.MultiReader(bytes.NewReader(x.body), readFunc(func(p []byte) (int, error) {
 		return u.read(w, p)
 	})))
-	deadline := func(t time.Time) { // of the wait for an answer
+	deadline := func(t time.Time) { // sets the deadline of the wait for an answer
 		if c.SetReadDeadline(t); ctx.Err() != nil {
-			c.SetReadDeadline(time.Unix(1, 0)) // as the end of ctx does
+			c.SetReadDeadline(time.Unix(1, 0)) // again: t may have replaced the deadline that the end of ctx set
 		}
 	}
 	deadline(time.Time{})
@@ -205,9 +212,9 @@
 	c.remaining.remaining = maxBufferedAnswer
 	_, silent := c.reader.Peek(1)
 	early := len(wrote) == 0 && !u.isComplete()
-	if early { // an answer, or the connection's end, within the body
+	if early { // an answer, or the connection's end, has come within the body
 		u.close()
-		w.stopped.Store(true) // also a piece whose deadline is just being set
+		w.stopped.Store(true) // also stops a write that is just setting its deadline and would replace the one set here
 		c.SetWriteDeadline(time.Unix(1, 0))
 	}
 	err := <-wrote
@@ -215,9 +222,9 @@
 	case err == nil:
 		w.unhook()
 		return readResult(ctx, c, x, req)
-	case errors.Is(err, errBodyUnavailable) && !early: // another attempt has it
+	case errors.Is(err, errBodyUnavailable) && !early: // another attempt reads the body
 		return result{code: policy.NotSent, err: err}, false
-	case client != nil && !early: // err hides it
+	case client != nil && !early: // err does not show the client's error
 		return result{code: policy.NotSent, err: uploadError{client}}, false
 	case early && silent == nil:
 		deadline(time.Now().Add(stallTimeout))
--- a/internal/node/upstreams.go
+++ b/internal/node/upstreams.go
@@ -16,35 +16,35 @@
 )
 
 const (
-	maxBufferedBody    = 64 << 10            // bytes of a body, either way
-	maxBufferedAnswer  = 4 * maxBufferedBody // with its header and framing
+	maxBufferedBody    = 64 << 10            // bytes of a body, of a request or an answer
+	maxBufferedAnswer  = 4 * maxBufferedBody // bytes of an answer with its header and framing
 	idleSweepInterval  = time.Second
-	idleTimeoutPart    = 0.75 // of the time after which a backend closes an idle connection: well before, it is retired
+	idleTimeoutPart    = 0.75 // fraction of a server's idle timeout after which the node closes the connection, well before the server does
 	healthCheckTimeout = 500 * time.Millisecond
-	minIdleReuseTime   = 20 * time.Millisecond // of a connection after an answer, if another can take the next request
+	minIdleReuseTime   = 20 * time.Millisecond // since the last answer on a connection; before that, others are preferred
 )
 
-// upstreams holds the connections to all backends. Each carries one request at a time; the most recently used
-// goes first, of those that have rested. It does not use http.Transport, which sends some requests again by itself.
+// upstreams is the pool of connections to all app servers. Each connection carries one request at a time. Of those that have
+// been idle for minIdleReuseTime, the most recently used one is taken first. The pool does not use http.Transport, which
+// resends some requests by itself.
 type upstreams struct {
-	mu       sync.Mutex // guards hosts, excluded, open, the two times, and the fields of every host
-	hosts    map[policy.ServerID]*upstreamHost
-	excluded map[policy.ServerID]bool // excluded by the operators, listed or not
-	// connections, also those being made
-	open           int
+	mu             sync.Mutex // guards hosts, excluded, open, connectTimeout, idleLimit, and the fields of every host
+	hosts          map[policy.ServerID]*upstreamHost
+	excluded       map[policy.ServerID]bool // servers that the operators exclude, listed or not
+	open           int                      // number of connections, including those being made
 	limit          int
-	restart        *hotRestart // the other process of an upgrade
+	restart        *hotRestart // counts the connections of the other process of an upgrade
 	connectTimeout time.Duration
-	idleLimit      time.Duration
+	idleLimit      time.Duration // after which an idle connection is not used any more
 	dial           func(context.Context, net.Dialer, string) (*upstreamConn, error)
 	log            *slog.Logger
 }
 
-// upstreamHost is one backend. The fields are under the lock of upstreams.
+// upstreamHost is one app server. upstreams.mu guards its fields.
 type upstreamHost struct {
 	addr         string
 	startedAt    policy.Time
-	closed       bool            // it drains, is removed or excluded: nothing new is written to it
+	closed       bool            // the server drains, is removed or is excluded: no request is begun on a connection to it
 	idle         []*upstreamConn // the least recently used first
 	lastAnswerAt time.Time
 }
@@ -53,16 +53,16 @@
 	*net.TCPConn
 	raw       syscall.RawConn
 	reader    *bufio.Reader
-	remaining *boundedReader // under r: what may still come on one answer
-	idleSince time.Time      // made, or idle since
-	reused    bool           // a request was on it
+	remaining *boundedReader // reader reads from it; bounds the bytes of one answer
+	idleSince time.Time      // when the connection was made, or became idle last
+	reused    bool           // the connection has carried a request before
 }
 
-// boundedReader reads no more than is left, and then fails: where a close ends an answer, a bound that looked like the end
-// would pass its beginning off as the whole.
+// boundedReader fails once it has read the given number of bytes. It does not return io.EOF then: an answer without a length
+// ends with its connection, and a truncated one would be taken for complete.
 type boundedReader struct {
 	reader    io.Reader
-	remaining int64
+	remaining int64 // bytes that may still be read
 }
 
 var errTooLarge = errors.New("the answer is too large")
@@ -82,6 +82,7 @@
 	return b
 }
 
+// configure applies the timeouts of the settings.
 func (b *upstreams) configure(s policy.Settings) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -91,8 +92,8 @@
 	}
 }
 
-// update follows the list. Connections of an address or a process that is no more are closed: a request on one
-// of them would be a reset.
+// update applies an endpoint list. It closes the connections to servers that are not ready any more or have another address
+// or a later start: a request on one of these connections would end in a reset.
 func (b *upstreams) update(l endpointList) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -112,7 +113,7 @@
 		h := b.hosts[e.ID]
 		if h != nil && (e.State != policy.Ready || h.addr != e.addr || e.StartedAt > h.startedAt) {
 			b.retire(h)
-			delete(b.hosts, e.ID) // attempts that connect to it still hold h, and find it closed
+			delete(b.hosts, e.ID) // attempts that are connecting still use h, and see that it is closed
 			h = nil
 		}
 		if h == nil && e.State == policy.Ready {
@@ -121,7 +122,7 @@
 	}
 }
 
-// exclude takes a server out or back, whatever the list says of it.
+// exclude excludes a server, or ends its exclusion if out is false, whatever its state in the endpoint list is.
 func (b *upstreams) exclude(id policy.ServerID, out bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -135,17 +136,19 @@
 		}
 	default:
 		delete(b.excluded, id)
-		if h != nil { // attempts that connect to it still hold h, and find it closed
+		if h != nil { // a new host, as attempts that are connecting still use h and have to see that it is closed
 			b.hosts[id] = &upstreamHost{addr: h.addr, startedAt: h.startedAt}
 		}
 	}
 }
 
+// retire closes a host and its idle connections. The caller holds mu.
 func (b *upstreams) retire(h *upstreamHost) {
 	h.closed = true
 	b.closeAll(h)
 }
 
+// closeAll closes the idle connections of a host. The caller holds mu.
 func (b *upstreams) closeAll(h *upstreamHost) {
 	for _, c := range h.idle {
 		b.drop(c)
@@ -153,12 +156,14 @@
 	h.idle = nil
 }
 
+// drop closes a connection and stops counting it. The caller holds mu.
 func (b *upstreams) drop(c *upstreamConn) {
 	c.Close()
 	b.countConns(-1)
 }
 
-// countConns counts connections.
+// countConns adds n to the number of connections, also in the counts that the other process of an upgrade sees. The caller
+// holds mu.
 func (b *upstreams) countConns(n int) {
 	b.open += n
 	b.restart.count(0, n)
@@ -170,6 +175,7 @@
 	return b.hosts[id]
 }
 
+// closeIdle closes the idle connections to a server.
 func (b *upstreams) closeIdle(id policy.ServerID) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -178,7 +184,7 @@
 	}
 }
 
-// run retires idle connections until ctx ends, and then closes them all.
+// run closes connections that have become unusable until ctx ends, and then closes all hosts with their idle connections.
 func (b *upstreams) run(ctx context.Context) {
 	runEvery(ctx, idleSweepInterval, b.sweep)
 	b.mu.Lock()
@@ -188,6 +194,7 @@
 	}
 }
 
+// sweep closes the idle connections that are not usable any more.
 func (b *upstreams) sweep() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -205,9 +212,9 @@
 	}
 }
 
-// usable reports whether an idle connection may take a request: young enough, not closed by the other side, and
-// with nothing on it that belongs to no request. A write to one that the backend has closed would succeed, and
-// then leave open whether the request ran.
+// usable reports whether an idle connection can carry a request: it has been idle for less than idleLimit, the server has not
+// closed it, and no bytes have come on it that belong to no request. A write to a connection that the server has closed would
+// succeed, and it would then be unknown whether the request ran.
 func (b *upstreams) usable(c *upstreamConn) bool {
 	if time.Since(c.idleSince) >= b.idleLimit || c.reader.Buffered() > 0 {
 		return false
@@ -220,7 +227,8 @@
 	return err == nil && still
 }
 
-// isIdle reports whether nothing has come on a connection, not even its end. It may take a byte of what has.
+// isIdle reports whether the socket holds no unread bytes and no unread end of the connection. If there are bytes it consumes
+// one of them.
 func isIdle(fd int) bool {
 	var one [1]byte
 	_, err := syscall.Read(fd, one[:])
@@ -229,11 +237,12 @@
 
 var (
 	errTooManyConns = errors.New("too many connections")
-	errHostClosed   = errors.New("the backend drains, is gone or taken out")
+	errHostClosed   = errors.New("the app server is draining, removed or excluded")
 )
 
-// takeIdle takes the connection that was used last of those that have rested, or the one that has rested longest. A second
-// answer that comes a little after the first would be taken for the answer to what is written next.
+// takeIdle removes and returns the most recently used of the connections that have been idle for minIdleReuseTime, or the
+// longest idle one if there are none. A second, unrequested answer may come shortly after the first; on a connection that is
+// reused at once it would be taken for the answer to the next request.
 func (h *upstreamHost) takeIdle() *upstreamConn {
 	n := 0
 	for i, c := range h.idle { // the least recently used first
@@ -246,7 +255,7 @@
 	return c
 }
 
-// connect takes an idle connection or makes one.
+// connect returns a usable idle connection to a host, or makes a new one.
 func (b *upstreams) connect(ctx context.Context, h *upstreamHost, deadline time.Time) (*upstreamConn, error) {
 	b.mu.Lock()
 	if h.closed {
@@ -277,7 +286,7 @@
 	return c, err
 }
 
-// dialTCP makes a connection.
+// dialTCP makes a connection to the given address.
 func dialTCP(ctx context.Context, d net.Dialer, addr string) (*upstreamConn, error) {
 	made, err := d.DialContext(ctx, "tcp", addr)
 	if err != nil {
@@ -293,7 +302,8 @@
 	return &upstreamConn{TCPConn: tcp, raw: raw, reader: bufio.NewReader(left), remaining: left, idleSince: time.Now()}, nil
 }
 
-// evict makes room at the bound by closing the connection that has been idle longest.
+// evict closes the connection that has been idle longest, to free a slot at the limit. It returns false if none is idle. The
+// caller holds mu.
 func (b *upstreams) evict() bool {
 	var oldest *upstreamHost
 	for _, h := range b.hosts {
@@ -309,7 +319,8 @@
 	return true
 }
 
-// release gives a connection back, for the next request or to be closed.
+// release returns a connection after an exchange. It keeps the connection for the next request if keep is true and the host
+// is not closed, and closes it otherwise.
 func (b *upstreams) release(h *upstreamHost, c *upstreamConn, keep bool) {
 	if keep {
 		keep = c.SetDeadline(time.Time{}) == nil
@@ -324,8 +335,8 @@
 	h.idle = append(h.idle, c)
 }
 
-// closeIfSilent closes a host's idle connections if nothing has come from it since a time: a machine that was cut off
-// and is back resets them, and each of them would cost a request.
+// closeIfSilent closes a host's idle connections if no answer has come from it since the given time. The machine may be cut
+// off from the network; when it is back it resets the connections, and each of them would cost a request.
 func (b *upstreams) closeIfSilent(h *upstreamHost, since time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
