--- a/internal/node/accept.go
+++ b/internal/node/accept.go
@@ -10,48 +10,48 @@
 	"golang.org/x/sys/unix"
 )
 
-// clientListener accepts clients' connections, but no more of them than it has slots, that is, descriptors. Further
-// connections wait in the kernel's accept queue for the short time until a slot is free. The connections that it returns
-// embed *net.TCPConn: if a wrapper hid CloseWrite from net/http, net/http would reset connections on which an answer is
-// still on its way.
+// clientListener accepts clients' connections, but no more of them than there are descriptors for. Each takes a slot, which
+// is an element in the channel slots. Further connections wait in the kernel's accept queue for a slot, which takes no longer
+// than it takes to reject a request. The connections that Accept returns embed *net.TCPConn: if a wrapper hid CloseWrite from
+// net/http, net/http would reset connections on which an answer is still on its way.
 type clientListener struct {
 	*net.TCPListener
-	slots     chan struct{} // holds one element for each slot that is taken
+	slots     chan struct{}
 	restart   *hotRestart
 	conns     *connections
 	done      chan struct{} // closed when the listener is closed
-	closeOnce func() error  // closes the listener at the first call
+	closeOnce func() error  // closes the listener on the first call
 }
 
 func newClientListener(tcp *net.TCPListener, limit int, restart *hotRestart, conns *connections) *clientListener {
 	done := make(chan struct{})
-	end := sync.OnceValue(func() error { close(done); return tcp.Close() })
-	return &clientListener{TCPListener: tcp, slots: make(chan struct{}, limit), restart: restart, conns: conns, done: done, closeOnce: end}
+	closeListener := sync.OnceValue(func() error { close(done); return tcp.Close() })
+	return &clientListener{TCPListener: tcp, slots: make(chan struct{}, limit), restart: restart, conns: conns, done: done, closeOnce: closeListener}
 }
 
 func (l *clientListener) Close() error { return l.closeOnce() }
 
 // hasWaitingConn reports whether the kernel's accept queue holds a connection that the node has not accepted yet. Such a
 // connection would be reset if the listener were closed now.
-func (l *clientListener) hasWaitingConn() bool { return polled(l, unix.POLLIN)&unix.POLLIN != 0 }
+func (l *clientListener) hasWaitingConn() bool { return polledEvents(l, unix.POLLIN)&unix.POLLIN != 0 }
 
-// polled returns which of the given poll events are set on a socket now, and the events for an error or hang-up, which
+// polledEvents returns which of the given poll events are set on a socket now, and the events for an error or hang-up, which
 // poll always reports. It returns none if the socket can't be polled.
-func polled(s syscall.Conn, events int16) (has int16) {
+func polledEvents(s syscall.Conn, events int16) (revents int16) {
 	raw, err := s.SyscallConn()
 	if err != nil {
 		return 0
 	}
 	raw.Control(func(fd uintptr) {
-		look := [1]unix.PollFd{{Fd: int32(fd), Events: events}}
+		pollFds := [1]unix.PollFd{{Fd: int32(fd), Events: events}}
 		for err = unix.EINTR; err == unix.EINTR; {
-			_, err = unix.Poll(look[:], 0)
+			_, err = unix.Poll(pollFds[:], 0)
 		}
 		if err == nil {
-			has = look[0].Revents
+			revents = pollFds[0].Revents
 		}
 	})
-	return has
+	return revents
 }
 
 // clientConn is a client's connection. net/http's serving goroutine reads it, and so does net/http's background reader
@@ -69,7 +69,7 @@
 	closing        atomic.Bool  // the node is closing the connection: bytes that arrive now are dropped
 	closeOnce      sync.Once
 
-	takenRequests    int64        // number of requests that the handler has got; only the serving goroutine uses it
+	startedRequests  int64        // number of requests that the handler has got; only the serving goroutine uses it
 	answeredRequests atomic.Int64 // takenRequests as of the last answer that has begun
 	pipelined        []byte       // bytes that came after a request in flight; only the reader uses it
 	hasPipelined     atomic.Bool  // pipelined is not empty
--- a/internal/node/answer_wait.go
+++ b/internal/node/answer_wait.go
@@ -10,30 +10,30 @@
 // request and then for the loop's answer, and at the same time for the client's end, the request's deadline and the node's
 // end. Only the handler's goroutine uses it.
 type answerWait struct {
-	frontend *frontend
-	writer   http.ResponseWriter
-	received *http.Request
-	request  *request
-	client   *clientConn
+	frontend    *frontend
+	writer      http.ResponseWriter
+	httpRequest *http.Request
+	request     *request
+	client      *clientConn
 
-	start       func()           // has the event loop start the request
-	events      chan<- func()    // the event loop's queue; nil once start is in it
-	uploaded    <-chan struct{}  // closed when a long body has come in full; nil unless one is still being read
-	drainClosed <-chan struct{}  // the frontend's; nil unless a long body is still being read
-	checkClient <-chan time.Time // ticks for a check of the client's connection; nil unless a long body is still being read
-	clientGone  <-chan struct{}  // closed when net/http has seen the client's end; nil while a long body is being read
-	overdue     *time.Timer      // fires overdueDelay after the request's deadline
+	start       func()          // has the event loop start the request
+	events      chan<- func()   // the event loop's queue; nil once start is in it
+	uploaded    <-chan struct{} // closed when a long body has come in full; nil unless one is still being read
+	drainClosed <-chan struct{} // the frontend's; nil unless a long body is still being read
+	checkClient <-chan time.Time
+	clientGone  <-chan struct{}
+	overdue     *time.Timer
 }
 
 // awaitAnswer passes a request to the event loop, and sends the final answer to the client.
 func (f *frontend) awaitAnswer(w http.ResponseWriter, r *http.Request, req *request, client *clientConn) {
-	wait := &answerWait{frontend: f, writer: w, received: r, request: req, client: client, events: f.loop.events}
+	wait := &answerWait{frontend: f, writer: w, httpRequest: r, request: req, client: client, events: f.loop.events}
 	wait.start = func() { f.loop.startRequest(req) }
-	lifetime := r.Context()
+	parent := r.Context()
 	if req.upload != nil {
-		lifetime = context.WithoutCancel(lifetime) // net/http ends its context also when the reading of the body is interrupted
+		parent = context.WithoutCancel(parent) // net/http ends its context also when the reading of the body is interrupted
 	}
-	req.context, req.cancel = context.WithCancel(lifetime)
+	req.context, req.cancel = context.WithCancel(parent)
 	defer req.cancel()
 	wait.overdue = time.NewTimer(max(0, time.Until(req.deadline)) + overdueDelay)
 	defer wait.overdue.Stop()
@@ -71,9 +71,9 @@
 	case <-a.clientGone:
 		a.contextEnded()
 	case <-a.overdue.C:
-		return a.timeEnded()
+		return a.deadlinePassed()
 	case <-f.answersOver:
-		a.leave()
+		a.abandon()
 		a.finish(answer{status: a.unansweredStatus()})
 		return true
 	case <-f.loop.ctx.Done():
@@ -86,11 +86,12 @@
 
 // finish sends the final answer to the client.
 func (a *answerWait) finish(final answer) {
-	a.frontend.finishRequest(a.writer, a.received, a.request, final)
+	a.frontend.finishRequest(a.writer, a.httpRequest, a.request, final)
 }
 
-// leave abandons the request. No attempt begins from here on, however late the event loop handles the event for it.
-func (a *answerWait) leave() {
+// abandon ends the request without waiting for its answer. No attempt begins after it, however late the event loop handles the
+// event for it.
+func (a *answerWait) abandon() {
 	a.request.cancel()
 	if a.events == nil {
 		a.frontend.loop.post(func() { a.frontend.loop.abandonRequest(a.request) })
@@ -100,7 +101,7 @@
 // abort ends the request without an answer, as its client has left. Without the panic net/http would send status 200 to a
 // client that has only closed its sending side and still reads.
 func (a *answerWait) abort() {
-	a.leave()
+	a.abandon()
 	panic(http.ErrAbortHandler)
 }
 
@@ -118,8 +119,8 @@
 	a.uploaded = nil
 	a.drainClosed = nil
 	a.checkClient = nil
-	a.clientGone = a.received.Context().Done()
-	a.overdue.Reset(a.request.upload.patience + overdueDelay)
+	a.clientGone = a.httpRequest.Context().Done()
+	a.overdue.Reset(a.request.upload.clientTimeout + overdueDelay)
 }
 
 // stopUpload rejects the request when the drain takes no more requests, unless its body has come in full.
@@ -128,7 +129,7 @@
 	if !a.request.upload.stopEarly() {
 		return false
 	}
-	a.leave()
+	a.abandon()
 	a.finish(answer{status: http.StatusServiceUnavailable})
 	return true
 }
@@ -143,12 +144,12 @@
 	a.abort()
 }
 
-// timeEnded answers a request whose client waits no longer. The deadline does not apply while its body is being forwarded.
-func (a *answerWait) timeEnded() (over bool) {
+// deadlinePassed answers a request whose client waits no longer. The deadline does not apply while its body is being forwarded.
+func (a *answerWait) deadlinePassed() (over bool) {
 	if a.uploaded != nil && a.request.upload.isTaken() {
 		return false
 	}
-	a.leave()
+	a.abandon()
 	a.frontend.log.Warn("request overdue", "id", a.request.arrived.ID)
 	a.finish(answer{status: http.StatusGatewayTimeout})
 	return true
--- a/internal/node/attempts.go
+++ b/internal/node/attempts.go
@@ -63,7 +63,7 @@
 		r.answer <- answer{status: http.StatusConflict}
 		return
 	}
-	if now := l.rules.Load(); r.rules != now && now.classes[r.class.Name] != r.class {
+	if current := l.rules.Load(); r.rules != current && current.classes[r.class.Name] != r.class {
 		// The rules have changed since the request was read, and the module would apply the new class to it.
 		r.answer <- answer{status: http.StatusServiceUnavailable}
 		return
@@ -88,7 +88,6 @@
 	}
 }
 
-// finishRequest gives a request its final answer, unless it has one.
 func (l *eventLoop) finishRequest(id policy.RequestID, a answer) {
 	if r := l.requests[id]; r != nil && !r.answered {
 		l.closeRequest(r)
@@ -113,7 +112,6 @@
 	}
 }
 
-// startAttempt begins an attempt that the module requests.
 func (l *eventLoop) startAttempt(a policy.Forward) {
 	r := l.requests[a.ID]
 	if r == nil {
@@ -162,14 +160,14 @@
 }
 
 // streamAnswer gives a request a long answer, which is still being read, as its final answer.
-func (l *eventLoop) streamAnswer(a policy.Forward, n int, long answer) {
+func (l *eventLoop) streamAnswer(a policy.Forward, n int, streamed answer) {
 	r := l.requests[a.ID]
 	if r == nil || r.answered {
-		long.stream.CloseWithError(errClientClosed)
+		streamed.stream.CloseWithError(errClientClosed)
 		return
 	}
 	r.markAnswered()
-	r.answer <- long
+	r.answer <- streamed
 	l.handle(policy.StreamStarted{ID: a.ID, Attempt: n, Server: a.Server, Elapsed: time.Since(r.attempts[n].sentAt)})
 }
 
@@ -184,9 +182,9 @@
 		r.markAnswered()
 		r.answer <- answer{status: http.StatusOK, header: res.header, body: res.body}
 	}
-	if client := (uploadError{}); errors.As(res.err, &client) && !r.answered {
+	if uploadErr := (uploadError{}); errors.As(res.err, &uploadErr) && !r.answered {
 		r.markAnswered()
-		r.answer <- answer{status: bodyError(client.error).status}
+		r.answer <- answer{status: bodyError(uploadErr.error).status}
 		l.handle(policy.RequestAbandoned{ID: a.ID})
 	}
 	if errors.Is(res.err, errRequestOver) {
@@ -209,7 +207,6 @@
 	})
 }
 
-// checkHealth begins a health check that the module requests.
 func (l *eventLoop) checkHealth(id policy.ServerID) {
 	h := l.backends.host(id)
 	path := "/stats"
--- a/internal/node/client_left_test.go
+++ b/internal/node/client_left_test.go
@@ -186,7 +186,7 @@
 		b := newUpstreams(c, 10, quiet)
 		b.update(c.Known)
 		conn := accepted(t, strings.Repeat("b", rest), false)
-		u := &upload{length: -1, patience: time.Minute, complete: make(chan struct{}), client: conn,
+		u := &upload{length: -1, clientTimeout: time.Minute, complete: make(chan struct{}), client: conn,
 			body: &pacedBody{Reader: io.LimitReader(conn, rest), control: http.NewResponseController(httptest.NewRecorder())}}
 		x := &exchange{method: http.MethodPost, url: &url.URL{Host: "h", Path: "/order"}, body: make([]byte, maxBufferedBody+1),
 			deadline: time.Now().Add(patient), upload: u, onBodySent: func() {}}
--- a/internal/node/connections.go
+++ b/internal/node/connections.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-const shedInterval = 50 * time.Millisecond // between two runs of shedIdle while there are too many connections
+const shedInterval = 50 * time.Millisecond
 
 // connections counts the clients' connections, each from its accept until its descriptor is free. Above the limit the node
 // rejects new requests at once and closes the connections that have been idle longest, so that there is always a slot in
@@ -50,23 +50,23 @@
 // shedInterval: once all slots are taken there are no more accepts, and connections that were idle for less than minIdleTime
 // at the last one would keep all new clients out. The caller holds mu.
 func (c *connections) shedIdle() {
-	if c.count == 0 || !c.isOverLimit() {
+	if c.count == 0 || !c.overLimitLocked() {
 		return
 	}
-	var old []net.Conn
+	var sheddable []net.Conn
 	for conn, since := range c.idle {
 		if time.Since(since) >= minIdleTime {
-			old = append(old, conn)
+			sheddable = append(sheddable, conn)
 		}
 	}
-	slices.SortFunc(old, func(a, b net.Conn) int { return c.idle[a].Compare(c.idle[b]) })
-	for _, conn := range old {
-		if !c.isOverLimit() {
+	slices.SortFunc(sheddable, func(a, b net.Conn) int { return c.idle[a].Compare(c.idle[b]) })
+	for _, conn := range sheddable {
+		if !c.overLimitLocked() {
 			return
 		}
 		c.close(conn)
 	}
-	if c.isOverLimit() && !c.shedding {
+	if c.overLimitLocked() && !c.shedding {
 		c.shedding = true
 		time.AfterFunc(shedInterval, func() {
 			c.mu.Lock()
@@ -77,14 +77,12 @@
 	}
 }
 
-// overLimit is isOverLimit for callers that don't hold mu.
 func (c *connections) overLimit() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.isOverLimit()
+	return c.overLimitLocked()
 }
 
-// open returns the number of connections whose descriptors are in use.
 func (c *connections) open() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -93,14 +91,16 @@
 
 // waitUntilNone waits until no connection is open, but at most for the given time.
 func (c *connections) waitUntilNone(maximum time.Duration) {
-	for begun := time.Now(); c.open() > 0 && time.Since(begun) < maximum; time.Sleep(drainPollInterval) {
+	for start := time.Now(); c.open() > 0 && time.Since(start) < maximum; time.Sleep(drainPollInterval) {
 	}
 }
 
-// isOverLimit reports whether more connections that may carry requests are open than the limit allows, including those of
+// overLimitLocked reports whether more connections that may carry requests are open than the limit allows, including those of
 // the other process of a hot restart. Connections that the node has ended and that wait for their peer's end carry no
 // requests, so they are not a reason to reject any. The caller holds mu.
-func (c *connections) isOverLimit() bool { return c.count-len(c.ended)+c.restart.clients() > c.limit }
+func (c *connections) overLimitLocked() bool {
+	return c.count-len(c.ended)+c.restart.clients() > c.limit
+}
 
 // overLimitWithEnded reports whether there are too many connections if those that the node has ended count too. Their slots
 // are needed then.
@@ -123,15 +123,14 @@
 	return c.ended[conn]
 }
 
-// track follows a connection's state. It is the ConnState hook of the HTTP server.
 func (c *connections) track(conn net.Conn, state http.ConnState) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch state {
 	case http.StateIdle:
 		c.idle[conn] = time.Now()
-		if own, ok := conn.(*clientConn); ok {
-			own.requestDone()
+		if client, ok := conn.(*clientConn); ok {
+			client.requestDone()
 		}
 	case http.StateActive:
 		delete(c.idle, conn)
@@ -164,8 +163,8 @@
 // close closes an idle connection, unless a request has arrived or is being read on it, which the client would have to send
 // again. Bytes that arrive after the check cross the close and are not read as a request. The caller holds mu.
 func (c *connections) close(conn net.Conn) {
-	own, _ := conn.(*clientConn)
-	if own != nil && own.hasPendingRequest() && !own.isStalled() || !hasNoUnreadData(conn) {
+	client, _ := conn.(*clientConn)
+	if client != nil && client.hasPendingRequest() && !client.isStalled() || !hasNoUnreadData(conn) {
 		return
 	}
 	if c.beforeClose != nil {
@@ -173,8 +172,8 @@
 	}
 	delete(c.idle, conn)
 	c.ended[conn] = true
-	if own != nil {
-		own.endIdle()
+	if client != nil {
+		client.endIdle()
 		return
 	}
 	conn.Close()
@@ -190,11 +189,11 @@
 	if err != nil {
 		return true // closed already
 	}
-	quiet := true
+	noData := true
 	raw.Control(func(fd uintptr) {
-		var one [1]byte
-		_, _, err := syscall.Recvfrom(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		quiet = err == syscall.EAGAIN
+		var buf [1]byte
+		_, _, err := syscall.Recvfrom(int(fd), buf[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+		noData = err == syscall.EAGAIN
 	})
-	return quiet
+	return noData
 }
--- a/internal/node/exchange.go
+++ b/internal/node/exchange.go
@@ -21,7 +21,7 @@
 // exchange is one request to an app server, and its answer.
 type exchange struct {
 	request   context.Context // the context of the client's request, after whose end nothing is written; nil if there is none
-	writeLock *sync.Mutex     // request.writeLock: held during each write, and while the final answer ends the context; may be nil
+	writeLock *sync.Mutex     // held during each write, and while the final answer ends the context above; may be nil
 	method    string
 	url       *url.URL
 	header    http.Header
@@ -44,20 +44,20 @@
 }
 
 // roundTrip makes an exchange and blocks until it is over. The end of ctx cancels it.
-func (b *upstreams) roundTrip(ctx context.Context, h *upstreamHost, x *exchange) result {
+func (u *upstreams) roundTrip(ctx context.Context, h *upstreamHost, x *exchange) result {
 	if h == nil {
 		return result{code: policy.ConnectFailed, err: errHostClosed}
 	}
-	dialing := ctx
+	dialCtx := ctx
 	if x.request != nil { // if the request ends during the dial nothing has been written, so the attempt ends without a cancel
-		var let context.CancelFunc
-		dialing, let = context.WithCancel(ctx)
-		defer let()
-		defer context.AfterFunc(x.request, let)()
+		var cancelDial context.CancelFunc
+		dialCtx, cancelDial = context.WithCancel(ctx)
+		defer cancelDial()
+		defer context.AfterFunc(x.request, cancelDial)()
 	}
 	for {
 		began := time.Now()
-		c, err := b.connect(dialing, h, x.deadline)
+		c, err := u.connect(dialCtx, h, x.deadline)
 		switch {
 		case err == nil:
 		case x.request != nil && x.request.Err() != nil:
@@ -67,32 +67,32 @@
 		default:
 			return result{code: policy.ConnectFailed, err: err}
 		}
-		r := b.exchangeOn(ctx, h, c, x)
+		r := u.exchangeOn(ctx, h, c, x)
 		if errors.Is(r.err, errUnexpectedBytes) { // that connection is closed now; the next try takes another one
 			continue
 		}
 		if r.code == policy.TimedOut {
-			b.closeIfSilent(h, began)
+			u.closeIfSilent(h, began)
 		}
 		return r
 	}
 }
 
 // exchangeOn makes an exchange on a connection, and releases the connection.
-func (b *upstreams) exchangeOn(ctx context.Context, h *upstreamHost, c *upstreamConn, x *exchange) result {
+func (u *upstreams) exchangeOn(ctx context.Context, h *upstreamHost, c *upstreamConn, x *exchange) result {
 	c.SetDeadline(x.deadline)
 	stop := context.AfterFunc(ctx, func() { c.SetDeadline(time.Unix(1, 0)) })
-	w := newWriter(ctx, b, h, c, x)
+	w := newWriter(ctx, u, h, c, x)
 	r, keep := writeAndRead(ctx, w)
 	// A callback that has begun may set its deadline at any time, even when the connection carries the next request.
-	stopped := w.unhook()
+	stopped := w.detachRequest()
 	stopped = stop() && stopped
 	switch {
 	case r.err == nil:
-		b.mu.Lock()
+		u.mu.Lock()
 		h.lastAnswerAt = time.Now()
-		b.mu.Unlock()
-	case w.isUntouched(r.err):
+		u.mu.Unlock()
+	case w.isConnUntouched(r.err):
 		keep = true
 	case r.code == policy.ConnectFailed || r.code == policy.NotSent:
 	case ctx.Err() != nil:
@@ -100,19 +100,19 @@
 	case errors.Is(r.err, os.ErrDeadlineExceeded):
 		r.code = policy.TimedOut
 	}
-	b.release(h, c, keep && stopped)
+	u.release(h, c, keep && stopped)
 	return r
 }
 
 // writeAndRead writes a request and reads its answer. keep is true if the connection can carry another request.
 func writeAndRead(ctx context.Context, w *requestWriter) (r result, keep bool) {
 	x := w.exchange
-	left := max(0, time.Until(x.deadline))
+	timeLeft := max(0, time.Until(x.deadline))
 	header := x.header.Clone()
 	if header == nil {
 		header = http.Header{}
 	}
-	header["X-Time-Left"] = []string{strconv.FormatFloat(left.Seconds(), 'f', 3, 64)}
+	header["X-Time-Left"] = []string{strconv.FormatFloat(timeLeft.Seconds(), 'f', 3, 64)}
 	req := &http.Request{Method: x.method, URL: x.url, Host: x.url.Host, Header: header, ProtoMajor: 1, ProtoMinor: 1}
 	if len(x.body) > 0 || x.method == http.MethodPost {
 		req.ContentLength, req.Body = int64(len(x.body)), io.NopCloser(bytes.NewReader(x.body))
@@ -123,15 +123,15 @@
 	if x.upload != nil {
 		return uploadAndRead(ctx, w, req)
 	}
-	var text bytes.Buffer
-	text.Grow(1<<10 + len(x.body))
-	if err := req.Write(&text); err != nil {
+	var buf bytes.Buffer
+	buf.Grow(1<<10 + len(x.body))
+	if err := req.Write(&buf); err != nil {
 		return result{code: policy.ConnectFailed, err: err}, false
 	}
-	if _, err := w.Write(text.Bytes()); err != nil {
+	if _, err := w.Write(buf.Bytes()); err != nil {
 		return w.unsentResult(err), false
 	}
-	w.unhook()
+	w.detachRequest()
 	return readResult(ctx, w.conn, x, req)
 }
 
@@ -187,8 +187,8 @@
 }
 
 // checkHealth makes a health check of an app server. A load report may come in the answer's header or its body.
-func (b *upstreams) checkHealth(ctx context.Context, h *upstreamHost, path string) result {
-	r := b.roundTrip(ctx, h, &exchange{method: http.MethodGet, url: &url.URL{Path: path, Host: "api.internal"}, deadline: time.Now().Add(healthCheckTimeout)})
+func (u *upstreams) checkHealth(ctx context.Context, h *upstreamHost, path string) result {
+	r := u.roundTrip(ctx, h, &exchange{method: http.MethodGet, url: &url.URL{Path: path, Host: "api.internal"}, deadline: time.Now().Add(healthCheckTimeout)})
 	if r.report == nil && r.code == policy.OK {
 		r.report = parseReport(string(r.body))
 	}
--- a/internal/node/framing.go
+++ b/internal/node/framing.go
@@ -14,14 +14,14 @@
 	ambiguous atomic.Bool  // a request with both headers has come
 	requests  atomic.Int64 // number of requests of which at least one byte has come
 
-	part             framingPart // the part of a request to which the next byte belongs
-	line             []byte      // the bytes of the current line so far, at most maxHeaderLine
-	remaining        int64       // bytes left of the current body or chunk, including the line end after a chunk
-	length           int64       // the Content-Length of the current head, or -1 if it has none
-	chunked          bool        // the current head has a Transfer-Encoding
-	headStarted      bool        // the current head's first line has come
-	requestCounted   bool        // a byte of the current head's first line has come, so the request is counted in requests
-	completeRequests int64       // number of requests that have come in full
+	part             framingPart
+	line             []byte // the bytes of the current line so far, at most maxHeaderLine
+	remaining        int64  // bytes left of the current body or chunk, including the line end after a chunk
+	length           int64  // the Content-Length of the current head, or -1 if it has none
+	chunked          bool
+	headStarted      bool  // the current head's first line has come
+	requestCounted   bool  // a byte of the current head's first line has come, so the request is counted in requests
+	completeRequests int64 // number of requests that have come in full
 }
 
 // framingPart is a part of an HTTP/1.1 request.
@@ -51,21 +51,20 @@
 			}
 			continue
 		}
-		line, rest, ended := bytes.Cut(p, []byte("\n"))
+		line, rest, complete := bytes.Cut(p, []byte("\n"))
 		if f.part == inHead && !f.requestCounted && len(bytes.Trim(line, "\r")) > 0 {
 			f.requestCounted = true
 			f.requests.Add(1)
 		}
 		f.line = append(f.line, line[:min(len(line), max(0, maxHeaderLine-len(f.line)))]...)
-		if p = rest; ended {
-			f.takeLine(strings.TrimSuffix(string(f.line), "\r"))
+		if p = rest; complete {
+			f.handleLine(strings.TrimSuffix(string(f.line), "\r"))
 			f.line = f.line[:0]
 		}
 	}
 }
 
-// takeLine handles a complete line of a head, a trailer or a chunk size.
-func (f *framing) takeLine(line string) {
+func (f *framing) handleLine(line string) {
 	switch f.part {
 	case inChunkSize:
 		size, _, _ := strings.Cut(line, ";")
@@ -84,15 +83,14 @@
 		}
 	case inHead:
 		if line != "" {
-			f.header(line)
+			f.handleHeaderLine(line)
 		} else if f.headStarted { // net/http ignores empty lines before a request
 			f.endHead()
 		}
 	}
 }
 
-// header handles a line of a head: the request line, or a header field.
-func (f *framing) header(line string) {
+func (f *framing) handleHeaderLine(line string) {
 	if !f.headStarted {
 		f.headStarted = true
 		f.length = -1
@@ -112,7 +110,6 @@
 	}
 }
 
-// endHead handles the empty line that ends a head.
 func (f *framing) endHead() {
 	f.headStarted, f.requestCounted = false, false
 	switch {
--- a/internal/node/frontend.go
+++ b/internal/node/frontend.go
@@ -60,7 +60,6 @@
 	return f
 }
 
-// server returns the HTTP server for clients.
 func (f *frontend) server() *http.Server {
 	return &http.Server{
 		Handler:           f,
@@ -123,7 +122,7 @@
 		panic(http.ErrAbortHandler) // the request crossed the close: the client sends it again on another connection
 	}
 	client, _ := conn.(*clientConn)
-	client.countTaken()
+	client.requestStarted()
 	defer client.answerStarted()
 	if client != nil && client.framing.ambiguous.Load() {
 		w.Header().Set("Connection", "close")
--- a/internal/node/linger.go
+++ b/internal/node/linger.go
@@ -40,11 +40,11 @@
 		}
 		c.conns.markEnded(c)
 		c.TCPConn.CloseWrite()
-		wait := finTimeout
+		timeout := finTimeout
 		if c.conns.overLimitWithEnded() {
-			wait = finShortTimeout
+			timeout = finShortTimeout
 		}
-		c.SetReadDeadline(time.Now().Add(wait))
+		c.SetReadDeadline(time.Now().Add(timeout))
 		go c.linger()
 	})
 	return nil
@@ -54,20 +54,18 @@
 // arrive during the sleep.
 func (c *clientConn) CloseWrite() error { return c.Close() }
 
-// linger reads and drops bytes until the peer's end, the read deadline or maxFinBytes, and then releases the connection.
 func (c *clientConn) linger() {
 	defer c.release()
-	piece := make([]byte, finBufferSize)
-	for left := maxFinBytes; left > 0; {
-		n, err := c.TCPConn.Read(piece)
+	buf := make([]byte, finBufferSize)
+	for remaining := maxFinBytes; remaining > 0; {
+		n, err := c.TCPConn.Read(buf)
 		if err != nil {
 			return
 		}
-		left -= n
+		remaining -= n
 	}
 }
 
-// release closes the descriptor and frees the slot.
 func (c *clientConn) release() {
 	c.TCPConn.Close()
 	c.releaseSlot()
--- a/internal/node/pipelining.go
+++ b/internal/node/pipelining.go
@@ -82,9 +82,9 @@
 			}
 			c.hasPipelined.Store(len(c.pipelined) > 0)
 			if len(p) == 1 { // a larger buffer is taken only now, as most requests are followed by no bytes
-				piece := copyBuffers.Get().(*[copyBufferSize]byte)
-				defer copyBuffers.Put(piece)
-				p = piece[:]
+				buf := copyBuffers.Get().(*[copyBufferSize]byte)
+				defer copyBuffers.Put(buf)
+				p = buf[:]
 			}
 		}
 		if err != nil {
@@ -94,10 +94,10 @@
 	return nil
 }
 
-// countTaken counts a request that the handler has got. A nil c is allowed, also in answerStarted and clientLeft.
-func (c *clientConn) countTaken() {
+// requestStarted counts a request that the handler has got. A nil c is allowed, also in answerStarted and clientLeft.
+func (c *clientConn) requestStarted() {
 	if c != nil {
-		c.takenRequests++
+		c.startedRequests++
 	}
 }
 
@@ -105,12 +105,12 @@
 // request, which may have any size.
 func (c *clientConn) answerStarted() {
 	if c != nil {
-		c.answeredRequests.Store(c.takenRequests)
+		c.answeredRequests.Store(c.startedRequests)
 	}
 }
 
 // clientLeft reports whether the client has closed its side of the connection or reset it, even if unread bytes precede the
 // end. If the socket can't be polled, the client counts as connected until a read meets its end.
 func (c *clientConn) clientLeft() bool {
-	return c != nil && polled(c, unix.POLLRDHUP)&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
+	return c != nil && polledEvents(c, unix.POLLRDHUP)&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
 }
--- a/internal/node/read_request.go
+++ b/internal/node/read_request.go
@@ -38,8 +38,8 @@
 	if err := checkHead(r, class); err != nil {
 		return nil, err
 	}
-	left, err := strconv.ParseFloat(r.Header.Get("X-Time-Left"), 64)
-	if err != nil || math.IsNaN(left) || math.Abs(left) > maxClientTimeout.Seconds() {
+	timeLeft, err := strconv.ParseFloat(r.Header.Get("X-Time-Left"), 64)
+	if err != nil || math.IsNaN(timeLeft) || math.Abs(timeLeft) > maxClientTimeout.Seconds() {
 		return nil, &requestError{http.StatusBadRequest, "X-Time-Left is not a number of seconds"}
 	}
 	if r.ContentLength > maxLongBody {
@@ -49,15 +49,15 @@
 	if err != nil {
 		return nil, err
 	}
-	patience := time.Duration(max(left, 0)*float64(time.Second)) - clientTimeoutMargin
+	clientTimeout := time.Duration(max(timeLeft, 0)*float64(time.Second)) - clientTimeoutMargin
 	if rest != nil {
-		rest.patience = patience
+		rest.clientTimeout = clientTimeout
 	}
 	return &request{
 		arrived:  arrivedEvent(r, className),
 		class:    class,
 		rules:    rules,
-		deadline: time.Now().Add(patience),
+		deadline: time.Now().Add(clientTimeout),
 		method:   r.Method,
 		body:     body,
 		upload:   rest,
--- a/internal/node/request_writer.go
+++ b/internal/node/request_writer.go
@@ -24,24 +24,24 @@
 // requestWriter writes a request to a connection. Before each write system call it checks again whether the request may still
 // be sent: connecting takes time, a write may stall, and the time at which the last byte is written decides.
 type requestWriter struct {
-	ctx       context.Context
-	upstreams *upstreams
-	host      *upstreamHost
-	conn      *upstreamConn
-	exchange  *exchange
-	deadline  func() time.Time // returns when it is too late to write, or the zero time for no limit
-	started   bool             // the kernel has taken at least one byte
-	stopped   atomic.Bool      // an early answer has ended the writing
-	unhook    func() bool      // ends the effect of the request's end on the connection; called after the last byte
+	ctx           context.Context
+	upstreams     *upstreams
+	host          *upstreamHost
+	conn          *upstreamConn
+	exchange      *exchange
+	deadline      func() time.Time // returns when it is too late to write, or the zero time for no limit
+	started       bool             // the kernel has taken at least one byte
+	stopped       atomic.Bool      // an early answer has ended the writing
+	detachRequest func() bool      // ends the effect of the request's end on the connection; called after the last byte
 }
 
 // newWriter returns a writer, and has the end of the request interrupt a stalled write by a write deadline in the past.
 // Writers set their own deadline and check the request after that, as they may have replaced the deadline of an earlier end.
-func newWriter(ctx context.Context, b *upstreams, h *upstreamHost, c *upstreamConn, x *exchange) *requestWriter {
-	w := &requestWriter{ctx: ctx, upstreams: b, host: h, conn: c, exchange: x, deadline: func() time.Time { return x.deadline }}
-	w.unhook = func() bool { return true }
+func newWriter(ctx context.Context, u *upstreams, h *upstreamHost, c *upstreamConn, x *exchange) *requestWriter {
+	w := &requestWriter{ctx: ctx, upstreams: u, host: h, conn: c, exchange: x, deadline: func() time.Time { return x.deadline }}
+	w.detachRequest = func() bool { return true }
 	if x.request != nil {
-		w.unhook = sync.OnceValue(context.AfterFunc(x.request, func() { c.SetWriteDeadline(time.Unix(1, 0)) }))
+		w.detachRequest = sync.OnceValue(context.AfterFunc(x.request, func() { c.SetWriteDeadline(time.Unix(1, 0)) }))
 	}
 	return w
 }
@@ -65,21 +65,21 @@
 	return w.write(p)
 }
 
-// patientWriter is a requestWriter that allows stallTimeout for each call of Write, within the limits of the request.
-type patientWriter struct{ *requestWriter }
+// stallLimitedWriter is a requestWriter that allows stallTimeout for each call of Write, within the limits of the request.
+type stallLimitedWriter struct{ *requestWriter }
 
-func (w patientWriter) Write(p []byte) (int, error) {
+func (w stallLimitedWriter) Write(p []byte) (int, error) {
 	w.conn.SetWriteDeadline(earliest(w.lastByteDeadline(), time.Now().Add(stallTimeout)))
 	return w.write(p)
 }
 
 // write is Write under the write deadline that the connection has.
 func (w *requestWriter) write(p []byte) (n int, err error) {
-	waited := w.conn.raw.Write(func(fd uintptr) bool {
+	waitErr := w.conn.raw.Write(func(fd uintptr) bool {
 		for n < len(p) && err == nil {
-			var some int
-			some, err = w.writePiece(int(fd), p[n:])
-			n += some
+			var written int
+			written, err = w.writePiece(int(fd), p[n:])
+			n += written
 		}
 		if err == syscall.EAGAIN {
 			err = nil
@@ -91,10 +91,10 @@
 		return n, nil
 	}
 	if err == nil {
-		err = waited
+		err = waitErr
 	}
-	if why := w.stopReason(); why != nil && errors.Is(err, os.ErrDeadlineExceeded) {
-		err = why // the actual reason, for which the write deadline was set
+	if reason := w.stopReason(); reason != nil && errors.Is(err, os.ErrDeadlineExceeded) {
+		err = reason // the actual reason, for which the write deadline was set
 	}
 	return n, err
 }
@@ -148,9 +148,9 @@
 	return nil
 }
 
-// isUntouched reports whether the connection is in the state in which it was before: nothing was written, and the reason was
+// isConnUntouched reports whether the connection is in the state in which it was before: nothing was written, and the reason was
 // not a fault of the connection.
-func (w *requestWriter) isUntouched(err error) bool {
+func (w *requestWriter) isConnUntouched(err error) bool {
 	return !w.started && w.exchange.upload == nil && (errors.Is(err, errRequestOver) || errors.Is(err, errDedupWindowOver) ||
 		errors.Is(err, os.ErrDeadlineExceeded) || w.ctx.Err() != nil && errors.Is(err, w.ctx.Err()))
 }
--- a/internal/node/request_writer_test.go
+++ b/internal/node/request_writer_test.go
@@ -340,7 +340,7 @@
 	}{
 		"the client goes":  {func(_ *exchange, removed context.CancelFunc) { removed() }, policy.NotSent},
 		"the window ends":  {func(x *exchange, _ context.CancelFunc) { x.writeBy = time.Now() }, policy.NotSent},
-		"its time is over": {func(x *exchange, _ context.CancelFunc) { x.upload.patience = 0 }, policy.ConnectFailed},
+		"its time is over": {func(x *exchange, _ context.CancelFunc) { x.upload.clientTimeout = 0 }, policy.ConnectFailed},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -363,7 +363,7 @@
 			x := &exchange{request: incarnation, writeLock: new(sync.Mutex), method: "POST", url: &url.URL{Path: "/order", Host: "h"},
 				body: make([]byte, maxBufferedBody), deadline: time.Now().Add(patient)}
 			x.onBodySent = func() { close(reached); c.end(x, removed) } // just before the rest is read
-			u := &upload{length: maxBufferedBody + 1, patience: patient, complete: make(chan struct{}),
+			u := &upload{length: maxBufferedBody + 1, clientTimeout: patient, complete: make(chan struct{}),
 				body: &pacedBody{Reader: lastByte{}, deadline: time.Now(), deadlineSet: time.Now()}}
 			x.upload = u
 			r := b.roundTrip(t.Context(), b.host(1), x)
--- a/internal/node/streaming.go
+++ b/internal/node/streaming.go
@@ -29,31 +29,31 @@
 // streamedAnswer is an answer's body that is buffered until it is complete or the node begins to relay it. Relayed bytes go
 // through a pipe to the client's handler.
 type streamedAnswer struct {
-	onStart func(held []byte, rest *io.PipeReader) // called when the relaying begins, with the bytes buffered until then
+	onStart func(held []byte, rest *io.PipeReader)
 	ctx     context.Context
 
-	mu       sync.Mutex // guards the fields below
-	buffered []byte
-	started  bool
-	pipe     *io.PipeWriter // nil until the relaying begins
-	unhook   func() bool    // cancels the closing of the pipe at the end of ctx
+	mu            sync.Mutex // guards the fields below
+	buffered      []byte
+	started       bool
+	pipe          *io.PipeWriter
+	detachContext func() bool // cancels the closing of the pipe at the end of ctx
 }
 
 // start begins to relay the answer, unless that has begun already.
-func (d *streamedAnswer) start() {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.startLocked()
+func (s *streamedAnswer) start() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.startLocked()
 }
 
-func (d *streamedAnswer) startLocked() {
-	if !d.started {
-		d.started = true
+func (s *streamedAnswer) startLocked() {
+	if !s.started {
+		s.started = true
 		r, w := io.Pipe()
-		d.pipe = w
-		d.unhook = context.AfterFunc(d.ctx, func() { r.CloseWithError(d.ctx.Err()) })
-		d.onStart(d.buffered, r)
-		d.buffered = nil
+		s.pipe = w
+		s.detachContext = context.AfterFunc(s.ctx, func() { r.CloseWithError(s.ctx.Err()) })
+		s.onStart(s.buffered, r)
+		s.buffered = nil
 	}
 }
 
@@ -61,33 +61,33 @@
 var errClientClosed = errors.New("the client receives no more")
 
 // write buffers a part of the body or, once the relaying has begun, passes it on and blocks until the handler has read it.
-func (d *streamedAnswer) write(p []byte) error {
-	d.mu.Lock()
-	if !d.started {
-		d.buffered = append(d.buffered, p...)
-		if len(d.buffered) > maxBufferedBody {
-			d.startLocked()
+func (s *streamedAnswer) write(p []byte) error {
+	s.mu.Lock()
+	if !s.started {
+		s.buffered = append(s.buffered, p...)
+		if len(s.buffered) > maxBufferedBody {
+			s.startLocked()
 		}
-		d.mu.Unlock()
+		s.mu.Unlock()
 		return nil
 	}
-	d.mu.Unlock()
-	if _, err := d.pipe.Write(p); err != nil {
+	s.mu.Unlock()
+	if _, err := s.pipe.Write(p); err != nil {
 		return errClientClosed
 	}
 	return nil
 }
 
 // finish ends the body, with err if it is incomplete. It reports whether the whole body is in the buffer.
-func (d *streamedAnswer) finish(err error) (complete bool) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if d.started {
-		d.unhook()
-		d.pipe.CloseWithError(err) // io.EOF for nil
+func (s *streamedAnswer) finish(err error) (complete bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.started {
+		s.detachContext()
+		s.pipe.CloseWithError(err) // io.EOF for nil
 		return false
 	}
-	d.started = true // so that the timer does not start the relaying any more
+	s.started = true // so that the timer does not start the relaying any more
 	return err == nil
 }
 
@@ -107,35 +107,35 @@
 	c.remaining.remaining = 2 * maxLongBody // with space for the chunk framing
 	c.SetReadBuffer(kernelBufferSize)
 	// Once an answer is being relayed only stalls limit its time. The new deadline also applies to a read that is waiting.
-	patient := func() {
+	extendDeadline := func() {
 		if c.SetReadDeadline(time.Now().Add(stallTimeout)); ctx.Err() != nil {
 			c.SetReadDeadline(time.Unix(1, 0)) // again: the line above may have replaced the deadline that the end of ctx set
 		}
 	}
-	d := &streamedAnswer{ctx: ctx, onStart: func(held []byte, rest *io.PipeReader) {
-		patient()
+	streamed := &streamedAnswer{ctx: ctx, onStart: func(held []byte, rest *io.PipeReader) {
+		extendDeadline()
 		x.onStream(resp, held, rest)
 	}}
 	if resp.ContentLength > maxBufferedBody {
-		d.start()
+		streamed.start()
 	} else {
-		defer time.AfterFunc(streamDelay, d.start).Stop()
+		defer time.AfterFunc(streamDelay, streamed.start).Stop()
 	}
-	piece := copyBuffers.Get().(*[copyBufferSize]byte)
-	defer copyBuffers.Put(piece)
+	buf := copyBuffers.Get().(*[copyBufferSize]byte)
+	defer copyBuffers.Put(buf)
 	for total := 0; ; {
-		if d.hasStarted() {
-			patient()
+		if streamed.hasStarted() {
+			extendDeadline()
 		}
 		var n int
-		n, err = resp.Body.Read(piece[:])
+		n, err = resp.Body.Read(buf[:])
 		if total += n; total > maxLongBody {
 			err = errTooLarge
 			break
 		}
 		if n > 0 {
-			if werr := d.write(piece[:n]); werr != nil {
-				err = werr
+			if writeErr := streamed.write(buf[:n]); writeErr != nil {
+				err = writeErr
 				break
 			}
 		}
@@ -146,15 +146,14 @@
 	if err == io.EOF {
 		err = nil
 	}
-	complete = d.finish(err)
-	return d.buffered, complete, err
+	complete = streamed.finish(err)
+	return streamed.buffered, complete, err
 }
 
-// hasStarted reports whether the relaying has begun, or the answer has ended before.
-func (d *streamedAnswer) hasStarted() bool {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.started
+func (s *streamedAnswer) hasStarted() bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.started
 }
 
 // relayStream relays a long answer to the client. If the answer can't be relayed in full, the client's connection is closed
@@ -165,19 +164,19 @@
 		conn.SetWriteBuffer(kernelBufferSize)
 	}
 	control := http.NewResponseController(w)
-	piece := copyBuffers.Get().(*[copyBufferSize]byte)
-	defer copyBuffers.Put(piece)
-	pass := func(p []byte) {
+	buf := copyBuffers.Get().(*[copyBufferSize]byte)
+	defer copyBuffers.Put(buf)
+	send := func(p []byte) {
 		control.SetWriteDeadline(time.Now().Add(stallTimeout))
 		if _, err := w.Write(p); err != nil || control.Flush() != nil {
 			panic(http.ErrAbortHandler)
 		}
 	}
-	pass(a.body)
+	send(a.body)
 	for {
-		n, err := a.stream.Read(piece[:])
+		n, err := a.stream.Read(buf[:])
 		if n > 0 {
-			pass(piece[:n])
+			send(buf[:n])
 		}
 		if err == io.EOF {
 			return
--- a/internal/node/upload.go
+++ b/internal/node/upload.go
@@ -22,7 +22,7 @@
 	io.Reader
 	control     *http.ResponseController
 	deadline    time.Time // for the next bytes; each byte read extends it by the time that the byte takes at minBodyRate
-	deadlineSet time.Time // the deadline that the connection has; it is only set again when it has moved far enough
+	deadlineSet time.Time
 	stopped     atomic.Bool
 }
 
@@ -81,16 +81,16 @@
 // upload is the rest of a long request's body, after the beginning that the node has buffered. It is not stored, so only one
 // attempt can send it.
 type upload struct {
-	body     *pacedBody
-	length   int64         // of the complete body, in bytes; -1 if it is not known
-	patience time.Duration // how long the client waits for an answer after the last byte of its body
-	client   *clientConn
-	complete chan struct{} // closed when the last byte has been read
+	body          *pacedBody
+	length        int64         // of the complete body, in bytes; -1 if it is not known
+	clientTimeout time.Duration // how long the client waits for an answer after the last byte of its body
+	client        *clientConn
+	complete      chan struct{} // closed when the last byte has been read
 
 	mu             sync.Mutex     // guards the fields below
 	reader         *requestWriter // the attempt that reads the body, or nil
 	closed         bool
-	clientError    error     // the error of the read from the client, if any
+	clientError    error
 	clientDeadline time.Time // when the client stops waiting for the answer; set before complete is closed
 }
 
@@ -113,7 +113,7 @@
 	case err == io.EOF && u.client.clientLeft(): // the client may have ended long ago, with its bytes unread in the socket
 		n, err = 0, errClientClosed
 	case err == io.EOF:
-		u.clientDeadline = time.Now().Add(u.patience)
+		u.clientDeadline = time.Now().Add(u.clientTimeout)
 		close(u.complete)
 	}
 	if err != nil && err != io.EOF {
@@ -146,14 +146,12 @@
 	return !u.isComplete()
 }
 
-// isTaken reports whether an attempt has begun to read the body, or the reading has ended.
 func (u *upload) isTaken() bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.reader != nil || u.closed
 }
 
-// isComplete reports whether the last byte has been read from the client.
 func (u *upload) isComplete() bool { return isClosed(u.complete) }
 
 // answerDeadline returns the time at which the client stops waiting for the answer, or the zero time, for no limit, as long as
@@ -198,35 +196,35 @@
 		}
 	}
 	deadline(time.Time{})
-	wrote := make(chan error, 1)
+	writeDone := make(chan error, 1)
 	go func() {
-		err := req.Write(patientWriter{w})
+		err := req.Write(stallLimitedWriter{w})
 		if err == nil {
 			deadline(u.answerDeadline())
 		}
-		wrote <- err
+		writeDone <- err
 		if err != nil {
 			deadline(time.Unix(1, 0)) // ends the wait for an answer
 		}
 	}()
 	c.remaining.remaining = maxBufferedAnswer
-	_, silent := c.reader.Peek(1)
-	early := len(wrote) == 0 && !u.isComplete()
+	_, peekErr := c.reader.Peek(1)
+	early := len(writeDone) == 0 && !u.isComplete()
 	if early { // an answer, or the connection's end, has come within the body
 		u.close()
 		w.stopped.Store(true) // also stops a write that is just setting its deadline and would replace the one set here
 		c.SetWriteDeadline(time.Unix(1, 0))
 	}
-	err := <-wrote
-	switch client := u.readError(); {
+	err := <-writeDone
+	switch clientErr := u.readError(); {
 	case err == nil:
-		w.unhook()
+		w.detachRequest()
 		return readResult(ctx, c, x, req)
 	case errors.Is(err, errBodyUnavailable) && !early: // another attempt reads the body
 		return result{code: policy.NotSent, err: err}, false
-	case client != nil && !early: // err does not show the client's error
-		return result{code: policy.NotSent, err: uploadError{client}}, false
-	case early && silent == nil:
+	case clientErr != nil && !early: // err does not show the client's error
+		return result{code: policy.NotSent, err: uploadError{clientErr}}, false
+	case early && peekErr == nil:
 		deadline(time.Now().Add(stallTimeout))
 		if r, _ := readResult(ctx, c, &exchange{}, req); r.code == policy.Rejected {
 			return r, false
--- a/internal/node/upstreams.go
+++ b/internal/node/upstreams.go
@@ -16,26 +16,27 @@
 )
 
 const (
-	maxBufferedBody    = 64 << 10            // bytes of a body, of a request or an answer
-	maxBufferedAnswer  = 4 * maxBufferedBody // bytes of an answer with its header and framing
-	idleSweepInterval  = time.Second
-	idleTimeoutPart    = 0.75 // fraction of a server's idle timeout after which the node closes the connection, well before the server does
-	healthCheckTimeout = 500 * time.Millisecond
-	minIdleReuseTime   = 20 * time.Millisecond // since the last answer on a connection; before that, others are preferred
+	maxBufferedBody     = 64 << 10            // bytes of a body, of a request or an answer
+	maxBufferedAnswer   = 4 * maxBufferedBody // bytes of an answer with its header and framing
+	idleSweepInterval   = time.Second
+	idleTimeoutFraction = 0.75 // fraction of a server's idle timeout after which the node closes the connection, well before the server does
+	healthCheckTimeout  = 500 * time.Millisecond
+	minIdleReuseTime    = 20 * time.Millisecond // since the last answer on a connection; before that, others are preferred
 )
 
 // upstreams is the pool of connections to all app servers. Each connection carries one request at a time. Of those that have
 // been idle for minIdleReuseTime, the most recently used one is taken first. The pool does not use http.Transport, which
 // resends some requests by itself.
 type upstreams struct {
-	mu             sync.Mutex // guards hosts, excluded, open, connectTimeout, idleLimit, and the fields of every host
-	hosts          map[policy.ServerID]*upstreamHost
-	excluded       map[policy.ServerID]bool // servers that the operators exclude, listed or not
-	open           int                      // number of connections, including those being made
+	mu       sync.Mutex // guards hosts, excluded, open, connectTimeout, idleLimit, and the fields of every host
+	hosts    map[policy.ServerID]*upstreamHost
+	excluded map[policy.ServerID]bool // servers that the operators exclude, listed or not
+	// number of connections, including those being made
+	open           int
 	limit          int
 	restart        *hotRestart // counts the connections of the other process of an upgrade
 	connectTimeout time.Duration
-	idleLimit      time.Duration // after which an idle connection is not used any more
+	idleLimit      time.Duration
 	dial           func(context.Context, net.Dialer, string) (*upstreamConn, error)
 	log            *slog.Logger
 }
@@ -62,149 +63,143 @@
 // ends with its connection, and a truncated one would be taken for complete.
 type boundedReader struct {
 	reader    io.Reader
-	remaining int64 // bytes that may still be read
+	remaining int64
 }
 
 var errTooLarge = errors.New("the answer is too large")
 
-func (l *boundedReader) Read(p []byte) (int, error) {
-	if l.remaining <= 0 {
+func (r *boundedReader) Read(p []byte) (int, error) {
+	if r.remaining <= 0 {
 		return 0, errTooLarge
 	}
-	n, err := l.reader.Read(p[:min(int64(len(p)), l.remaining)])
-	l.remaining -= int64(n)
+	n, err := r.reader.Read(p[:min(int64(len(p)), r.remaining)])
+	r.remaining -= int64(n)
 	return n, err
 }
 
 func newUpstreams(c *Config, limit int, log *slog.Logger) *upstreams {
-	b := &upstreams{hosts: map[policy.ServerID]*upstreamHost{}, excluded: map[policy.ServerID]bool{}, limit: limit, dial: dialTCP, log: log}
-	b.configure(c.Settings)
-	return b
+	u := &upstreams{hosts: map[policy.ServerID]*upstreamHost{}, excluded: map[policy.ServerID]bool{}, limit: limit, dial: dialTCP, log: log}
+	u.configure(c.Settings)
+	return u
 }
 
-// configure applies the timeouts of the settings.
-func (b *upstreams) configure(s policy.Settings) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.connectTimeout, b.idleLimit = s.ConnectTimeout, time.Duration(float64(s.ConnIdleTimeout)*idleTimeoutPart)
-	if b.idleLimit <= 0 {
-		b.idleLimit = time.Minute
+func (u *upstreams) configure(s policy.Settings) {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	u.connectTimeout, u.idleLimit = s.ConnectTimeout, time.Duration(float64(s.ConnIdleTimeout)*idleTimeoutFraction)
+	if u.idleLimit <= 0 {
+		u.idleLimit = time.Minute
 	}
 }
 
 // update applies an endpoint list. It closes the connections to servers that are not ready any more or have another address
 // or a later start: a request on one of these connections would end in a reset.
-func (b *upstreams) update(l endpointList) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+func (u *upstreams) update(l endpointList) {
+	u.mu.Lock()
+	defer u.mu.Unlock()
 	if l.complete {
-		named := map[policy.ServerID]bool{}
+		listed := map[policy.ServerID]bool{}
 		for _, e := range l.entries {
-			named[e.ID] = true
+			listed[e.ID] = true
 		}
-		for id, h := range b.hosts {
-			if !named[id] {
-				b.retire(h)
-				delete(b.hosts, id)
+		for id, h := range u.hosts {
+			if !listed[id] {
+				u.closeHost(h)
+				delete(u.hosts, id)
 			}
 		}
 	}
 	for _, e := range l.entries {
-		h := b.hosts[e.ID]
+		h := u.hosts[e.ID]
 		if h != nil && (e.State != policy.Ready || h.addr != e.addr || e.StartedAt > h.startedAt) {
-			b.retire(h)
-			delete(b.hosts, e.ID) // attempts that are connecting still use h, and see that it is closed
+			u.closeHost(h)
+			delete(u.hosts, e.ID) // attempts that are connecting still use h, and see that it is closed
 			h = nil
 		}
 		if h == nil && e.State == policy.Ready {
-			b.hosts[e.ID] = &upstreamHost{addr: e.addr, startedAt: e.StartedAt, closed: b.excluded[e.ID]}
+			u.hosts[e.ID] = &upstreamHost{addr: e.addr, startedAt: e.StartedAt, closed: u.excluded[e.ID]}
 		}
 	}
 }
 
 // exclude excludes a server, or ends its exclusion if out is false, whatever its state in the endpoint list is.
-func (b *upstreams) exclude(id policy.ServerID, out bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	h, was := b.hosts[id], b.excluded[id]
+func (u *upstreams) exclude(id policy.ServerID, isExcluded bool) {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	h, wasExcluded := u.hosts[id], u.excluded[id]
 	switch {
-	case out == was:
-	case out:
-		b.excluded[id] = true
+	case isExcluded == wasExcluded:
+	case isExcluded:
+		u.excluded[id] = true
 		if h != nil {
-			b.retire(h)
+			u.closeHost(h)
 		}
 	default:
-		delete(b.excluded, id)
+		delete(u.excluded, id)
 		if h != nil { // a new host, as attempts that are connecting still use h and have to see that it is closed
-			b.hosts[id] = &upstreamHost{addr: h.addr, startedAt: h.startedAt}
+			u.hosts[id] = &upstreamHost{addr: h.addr, startedAt: h.startedAt}
 		}
 	}
 }
 
-// retire closes a host and its idle connections. The caller holds mu.
-func (b *upstreams) retire(h *upstreamHost) {
+func (u *upstreams) closeHost(h *upstreamHost) {
 	h.closed = true
-	b.closeAll(h)
+	u.closeAllIdle(h)
 }
 
-// closeAll closes the idle connections of a host. The caller holds mu.
-func (b *upstreams) closeAll(h *upstreamHost) {
+func (u *upstreams) closeAllIdle(h *upstreamHost) {
 	for _, c := range h.idle {
-		b.drop(c)
+		u.drop(c)
 	}
 	h.idle = nil
 }
 
-// drop closes a connection and stops counting it. The caller holds mu.
-func (b *upstreams) drop(c *upstreamConn) {
+func (u *upstreams) drop(c *upstreamConn) {
 	c.Close()
-	b.countConns(-1)
+	u.countConns(-1)
 }
 
 // countConns adds n to the number of connections, also in the counts that the other process of an upgrade sees. The caller
 // holds mu.
-func (b *upstreams) countConns(n int) {
-	b.open += n
-	b.restart.count(0, n)
+func (u *upstreams) countConns(n int) {
+	u.open += n
+	u.restart.count(0, n)
 }
 
-func (b *upstreams) host(id policy.ServerID) *upstreamHost {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.hosts[id]
+func (u *upstreams) host(id policy.ServerID) *upstreamHost {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	return u.hosts[id]
 }
 
-// closeIdle closes the idle connections to a server.
-func (b *upstreams) closeIdle(id policy.ServerID) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if h := b.hosts[id]; h != nil {
-		b.closeAll(h)
+func (u *upstreams) closeIdle(id policy.ServerID) {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	if h := u.hosts[id]; h != nil {
+		u.closeAllIdle(h)
 	}
 }
 
 // run closes connections that have become unusable until ctx ends, and then closes all hosts with their idle connections.
-func (b *upstreams) run(ctx context.Context) {
-	runEvery(ctx, idleSweepInterval, b.sweep)
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	for _, h := range b.hosts {
-		b.retire(h)
+func (u *upstreams) run(ctx context.Context) {
+	runEvery(ctx, idleSweepInterval, u.sweep)
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	for _, h := range u.hosts {
+		u.closeHost(h)
 	}
 }
 
-// sweep closes the idle connections that are not usable any more.
-func (b *upstreams) sweep() {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	for _, h := range b.hosts {
+func (u *upstreams) sweep() {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	for _, h := range u.hosts {
 		kept := h.idle[:0]
 		for _, c := range h.idle {
-			if b.usable(c) {
+			if u.usable(c) {
 				kept = append(kept, c)
 			} else {
-				b.drop(c)
+				u.drop(c)
 			}
 		}
 		clear(h.idle[len(kept):])
@@ -215,23 +210,23 @@
 // usable reports whether an idle connection can carry a request: it has been idle for less than idleLimit, the server has not
 // closed it, and no bytes have come on it that belong to no request. A write to a connection that the server has closed would
 // succeed, and it would then be unknown whether the request ran.
-func (b *upstreams) usable(c *upstreamConn) bool {
-	if time.Since(c.idleSince) >= b.idleLimit || c.reader.Buffered() > 0 {
+func (u *upstreams) usable(c *upstreamConn) bool {
+	if time.Since(c.idleSince) >= u.idleLimit || c.reader.Buffered() > 0 {
 		return false
 	}
-	still := false
+	idle := false
 	err := c.raw.Read(func(fd uintptr) bool {
-		still = isIdle(int(fd))
+		idle = isIdle(int(fd))
 		return true
 	})
-	return err == nil && still
+	return err == nil && idle
 }
 
 // isIdle reports whether the socket holds no unread bytes and no unread end of the connection. If there are bytes it consumes
 // one of them.
 func isIdle(fd int) bool {
-	var one [1]byte
-	_, err := syscall.Read(fd, one[:])
+	var buf [1]byte
+	_, err := syscall.Read(fd, buf[:])
 	return err == syscall.EAGAIN
 }
 
@@ -256,57 +251,57 @@
 }
 
 // connect returns a usable idle connection to a host, or makes a new one.
-func (b *upstreams) connect(ctx context.Context, h *upstreamHost, deadline time.Time) (*upstreamConn, error) {
-	b.mu.Lock()
+func (u *upstreams) connect(ctx context.Context, h *upstreamHost, deadline time.Time) (*upstreamConn, error) {
+	u.mu.Lock()
 	if h.closed {
-		b.mu.Unlock()
+		u.mu.Unlock()
 		return nil, errHostClosed
 	}
 	for len(h.idle) > 0 {
 		c := h.takeIdle()
-		if b.usable(c) {
-			b.mu.Unlock()
+		if u.usable(c) {
+			u.mu.Unlock()
 			return c, nil
 		}
-		b.drop(c)
+		u.drop(c)
 	}
-	if b.open+b.restart.backends() >= b.limit && !b.evict() {
-		b.mu.Unlock()
+	if u.open+u.restart.backends() >= u.limit && !u.evict() {
+		u.mu.Unlock()
 		return nil, errTooManyConns
 	}
-	b.countConns(1)
-	d := net.Dialer{Timeout: b.connectTimeout, Deadline: deadline}
-	b.mu.Unlock()
-	c, err := b.dial(ctx, d, h.addr)
+	u.countConns(1)
+	d := net.Dialer{Timeout: u.connectTimeout, Deadline: deadline}
+	u.mu.Unlock()
+	c, err := u.dial(ctx, d, h.addr)
 	if err != nil {
-		b.mu.Lock()
-		b.countConns(-1)
-		b.mu.Unlock()
+		u.mu.Lock()
+		u.countConns(-1)
+		u.mu.Unlock()
 	}
 	return c, err
 }
 
 // dialTCP makes a connection to the given address.
 func dialTCP(ctx context.Context, d net.Dialer, addr string) (*upstreamConn, error) {
-	made, err := d.DialContext(ctx, "tcp", addr)
+	conn, err := d.DialContext(ctx, "tcp", addr)
 	if err != nil {
 		return nil, err
 	}
-	tcp := made.(*net.TCPConn)
+	tcp := conn.(*net.TCPConn)
 	raw, err := tcp.SyscallConn()
 	if err != nil {
 		tcp.Close()
 		return nil, err
 	}
-	left := &boundedReader{reader: tcp}
-	return &upstreamConn{TCPConn: tcp, raw: raw, reader: bufio.NewReader(left), remaining: left, idleSince: time.Now()}, nil
+	bounded := &boundedReader{reader: tcp}
+	return &upstreamConn{TCPConn: tcp, raw: raw, reader: bufio.NewReader(bounded), remaining: bounded, idleSince: time.Now()}, nil
 }
 
 // evict closes the connection that has been idle longest, to free a slot at the limit. It returns false if none is idle. The
 // caller holds mu.
-func (b *upstreams) evict() bool {
+func (u *upstreams) evict() bool {
 	var oldest *upstreamHost
-	for _, h := range b.hosts {
+	for _, h := range u.hosts {
 		if len(h.idle) > 0 && (oldest == nil || h.idle[0].idleSince.Before(oldest.idle[0].idleSince)) {
 			oldest = h
 		}
@@ -314,21 +309,21 @@
 	if oldest == nil {
 		return false
 	}
-	b.drop(oldest.idle[0])
+	u.drop(oldest.idle[0])
 	oldest.idle = append(oldest.idle[:0], oldest.idle[1:]...)
 	return true
 }
 
 // release returns a connection after an exchange. It keeps the connection for the next request if keep is true and the host
 // is not closed, and closes it otherwise.
-func (b *upstreams) release(h *upstreamHost, c *upstreamConn, keep bool) {
+func (u *upstreams) release(h *upstreamHost, c *upstreamConn, keep bool) {
 	if keep {
 		keep = c.SetDeadline(time.Time{}) == nil
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
+	u.mu.Lock()
+	defer u.mu.Unlock()
 	if !keep || h.closed {
-		b.drop(c)
+		u.drop(c)
 		return
 	}
 	c.idleSince, c.reused = time.Now(), true
@@ -337,16 +332,16 @@
 
 // closeIfSilent closes a host's idle connections if no answer has come from it since the given time. The machine may be cut
 // off from the network; when it is back it resets the connections, and each of them would cost a request.
-func (b *upstreams) closeIfSilent(h *upstreamHost, since time.Time) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+func (u *upstreams) closeIfSilent(h *upstreamHost, since time.Time) {
+	u.mu.Lock()
+	defer u.mu.Unlock()
 	if h.lastAnswerAt.Before(since) {
-		b.closeAll(h)
+		u.closeAllIdle(h)
 	}
 }
 
-func (b *upstreams) isClosed(h *upstreamHost) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+func (u *upstreams) isClosed(h *upstreamHost) bool {
+	u.mu.Lock()
+	defer u.mu.Unlock()
 	return h.closed
 }
