--- a/internal/node/actions_test.go
+++ b/internal/node/actions_test.go
@@ -16,7 +16,7 @@
 	"meadowsill/policy"
 )
 
-// Every action works, also those that the module does not use today.
+// The event loop performs every action, including those that the module does not use today.
 func TestActions(t *testing.T) {
 	t.Parallel()
 	seen := make(chan string, 100)
@@ -31,7 +31,7 @@
 			}
 			seen <- req.URL.Path
 			if req.URL.Path == "/order" {
-				r.ReadByte() // until it is called off
+				r.ReadByte() // until the attempt is cancelled
 				close(stopped)
 				return
 			}
@@ -61,17 +61,17 @@
 	}
 	ownAddr := p.conn.LocalAddr().(*net.UDPAddr).AddrPort()
 	l := newEventLoop(ctx, c, b, newDiscoveryClient(c, quiet), p, quiet)
-	l.rules.Load().PollsEndpoints = true // the loop asks only when set to
+	l.rules.Load().PollsEndpoints = true // so that the loop follows the list only at the Subscribe action
 	var running sync.WaitGroup
 	running.Go(func() { l.run(c.Known) })
 	running.Go(func() { b.run(ctx) })
 	running.Go(func() { p.write(ctx) })
-	heard := make(chan string, 9)
-	running.Go(func() { p.read(func(from int, data []byte) { heard <- fmt.Sprint(from, string(data)) }) })
+	received := make(chan string, 9)
+	running.Go(func() { p.read(func(from int, data []byte) { received <- fmt.Sprint(from, string(data)) }) })
 	defer running.Wait()
 	defer cancel()
 
-	act := func(a policy.Action) { l.post(func() { l.perform(a) }) }
+	perform := func(a policy.Action) { l.post(func() { l.perform(a) }) }
 	expect := func(want string) {
 		t.Helper()
 		end := time.After(patient)
@@ -82,30 +82,30 @@
 					return
 				}
 			case <-end:
-				t.Fatalf("%q does not come", want)
+				t.Fatalf("timed out waiting for %q", want)
 			}
 		}
 	}
-	act(policy.HealthCheck{Server: 1})
+	perform(policy.HealthCheck{Server: 1})
 	expect("/stats")
 	for idle := false; !idle; time.Sleep(time.Millisecond) {
 		b.mu.Lock()
 		idle = len(b.hosts[1].idle) > 0
 		b.mu.Unlock()
 	}
-	act(policy.CloseIdleConnections{Server: 1})
+	perform(policy.CloseIdleConnections{Server: 1})
 	expect("closed")
-	act(policy.FetchEndpoints{})
+	perform(policy.FetchEndpoints{})
 	expect("list since ")
-	act(policy.Subscribe{On: true})
+	perform(policy.Subscribe{On: true})
 	expect("list since 1")
 	expect("list since 1")
-	act(policy.Subscribe{On: false})
-	act(policy.SendMessage{To: 1, Data: []byte("one")})
-	act(policy.SendMessage{ToAll: true, Data: []byte("all")})
-	act(policy.SendMessage{To: 1, Data: make([]byte, maxDatagramBytes+1)})
-	act(policy.SendMessage{To: 9})
-	act(policy.Log{Line: "line"})
+	perform(policy.Subscribe{On: false})
+	perform(policy.SendMessage{To: 1, Data: []byte("one")})
+	perform(policy.SendMessage{ToAll: true, Data: []byte("all")})
+	perform(policy.SendMessage{To: 1, Data: make([]byte, maxDatagramBytes+1)})
+	perform(policy.SendMessage{To: 9})
+	perform(policy.Log{Line: "line"})
 	buf := make([]byte, 999)
 	other.SetReadDeadline(time.Now().Add(patient))
 	for _, want := range []string{"one", "all"} {
@@ -115,7 +115,7 @@
 	}
 	other.WriteToUDPAddrPort(make([]byte, maxDatagramBytes+1), ownAddr)
 	other.WriteToUDPAddrPort([]byte("hi"), ownAddr)
-	if got := <-heard; got != "1hi" {
+	if got := <-received; got != "1hi" {
 		t.Errorf("heard %q", got)
 	}
 	r := &request{arrived: policy.RequestArrived{ID: "q", Class: "order"}, deadline: time.Now().Add(patient), method: "POST",
@@ -123,15 +123,15 @@
 	r.context, r.cancel = context.WithCancel(t.Context())
 	l.post(func() { l.startRequest(r) })
 	expect("/order")
-	act(policy.CancelAttempt{ID: "q", Attempt: 0})
-	act(policy.CancelAttempt{ID: "q", Attempt: 7})
+	perform(policy.CancelAttempt{ID: "q", Attempt: 0})
+	perform(policy.CancelAttempt{ID: "q", Attempt: 7})
 	<-stopped
 	if a := <-r.answer; a.status != http.StatusBadGateway {
 		t.Errorf("status %d: a cancelled attempt may have run", a.status)
 	}
-	act(policy.Forward{ID: "q", Server: 1}) // over: answered with NotSent, and nothing is sent
-	act(policy.Reject{ID: "q"})
-	act(policy.Fail{ID: "nobody"})
+	perform(policy.Forward{ID: "q", Server: 1}) // the request is over: the attempt ends with NotSent, and nothing is sent
+	perform(policy.Reject{ID: "q"})
+	perform(policy.Fail{ID: "nobody"})
 	fired := make(chan struct{})
 	l.post(func() { l.perform(policy.SetTimer{After: time.Millisecond, Token: 9}); close(fired) })
 	<-fired
--- a/internal/node/client_left_test.go
+++ b/internal/node/client_left_test.go
@@ -18,42 +18,43 @@
 	"meadowsill/policy"
 )
 
-// A request's life ends with its client, though the loop is held and is notified of nothing, and though bytes lie before the
-// end. What stood in the loop's queue is not handed to the module.
+// A request ends when its client leaves, even if the event loop is blocked and gets no event, and if unread bytes precede the
+// end. A request that was still in the loop's queue is not passed to the module.
 func TestRequestEndsOutsideTheLoop(t *testing.T) {
 	t.Parallel()
-	// its patience is longer than the test's
+	// the client's timeout is longer than the test's
 	long := strings.Replace(orderHead("Content-Length: 80000"), "X-Time-Left: 9\r\n", "X-Time-Left: 90\r\n", 1)
 	for name, text := range map[string]string{"short": message("order", "90", "b"), "bytes behind": message("order", "90", "b") + "x",
 		"long": long + strings.Repeat("b", 80000), "the most of a long one": long + strings.Repeat("b", 70000)} {
 		for _, reset := range []bool{false, true} {
 			t.Run(name, func(t *testing.T) {
 				t.Parallel()
-				var came atomic.Int64
-				addr := backend(t, answering(func(*http.Request, []byte) string { came.Add(1); return ok("x") }))
-				f := startFront(t, &Config{Settings: settings(), Known: known(addr)})
-				let := f.hold()
-				defer let()
+				var received atomic.Int64
+				addr := backend(t, answering(func(*http.Request, []byte) string { received.Add(1); return ok("x") }))
+				f := startFrontend(t, &Config{Settings: settings(), Known: known(addr)})
+				release := f.hold()
+				defer release()
 				c, _, _ := f.dial(t)
 				if _, err := io.WriteString(c, text); err != nil {
 					t.Fatal(err)
 				}
-				await(t, "the request stands in the queue", func() bool { return len(f.loop.events) == 1 })
+				await(t, "the request to be in the queue", func() bool { return len(f.loop.events) == 1 })
 				leave(c, reset)
-				await(t, "the request ends with its client", func() bool { return f.openRequests.Load() == 0 })
-				let()
+				await(t, "the request to end with its client", func() bool { return f.openRequests.Load() == 0 })
+				release()
 				other, r, _ := f.dial(t)
 				io.WriteString(other, message("order", "9.5", "other"))
-				if resp, err := http.ReadResponse(r, nil); err != nil || resp.StatusCode != 200 || came.Load() != 1 {
-					t.Errorf("%+v, %v; %d requests were sent on, want the other client's", resp, err, came.Load())
+				if resp, err := http.ReadResponse(r, nil); err != nil || resp.StatusCode != 200 || received.Load() != 1 {
+					t.Errorf("%+v, %v; %d requests were sent on, want the other client's", resp, err, received.Load())
 				}
 			})
 		}
 	}
 }
 
-// The same for a request whose attempt is out: the incarnation that its attempts go by has ended while the loop is held.
-func TestEndOfARequestInFlight(t *testing.T) {
+// A request with an attempt in flight ends when its client leaves, even if the event loop is blocked: the context on which its
+// attempts depend ends.
+func TestRequestInFlightEndsWithItsClient(t *testing.T) {
 	t.Parallel()
 	for _, more := range []string{"", "x"} {
 		for _, reset := range []bool{false, true} {
@@ -65,7 +66,7 @@
 			})
 			c := &Config{Settings: settings(), Known: known(addr)}
 			c.Settings.MayCancel = false
-			f := startFront(t, c)
+			f := startFrontend(t, c)
 			client, _, _ := f.dial(t)
 			io.WriteString(client, message("read", "9.5", ""))
 			<-came
@@ -81,20 +82,20 @@
 			leave(client, reset)
 			select {
 			case <-incarnation.Done():
-			case <-time.After(5 * time.Second): // its patience is longer
-				t.Errorf("%q before the end, reset %v: the life goes on", more, reset)
+			case <-time.After(5 * time.Second): // the client's timeout is longer
+				t.Errorf("%q before the end, reset %v: the request's context has not ended", more, reset)
 			}
 			let()
 		}
 	}
 }
 
-// With the loop's queue full a request waits for a slot no longer than its client does.
+// If the event loop's queue is full, a request waits for a place in it no longer than its client waits for the answer.
 func TestQueueFull(t *testing.T) {
 	t.Parallel()
 	var came atomic.Int64
 	addr := backend(t, answering(func(*http.Request, []byte) string { came.Add(1); return ok("x") }))
-	f := startFront(t, &Config{Settings: settings(), Known: known(addr)})
+	f := startFrontend(t, &Config{Settings: settings(), Known: known(addr)})
 	let := f.hold()
 	defer let()
 	for range cap(f.loop.events) {
@@ -102,9 +103,9 @@
 	}
 	removed, _, _ := f.dial(t)
 	io.WriteString(removed, message("order", "9.5", "b"))
-	await(t, "the request is read", func() bool { return f.openRequests.Load() == 1 })
+	await(t, "the request to be read", func() bool { return f.openRequests.Load() == 1 })
 	removed.Close()
-	await(t, "it ends with its client", func() bool { return f.openRequests.Load() == 0 })
+	await(t, "the request to end with its client", func() bool { return f.openRequests.Load() == 0 })
 	stays, r, _ := f.dial(t)
 	io.WriteString(stays, message("order", "0.05", "b"))
 	if resp, err := http.ReadResponse(r, nil); err != nil || resp.StatusCode < 500 {
@@ -118,8 +119,8 @@
 	}
 }
 
-// accepted is a connection whose client has sent something and left.
-func accepted(t *testing.T, text string, reset bool) *clientConn {
+// departedClientConn returns the node's side of a connection whose client has sent text and left.
+func departedClientConn(t *testing.T, text string, reset bool) *clientConn {
 	t.Helper()
 	l, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
@@ -140,15 +141,15 @@
 	c := &clientConn{TCPConn: tcp, conns: newConnections(1), releaseSlot: func() {}, acceptedAt: time.Now()}
 	t.Cleanup(func() { c.Close() })
 	if c.clientLeft() {
-		t.Error("a client that is there counts as gone")
+		t.Error("clientLeft is true for a connected client")
 	}
 	leave(peer.(*net.TCPConn), reset)
-	await(t, "the client's end is seen", c.clientLeft)
+	await(t, "the node to see the client's end", c.clientLeft)
 	return c
 }
 
-// A client may have left before its request is read, and the read that looks for its end come only after an attempt that
-// begins at once: then nothing is handed to the loop.
+// A client may have left before its request is read. net/http's read for the client's end may come only after the first attempt
+// has begun, so the frontend checks by itself and passes nothing to the event loop.
 func TestClientLeftBeforeItsRequestIsRead(t *testing.T) {
 	t.Parallel()
 	for _, reset := range []bool{false, true} {
@@ -166,13 +167,13 @@
 			}()
 			ctx, stop := context.WithTimeout(t.Context(), time.Second)
 			defer stop()
-			ctx = f.server().ConnContext(ctx, accepted(t, "x", reset))
+			ctx = f.server().ConnContext(ctx, departedClientConn(t, "x", reset))
 			f.ServeHTTP(httptest.NewRecorder(), r.WithContext(ctx))
 		}()
 	}
 }
 
-// A long body that lies whole in the node's socket, its client's end behind it, does not get to an app server whole.
+// The node's socket holds the rest of a long body and the client's end after it. The body is not sent to an app server in full.
 func TestLongBodyOfAClientThatLeft(t *testing.T) {
 	t.Parallel()
 	const rest = 30000
@@ -185,7 +186,7 @@
 		c := &Config{Settings: settings(), Known: known(addr)}
 		b := newUpstreams(c, 10, quiet)
 		b.update(c.Known)
-		conn := accepted(t, strings.Repeat("b", rest), false)
+		conn := departedClientConn(t, strings.Repeat("b", rest), false)
 		u := &upload{length: -1, clientTimeout: time.Minute, complete: make(chan struct{}), client: conn,
 			body: &pacedBody{Reader: io.LimitReader(conn, rest), control: http.NewResponseController(httptest.NewRecorder())}}
 		x := &exchange{method: http.MethodPost, url: &url.URL{Host: "h", Path: "/order"}, body: make([]byte, maxBufferedBody+1),
@@ -206,9 +207,9 @@
 	}
 }
 
-// The same if the client's end does not even get to the node before the body has been read: it has closed its connection,
-// but its system still holds most of the body.
-func TestLongBodyOutlivesItsClient(t *testing.T) {
+// A client has closed its connection, but its kernel still holds most of a long body, so that the end reaches the node only
+// after the body has been read. The body is not sent to an app server in full.
+func TestLongBodyBufferedByDepartedClient(t *testing.T) {
 	t.Parallel()
 	const length = 1 << 20
 	cut := make(chan error, 9)
@@ -216,7 +217,7 @@
 		_, _, err := wholeRequest(bufio.NewReader(c))
 		cut <- err
 	})
-	f := startFront(t, &Config{Settings: settings(), Known: known(addr)})
+	f := startFrontend(t, &Config{Settings: settings(), Known: known(addr)})
 	let := f.hold()
 	defer let()
 	c, _, conn := f.dial(t)
@@ -224,10 +225,10 @@
 	if _, err := io.WriteString(c, orderHead(fmt.Sprintf("Content-Length: %d", length))+strings.Repeat("b", length)); err != nil {
 		t.Fatal(err)
 	}
-	await(t, "the request stands in the queue", func() bool { return len(f.loop.events) == 1 })
+	await(t, "the request to be in the queue", func() bool { return len(f.loop.events) == 1 })
 	c.Close()
 	if conn.clientLeft() {
-		t.Fatal("the node knows of the end before it has read the body")
+		t.Fatal("the node sees the client's end before it has read the body")
 	}
 	let()
 	if err := <-cut; err == nil {
@@ -236,8 +237,8 @@
 	f.awaitEmpty(t)
 }
 
-// A request whose life has ended by the time its event comes is not handed to the module.
-func TestArrivesAfterItsEnd(t *testing.T) {
+// A request whose context has ended before the event loop handles its event is not passed to the module.
+func TestRequestEndsBeforeItsEvent(t *testing.T) {
 	t.Parallel()
 	c := &Config{Settings: settings(), Known: known(backend(t, func(net.Conn) {}))}
 	l := newEventLoop(t.Context(), c, newUpstreams(c, 10, quiet), nil, nil, quiet)
@@ -252,11 +253,11 @@
 	}
 }
 
-// endingBody is a body whose end is read at a point that the test knows.
+// endingBody is a body that closes a channel when its end is about to be read, and waits for the test before it returns the end.
 type endingBody struct {
-	at  chan struct{}
-	let chan struct{}
-	got int
+	atEnd   chan struct{}
+	release chan struct{}
+	got     int
 }
 
 func (b *endingBody) Close() error { return nil }
@@ -265,25 +266,25 @@
 		b.got += len(p)
 		return len(p), nil
 	}
-	close(b.at)
-	<-b.let
+	close(b.atEnd)
+	<-b.release
 	return 1, io.EOF
 }
 
-// An early answer interrupts the reading of a body just as its end is read. The interruption ends the context as a
-// client's going does, but the client is there and gets its answer.
+// An early answer interrupts the reading of a body just as its end is read. net/http then ends the request's context as it does
+// when a client leaves, but the client is still connected and has to get its answer.
 func TestBodyEndsAsItIsInterrupted(t *testing.T) {
 	t.Parallel()
-	body := &endingBody{at: make(chan struct{}), let: make(chan struct{})}
+	body := &endingBody{atEnd: make(chan struct{}), release: make(chan struct{})}
 	addr := backend(t, func(c net.Conn) {
 		go io.Copy(io.Discard, c)
-		<-body.at
+		<-body.atEnd
 		io.WriteString(c, "HTTP/1.1 503 Full\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n")
 		<-t.Context().Done()
 	})
 	c := &Config{Settings: settings(), Known: known(addr)}
 	c.Settings.MaxAttempts = 1
-	f := startFront(t, c)
+	f := startFrontend(t, c)
 	r, err := http.ReadRequest(bufio.NewReader(strings.NewReader(orderHead("Transfer-Encoding: chunked"))))
 	if err != nil {
 		t.Fatal(err)
@@ -292,13 +293,13 @@
 	defer interrupted()
 	r = r.WithContext(ctx)
 	r.Body = body
-	answered := httptest.NewRecorder()
-	control := make(chan any, 1)
+	recorder := httptest.NewRecorder()
+	recovered := make(chan any, 1)
 	go func() {
-		defer func() { control <- recover() }()
-		f.ServeHTTP(answered, r)
+		defer func() { recovered <- recover() }()
+		f.ServeHTTP(recorder, r)
 	}()
-	<-body.at
+	<-body.atEnd
 	var u *upload
 	seen := make(chan *upload, 1)
 	f.loop.post(func() {
@@ -307,10 +308,10 @@
 		}
 	})
 	u = <-seen
-	await(t, "the early answer interrupts the body", u.body.stopped.Load)
-	interrupted() // as net/http does when its read ends so
-	close(body.let)
-	if e := <-control; e != nil || answered.Code != http.StatusServiceUnavailable {
-		t.Errorf("ended with %v, status %d", e, answered.Code)
+	await(t, "the early answer to interrupt the body", u.body.stopped.Load)
+	interrupted() // as net/http does when its read is interrupted
+	close(body.release)
+	if e := <-recovered; e != nil || recorder.Code != http.StatusServiceUnavailable {
+		t.Errorf("ended with %v, status %d", e, recorder.Code)
 	}
 }
--- a/internal/node/connection_ends_test.go
+++ b/internal/node/connection_ends_test.go
@@ -15,14 +15,14 @@
 	"meadowsill/policy"
 )
 
-// Every way in which an attempt can end after its request was written: which of them prove that it never ran, and
-// that no other is followed by a further attempt where that could do harm.
-func TestWaysToEnd(t *testing.T) {
+// Every way in which an attempt can end after its request was written. Some of them prove that the request never ran; after
+// the others no further attempt is made if the request is not safe to repeat.
+func TestAttemptEndings(t *testing.T) {
 	t.Parallel()
 	const (
 		fin = iota
 		reset
-		nothing // more comes
+		stayOpen // more comes
 	)
 	long := "HTTP/1.1 503 No\r\nX-Unprocessed: 1\r\nX: " + strings.Repeat("x", maxBufferedAnswer-2000) + "\r\n\r\n" + strings.Repeat("y", 4000)
 	for name, c := range map[string]struct {
@@ -32,17 +32,17 @@
 	}{
 		"reset":                                {"", reset, policy.Reset},
 		"closed":                               {"", fin, policy.Reset},
-		"silent":                               {"", nothing, policy.TimedOut},
+		"silent":                               {"", stayOpen, policy.TimedOut},
 		"half a status line, reset":            {"HTTP/1.1 20", reset, policy.Reset},
 		"half a status line, closed":           {"HTTP/1.1 20", fin, policy.Reset},
-		"half a status line":                   {"HTTP/1.1 20", nothing, policy.Reset},
-		"malformed":                            {"HTTP/1.1 abc\r\n\r\n", nothing, policy.Reset},
-		"interim, then nothing":                {"HTTP/1.1 103 Early Hints\r\n\r\n", nothing, policy.TimedOut},
+		"half a status line":                   {"HTTP/1.1 20", stayOpen, policy.Reset},
+		"malformed":                            {"HTTP/1.1 abc\r\n\r\n", stayOpen, policy.Reset},
+		"interim, then nothing":                {"HTTP/1.1 103 Early Hints\r\n\r\n", stayOpen, policy.TimedOut},
 		"interim, then closed":                 {"HTTP/1.1 100 Continue\r\n\r\n", fin, policy.Reset},
 		"interim, then reset":                  {"HTTP/1.1 100 Continue\r\n\r\n", reset, policy.Reset},
-		"head, then nothing":                   {"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n", nothing, policy.TimedOut},
+		"head, then nothing":                   {"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n", stayOpen, policy.TimedOut},
 		"body breaks off":                      {"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nx", fin, policy.Reset},
-		"wrong chunk":                          {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\nx", nothing, policy.Reset},
+		"wrong chunk":                          {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\nx", stayOpen, policy.Reset},
 		"no last chunk":                        {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nx\r\n", fin, policy.Reset},
 		"no length, reset":                     {"HTTP/1.1 200 OK\r\n\r\nx", reset, policy.Reset},
 		"no length, closed":                    {"HTTP/1.1 200 OK\r\n\r\nx", fin, policy.OK},
@@ -51,16 +51,16 @@
 		"turned away, closed":                  {"HTTP/1.1 503 No\r\nX-Unprocessed: 1\r\n\r\nx", fin, policy.Rejected},
 		"turned away, no length, reset":        {"HTTP/1.1 503 No\r\nX-Unprocessed: 1\r\n\r\nx", reset, policy.Reset},
 		"turned away, body breaks off":         {"HTTP/1.1 503 No\r\nX-Unprocessed: 1\r\nContent-Length: 2\r\n\r\nx", fin, policy.Reset},
-		"turned away, body does not end":       {"HTTP/1.1 503 No\r\nX-Unprocessed: 1\r\nContent-Length: 2\r\n\r\nx", nothing, policy.TimedOut},
-		"turned away, wrong chunk":             {"HTTP/1.1 504 No\r\nX-Unprocessed: 1\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n", nothing, policy.Reset},
+		"turned away, body does not end":       {"HTTP/1.1 503 No\r\nX-Unprocessed: 1\r\nContent-Length: 2\r\n\r\nx", stayOpen, policy.TimedOut},
+		"turned away, wrong chunk":             {"HTTP/1.1 504 No\r\nX-Unprocessed: 1\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n", stayOpen, policy.Reset},
 		"turned away, head breaks off":         {"HTTP/1.1 503 No\r\nX-Unprocessed: 1\r\n", fin, policy.Reset},
 		"turned away, another mark":            {"HTTP/1.1 503 No\r\nX-Unprocessed: 0\r\nContent-Length: 0\r\n\r\n", fin, policy.ServerError},
 		"turned away, but with another status": {"HTTP/1.1 502 No\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", fin, policy.ServerError},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			// The first request of a class to come ends in that way, those after it are served.
-			stand := func(came *[3]atomic.Int64) func(net.Conn) {
+			// The first request of each class ends in the way of the test case, and later ones are served.
+			serveFailing := func(came *[3]atomic.Int64) func(net.Conn) {
 				return func(conn net.Conn) {
 					r := bufio.NewReader(conn)
 					for {
@@ -74,7 +74,7 @@
 						}
 						io.WriteString(conn, c.reply)
 						switch c.end {
-						case nothing:
+						case stayOpen:
 							io.Copy(io.Discard, conn)
 						case reset:
 							conn.(*net.TCPConn).SetLinger(0)
@@ -88,40 +88,41 @@
 				wait = 150 * time.Millisecond
 			}
 			b := newUpstreams(&Config{Settings: settings()}, 10, quiet)
-			b.update(known(backend(t, stand(new([3]atomic.Int64)))))
+			b.update(known(backend(t, serveFailing(new([3]atomic.Int64)))))
 			if r := b.roundTrip(t.Context(), b.host(1), get(wait)); r.code != c.code {
 				t.Errorf("outcome %v (%v), want %v", r.code, r.err, c.code)
 			}
 			never := c.code == policy.Rejected
 			var counts [3]atomic.Int64
-			serve := stand(&counts)
+			serve := serveFailing(&counts)
 			n := start(t, &Config{Settings: settings(), Known: known(backend(t, serve), backend(t, serve))})
 			for _, class := range []string{"order", "tag", "read"} {
 				resp, body := n.ask(t, message(class, fmt.Sprint(min(wait, patient/2).Seconds()), ""))
 				came, right := counts[strings.IndexByte("rto", class[0])].Load(), false
 				switch status := resp.StatusCode; {
-				case came == 0: // rejected by what the others met with
+				case came == 0: // the module rejected it because of the failures of the classes before
 					right = status == 503 && class != "order"
 				case c.code == policy.OK:
 					right = status == 200 && came == 1
 				case status == 200:
 					right = body == "again" && came == 2 && (class != "order" || never)
-				case status == 504: // the node's own, as the module was late: it says no more than that it failed
+				case status == 504: // the frontend's own answer if the module was late: it only states that the request failed
 					right = wait < patient && came == 1
-				case status == 503: // it never ran, or may run again
+				case status == 503: // the request never ran, or is safe to repeat
 					right = never || class == "read"
 				default:
 					right = status == 502 && !never && class != "read" && (class == "tag" || came == 1)
 				}
 				if !right {
-					t.Errorf("%s: status %d, %.40q, %d requests came", class, resp.StatusCode, body, came)
+					t.Errorf("%s: status %d, %.40q, the servers received %d requests", class, resp.StatusCode, body, came)
 				}
 			}
 		})
 	}
 }
 
-// An answer that is held is begun on, and its connection is reset in that moment: it does not end as if it were whole.
+// The server's connection is reset at the moment at which the node begins to relay a buffered answer. The relayed answer must
+// end with an error, and not as if it were complete.
 func TestResetAsAnAnswerIsBegun(t *testing.T) {
 	t.Parallel()
 	begun, removed := make(chan struct{}), make(chan struct{})
@@ -150,12 +151,12 @@
 	}
 	r := b.roundTrip(t.Context(), b.host(1), x)
 	if err := <-ended; err == nil || r.code != policy.Reset {
-		t.Errorf("what was begun ends with %v, outcome %v (%v)", err, r.code, r.err)
+		t.Errorf("the relayed answer ends with %v, outcome %v (%v)", err, r.code, r.err)
 	}
 }
 
-// Something that belongs to no request comes between the look at an idle connection and the write: nothing is written to
-// it, and the request goes out on another connection.
+// Bytes that belong to no request, or the server's end, come between the check of an idle connection and the write. The request
+// is not written to that connection but sent on another one.
 func TestStaleAnswerBeforeTheWrite(t *testing.T) {
 	t.Parallel()
 	for _, late := range []string{ok("another's"), "HTTP/1.1 5", ""} {
@@ -173,7 +174,7 @@
 		first := <-conns
 		c, err := b.connect(t.Context(), h, time.Now().Add(patient))
 		if err != nil || !c.reused {
-			t.Fatalf("not the idle one: %v", err)
+			t.Fatalf("connect did not return the idle connection: %v", err)
 		}
 		if late == "" {
 			first.(*net.TCPConn).CloseWrite()
@@ -192,7 +193,8 @@
 	}
 }
 
-// Of idle connections one that has rested goes before one on which an answer ended just now, and else the longest rested.
+// The most recently used of the connections that have been idle for minIdleReuseTime is taken first. Connections on which an
+// answer has ended just now come last, the longest idle one first.
 func TestRestedConnectionsGoFirst(t *testing.T) {
 	now := time.Now()
 	old, rested := &upstreamConn{idleSince: now.Add(-2 * time.Hour)}, &upstreamConn{idleSince: now.Add(-time.Hour)}
@@ -200,12 +202,13 @@
 	h := &upstreamHost{idle: []*upstreamConn{old, rested, young, youngest}}
 	for i, want := range []*upstreamConn{rested, old, young, youngest} {
 		if h.takeIdle() != want {
-			t.Errorf("connection %d is not the one", i)
+			t.Errorf("call %d: takeIdle returned the wrong connection", i)
 		}
 	}
 }
 
-// After an answer that has no body by its status nothing more goes out on its connection: what it sent as one may come late.
+// After an answer whose status allows no body, its connection is not reused: the server may still send a body, and the node
+// would read it as the next answer.
 func TestAnswerWithoutBodyEndsConnection(t *testing.T) {
 	t.Parallel()
 	for _, status := range []string{"101 Switching Protocols", "204 No Content", "304 Not Modified"} {
@@ -214,7 +217,7 @@
 			r := bufio.NewReader(c)
 			http.ReadRequest(r)
 			io.WriteString(c, "HTTP/1.1 "+status+"\r\nContent-Length: 40\r\n\r\n")
-			if _, err := http.ReadRequest(r); err == nil { // with its late body before it, the next answer is another's
+			if _, err := http.ReadRequest(r); err == nil { // the late body, which the node would take for the next answer
 				io.WriteString(c, ok("another's"))
 			}
 			close(let)
--- a/internal/node/dawdling_clients_test.go
+++ b/internal/node/dawdling_clients_test.go
@@ -10,9 +10,10 @@
 	"testing"
 )
 
-// Peers that send something and go leave no connection behind, and nothing that they sent becomes a request but what is
-// one. How long one is kept that stays is TestSilentPeer's.
-func TestPeersThatGo(t *testing.T) {
+// Peers that send bytes and disconnect leave no connection behind. Their bytes hold no complete request, or only after a bad
+// one, and none of them reaches a server as a request. TestSilentPeer checks how long the connection of a peer that stays is
+// kept.
+func TestPeersThatDisconnect(t *testing.T) {
 	t.Parallel()
 	complete, long := message("order", "9.5", "b"), orderHead("Content-Length: 1000000")
 	for name, text := range map[string]string{"nothing": "", "half a head": complete[:40], "half a body": complete[:len(complete)-1],
@@ -27,15 +28,15 @@
 					r := bufio.NewReader(c)
 					for {
 						if _, _, err := wholeRequest(r); err != nil {
-							return // broken off: no request
+							return // incomplete, so no request
 						}
 						got.Add(1)
 						io.WriteString(c, ok("x"))
 					}
 				})
-				f := startFront(t, &Config{Settings: settings(), Known: known(addr)})
+				f := startFrontend(t, &Config{Settings: settings(), Known: known(addr)})
 				c, _, _ := f.dial(t)
-				io.WriteString(c, text) // the node may close before it has all
+				io.WriteString(c, text) // fails if the node closes the connection before it has received all of text
 				leave(c, reset)
 				f.awaitEmpty(t)
 				if got.Load() > 0 {
@@ -46,12 +47,13 @@
 	}
 }
 
-// A request that comes byte by byte is served, whatever follows it; what follows is no request and has an error or the end.
+// A request that comes byte by byte is served. The bytes after it are no request, and are answered with an error or the end of
+// the connection.
 func TestRequestInSingleBytes(t *testing.T) {
 	t.Parallel()
 	var got atomic.Int64
 	addr := backend(t, answering(func(*http.Request, []byte) string { got.Add(1); return ok("x") }))
-	f := startFront(t, &Config{Settings: settings(), Known: known(addr)})
+	f := startFrontend(t, &Config{Settings: settings(), Known: known(addr)})
 	c, r, _ := f.dial(t)
 	c.SetNoDelay(true)
 	w := bufio.NewWriterSize(c, 16)
--- a/internal/node/drain_test.go
+++ b/internal/node/drain_test.go
@@ -15,8 +15,8 @@
 	"time"
 )
 
-// SIGTERM loses nothing: what is applied is answered, what comes for a moment more is served, each answer closes
-// its connection, and then the node ends.
+// The node loses no request at SIGTERM: it answers the open requests, still serves those that come for a moment more, closes
+// each connection with its answer, and then ends.
 func TestDrain(t *testing.T) {
 	t.Parallel()
 	came, let := make(chan struct{}, 9), make(chan struct{})
@@ -35,7 +35,7 @@
 		if resp, _ := n.ask(t, "GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n"); resp.StatusCode == 503 {
 			break
 		} else if time.Now().After(end) {
-			t.Fatal("still ready")
+			t.Fatal("the health check still reports the node as ready")
 		}
 	}
 	late := make(chan *http.Response)
@@ -57,8 +57,9 @@
 	}
 }
 
-// What is being read when the listener closes is rejected and not dropped: it may have come complete too late to be served.
-func TestDrainAnswersWhatIsBeingRead(t *testing.T) {
+// A request that is still being read when the listener closes is rejected and not dropped, as it may be complete too late to
+// be served.
+func TestDrainRejectsRequestsBeingRead(t *testing.T) {
 	t.Parallel()
 	var complete atomic.Int64
 	began := make(chan struct{})
@@ -99,11 +100,11 @@
 		}
 	}
 	if err := <-n.ended; err != nil || complete.Load() > 0 {
-		t.Errorf("ended with %v, %d bodies passed on whole", err, complete.Load())
+		t.Errorf("ended with %v, %d bodies were relayed in full", err, complete.Load())
 	}
 }
 
-// At its bounds a node rejects at once, and each connection that it has accepted gets an answer.
+// At its limits a node rejects requests at once, and each connection that it has accepted gets an answer.
 func TestBounds(t *testing.T) {
 	t.Parallel()
 	let := make(chan struct{})
@@ -132,7 +133,8 @@
 	}
 }
 
-// Above the bound the connection that has been idle longest is closed, but none that a client may still count on.
+// Above the limit the connection that has been idle longest is closed, but none that has been idle for less than minIdleTime,
+// on which its client may still count.
 func TestOverLimitClosesLongestIdle(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := &connections{limit: 2, idle: map[net.Conn]time.Time{}, ended: map[net.Conn]bool{}}
@@ -142,42 +144,41 @@
 			_, err := conns[i].Read(make([]byte, 1))
 			return !errors.Is(err, os.ErrDeadlineExceeded)
 		}
-		come := func(i int) { conns[i], peers[i] = net.Pipe(); c.accepted() }
+		connect := func(i int) { conns[i], peers[i] = net.Pipe(); c.accepted() }
 		for i := range 2 {
-			come(i)
+			connect(i)
 			c.track(conns[i], http.StateIdle)
 			time.Sleep(minIdleTime / 2)
 		}
 		c.track(conns[0], http.StateActive)
 		c.track(conns[0], http.StateIdle) // now idle for the shorter time
-		come(2)
+		connect(2)
 		if closed(0) || closed(1) || !c.overLimit() {
-			t.Error("a connection is closed that was idle for less than it may")
+			t.Error("a connection is closed that was idle for less than minIdleTime")
 		}
-		time.Sleep(minIdleTime/2 + 2*shedInterval) // the other one has been idle for long enough now
+		time.Sleep(minIdleTime/2 + 2*shedInterval) // now conns[1] has been idle for minIdleTime
 		if closed(0) || !closed(1) || c.overLimit() {
 			t.Error("want the connection closed that was idle longest, and no other")
 		}
-		come(3)
+		connect(3)
 		if closed(0) || !c.overLimit() {
-			t.Error("a connection is closed for the next one that was idle for less than it may")
+			t.Error("a connection that was idle for less than minIdleTime is closed for the next one")
 		}
 		time.Sleep(minIdleTime)
 		if !closed(0) || c.overLimit() {
-			t.Error("want room made for the last one too")
+			t.Error("want an idle connection closed for the last one too")
 		}
 		for _, conn := range conns {
 			c.track(conn, http.StateClosed)
 			c.released(conn)
 		}
 		if c.count != 0 || len(c.ended) != 0 {
-			t.Errorf("with all closed %d are counted, %d shed", c.count, len(c.ended))
+			t.Errorf("with all connections closed %d are counted, %d of them as ended", c.count, len(c.ended))
 		}
 	})
 }
 
-// A request that crosses the close of its connection is not taken: its client sends it again, and it must not run
-// twice.
+// A request that crosses the node's close of its connection is not served: the client sends it again, and it must not run twice.
 func TestRequestThatCrossesTheClose(t *testing.T) {
 	t.Parallel()
 	c := &Config{Settings: settings()}
--- a/internal/node/frontend_test.go
+++ b/internal/node/frontend_test.go
@@ -10,21 +10,21 @@
 	"time"
 )
 
-// testFront is the clients' side of a node, with its loop, as a test can reach into it.
-type testFront struct {
+// testFrontend is a frontend with its listener, event loop and upstreams, to whose parts a test has access.
+type testFrontend struct {
 	*frontend
 	slots chan struct{}
 	addr  string
-	conns chan *clientConn // as they are accepted
+	conns chan *clientConn // receives each accepted connection
 }
 
-// noting is a listener that reports what it accepts.
-type noting struct {
+// recordingListener is a listener that sends each accepted connection to conns.
+type recordingListener struct {
 	*clientListener
 	conns chan *clientConn
 }
 
-func (l noting) Accept() (net.Conn, error) {
+func (l recordingListener) Accept() (net.Conn, error) {
 	c, err := l.clientListener.Accept()
 	if err == nil {
 		l.conns <- c.(*clientConn)
@@ -32,7 +32,7 @@
 	return c, err
 }
 
-func startFront(t *testing.T, c *Config) *testFront {
+func startFrontend(t *testing.T, c *Config) *testFrontend {
 	t.Helper()
 	tcp, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
@@ -42,14 +42,14 @@
 	ctx, stop := context.WithCancel(context.Background())
 	b := newUpstreams(c, 100, quiet)
 	l := newEventLoop(ctx, c, b, newDiscoveryClient(c, quiet), nil, quiet)
-	f := &testFront{frontend: newFrontend(l, 100, quiet), addr: tcp.Addr().String(), conns: make(chan *clientConn, 100)}
-	taken := newClientListener(tcp, 100, nil, f.frontend.connections)
-	f.slots = taken.slots
+	f := &testFrontend{frontend: newFrontend(l, 100, quiet), addr: tcp.Addr().String(), conns: make(chan *clientConn, 100)}
+	listener := newClientListener(tcp, 100, nil, f.frontend.connections)
+	f.slots = listener.slots
 	srv := f.server()
 	var running sync.WaitGroup
 	running.Go(func() { l.run(c.Known) })
 	running.Go(func() { b.run(ctx) })
-	running.Go(func() { srv.Serve(noting{taken, f.conns}) })
+	running.Go(func() { srv.Serve(recordingListener{listener, f.conns}) })
 	t.Cleanup(func() {
 		stop()
 		srv.Close()
@@ -58,8 +58,8 @@
 	return f
 }
 
-// dial opens a client's connection, and gives the node's side of it too.
-func (f *testFront) dial(t *testing.T) (*net.TCPConn, *bufio.Reader, *clientConn) {
+// dial opens a client's connection. It also returns the node's side of it.
+func (f *testFrontend) dial(t *testing.T) (*net.TCPConn, *bufio.Reader, *clientConn) {
 	t.Helper()
 	c, err := net.Dial("tcp", f.addr)
 	if err != nil {
@@ -70,18 +70,18 @@
 	return c.(*net.TCPConn), bufio.NewReader(c), <-f.conns
 }
 
-// awaitEmpty waits until no client's connection is kept. One slot is held by the Accept that waits for the next.
-func (f *testFront) awaitEmpty(t *testing.T) {
+// awaitEmpty waits until all clients' connections are released. One slot stays taken by the Accept that waits for the next one.
+func (f *testFrontend) awaitEmpty(t *testing.T) {
 	t.Helper()
-	await(t, "the connections are let go", func() bool { return f.frontend.connections.open() == 0 && len(f.slots) == 1 })
+	await(t, "the release of all connections", func() bool { return f.frontend.connections.open() == 0 && len(f.slots) == 1 })
 }
 
-// hold stops the loop until what it returns is called.
-func (f *testFront) hold() (let func()) {
-	held, on := make(chan struct{}), make(chan struct{})
-	f.loop.post(func() { close(held); <-on })
+// hold blocks the event loop until the returned function is called.
+func (f *testFrontend) hold() (release func()) {
+	held, released := make(chan struct{}), make(chan struct{})
+	f.loop.post(func() { close(held); <-released })
 	<-held
-	return sync.OnceFunc(func() { close(on) })
+	return sync.OnceFunc(func() { close(released) })
 }
 
 // await waits for a condition.
@@ -89,7 +89,7 @@
 	t.Helper()
 	for end := time.Now().Add(patient); !met(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("waited in vain: %s", what)
+			t.Fatalf("timed out waiting for: %s", what)
 		}
 	}
 }
--- a/internal/node/listener_close_test.go
+++ b/internal/node/listener_close_test.go
@@ -10,55 +10,55 @@
 	"meadowsill/policy"
 )
 
-// What the kernel has accepted and the node has not, for want of a place, is not reset as the listener closes. It is
-// accepted as places become free, and has an answer.
-func TestDrainEmptiesTheQueue(t *testing.T) {
+// A connection that the kernel has accepted and the node has not, because all slots are taken, is not reset when the listener
+// closes. The drain accepts it when a slot becomes free, and its request gets an answer.
+func TestDrainAcceptsQueuedConnections(t *testing.T) {
 	t.Parallel()
-	s := newClientSide(t, 9, 2)
+	s := newFrontendOnly(t, 9, 2)
 	s.serve()
 	var silent [2]net.Conn
 	for i := range silent {
 		silent[i], _ = s.dial(t)
 	}
-	await(t, "place taken", func() bool { return s.connections.open() == 2 })
+	await(t, "the slots to be taken", func() bool { return s.connections.open() == 2 })
 	waiting, r := s.dial(t)
 	io.WriteString(waiting, message("read", "9.5", ""))
 	drained := make(chan struct{})
-	go func() { s.drain(s.l, s.ended); close(drained) }()
+	go func() { s.drain(s.listener, s.ended); close(drained) }()
 	<-s.drainClosed
-	time.Sleep(3 * drainPollInterval) // a drain that closes the listener now has done so
+	time.Sleep(3 * drainPollInterval) // by then a wrong drain would have closed the listener
 	for _, c := range silent {
 		c.Close()
 	}
-	toEnd(t, r, http.StatusServiceUnavailable)
+	readAnswerAndEnd(t, r, http.StatusServiceUnavailable)
 	waiting.Close()
 	<-drained
-	if c, err := net.Dial("tcp", s.l.Addr().String()); err == nil {
+	if c, err := net.Dial("tcp", s.listener.Addr().String()); err == nil {
 		c.Close()
 		t.Error("the listener is open after the drain")
 	}
 }
 
-// The drain waits for a connection that Accept has returned and net/http has not seen, and for Accept itself, which may
-// have one that it has not counted.
+// The drain waits for a connection that Accept has returned and net/http has not reported yet, and for Accept itself, which may
+// have a connection that it has not counted yet.
 func TestDrainWaitsForAccept(t *testing.T) {
 	t.Parallel()
 	for _, acceptLast := range []bool{false, true} {
-		s := newClientSide(t, 9, 9)
+		s := newFrontendOnly(t, 9, 9)
 		c, _ := s.dial(t)
-		conn, err := s.l.Accept()
+		conn, err := s.listener.Accept()
 		if err != nil {
 			t.Fatal(err)
 		}
 		drained := make(chan struct{})
-		go func() { s.drain(s.l, s.ended); close(drained) }()
-		<-s.l.done // the listener is closed
+		go func() { s.drain(s.listener, s.ended); close(drained) }()
+		<-s.listener.done // the listener is closed
 		steps := []func(){func() { s.ended <- nil }, func() { c.Close(); conn.Close() }}
 		if acceptLast {
 			steps[0], steps[1] = steps[1], steps[0]
 		}
 		for _, step := range steps {
-			time.Sleep(3 * drainPollInterval) // a drain that waits for neither has ended by then
+			time.Sleep(3 * drainPollInterval) // by then a drain that does not wait would have ended
 			select {
 			case <-drained:
 				t.Fatalf("the drain has ended too early, Accept last: %v", acceptLast)
@@ -70,10 +70,10 @@
 	}
 }
 
-// A request that nothing else ends is failed by the drain in time.
-func TestDrainGivesUp(t *testing.T) {
+// The drain fails a request that nothing else ends, early enough for the answer to be read.
+func TestDrainFailsUnansweredRequests(t *testing.T) {
 	t.Parallel()
-	s := newClientSide(t, 9, 9) // its loop does not run: no request ends
+	s := newFrontendOnly(t, 9, 9) // the event loop does not run, so no request ends
 	short := settings()
 	for i := range short.Classes {
 		short.Classes[i].Deadline = 100 * time.Millisecond
@@ -82,16 +82,17 @@
 	s.serve()
 	c, r := s.dial(t)
 	io.WriteString(c, message("order", "9.5", ""))
-	await(t, "request", func() bool { return len(s.loop.events) == 1 })
+	await(t, "the request to be in the queue", func() bool { return len(s.loop.events) == 1 })
 	drained := make(chan struct{})
-	go func() { s.drain(s.l, s.ended); close(drained) }()
-	toEnd(t, r, http.StatusBadGateway)
+	go func() { s.drain(s.listener, s.ended); close(drained) }()
+	readAnswerAndEnd(t, r, http.StatusBadGateway)
 	c.Close()
 	<-drained
 }
 
-// Whatever a client's patience: the node's end does not cut off the answers to those that are open by then.
-func TestUnansweredIsFailedBeforeTheKill(t *testing.T) {
+// A client may wait longer than the drain lasts. The end of the node does not cut off the answers to the requests that are
+// still open then.
+func TestUnansweredIsFailedBeforeSIGKILL(t *testing.T) {
 	t.Parallel()
 	came := make(chan struct{}, 9)
 	addr := backend(t, answering(func(*http.Request, []byte) string { came <- struct{}{}; <-t.Context().Done(); return "" }))
@@ -106,13 +107,13 @@
 	io.WriteString(client, message("order", "9.5", "b"))
 	<-came
 	n.stop()
-	toEnd(t, r, http.StatusBadGateway)
+	readAnswerAndEnd(t, r, http.StatusBadGateway)
 	if err := <-n.ended; err != nil {
 		t.Error(err)
 	}
 }
 
-// A request is answered by the time at which SIGKILL may come, and one with a deadline of 3 s at most by its own.
+// A request is answered before the time at which SIGKILL may come, and one with a deadline of at most 3 s by its own deadline.
 func TestDrainTimes(t *testing.T) {
 	for _, longest := range []time.Duration{100 * time.Millisecond, 3 * time.Second, 10 * time.Second} {
 		unanswered, last := drainTimes([]policy.Class{{Deadline: time.Millisecond}, {Deadline: longest}})
@@ -126,9 +127,9 @@
 	}
 }
 
-// Whatever the descriptors: there are some besides the clients' and servers', and clients may use a third of all for
-// requests, each with an attempt.
-func TestSharedSockets(t *testing.T) {
+// For any number of descriptors some are left besides those for clients and servers. From 256 descriptors on, at least a third
+// as many requests can be served at a time, each with an attempt.
+func TestDivideSockets(t *testing.T) {
 	for sockets := minSockets; sockets <= 4096; sockets++ {
 		clients, servers := divideSockets(sockets)
 		requests := min(int(float64(clients)*softLimitPart), servers)
--- a/internal/node/pipelining_test.go
+++ b/internal/node/pipelining_test.go
@@ -13,8 +13,9 @@
 	"time"
 )
 
-// A client that goes behind bytes that follow its request has been removed: its attempt is called off, and there is no other.
-func TestClientLeftBehindBytes(t *testing.T) {
+// The node notices that a client has left, even if the client has sent more bytes after its request. The attempt is cancelled,
+// and no other one is made.
+func TestClientLeftAfterPipelinedBytes(t *testing.T) {
 	t.Parallel()
 	for name, more := range map[string]string{"a byte": "x", "half a request": message("order", "9", "")[:60],
 		"a request": message("read", "9", ""), "a flood": strings.Repeat(message("read", "9", ""), 1e4)} {
@@ -31,7 +32,7 @@
 					r.ReadByte()
 					removed <- struct{}{}
 				})
-				f := startFront(t, &Config{Settings: settings(), Known: known(addr)})
+				f := startFrontend(t, &Config{Settings: settings(), Known: known(addr)})
 				c, _, _ := f.dial(t)
 				io.WriteString(c, message("read", "9.5", ""))
 				<-came
@@ -41,8 +42,8 @@
 				leave(c, reset)
 				select {
 				case <-removed:
-				case <-time.After(5 * time.Second): // its patience is longer
-					t.Error("the attempt goes on")
+				case <-time.After(5 * time.Second): // the client's timeout is longer
+					t.Error("the attempt is not cancelled")
 				}
 				f.awaitEmpty(t)
 				if len(came) > 0 {
@@ -53,8 +54,8 @@
 	}
 }
 
-// What comes behind a request that is out, in pieces of any size, is kept, and served in its order.
-func TestRequestsBehindARequest(t *testing.T) {
+// Requests that come while another one is in flight, in pieces of any size, are kept and served in order.
+func TestPipelinedRequests(t *testing.T) {
 	t.Parallel()
 	let := make(chan struct{})
 	on := sync.OnceFunc(func() { close(let) })
@@ -65,22 +66,22 @@
 		}
 		return ok(string(body))
 	}))
-	f := startFront(t, &Config{Settings: settings(), Known: known(addr)})
+	f := startFrontend(t, &Config{Settings: settings(), Known: known(addr)})
 	c, r, conn := f.dial(t)
 	bodies := []string{"1", "second", strings.Repeat("third", 1000), "fourth"}
 	io.WriteString(c, message("order", "9.5", bodies[0]))
-	await(t, "the request is out", func() bool { return f.openRequests.Load() == 1 })
-	come := func(piece string) { // each piece has been read before the next one comes
+	await(t, "the request to be in flight", func() bool { return f.openRequests.Load() == 1 })
+	send := func(piece string) { // waits until the piece has been read, before the next one is sent
 		conn.lastReadAt.Store(0)
 		io.WriteString(c, piece)
-		await(t, "bytes are read while a request is out", func() bool { return conn.lastReadAt.Load() != 0 })
+		await(t, "bytes to be read while a request is in flight", func() bool { return conn.lastReadAt.Load() != 0 })
 	}
 	for _, b := range []byte(message("order", "9.5", bodies[1])) {
-		come(string(b))
+		send(string(b))
 	}
 	third := message("order", "9.5", bodies[2])
-	come(third[:len(third)/2])
-	come(third[len(third)/2:])
+	send(third[:len(third)/2])
+	send(third[len(third)/2:])
 	on()
 	io.WriteString(c, message("order", "9.5", bodies[3]))
 	for _, want := range bodies {
@@ -94,22 +95,22 @@
 	}
 }
 
-// A flood behind a request is read but not kept. The request is answered, the connection ends, and nothing of the flood
-// becomes a request.
-func TestFloodBehindARequest(t *testing.T) {
+// A flood of bytes after a request in flight is read but not kept. The request is answered, the connection ends, and no part of
+// the flood is served as a request.
+func TestPipelinedFlood(t *testing.T) {
 	t.Parallel()
 	let, came := make(chan struct{}), make(chan struct{}, 99)
 	on := sync.OnceFunc(func() { close(let) })
 	defer on()
 	addr := backend(t, answering(func(*http.Request, []byte) string { came <- struct{}{}; <-let; return ok("x") }))
-	f := startFront(t, &Config{Settings: settings(), Known: known(addr)})
+	f := startFrontend(t, &Config{Settings: settings(), Known: known(addr)})
 	c, r, conn := f.dial(t)
 	io.WriteString(c, message("read", "9.5", "")+message("read", "9.5", "")[:20])
 	<-came
 	if _, err := io.WriteString(c, strings.Repeat(message("read", "9.5", ""), 1e4)); err != nil {
 		t.Fatal(err)
 	}
-	await(t, "the flood is read", func() bool { return hasNoUnreadData(conn) })
+	await(t, "the flood to be read", func() bool { return hasNoUnreadData(conn) })
 	on()
 	resp, err := http.ReadResponse(r, nil)
 	if err != nil || resp.StatusCode != 200 || !resp.Close {
@@ -120,11 +121,12 @@
 	}
 	f.awaitEmpty(t)
 	if len(came) > 0 {
-		t.Errorf("%d requests out of the flood", len(came))
+		t.Errorf("%d requests of the flood were forwarded", len(came))
 	}
 }
 
-// Once an answer has begun, what comes is the next request, of any size, though the node is not done with this one.
+// Once an answer has begun, bytes that come belong to the next request, which may have any size, although the node is still
+// relaying the answer.
 func TestNextRequestCrossesTheAnswersEnd(t *testing.T) {
 	t.Parallel()
 	let := make(chan struct{})
@@ -147,10 +149,10 @@
 			}
 		}
 	})
-	f := startFront(t, &Config{Settings: settings(), Known: known(addr)})
+	f := startFrontend(t, &Config{Settings: settings(), Known: known(addr)})
 	c, r, conn := f.dial(t)
 	var first *http.Response
-	for first == nil || first.StatusCode == http.StatusServiceUnavailable { // a rejection is harmless, and comes on a busy machine
+	for first == nil || first.StatusCode == http.StatusServiceUnavailable { // on a busy machine the module may reject the request, which is harmless
 		var err error
 		io.WriteString(c, message("read", "9.5", ""))
 		if first, err = http.ReadResponse(r, nil); err != nil {
@@ -165,8 +167,8 @@
 	const length = 4 * maxPipelinedBytes
 	next := make(chan error, 1)
 	go func() { _, err := io.WriteString(c, message("order", "9.5", strings.Repeat("b", length))); next <- err }()
-	await(t, "the next request's bytes are read while the answer is under way", func() bool { return conn.lastReadAt.Load() != 0 })
-	await(t, "more of it has come", func() bool { return !hasNoUnreadData(conn) })
+	await(t, "the next request's bytes to be read while the answer is being relayed", func() bool { return conn.lastReadAt.Load() != 0 })
+	await(t, "more bytes of the next request", func() bool { return !hasNoUnreadData(conn) })
 	on()
 	if rest, err := io.ReadAll(first.Body); len(rest) > 0 || err != nil {
 		t.Fatalf("%q, %v", rest, err)
--- a/internal/node/request_writer_test.go
+++ b/internal/node/request_writer_test.go
@@ -16,25 +16,25 @@
 	"meadowsill/policy"
 )
 
-// stalling dials a backend with so little buffer on the way that a body of maxBufferedBody does not fit into it, and reports when
-// there is none left.
-func stalling(full chan struct{}) func(context.Context, net.Dialer, string) (*upstreamConn, error) {
+// stallingDialer returns a dial function that makes connections with such a small send buffer that a body of maxBufferedBody does
+// not fit into the buffers on the way to the server. It closes full when a write first finds no space.
+func stallingDialer(full chan struct{}) func(context.Context, net.Dialer, string) (*upstreamConn, error) {
 	return func(ctx context.Context, d net.Dialer, addr string) (*upstreamConn, error) {
 		c, err := dialTCP(ctx, d, addr)
 		if err == nil {
 			err = c.SetWriteBuffer(4 << 10)
-			c.raw = toldRaw{c.raw, sync.OnceFunc(func() { close(full) })}
+			c.raw = notifyingRawConn{c.raw, sync.OnceFunc(func() { close(full) })}
 		}
 		return c, err
 	}
 }
 
-type toldRaw struct {
+type notifyingRawConn struct {
 	syscall.RawConn
 	full func()
 }
 
-func (r toldRaw) Write(f func(uintptr) bool) error {
+func (r notifyingRawConn) Write(f func(uintptr) bool) error {
 	return r.RawConn.Write(func(fd uintptr) bool {
 		done := f(fd)
 		if !done {
@@ -44,8 +44,9 @@
 	})
 }
 
-// narrow is a backend with little buffer. It reads once it may, and reports how many requests came complete.
-func narrow(t *testing.T, may <-chan struct{}) (addr string, complete *atomic.Int64, end func()) {
+// smallBufferServer starts a server with a small receive buffer. It reads once mayRead is closed, and counts the requests that come
+// complete. The function end stops it.
+func smallBufferServer(t *testing.T, mayRead <-chan struct{}) (addr string, complete *atomic.Int64, end func()) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -55,7 +56,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	raw.Control(func(fd uintptr) { // before the connections, which take their windows from it
+	raw.Control(func(fd uintptr) { // before any connection is made, as connections take their windows from the listener
 		err = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 8<<10)
 	})
 	if err != nil {
@@ -70,8 +71,8 @@
 			return
 		}
 		defer c.Close()
-		<-may
-		c.SetReadDeadline(time.Now().Add(500 * time.Millisecond)) // the kernels take long to pass on what they hold
+		<-mayRead
+		c.SetReadDeadline(time.Now().Add(500 * time.Millisecond)) // the kernel takes long to pass on the bytes that it holds
 		if req, err := http.ReadRequest(bufio.NewReader(c)); err == nil {
 			if _, err := io.Copy(io.Discard, req.Body); err == nil {
 				complete.Add(1)
@@ -82,8 +83,8 @@
 	return l.Addr().String(), complete, end
 }
 
-// What ends a write that stalls: it is not gone on with, and what was begun never ran.
-func TestStalledWriteIsLetGo(t *testing.T) {
+// A stalled write is abandoned for each reason that may end it. The request, of which a part was written, never ran.
+func TestStalledWriteIsAbandoned(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]struct {
 		change func(*exchange)
@@ -98,10 +99,10 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			may := make(chan struct{})
-			addr, complete, end := narrow(t, may)
+			addr, complete, end := smallBufferServer(t, may)
 			b := newUpstreams(&Config{Settings: settings()}, 10, quiet)
 			full := make(chan struct{})
-			b.dial = stalling(full)
+			b.dial = stallingDialer(full)
 			b.update(known(addr))
 			incarnation, removed := context.WithCancel(t.Context())
 			ctx, off := context.WithCancel(t.Context())
@@ -118,12 +119,12 @@
 			}
 			r := <-got
 			if c.want != policy.ConnectFailed && time.Now().After(x.deadline) {
-				t.Error("it waited until its time was up")
+				t.Error("the write was only abandoned at its deadline")
 			}
 			close(may)
 			end()
 			if r.code != c.want || complete.Load() > 0 {
-				t.Errorf("outcome %v (%v), want %v; %d came whole", r.code, r.err, c.want, complete.Load())
+				t.Errorf("outcome %v (%v), want %v; %d requests came complete", r.code, r.err, c.want, complete.Load())
 			}
 			removed()
 			off()
@@ -131,17 +132,17 @@
 	}
 }
 
-// held is a backend behind dials that wait until the test lets them on, whatever happens to their request meanwhile.
-type held struct {
-	addr   string
-	dialed chan struct{} // one for each dial
-	on     chan struct{}
-	bytes  atomic.Int64 // that came
-	ended  chan struct{}
+// heldDials is a server whose dials wait until the test releases them, whatever happens to their request in the meantime.
+type heldDials struct {
+	addr    string
+	dialed  chan struct{} // one for each dial
+	release chan struct{}
+	bytes   atomic.Int64 // number of bytes that the server received
+	ended   chan struct{}
 }
 
-func hold(t *testing.T) *held {
-	h := &held{dialed: make(chan struct{}, 9), on: make(chan struct{}), ended: make(chan struct{}, 9)}
+func newHeldDials(t *testing.T) *heldDials {
+	h := &heldDials{dialed: make(chan struct{}, 9), release: make(chan struct{}), ended: make(chan struct{}, 9)}
 	h.addr = backend(t, func(c net.Conn) {
 		n, _ := io.Copy(io.Discard, c)
 		h.bytes.Add(n)
@@ -150,14 +151,14 @@
 	return h
 }
 
-func (h *held) dial(ctx context.Context, d net.Dialer, addr string) (*upstreamConn, error) {
+func (h *heldDials) dial(ctx context.Context, d net.Dialer, addr string) (*upstreamConn, error) {
 	h.dialed <- struct{}{}
-	<-h.on
+	<-h.release
 	return dialTCP(context.WithoutCancel(ctx), d, addr)
 }
 
-// looped is a loop with a backend, whose settings give no leave to cancel.
-func looped(t *testing.T, h *held, addrs ...string) (*eventLoop, *upstreams) {
+// startLoop starts an event loop for the given servers, with settings that don't allow the module to cancel attempts.
+func startLoop(t *testing.T, h *heldDials, addrs ...string) (*eventLoop, *upstreams) {
 	set := settings()
 	set.MayCancel = false
 	c := &Config{Settings: set, Known: known(addrs...)}
@@ -173,7 +174,7 @@
 	return l, b
 }
 
-func asked(l *eventLoop, class string) (r *request, removed context.CancelFunc) {
+func newRequest(l *eventLoop, class string) (r *request, removed context.CancelFunc) {
 	rules := l.rules.Load()
 	r = &request{arrived: policy.RequestArrived{ID: "q", Class: class}, deadline: time.Now().Add(patient / 2), method: "POST",
 		class: rules.classes[class], rules: rules, url: &url.URL{Path: "/" + class, Host: "h"}, answer: make(chan answer, 1)}
@@ -182,19 +183,19 @@
 	return r, removed
 }
 
-// in runs f in the loop.
-func in(l *eventLoop, f func()) {
+// runInLoop runs f runInLoop the loop.
+func runInLoop(l *eventLoop, f func()) {
 	done := make(chan struct{})
 	l.post(func() { f(); close(done) })
 	<-done
 }
 
-// settled waits until the loop has forgotten all requests.
-func settled(t *testing.T, l *eventLoop) {
+// awaitNoRequests waits until the event loop holds no request any more.
+func awaitNoRequests(t *testing.T, l *eventLoop) {
 	t.Helper()
 	for end := time.Now().Add(patient); ; time.Sleep(time.Millisecond) {
 		open := 0
-		in(l, func() { open = len(l.requests) })
+		runInLoop(l, func() { open = len(l.requests) })
 		if open == 0 {
 			return
 		}
@@ -204,38 +205,38 @@
 	}
 }
 
-// A request ends while its attempt connects: nothing is written any more and no other attempt is made, though there is
-// no leave to cancel. The event for a client that went may still be on its way to the loop.
-func TestNothingIsBegunAfterTheEnd(t *testing.T) {
+// A request ends while its attempt connects. Nothing is written after that and no other attempt is made, although the settings
+// don't allow attempts to be cancelled. The event for a client that left may still be on its way to the event loop.
+func TestNothingIsWrittenAfterTheEnd(t *testing.T) {
 	t.Parallel()
 	for name, end := range map[string]func(l *eventLoop, r *request, removed context.CancelFunc){
 		"the client goes": func(_ *eventLoop, _ *request, removed context.CancelFunc) { removed() },
 		"the loop hears it": func(l *eventLoop, r *request, removed context.CancelFunc) {
 			removed()
-			in(l, func() { l.abandonRequest(r) })
+			runInLoop(l, func() { l.abandonRequest(r) })
 		},
 		"refused": func(l *eventLoop, r *request, _ context.CancelFunc) {
-			in(l, func() { l.perform(policy.Reject{ID: "q"}) })
+			runInLoop(l, func() { l.perform(policy.Reject{ID: "q"}) })
 			<-r.answer
 		},
 		"failed": func(l *eventLoop, r *request, _ context.CancelFunc) {
-			in(l, func() { l.perform(policy.Fail{ID: "q"}) })
+			runInLoop(l, func() { l.perform(policy.Fail{ID: "q"}) })
 			<-r.answer
 		},
-		"given up on":           func(l *eventLoop, r *request, _ context.CancelFunc) { in(l, func() { l.abandonRequest(r) }) },
+		"given up on":           func(l *eventLoop, r *request, _ context.CancelFunc) { runInLoop(l, func() { l.abandonRequest(r) }) },
 		"the front end answers": func(_ *eventLoop, r *request, _ context.CancelFunc) { r.cancel() },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			h := hold(t)
-			l, b := looped(t, h, h.addr, h.addr)
-			r, removed := asked(l, "read")
-			in(l, func() { l.startRequest(r) })
+			h := newHeldDials(t)
+			l, b := startLoop(t, h, h.addr, h.addr)
+			r, removed := newRequest(l, "read")
+			runInLoop(l, func() { l.startRequest(r) })
 			<-h.dialed
 			end(l, r, removed)
-			close(h.on)
-			settled(t, l)
-			b.update(endpointList{complete: true}) // closes what is idle
+			close(h.release)
+			awaitNoRequests(t, l)
+			b.update(endpointList{complete: true}) // closes the idle connections
 			<-h.ended
 			if n := h.bytes.Load(); n > 0 || len(h.dialed) > 0 {
 				t.Errorf("%d bytes were written after the end; %d more attempts", n, len(h.dialed))
@@ -244,8 +245,8 @@
 	}
 }
 
-// A dial is let go as its request ends: it does not hold a descriptor until the server answers.
-func TestDialIsLetGo(t *testing.T) {
+// A dial ends when its request ends. Otherwise it would hold a descriptor until the server answers.
+func TestDialEndsWithItsRequest(t *testing.T) {
 	t.Parallel()
 	b := newUpstreams(&Config{Settings: settings()}, 10, quiet)
 	b.update(known("127.0.0.1:1"))
@@ -267,23 +268,23 @@
 	}
 }
 
-// A client that went while its request waited for the loop: it is not taken up.
-func TestLeftBeforeTheLoop(t *testing.T) {
+// A request whose client left while it waited for the event loop is not started.
+func TestClientLeftBeforeTheLoop(t *testing.T) {
 	t.Parallel()
-	h := hold(t)
-	close(h.on)
-	l, _ := looped(t, h, h.addr)
-	r, removed := asked(l, "order")
+	h := newHeldDials(t)
+	close(h.release)
+	l, _ := startLoop(t, h, h.addr)
+	r, removed := newRequest(l, "order")
 	removed()
-	in(l, func() { l.startRequest(r) })
-	settled(t, l)
+	runInLoop(l, func() { l.startRequest(r) })
+	awaitNoRequests(t, l)
 	if len(h.dialed) > 0 {
 		t.Error("an attempt was made")
 	}
 }
 
-// The end of a request waits for a piece that is being written: none is written after its answer.
-func TestEndWaitsForThePiece(t *testing.T) {
+// The end of a request waits for a write that is under way, so that nothing is written after the request's answer.
+func TestRequestEndWaitsForAWrite(t *testing.T) {
 	t.Parallel()
 	got := make(chan struct{}, 1)
 	addr := backend(t, answering(func(*http.Request, []byte) string { got <- struct{}{}; return ok("x") }))
@@ -298,7 +299,7 @@
 	r.context, r.cancel = context.WithCancel(t.Context())
 	x := get(patient)
 	x.request, x.writeLock = r.context, &r.writeLock
-	b.mu.Lock() // the writer stops within the piece, where it looks at its host
+	b.mu.Lock() // the writer blocks within the write, where it checks whether its host is closed
 	res := make(chan result, 1)
 	go func() { res <- b.exchangeOn(t.Context(), h, c, x) }()
 	for r.writeLock.TryLock() {
@@ -309,19 +310,20 @@
 	go func() { r.markAnswered(); close(over) }()
 	select {
 	case <-over:
-		t.Error("the request ended within the piece")
-	case <-time.After(20 * time.Millisecond): // how long the wrong order has to show; the right one never shows it
+		t.Error("the request ended during the write")
+	case <-time.After(20 * time.Millisecond): // the time in which a wrong order can show; with the right one this always passes
 	}
 	b.mu.Unlock()
 	<-over
-	<-got // it was written before
+	<-got // the request was written before its end
 	if r := <-res; r.code != policy.OK {
 		t.Errorf("outcome %v (%v)", r.code, r.err)
 	}
 }
 
-// The margin of a window leaves some of it, however short it is, and none of what comes after.
-func TestWriteBy(t *testing.T) {
+// The margin leaves a part of the deduplication window in which to write, however short the window is. Nothing is written after
+// the window.
+func TestIdempotencyDeadline(t *testing.T) {
 	sent := time.Now()
 	for window, want := range map[time.Duration]time.Duration{8 * time.Second: 7900 * time.Millisecond, 200 * time.Millisecond: 100 * time.Millisecond,
 		150 * time.Millisecond: 75 * time.Millisecond, 40 * time.Millisecond: 20 * time.Millisecond, 0: 0} {
@@ -331,7 +333,7 @@
 	}
 }
 
-// An upload's last byte is not written once its window is over or its request has ended.
+// An upload's last byte is not written once its deduplication window or its deadline is over or its request has ended.
 func TestUploadEndsWithItsRequest(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]struct {
@@ -362,7 +364,7 @@
 			reached := make(chan struct{})
 			x := &exchange{request: incarnation, writeLock: new(sync.Mutex), method: "POST", url: &url.URL{Path: "/order", Host: "h"},
 				body: make([]byte, maxBufferedBody), deadline: time.Now().Add(patient)}
-			x.onBodySent = func() { close(reached); c.end(x, removed) } // just before the rest is read
+			x.onBodySent = func() { close(reached); c.end(x, removed) } // called just before the rest of the body is read
 			u := &upload{length: maxBufferedBody + 1, clientTimeout: patient, complete: make(chan struct{}),
 				body: &pacedBody{Reader: lastByte{}, deadline: time.Now(), deadlineSet: time.Now()}}
 			x.upload = u
@@ -375,7 +377,7 @@
 	}
 }
 
-// lastByte gives one byte with the end.
+// lastByte is a reader that returns one byte together with io.EOF.
 type lastByte struct{}
 
 func (lastByte) Read(p []byte) (int, error) { p[0] = 'x'; return 1, io.EOF }
--- a/internal/node/streaming_test.go
+++ b/internal/node/streaming_test.go
@@ -31,7 +31,7 @@
 	return fmt.Sprintf("POST /order HTTP/1.1\r\nHost: h\r\nX-Correlation-Id: long%d\r\nX-Time-Left: 9\r\n%s\r\n\r\n", ids.Add(1), framing)
 }
 
-// A long body gets to the server as it is, in either framing, and so does the connection's next request.
+// A long body reaches the server unchanged, with a length or chunked, and so does the next request on the connection.
 func TestLongBody(t *testing.T) {
 	t.Parallel()
 	for _, length := range []int{maxBufferedBody - 1, maxBufferedBody, maxBufferedBody + 1, 3 << 20} {
@@ -45,7 +45,8 @@
 			return ok(fmt.Sprint(len(b)))
 		}))
 		for _, chunked := range []bool{false, true} {
-			// a node for each: the module may reject a third request, by what the first two took on a busy machine
+			// Each framing has a node of its own: on a busy machine the module may reject a third request because of the
+			// time that the first two took.
 			n := start(t, &Config{Settings: settings(), Known: known(addr)})
 			c, r := n.dial(t)
 			if chunked {
@@ -80,8 +81,8 @@
 	}
 }
 
-// What a client breaks off, or makes too long, does not get to a server whole.
-func TestLongBodyBrokenOff(t *testing.T) {
+// A body that its client breaks off, or that is malformed or too long, does not reach a server as a complete request.
+func TestIncompleteLongBody(t *testing.T) {
 	t.Parallel()
 	var complete, cut atomic.Int64
 	addr := backend(t, func(c net.Conn) {
@@ -122,18 +123,19 @@
 	}
 	for end := time.Now().Add(patient); cut.Load() < 3; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("the server saw %d bodies cut off", cut.Load())
+			t.Fatalf("the server received %d incomplete bodies, want 3", cut.Load())
 		}
 	}
 	if complete.Load() > 0 {
-		t.Errorf("%d got to the server whole", complete.Load())
+		t.Errorf("%d bodies reached the server in full", complete.Load())
 	}
 	if resp, _ := n.ask(t, message("order", "9.5", "")); resp.StatusCode != 200 {
 		t.Errorf("after that: status %d", resp.StatusCode)
 	}
 }
 
-// A long body can be sent once: an attempt that fails within it is not made again, one that fails before it is.
+// A long body can be sent only once. After an attempt that fails within the body there is no other one; after an attempt that
+// fails before the body there is.
 func TestLongBodyIsSentOnce(t *testing.T) {
 	t.Parallel()
 	var served atomic.Int64
@@ -152,7 +154,7 @@
 		if first == dead { // the other server is listed after a failure, so that the first attempt goes to the dead one
 			n.stop()
 			n = start(t, &Config{Settings: set, Known: known(dead, good)})
-			for end := time.Now().Add(patient); served.Load() < 4; { // a rejection is harmless, and comes on a busy machine
+			for end := time.Now().Add(patient); served.Load() < 4; { // on a busy machine the module may reject a request, which is harmless
 				resp, _ := n.ask(t, orderHead(fmt.Sprintf("Content-Length: %d", len(body)))+body)
 				if resp.StatusCode != want && resp.StatusCode != http.StatusServiceUnavailable || time.Now().After(end) {
 					t.Fatalf("with a dead server: status %d, %d served", resp.StatusCode, served.Load())
@@ -163,7 +165,7 @@
 		c, r := n.dial(t)
 		io.WriteString(c, orderHead(fmt.Sprintf("Content-Length: %d", len(body)))+body[:200000])
 		if resp, err := http.ReadResponse(r, nil); err != nil || resp.StatusCode != want || !resp.Close {
-			t.Errorf("turned away within the body: %+v, %v", resp, err)
+			t.Errorf("rejected by the server within the body: %+v, %v", resp, err)
 		}
 	}
 	if served.Load() != 4 {
@@ -171,7 +173,7 @@
 	}
 }
 
-// A long answer gets to the client as it comes, whatever its framing, and it shows if it is incomplete.
+// A long answer is relayed to the client while it comes, whatever its framing, and the client can tell if it is incomplete.
 func TestLongAnswer(t *testing.T) {
 	t.Parallel()
 	const length = 1 << 20
@@ -198,7 +200,7 @@
 				io.WriteString(c, "\r\n")
 			}
 		} else if tcp := c.(*net.TCPConn); strings.HasPrefix(framing, "X") {
-			tcp.SetLinger(0) // a reset, where a close would be the end
+			tcp.SetLinger(0) // a reset, as a plain close would be the proper end of the answer
 		}
 	})
 	for _, framing := range []string{fmt.Sprintf("Content-Length: %d\r\n", length), "Transfer-Encoding: chunked\r\n", "X: close\r\n"} {
@@ -226,7 +228,7 @@
 	}
 }
 
-// A long answer may pause beyond the time in which its beginning was due, however little of it has come.
+// A long answer may pause beyond the request's deadline once it has begun, however little of it has come.
 func TestLongAnswerPauses(t *testing.T) {
 	t.Parallel()
 	begun := make(chan struct{})
@@ -251,7 +253,7 @@
 	}
 }
 
-// An answer that breaks off while it is held is not begun: the request gets another attempt.
+// If an answer breaks off while it is still buffered, nothing of it has reached the client, and the request gets another attempt.
 func TestBufferedAnswerIsRetried(t *testing.T) {
 	t.Parallel()
 	var calls atomic.Int64
@@ -274,7 +276,7 @@
 	}
 }
 
-// Many long answers that nobody reads take little memory each, and their requests end.
+// Many long answers whose clients don't read take little memory each, and are complete once they are read.
 func TestMemoryUnderLongAnswers(t *testing.T) {
 	const count, length = 12, 8 << 20
 	piece := make([]byte, 1<<16)
@@ -300,7 +302,7 @@
 		c, r := n.dial(t)
 		io.WriteString(c, message("read", "9.5", ""))
 		resp, err := http.ReadResponse(r, nil)
-		if err == nil && resp.StatusCode == 503 { // on a busy machine; the deadline of a client ends it
+		if err == nil && resp.StatusCode == 503 { // the module may reject requests on a busy machine; the deadline on the client's connection ends the loop
 			time.Sleep(10 * time.Millisecond)
 			continue
 		}
@@ -319,7 +321,8 @@
 	}
 }
 
-// A request with two ends is seen wherever it begins on its connection; proper ones are not taken for it.
+// A request with both a Content-Length and a Transfer-Encoding is detected wherever it begins on its connection. Proper requests
+// are not taken for one.
 func TestFraming(t *testing.T) {
 	const both = "POST /order HTTP/1.1\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n"
 	proper := "\r\nGET /read HTTP/1.1\r\nHost: h\r\n\r\nPOST /order HTTP/1.1\r\ncontent-length: 90\r\n\r\n" + both + strings.Repeat("b", 90-len(both)) +
@@ -333,14 +336,15 @@
 				f.observe(p[:min(size, len(p))])
 			}
 			if f.ambiguous.Load() != want {
-				t.Errorf("%.60q in pieces of %d: two ends %v", text, size, !want)
+				t.Errorf("%.60q in pieces of %d: ambiguous %v", text, size, !want)
 			}
 		}
 	}
 }
 
-// How long a body may take to begin: until just before a silent peer is owed an end, but never no time at all.
-func TestBodyBy(t *testing.T) {
+// A body may take until just before the 3 s after which the node has to end a silent peer's connection to begin, and always at
+// least bodyStartTimeout.
+func TestBodyDeadline(t *testing.T) {
 	now := time.Now()
 	c := &clientConn{acceptedAt: now}
 	if by := c.bodyDeadline().Sub(now); by < 2*time.Second || by >= 3*time.Second {
@@ -355,7 +359,7 @@
 	}
 }
 
-// The end of a context ends an upload that waits for its client.
+// An upload that waits for its client ends when the client closes its side during a drain.
 func TestUploadIsInterrupted(t *testing.T) {
 	t.Parallel()
 	addr := backend(t, func(c net.Conn) { io.Copy(io.Discard, c) })
@@ -364,7 +368,7 @@
 	io.WriteString(c, orderHead("Content-Length: 1000000")+strings.Repeat("b", 200000))
 	time.Sleep(10 * time.Millisecond)
 	n.stop()
-	c.(*net.TCPConn).CloseWrite() // the client goes in the middle
+	c.(*net.TCPConn).CloseWrite() // the client closes its side within the body
 	resp, err := http.ReadResponse(r, nil)
 	if err == nil && resp.StatusCode == 200 {
 		t.Errorf("%+v", resp)
--- a/internal/node/upstreams_test.go
+++ b/internal/node/upstreams_test.go
@@ -16,8 +16,8 @@
 	"meadowsill/policy"
 )
 
-// What comes back from a backend, and what the module may make of it: a non-idempotent request is rejected only if it
-// has never run.
+// The outcome for each kind of answer from a server, and the status that the client gets: a non-idempotent request is rejected
+// with 503 only if it has never run.
 func TestOutcomes(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]struct {
@@ -68,8 +68,8 @@
 	return &exchange{method: "GET", url: &url.URL{Path: "/read", Host: "h"}, deadline: time.Now().Add(wait)}
 }
 
-// A request on a connection that breaks goes out once: a library's own second try would be an attempt that the
-// module knows nothing of.
+// A request on a connection that breaks is sent once. If the HTTP library retried it, the module would not know of that
+// attempt.
 func TestNoHiddenResend(t *testing.T) {
 	t.Parallel()
 	var got atomic.Int64
@@ -93,11 +93,11 @@
 		}
 	}
 	if got.Load() != 2 {
-		t.Errorf("the backend got %d requests, want 2", got.Load())
+		t.Errorf("the server received %d requests, want 2", got.Load())
 	}
 }
 
-// A connection that the backend has closed while it was idle is not written to.
+// No request is written to a connection that the server has closed while it was idle.
 func TestIdleClosedByBackend(t *testing.T) {
 	t.Parallel()
 	closed := make(chan struct{}, 9)
@@ -117,16 +117,16 @@
 	}
 }
 
-// A server that never answers does not hold up a client: its answer comes by the client's patience, and it is a rejection
-// only where a new try does no harm: the request was not sent, or its class is safe to repeat.
+// A client of a server that never answers gets its answer by the end of its own timeout. The answer is a rejection only if a
+// retry does no harm: the request was not sent, or its class is safe to repeat.
 func TestSilentBackend(t *testing.T) {
 	t.Parallel()
 	for class, whenSent := range map[string]int{"read": 503, "tag": 502, "order": 502} {
 		t.Run(class, func(t *testing.T) {
 			t.Parallel()
-			// On a busy machine the request may not be written within its patience, or the module may be later than
-			// overdue and the front end answers by itself. Then once more, until a request has been sent and answered
-			// in time. Each attempt has a node of its own: a third failure would eject the server
+			// On a busy machine the request may not be written within its timeout, or the module may be so late that the
+			// frontend answers the overdue request by itself. The test then tries again, until a request has been sent and
+			// answered in time. Each try has a node of its own: a third failure in a row would eject the server
 			// (TestEjectedServerGetsNoNonIdempotentRequest).
 			for end := time.Now().Add(patient); time.Now().Before(end); {
 				status, received := askSilentBackend(t, class)
@@ -147,9 +147,9 @@
 	}
 }
 
-// askSilentBackend asks a new node whose only server says nothing, and gives the status and how many requests that server
-// received. The server accepts nothing until the node has ended: the kernel keeps what it has been sent, in the order in
-// which its connections were made.
+// askSilentBackend sends a request to a new node whose only server never answers. It returns the status of the node's answer and
+// how many requests the server received. The server accepts no connection until the node has ended: the kernel keeps the bytes
+// that were sent to it, and queues the connections in the order in which they were made.
 func askSilentBackend(t *testing.T, class string) (status, received int) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -183,11 +183,12 @@
 	}
 }
 
-// A non-idempotent request is never a trial of an ejected server: with no other server it is rejected without having been sent.
+// A non-idempotent request is never used as a trial request for an ejected server. If there is no other server it is rejected
+// without having been sent.
 func TestEjectedServerGetsNoNonIdempotentRequest(t *testing.T) {
 	t.Parallel()
 	var received atomic.Int64
-	addr := backend(t, func(conn net.Conn) { // it closes each connection at its first request
+	addr := backend(t, func(conn net.Conn) { // the server closes each connection at its first request
 		if _, err := http.ReadRequest(bufio.NewReader(conn)); err == nil {
 			received.Add(1)
 		}
@@ -206,8 +207,8 @@
 	}
 }
 
-// After connecting, what has changed in the meantime counts: nothing is written.
-func TestLookAgainBeforeWriting(t *testing.T) {
+// A change that comes while an attempt connects still counts: nothing is written.
+func TestChecksAgainBeforeWriting(t *testing.T) {
 	t.Parallel()
 	var got atomic.Int64
 	addr := backend(t, answering(func(*http.Request, []byte) string { got.Add(1); return ok("x") }))
@@ -255,12 +256,12 @@
 		}
 	}
 	if got.Load() > 0 {
-		t.Errorf("the backend got %d requests", got.Load())
+		t.Errorf("the server received %d requests", got.Load())
 	}
 }
 
-// A rejected connection never ran, and the bound on connections is kept, by closing idle ones first.
-func TestConnecting(t *testing.T) {
+// An attempt whose connection is refused never ran. The limit on connections is kept, by closing idle ones first.
+func TestConnect(t *testing.T) {
 	t.Parallel()
 	addr := backend(t, answering(func(*http.Request, []byte) string { return ok("x") }))
 	other := backend(t, answering(func(*http.Request, []byte) string { return ok("x") }))
@@ -273,7 +274,7 @@
 	b.update(known(addr, other, rejected.LocalAddr().String()))
 	for i, want := range map[policy.ServerID]policy.OutcomeCode{1: policy.OK, 2: policy.OK, 3: policy.ConnectFailed, 4: policy.ConnectFailed} {
 		if r := b.roundTrip(t.Context(), b.host(i), get(patient)); r.code != want {
-			t.Errorf("backend %d: %v (%v)", i, r.code, r.err)
+			t.Errorf("server %d: %v (%v)", i, r.code, r.err)
 		}
 	}
 	held, err := b.connect(t.Context(), b.host(1), time.Now().Add(patient))
@@ -281,7 +282,7 @@
 		t.Fatal(err)
 	}
 	if r := b.roundTrip(t.Context(), b.host(2), get(patient)); r.code != policy.ConnectFailed {
-		t.Errorf("beyond the bound: %v", r.code)
+		t.Errorf("above the limit on connections: %v", r.code)
 	}
 	b.release(b.host(1), held, true)
 	b.closeIdle(1)
@@ -290,12 +291,12 @@
 	}
 }
 
-// A backend that let an attempt time out in silence may have been cut off: its idle connections are not used
-// again. One that has answered in the meantime keeps them.
+// A server from which nothing came until an attempt timed out may have been cut off from the network, so its idle connections
+// are closed. If it has answered another request in the meantime, they are kept.
 func TestSilenceClosesIdle(t *testing.T) {
 	t.Parallel()
 	addr := backend(t, func(c net.Conn) { io.Copy(io.Discard, c) })
-	for heard, want := range map[bool]int{false: 0, true: 1} {
+	for answered, want := range map[bool]int{false: 0, true: 1} {
 		b := newUpstreams(&Config{Settings: settings()}, 10, quiet)
 		b.update(known(addr))
 		h := b.host(1)
@@ -309,14 +310,14 @@
 		for _, c := range conns {
 			b.release(h, c, true)
 		}
-		if heard {
+		if answered {
 			h.lastAnswerAt = time.Now().Add(patient)
 		}
 		if r := b.roundTrip(t.Context(), h, get(time.Second)); r.code != policy.TimedOut {
 			t.Errorf("outcome %v (%v)", r.code, r.err)
 		}
 		if len(h.idle) != want {
-			t.Errorf("heard of it: %v; %d idle connections kept, want %d", heard, len(h.idle), want)
+			t.Errorf("answered in the meantime: %v; %d idle connections kept, want %d", answered, len(h.idle), want)
 		}
 		b.update(endpointList{complete: true})
 	}
