--- a/internal/node/actions_test.go
+++ b/internal/node/actions_test.go
@@ -71,7 +71,7 @@
 	defer running.Wait()
 	defer cancel()
 
-	perform := func(a policy.Action) { l.post(func() { l.perform(a) }) }
+	performAction := func(a policy.Action) { l.post(func() { l.perform(a) }) }
 	expect := func(want string) {
 		t.Helper()
 		end := time.After(patient)
@@ -86,26 +86,26 @@
 			}
 		}
 	}
-	perform(policy.HealthCheck{Server: 1})
+	performAction(policy.HealthCheck{Server: 1})
 	expect("/stats")
 	for idle := false; !idle; time.Sleep(time.Millisecond) {
 		b.mu.Lock()
 		idle = len(b.hosts[1].idle) > 0
 		b.mu.Unlock()
 	}
-	perform(policy.CloseIdleConnections{Server: 1})
+	performAction(policy.CloseIdleConnections{Server: 1})
 	expect("closed")
-	perform(policy.FetchEndpoints{})
+	performAction(policy.FetchEndpoints{})
 	expect("list since ")
-	perform(policy.Subscribe{On: true})
+	performAction(policy.Subscribe{On: true})
 	expect("list since 1")
 	expect("list since 1")
-	perform(policy.Subscribe{On: false})
-	perform(policy.SendMessage{To: 1, Data: []byte("one")})
-	perform(policy.SendMessage{ToAll: true, Data: []byte("all")})
-	perform(policy.SendMessage{To: 1, Data: make([]byte, maxDatagramBytes+1)})
-	perform(policy.SendMessage{To: 9})
-	perform(policy.Log{Line: "line"})
+	performAction(policy.Subscribe{On: false})
+	performAction(policy.SendMessage{To: 1, Data: []byte("one")})
+	performAction(policy.SendMessage{ToAll: true, Data: []byte("all")})
+	performAction(policy.SendMessage{To: 1, Data: make([]byte, maxDatagramBytes+1)})
+	performAction(policy.SendMessage{To: 9})
+	performAction(policy.Log{Line: "line"})
 	buf := make([]byte, 999)
 	other.SetReadDeadline(time.Now().Add(patient))
 	for _, want := range []string{"one", "all"} {
@@ -123,15 +123,15 @@
 	r.context, r.cancel = context.WithCancel(t.Context())
 	l.post(func() { l.startRequest(r) })
 	expect("/order")
-	perform(policy.CancelAttempt{ID: "q", Attempt: 0})
-	perform(policy.CancelAttempt{ID: "q", Attempt: 7})
+	performAction(policy.CancelAttempt{ID: "q", Attempt: 0})
+	performAction(policy.CancelAttempt{ID: "q", Attempt: 7})
 	<-stopped
 	if a := <-r.answer; a.status != http.StatusBadGateway {
 		t.Errorf("status %d: a cancelled attempt may have run", a.status)
 	}
-	perform(policy.Forward{ID: "q", Server: 1}) // the request is over: the attempt ends with NotSent, and nothing is sent
-	perform(policy.Reject{ID: "q"})
-	perform(policy.Fail{ID: "nobody"})
+	performAction(policy.Forward{ID: "q", Server: 1}) // the request is over: the attempt ends with NotSent, and nothing is sent
+	performAction(policy.Reject{ID: "q"})
+	performAction(policy.Fail{ID: "nobody"})
 	fired := make(chan struct{})
 	l.post(func() { l.perform(policy.SetTimer{After: time.Millisecond, Token: 9}); close(fired) })
 	<-fired
--- a/internal/node/client_left_test.go
+++ b/internal/node/client_left_test.go
@@ -24,7 +24,7 @@
 	t.Parallel()
 	// the client's timeout is longer than the test's
 	long := strings.Replace(orderHead("Content-Length: 80000"), "X-Time-Left: 9\r\n", "X-Time-Left: 90\r\n", 1)
-	for name, text := range map[string]string{"short": message("order", "90", "b"), "bytes behind": message("order", "90", "b") + "x",
+	for name, text := range map[string]string{"short": message("order", "90", "b"), "bytes after it": message("order", "90", "b") + "x",
 		"long": long + strings.Repeat("b", 80000), "the most of a long one": long + strings.Repeat("b", 70000)} {
 		for _, reset := range []bool{false, true} {
 			t.Run(name, func(t *testing.T) {
@@ -58,10 +58,10 @@
 	t.Parallel()
 	for _, more := range []string{"", "x"} {
 		for _, reset := range []bool{false, true} {
-			came := make(chan struct{}, 9)
+			received := make(chan struct{}, 9)
 			addr := backend(t, func(c net.Conn) {
 				http.ReadRequest(bufio.NewReader(c))
-				came <- struct{}{}
+				received <- struct{}{}
 				io.Copy(io.Discard, c)
 			})
 			c := &Config{Settings: settings(), Known: known(addr)}
@@ -69,23 +69,23 @@
 			f := startFrontend(t, c)
 			client, _, _ := f.dial(t)
 			io.WriteString(client, message("read", "9.5", ""))
-			<-came
-			incarnations := make(chan context.Context, 1)
+			<-received
+			requestCtxs := make(chan context.Context, 1)
 			f.loop.post(func() {
 				for _, r := range f.loop.requests {
-					incarnations <- r.context
+					requestCtxs <- r.context
 				}
 			})
-			incarnation := <-incarnations
-			let := f.hold()
+			requestCtx := <-requestCtxs
+			release := f.hold()
 			io.WriteString(client, more)
 			leave(client, reset)
 			select {
-			case <-incarnation.Done():
+			case <-requestCtx.Done():
 			case <-time.After(5 * time.Second): // the client's timeout is longer
 				t.Errorf("%q before the end, reset %v: the request's context has not ended", more, reset)
 			}
-			let()
+			release()
 		}
 	}
 }
@@ -93,29 +93,29 @@
 // If the event loop's queue is full, a request waits for a place in it no longer than its client waits for the answer.
 func TestQueueFull(t *testing.T) {
 	t.Parallel()
-	var came atomic.Int64
-	addr := backend(t, answering(func(*http.Request, []byte) string { came.Add(1); return ok("x") }))
+	var received atomic.Int64
+	addr := backend(t, answering(func(*http.Request, []byte) string { received.Add(1); return ok("x") }))
 	f := startFrontend(t, &Config{Settings: settings(), Known: known(addr)})
-	let := f.hold()
-	defer let()
+	release := f.hold()
+	defer release()
 	for range cap(f.loop.events) {
 		f.loop.post(func() {})
 	}
-	removed, _, _ := f.dial(t)
-	io.WriteString(removed, message("order", "9.5", "b"))
+	client, _, _ := f.dial(t)
+	io.WriteString(client, message("order", "9.5", "b"))
 	await(t, "the request to be read", func() bool { return f.openRequests.Load() == 1 })
-	removed.Close()
+	client.Close()
 	await(t, "the request to end with its client", func() bool { return f.openRequests.Load() == 0 })
 	stays, r, _ := f.dial(t)
 	io.WriteString(stays, message("order", "0.05", "b"))
 	if resp, err := http.ReadResponse(r, nil); err != nil || resp.StatusCode < 500 {
 		t.Errorf("%+v, %v; want an error by the client's deadline", resp, err)
 	}
-	let()
+	release()
 	other, r, _ := f.dial(t)
 	io.WriteString(other, message("order", "9.5", "other"))
-	if resp, err := http.ReadResponse(r, nil); err != nil || resp.StatusCode != 200 || came.Load() != 1 {
-		t.Errorf("%+v, %v; %d requests were sent on, want the other client's", resp, err, came.Load())
+	if resp, err := http.ReadResponse(r, nil); err != nil || resp.StatusCode != 200 || received.Load() != 1 {
+		t.Errorf("%+v, %v; %d requests were sent on, want the other client's", resp, err, received.Load())
 	}
 }
 
@@ -218,8 +218,8 @@
 		cut <- err
 	})
 	f := startFrontend(t, &Config{Settings: settings(), Known: known(addr)})
-	let := f.hold()
-	defer let()
+	release := f.hold()
+	defer release()
 	c, _, conn := f.dial(t)
 	c.SetWriteBuffer(2 * length)
 	if _, err := io.WriteString(c, orderHead(fmt.Sprintf("Content-Length: %d", length))+strings.Repeat("b", length)); err != nil {
@@ -230,7 +230,7 @@
 	if conn.clientLeft() {
 		t.Fatal("the node sees the client's end before it has read the body")
 	}
-	let()
+	release()
 	if err := <-cut; err == nil {
 		t.Error("the app server has the whole request")
 	}
--- a/internal/node/connection_ends_test.go
+++ b/internal/node/connection_ends_test.go
@@ -30,32 +30,32 @@
 		end   int
 		code  policy.OutcomeCode
 	}{
-		"reset":                                {"", reset, policy.Reset},
-		"closed":                               {"", fin, policy.Reset},
-		"silent":                               {"", stayOpen, policy.TimedOut},
-		"half a status line, reset":            {"HTTP/1.1 20", reset, policy.Reset},
-		"half a status line, closed":           {"HTTP/1.1 20", fin, policy.Reset},
-		"half a status line":                   {"HTTP/1.1 20", stayOpen, policy.Reset},
-		"malformed":                            {"HTTP/1.1 abc\r\n\r\n", stayOpen, policy.Reset},
-		"interim, then nothing":                {"HTTP/1.1 103 Early Hints\r\n\r\n", stayOpen, policy.TimedOut},
-		"interim, then closed":                 {"HTTP/1.1 100 Continue\r\n\r\n", fin, policy.Reset},
-		"interim, then reset":                  {"HTTP/1.1 100 Continue\r\n\r\n", reset, policy.Reset},
-		"head, then nothing":                   {"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n", stayOpen, policy.TimedOut},
-		"body breaks off":                      {"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nx", fin, policy.Reset},
-		"wrong chunk":                          {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\nx", stayOpen, policy.Reset},
-		"no last chunk":                        {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nx\r\n", fin, policy.Reset},
-		"no length, reset":                     {"HTTP/1.1 200 OK\r\n\r\nx", reset, policy.Reset},
-		"no length, closed":                    {"HTTP/1.1 200 OK\r\n\r\nx", fin, policy.OK},
-		"turned away, too long with its head":  {long, fin, policy.Reset},
-		"turned away":                          {"HTTP/1.1 503 No\r\nX-Unprocessed: 1\r\nContent-Length: 1\r\n\r\nx", fin, policy.Rejected},
-		"turned away, closed":                  {"HTTP/1.1 503 No\r\nX-Unprocessed: 1\r\n\r\nx", fin, policy.Rejected},
-		"turned away, no length, reset":        {"HTTP/1.1 503 No\r\nX-Unprocessed: 1\r\n\r\nx", reset, policy.Reset},
-		"turned away, body breaks off":         {"HTTP/1.1 503 No\r\nX-Unprocessed: 1\r\nContent-Length: 2\r\n\r\nx", fin, policy.Reset},
-		"turned away, body does not end":       {"HTTP/1.1 503 No\r\nX-Unprocessed: 1\r\nContent-Length: 2\r\n\r\nx", stayOpen, policy.TimedOut},
-		"turned away, wrong chunk":             {"HTTP/1.1 504 No\r\nX-Unprocessed: 1\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n", stayOpen, policy.Reset},
-		"turned away, head breaks off":         {"HTTP/1.1 503 No\r\nX-Unprocessed: 1\r\n", fin, policy.Reset},
-		"turned away, another mark":            {"HTTP/1.1 503 No\r\nX-Unprocessed: 0\r\nContent-Length: 0\r\n\r\n", fin, policy.ServerError},
-		"turned away, but with another status": {"HTTP/1.1 502 No\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", fin, policy.ServerError},
+		"reset":                      {"", reset, policy.Reset},
+		"closed":                     {"", fin, policy.Reset},
+		"silent":                     {"", stayOpen, policy.TimedOut},
+		"half a status line, reset":  {"HTTP/1.1 20", reset, policy.Reset},
+		"half a status line, closed": {"HTTP/1.1 20", fin, policy.Reset},
+		"half a status line":         {"HTTP/1.1 20", stayOpen, policy.Reset},
+		"malformed":                  {"HTTP/1.1 abc\r\n\r\n", stayOpen, policy.Reset},
+		"interim, then nothing":      {"HTTP/1.1 103 Early Hints\r\n\r\n", stayOpen, policy.TimedOut},
+		"interim, then closed":       {"HTTP/1.1 100 Continue\r\n\r\n", fin, policy.Reset},
+		"interim, then reset":        {"HTTP/1.1 100 Continue\r\n\r\n", reset, policy.Reset},
+		"head, then nothing":         {"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n", stayOpen, policy.TimedOut},
+		"body breaks off":            {"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nx", fin, policy.Reset},
+		"wrong chunk":                {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\nx", stayOpen, policy.Reset},
+		"no last chunk":              {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nx\r\n", fin, policy.Reset},
+		"no length, reset":           {"HTTP/1.1 200 OK\r\n\r\nx", reset, policy.Reset},
+		"no length, closed":          {"HTTP/1.1 200 OK\r\n\r\nx", fin, policy.OK},
+		"marked as rejected, too long with its head": {long, fin, policy.Reset},
+		"marked as rejected":                         {"HTTP/1.1 503 No\r\nX-Unprocessed: 1\r\nContent-Length: 1\r\n\r\nx", fin, policy.Rejected},
+		"marked as rejected, closed":                 {"HTTP/1.1 503 No\r\nX-Unprocessed: 1\r\n\r\nx", fin, policy.Rejected},
+		"marked as rejected, no length, reset":       {"HTTP/1.1 503 No\r\nX-Unprocessed: 1\r\n\r\nx", reset, policy.Reset},
+		"marked as rejected, body breaks off":        {"HTTP/1.1 503 No\r\nX-Unprocessed: 1\r\nContent-Length: 2\r\n\r\nx", fin, policy.Reset},
+		"marked as rejected, body does not end":      {"HTTP/1.1 503 No\r\nX-Unprocessed: 1\r\nContent-Length: 2\r\n\r\nx", stayOpen, policy.TimedOut},
+		"marked as rejected, wrong chunk":            {"HTTP/1.1 504 No\r\nX-Unprocessed: 1\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n", stayOpen, policy.Reset},
+		"marked as rejected, head breaks off":        {"HTTP/1.1 503 No\r\nX-Unprocessed: 1\r\n", fin, policy.Reset},
+		"marked otherwise, rejected status":          {"HTTP/1.1 503 No\r\nX-Unprocessed: 0\r\nContent-Length: 0\r\n\r\n", fin, policy.ServerError},
+		"marked as rejected, other status":           {"HTTP/1.1 502 No\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", fin, policy.ServerError},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -125,14 +125,14 @@
 // end with an error, and not as if it were complete.
 func TestResetAsAnAnswerIsBegun(t *testing.T) {
 	t.Parallel()
-	begun, removed := make(chan struct{}), make(chan struct{})
+	begun, reset := make(chan struct{}), make(chan struct{})
 	addr := backend(t, func(c net.Conn) {
 		http.ReadRequest(bufio.NewReader(c))
 		io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\nbegun")
 		<-begun
 		c.(*net.TCPConn).SetLinger(0)
 		c.Close()
-		close(removed)
+		close(reset)
 	})
 	b := newUpstreams(&Config{Settings: settings()}, 10, quiet)
 	b.update(known(addr))
@@ -140,7 +140,7 @@
 	ended := make(chan error, 1)
 	x.onStream = func(_ *http.Response, held []byte, rest *io.PipeReader) {
 		close(begun)
-		<-removed
+		<-reset
 		go func() {
 			more, err := io.ReadAll(rest)
 			if string(held)+string(more) != "begun" {
@@ -195,7 +195,7 @@
 
 // The most recently used of the connections that have been idle for minIdleReuseTime is taken first. Connections on which an
 // answer has ended just now come last, the longest idle one first.
-func TestRestedConnectionsGoFirst(t *testing.T) {
+func TestTakeIdleOrder(t *testing.T) {
 	now := time.Now()
 	old, rested := &upstreamConn{idleSince: now.Add(-2 * time.Hour)}, &upstreamConn{idleSince: now.Add(-time.Hour)}
 	young, youngest := &upstreamConn{idleSince: now.Add(time.Hour)}, &upstreamConn{idleSince: now.Add(2 * time.Hour)}
@@ -212,7 +212,7 @@
 func TestAnswerWithoutBodyEndsConnection(t *testing.T) {
 	t.Parallel()
 	for _, status := range []string{"101 Switching Protocols", "204 No Content", "304 Not Modified"} {
-		let := make(chan struct{})
+		done := make(chan struct{})
 		addr := backend(t, func(c net.Conn) {
 			r := bufio.NewReader(c)
 			http.ReadRequest(r)
@@ -220,7 +220,7 @@
 			if _, err := http.ReadRequest(r); err == nil { // the late body, which the node would take for the next answer
 				io.WriteString(c, ok("another's"))
 			}
-			close(let)
+			close(done)
 		})
 		b := newUpstreams(&Config{Settings: settings()}, 10, quiet)
 		b.update(known(addr))
@@ -228,6 +228,6 @@
 			t.Errorf("%s: outcome %v (%v), %d connections kept", status, r.code, r.err, len(b.host(1).idle))
 		}
 		b.update(endpointList{complete: true})
-		<-let
+		<-done
 	}
 }
--- a/internal/node/dawdling_clients_test.go
+++ b/internal/node/dawdling_clients_test.go
@@ -17,8 +17,8 @@
 	t.Parallel()
 	complete, long := message("order", "9.5", "b"), orderHead("Content-Length: 1000000")
 	for name, text := range map[string]string{"nothing": "", "half a head": complete[:40], "half a body": complete[:len(complete)-1],
-		"much that is no request": strings.Repeat("\x16\x03", 1<<19), "a head without an end": "GET /read HTTP/1.1\r\nX: " + strings.Repeat("x", 1<<20),
-		"much of a long body": long + strings.Repeat(complete, 2000), "a chunk without an end": orderHead("Transfer-Encoding: chunked") + "fffff\r\n" + strings.Repeat("b", 1<<17),
+		"a megabyte of garbage": strings.Repeat("\x16\x03", 1<<19), "a head without an end": "GET /read HTTP/1.1\r\nX: " + strings.Repeat("x", 1<<20),
+		"a part of a long body": long + strings.Repeat(complete, 2000), "a chunk without an end": orderHead("Transfer-Encoding: chunked") + "fffff\r\n" + strings.Repeat("b", 1<<17),
 		"a bad request and proper ones": "GET /read HTTP/1.1\r\n\r\n" + strings.Repeat(complete, 1000)} {
 		for _, reset := range []bool{false, true} {
 			t.Run(name, func(t *testing.T) {
--- a/internal/node/drain_test.go
+++ b/internal/node/drain_test.go
@@ -19,12 +19,12 @@
 // each connection with its answer, and then ends.
 func TestDrain(t *testing.T) {
 	t.Parallel()
-	came, let := make(chan struct{}, 9), make(chan struct{})
-	addr := backend(t, answering(func(*http.Request, []byte) string { came <- struct{}{}; <-let; return ok("x") }))
+	received, release := make(chan struct{}, 9), make(chan struct{})
+	addr := backend(t, answering(func(*http.Request, []byte) string { received <- struct{}{}; <-release; return ok("x") }))
 	n := start(t, &Config{Settings: settings(), Known: known(addr)})
 	held := make(chan *http.Response)
 	go func() { resp, _ := n.ask(t, message("order", "9.5", "b")); held <- resp }()
-	<-came
+	<-received
 	idle, err := net.Dial("tcp", n.addr)
 	if err != nil {
 		t.Fatal(err)
@@ -40,8 +40,8 @@
 	}
 	late := make(chan *http.Response)
 	go func() { resp, _ := n.ask(t, message("read", "9.5", "")); late <- resp }()
-	<-came
-	close(let)
+	<-received
+	close(release)
 	for _, c := range []chan *http.Response{held, late} {
 		if resp := <-c; resp.StatusCode != 200 || !resp.Close {
 			t.Errorf("status %d, closes: %v", resp.StatusCode, resp.Close)
@@ -107,8 +107,8 @@
 // At its limits a node rejects requests at once, and each connection that it has accepted gets an answer.
 func TestBounds(t *testing.T) {
 	t.Parallel()
-	let := make(chan struct{})
-	addr := backend(t, answering(func(*http.Request, []byte) string { <-let; return ok("x") }))
+	release := make(chan struct{})
+	addr := backend(t, answering(func(*http.Request, []byte) string { <-release; return ok("x") }))
 	c := &Config{Settings: settings(), Known: known(addr), Limits: Limits{Cores: 1, MemoryMB: 192, Sockets: minSockets}}
 	c.Settings.MaxOpenRequests = 1
 	n := start(t, c)
@@ -126,7 +126,7 @@
 	for range cap(statuses) - 1 {
 		count[<-statuses]++
 	}
-	close(let)
+	close(release)
 	count[<-statuses]++
 	if count[503] != cap(statuses)-1 || count[200] != 1 {
 		t.Errorf("statuses %v", count)
--- a/internal/node/listener_close_test.go
+++ b/internal/node/listener_close_test.go
@@ -82,7 +82,7 @@
 	s.serve()
 	c, r := s.dial(t)
 	io.WriteString(c, message("order", "9.5", ""))
-	await(t, "the request to be in the queue", func() bool { return len(s.loop.events) == 1 })
+	await(t, "request", func() bool { return len(s.loop.events) == 1 })
 	drained := make(chan struct{})
 	go func() { s.drain(s.listener, s.ended); close(drained) }()
 	readAnswerAndEnd(t, r, http.StatusBadGateway)
--- a/internal/node/pipelining_test.go
+++ b/internal/node/pipelining_test.go
@@ -22,31 +22,31 @@
 		for _, reset := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%s, reset %v", name, reset), func(t *testing.T) {
 				t.Parallel()
-				came, removed := make(chan struct{}, 9), make(chan struct{}, 9)
+				received, ended := make(chan struct{}, 9), make(chan struct{}, 9)
 				addr := backend(t, func(c net.Conn) {
 					r := bufio.NewReader(c)
 					if _, err := http.ReadRequest(r); err != nil {
 						return
 					}
-					came <- struct{}{}
+					received <- struct{}{}
 					r.ReadByte()
-					removed <- struct{}{}
+					ended <- struct{}{}
 				})
 				f := startFrontend(t, &Config{Settings: settings(), Known: known(addr)})
 				c, _, _ := f.dial(t)
 				io.WriteString(c, message("read", "9.5", ""))
-				<-came
+				<-received
 				if _, err := io.WriteString(c, more); err != nil {
 					t.Fatal(err)
 				}
 				leave(c, reset)
 				select {
-				case <-removed:
+				case <-ended:
 				case <-time.After(5 * time.Second): // the client's timeout is longer
 					t.Error("the attempt is not cancelled")
 				}
 				f.awaitEmpty(t)
-				if len(came) > 0 {
+				if len(received) > 0 {
 					t.Error("another attempt is made")
 				}
 			})
@@ -57,12 +57,12 @@
 // Requests that come while another one is in flight, in pieces of any size, are kept and served in order.
 func TestPipelinedRequests(t *testing.T) {
 	t.Parallel()
-	let := make(chan struct{})
-	on := sync.OnceFunc(func() { close(let) })
-	defer on()
+	released := make(chan struct{})
+	release := sync.OnceFunc(func() { close(released) })
+	defer release()
 	addr := backend(t, answering(func(r *http.Request, body []byte) string {
 		if len(body) == 1 {
-			<-let
+			<-released
 		}
 		return ok(string(body))
 	}))
@@ -82,7 +82,7 @@
 	third := message("order", "9.5", bodies[2])
 	send(third[:len(third)/2])
 	send(third[len(third)/2:])
-	on()
+	release()
 	io.WriteString(c, message("order", "9.5", bodies[3]))
 	for _, want := range bodies {
 		resp, err := http.ReadResponse(r, nil)
@@ -99,19 +99,19 @@
 // the flood is served as a request.
 func TestPipelinedFlood(t *testing.T) {
 	t.Parallel()
-	let, came := make(chan struct{}), make(chan struct{}, 99)
-	on := sync.OnceFunc(func() { close(let) })
-	defer on()
-	addr := backend(t, answering(func(*http.Request, []byte) string { came <- struct{}{}; <-let; return ok("x") }))
+	released, received := make(chan struct{}), make(chan struct{}, 99)
+	release := sync.OnceFunc(func() { close(released) })
+	defer release()
+	addr := backend(t, answering(func(*http.Request, []byte) string { received <- struct{}{}; <-released; return ok("x") }))
 	f := startFrontend(t, &Config{Settings: settings(), Known: known(addr)})
 	c, r, conn := f.dial(t)
 	io.WriteString(c, message("read", "9.5", "")+message("read", "9.5", "")[:20])
-	<-came
+	<-received
 	if _, err := io.WriteString(c, strings.Repeat(message("read", "9.5", ""), 1e4)); err != nil {
 		t.Fatal(err)
 	}
 	await(t, "the flood to be read", func() bool { return hasNoUnreadData(conn) })
-	on()
+	release()
 	resp, err := http.ReadResponse(r, nil)
 	if err != nil || resp.StatusCode != 200 || !resp.Close {
 		t.Fatalf("%+v, %v", resp, err)
@@ -120,8 +120,8 @@
 		t.Errorf("%q, %v, want the answer and the end", body, err)
 	}
 	f.awaitEmpty(t)
-	if len(came) > 0 {
-		t.Errorf("%d requests of the flood were forwarded", len(came))
+	if len(received) > 0 {
+		t.Errorf("%d requests of the flood were forwarded", len(received))
 	}
 }
 
@@ -129,9 +129,9 @@
 // relaying the answer.
 func TestNextRequestCrossesTheAnswersEnd(t *testing.T) {
 	t.Parallel()
-	let := make(chan struct{})
-	on := sync.OnceFunc(func() { close(let) })
-	defer on()
+	released := make(chan struct{})
+	release := sync.OnceFunc(func() { close(released) })
+	defer release()
 	var got atomic.Int64
 	addr := backend(t, func(c net.Conn) {
 		r := bufio.NewReader(c)
@@ -142,7 +142,7 @@
 			}
 			if got.Add(n); req.Method == http.MethodGet {
 				io.WriteString(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nbegun\r\n")
-				<-let
+				<-released
 				io.WriteString(c, "0\r\n\r\n")
 			} else {
 				io.WriteString(c, ok("next"))
@@ -169,7 +169,7 @@
 	go func() { _, err := io.WriteString(c, message("order", "9.5", strings.Repeat("b", length))); next <- err }()
 	await(t, "the next request's bytes to be read while the answer is being relayed", func() bool { return conn.lastReadAt.Load() != 0 })
 	await(t, "more bytes of the next request", func() bool { return !hasNoUnreadData(conn) })
-	on()
+	release()
 	if rest, err := io.ReadAll(first.Body); len(rest) > 0 || err != nil {
 		t.Fatalf("%q, %v", rest, err)
 	}
--- a/internal/node/request_writer_test.go
+++ b/internal/node/request_writer_test.go
@@ -88,13 +88,13 @@
 	t.Parallel()
 	for name, c := range map[string]struct {
 		change func(*exchange)
-		end    func(incarnation, ctx context.CancelFunc)
+		end    func(client, ctx context.CancelFunc)
 		want   policy.OutcomeCode
 	}{
-		"the client goes": {nil, func(incarnation, _ context.CancelFunc) { incarnation() }, policy.NotSent},
-		"called off":      {nil, func(_, ctx context.CancelFunc) { ctx() }, policy.Cancelled},
-		"the window ends": {func(x *exchange) { x.writeBy = time.Now().Add(100 * time.Millisecond) }, nil, policy.NotSent},
-		"the time is up":  {func(x *exchange) { x.deadline = time.Now().Add(100 * time.Millisecond) }, nil, policy.ConnectFailed},
+		"the client leaves":   {nil, func(client, _ context.CancelFunc) { client() }, policy.NotSent},
+		"attempt cancelled":   {nil, func(_, ctx context.CancelFunc) { ctx() }, policy.Cancelled},
+		"the window ends":     {func(x *exchange) { x.writeBy = time.Now().Add(100 * time.Millisecond) }, nil, policy.NotSent},
+		"the deadline passes": {func(x *exchange) { x.deadline = time.Now().Add(100 * time.Millisecond) }, nil, policy.ConnectFailed},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -104,9 +104,9 @@
 			full := make(chan struct{})
 			b.dial = stallingDialer(full)
 			b.update(known(addr))
-			incarnation, removed := context.WithCancel(t.Context())
-			ctx, off := context.WithCancel(t.Context())
-			x := &exchange{request: incarnation, writeLock: new(sync.Mutex), method: "POST", url: &url.URL{Path: "/order", Host: "h"},
+			client, disconnect := context.WithCancel(t.Context())
+			ctx, cancel := context.WithCancel(t.Context())
+			x := &exchange{request: client, writeLock: new(sync.Mutex), method: "POST", url: &url.URL{Path: "/order", Host: "h"},
 				body: make([]byte, maxBufferedBody), deadline: time.Now().Add(patient)}
 			if c.change != nil {
 				c.change(x)
@@ -115,7 +115,7 @@
 			go func() { got <- b.roundTrip(ctx, b.host(1), x) }()
 			if c.end != nil {
 				<-full
-				c.end(removed, off)
+				c.end(disconnect, cancel)
 			}
 			r := <-got
 			if c.want != policy.ConnectFailed && time.Now().After(x.deadline) {
@@ -126,8 +126,8 @@
 			if r.code != c.want || complete.Load() > 0 {
 				t.Errorf("outcome %v (%v), want %v; %d requests came complete", r.code, r.err, c.want, complete.Load())
 			}
-			removed()
-			off()
+			disconnect()
+			cancel()
 		})
 	}
 }
@@ -159,9 +159,9 @@
 
 // startLoop starts an event loop for the given servers, with settings that don't allow the module to cancel attempts.
 func startLoop(t *testing.T, h *heldDials, addrs ...string) (*eventLoop, *upstreams) {
-	set := settings()
-	set.MayCancel = false
-	c := &Config{Settings: set, Known: known(addrs...)}
+	policySettings := settings()
+	policySettings.MayCancel = false
+	c := &Config{Settings: policySettings, Known: known(addrs...)}
 	ctx, stop := context.WithCancel(context.Background())
 	b := newUpstreams(c, 10, quiet)
 	b.dial = h.dial
@@ -174,16 +174,16 @@
 	return l, b
 }
 
-func newRequest(l *eventLoop, class string) (r *request, removed context.CancelFunc) {
+func newRequest(l *eventLoop, class string) (r *request, disconnect context.CancelFunc) {
 	rules := l.rules.Load()
 	r = &request{arrived: policy.RequestArrived{ID: "q", Class: class}, deadline: time.Now().Add(patient / 2), method: "POST",
 		class: rules.classes[class], rules: rules, url: &url.URL{Path: "/" + class, Host: "h"}, answer: make(chan answer, 1)}
-	client, removed := context.WithCancel(context.Background())
+	client, disconnect := context.WithCancel(context.Background())
 	r.context, r.cancel = context.WithCancel(client)
-	return r, removed
+	return r, disconnect
 }
 
-// runInLoop runs f runInLoop the loop.
+// runInLoop runs f in the event loop, and waits until it has returned.
 func runInLoop(l *eventLoop, f func()) {
 	done := make(chan struct{})
 	l.post(func() { f(); close(done) })
@@ -209,10 +209,10 @@
 // don't allow attempts to be cancelled. The event for a client that left may still be on its way to the event loop.
 func TestNothingIsWrittenAfterTheEnd(t *testing.T) {
 	t.Parallel()
-	for name, end := range map[string]func(l *eventLoop, r *request, removed context.CancelFunc){
-		"the client goes": func(_ *eventLoop, _ *request, removed context.CancelFunc) { removed() },
-		"the loop hears it": func(l *eventLoop, r *request, removed context.CancelFunc) {
-			removed()
+	for name, end := range map[string]func(l *eventLoop, r *request, disconnect context.CancelFunc){
+		"the client leaves": func(_ *eventLoop, _ *request, disconnect context.CancelFunc) { disconnect() },
+		"the loop handles the event": func(l *eventLoop, r *request, disconnect context.CancelFunc) {
+			disconnect()
 			runInLoop(l, func() { l.abandonRequest(r) })
 		},
 		"refused": func(l *eventLoop, r *request, _ context.CancelFunc) {
@@ -223,17 +223,17 @@
 			runInLoop(l, func() { l.perform(policy.Fail{ID: "q"}) })
 			<-r.answer
 		},
-		"given up on":           func(l *eventLoop, r *request, _ context.CancelFunc) { runInLoop(l, func() { l.abandonRequest(r) }) },
-		"the front end answers": func(_ *eventLoop, r *request, _ context.CancelFunc) { r.cancel() },
+		"request abandoned":    func(l *eventLoop, r *request, _ context.CancelFunc) { runInLoop(l, func() { l.abandonRequest(r) }) },
+		"the frontend answers": func(_ *eventLoop, r *request, _ context.CancelFunc) { r.cancel() },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			h := newHeldDials(t)
 			l, b := startLoop(t, h, h.addr, h.addr)
-			r, removed := newRequest(l, "read")
+			r, disconnect := newRequest(l, "read")
 			runInLoop(l, func() { l.startRequest(r) })
 			<-h.dialed
-			end(l, r, removed)
+			end(l, r, disconnect)
 			close(h.release)
 			awaitNoRequests(t, l)
 			b.update(endpointList{complete: true}) // closes the idle connections
@@ -257,12 +257,12 @@
 		return nil, ctx.Err()
 	}
 	x := get(patient)
-	incarnation, removed := context.WithCancel(t.Context())
-	x.request = incarnation
+	client, disconnect := context.WithCancel(t.Context())
+	x.request = client
 	got := make(chan result, 1)
 	go func() { got <- b.roundTrip(t.Context(), b.host(1), x) }()
 	<-dialed
-	removed()
+	disconnect()
 	if r := <-got; r.code != policy.NotSent || b.open != 0 {
 		t.Errorf("outcome %v (%v), %d connections", r.code, r.err, b.open)
 	}
@@ -274,8 +274,8 @@
 	h := newHeldDials(t)
 	close(h.release)
 	l, _ := startLoop(t, h, h.addr)
-	r, removed := newRequest(l, "order")
-	removed()
+	r, disconnect := newRequest(l, "order")
+	disconnect()
 	runInLoop(l, func() { l.startRequest(r) })
 	awaitNoRequests(t, l)
 	if len(h.dialed) > 0 {
@@ -337,12 +337,12 @@
 func TestUploadEndsWithItsRequest(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]struct {
-		end  func(x *exchange, removed context.CancelFunc)
+		end  func(x *exchange, disconnect context.CancelFunc)
 		want policy.OutcomeCode
 	}{
-		"the client goes":  {func(_ *exchange, removed context.CancelFunc) { removed() }, policy.NotSent},
-		"the window ends":  {func(x *exchange, _ context.CancelFunc) { x.writeBy = time.Now() }, policy.NotSent},
-		"its time is over": {func(x *exchange, _ context.CancelFunc) { x.upload.clientTimeout = 0 }, policy.ConnectFailed},
+		"the client leaves":       {func(_ *exchange, disconnect context.CancelFunc) { disconnect() }, policy.NotSent},
+		"the window ends":         {func(x *exchange, _ context.CancelFunc) { x.writeBy = time.Now() }, policy.NotSent},
+		"the deadline has passed": {func(x *exchange, _ context.CancelFunc) { x.upload.clientTimeout = 0 }, policy.ConnectFailed},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -359,12 +359,12 @@
 			})
 			b := newUpstreams(&Config{Settings: settings()}, 10, quiet)
 			b.update(known(addr))
-			incarnation, removed := context.WithCancel(t.Context())
-			defer removed()
+			client, disconnect := context.WithCancel(t.Context())
+			defer disconnect()
 			reached := make(chan struct{})
-			x := &exchange{request: incarnation, writeLock: new(sync.Mutex), method: "POST", url: &url.URL{Path: "/order", Host: "h"},
+			x := &exchange{request: client, writeLock: new(sync.Mutex), method: "POST", url: &url.URL{Path: "/order", Host: "h"},
 				body: make([]byte, maxBufferedBody), deadline: time.Now().Add(patient)}
-			x.onBodySent = func() { close(reached); c.end(x, removed) } // called just before the rest of the body is read
+			x.onBodySent = func() { close(reached); c.end(x, disconnect) } // called just before the rest of the body is read
 			u := &upload{length: maxBufferedBody + 1, clientTimeout: patient, complete: make(chan struct{}),
 				body: &pacedBody{Reader: lastByte{}, deadline: time.Now(), deadlineSet: time.Now()}}
 			x.upload = u
--- a/internal/node/upstreams_test.go
+++ b/internal/node/upstreams_test.go
@@ -25,22 +25,22 @@
 		status int
 		code   policy.OutcomeCode
 	}{
-		"served":           {ok("x"), 200, policy.OK},
-		"chunked":          {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nx\r\n0\r\n\r\n", 200, policy.OK},
-		"interim":          {"HTTP/1.1 103 Early Hints\r\n\r\n" + ok("x"), 200, policy.OK},
-		"error":            {"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n", 502, policy.ServerError},
-		"503 without mark": {"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", 502, policy.ServerError},
-		"turned away":      {"HTTP/1.1 503 No\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", 503, policy.Rejected},
-		"too late":         {"HTTP/1.1 504 No\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", 503, policy.Rejected},
-		"500 with mark":    {"HTTP/1.1 500 No\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", 502, policy.ServerError},
-		"silent close":     {"", 502, policy.Reset},
-		"garbage":          {"\x00\x01 what\r\n\r\n", 502, policy.Reset},
-		"truncated":        {"HTTP/1.1 200 OK\r\nContent-Length: 9\r\nConnection: close\r\n\r\nx", 502, policy.Reset},
-		"truncated chunk":  {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\nx", 502, policy.Reset},
-		"ended by a close": {"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nx", 200, policy.OK},
-		"huge header":      {"HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 1<<20) + "\r\nContent-Length: 1\r\n\r\nx", 502, policy.Reset},
-		"long":             {ok(strings.Repeat("x", maxBufferedBody+1)), 200, policy.OK},
-		"too large":        {fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", maxLongBody+1), 502, policy.Reset},
+		"served":             {ok("x"), 200, policy.OK},
+		"chunked":            {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nx\r\n0\r\n\r\n", 200, policy.OK},
+		"interim":            {"HTTP/1.1 103 Early Hints\r\n\r\n" + ok("x"), 200, policy.OK},
+		"error":              {"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n", 502, policy.ServerError},
+		"503 without mark":   {"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", 502, policy.ServerError},
+		"marked as rejected": {"HTTP/1.1 503 No\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", 503, policy.Rejected},
+		"too late":           {"HTTP/1.1 504 No\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", 503, policy.Rejected},
+		"500 with mark":      {"HTTP/1.1 500 No\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", 502, policy.ServerError},
+		"silent close":       {"", 502, policy.Reset},
+		"garbage":            {"\x00\x01 what\r\n\r\n", 502, policy.Reset},
+		"truncated":          {"HTTP/1.1 200 OK\r\nContent-Length: 9\r\nConnection: close\r\n\r\nx", 502, policy.Reset},
+		"truncated chunk":    {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\nx", 502, policy.Reset},
+		"ended by a close":   {"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nx", 200, policy.OK},
+		"huge header":        {"HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 1<<20) + "\r\nContent-Length: 1\r\n\r\nx", 502, policy.Reset},
+		"long":               {ok(strings.Repeat("x", maxBufferedBody+1)), 200, policy.OK},
+		"too large":          {fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", maxLongBody+1), 502, policy.Reset},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -226,15 +226,15 @@
 			l.complete, l.entries[0].State = false, policy.Draining
 			b.update(l)
 		}, policy.ConnectFailed},
-		"gone from the list": {func(b *upstreams, _ *exchange, _ context.CancelFunc) { b.update(endpointList{complete: true}) }, policy.ConnectFailed},
+		"removed from the list": {func(b *upstreams, _ *exchange, _ context.CancelFunc) { b.update(endpointList{complete: true}) }, policy.ConnectFailed},
 		"restarted": {func(b *upstreams, _ *exchange, _ context.CancelFunc) {
 			l := known(addr)
 			l.entries[0].StartedAt = 1
 			b.update(l)
 		}, policy.ConnectFailed},
-		"window over": {func(_ *upstreams, x *exchange, _ context.CancelFunc) { x.writeBy = time.Now() }, policy.NotSent},
-		"too late":    {func(_ *upstreams, x *exchange, _ context.CancelFunc) { x.deadline = time.Now() }, policy.ConnectFailed},
-		"called off":  {func(_ *upstreams, _ *exchange, cancel context.CancelFunc) { cancel() }, policy.Cancelled},
+		"window over":       {func(_ *upstreams, x *exchange, _ context.CancelFunc) { x.writeBy = time.Now() }, policy.NotSent},
+		"too late":          {func(_ *upstreams, x *exchange, _ context.CancelFunc) { x.deadline = time.Now() }, policy.ConnectFailed},
+		"attempt cancelled": {func(_ *upstreams, _ *exchange, cancel context.CancelFunc) { cancel() }, policy.Cancelled},
 	} {
 		b, h := fresh()
 		// An idle connection, so that connecting succeeds whatever the time.
