--- a/internal/node/client_left_test.go
+++ b/internal/node/client_left_test.go
@@ -45,7 +45,7 @@
 				other, r, _ := f.dial(t)
 				io.WriteString(other, message("order", "9.5", "other"))
 				if resp, err := http.ReadResponse(r, nil); err != nil || resp.StatusCode != 200 || received.Load() != 1 {
-					t.Errorf("%+v, %v; %d requests were sent on, want the other client's", resp, err, received.Load())
+					t.Errorf("%+v, %v; %d requests were forwarded, want only the other client's", resp, err, received.Load())
 				}
 			})
 		}
@@ -56,7 +56,7 @@
 // attempts depend ends.
 func TestRequestInFlightEndsWithItsClient(t *testing.T) {
 	t.Parallel()
-	for _, more := range []string{"", "x"} {
+	for _, extra := range []string{"", "x"} {
 		for _, reset := range []bool{false, true} {
 			received := make(chan struct{}, 9)
 			addr := backend(t, func(c net.Conn) {
@@ -78,12 +78,12 @@
 			})
 			requestCtx := <-requestCtxs
 			release := f.hold()
-			io.WriteString(client, more)
+			io.WriteString(client, extra)
 			leave(client, reset)
 			select {
 			case <-requestCtx.Done():
 			case <-time.After(5 * time.Second): // the client's timeout is longer
-				t.Errorf("%q before the end, reset %v: the request's context has not ended", more, reset)
+				t.Errorf("%q before the end, reset %v: the request's context has not ended", extra, reset)
 			}
 			release()
 		}
@@ -106,8 +106,8 @@
 	await(t, "the request to be read", func() bool { return f.openRequests.Load() == 1 })
 	client.Close()
 	await(t, "the request to end with its client", func() bool { return f.openRequests.Load() == 0 })
-	stays, r, _ := f.dial(t)
-	io.WriteString(stays, message("order", "0.05", "b"))
+	waiting, r, _ := f.dial(t)
+	io.WriteString(waiting, message("order", "0.05", "b"))
 	if resp, err := http.ReadResponse(r, nil); err != nil || resp.StatusCode < 500 {
 		t.Errorf("%+v, %v; want an error by the client's deadline", resp, err)
 	}
@@ -115,7 +115,7 @@
 	other, r, _ := f.dial(t)
 	io.WriteString(other, message("order", "9.5", "other"))
 	if resp, err := http.ReadResponse(r, nil); err != nil || resp.StatusCode != 200 || received.Load() != 1 {
-		t.Errorf("%+v, %v; %d requests were sent on, want the other client's", resp, err, received.Load())
+		t.Errorf("%+v, %v; %d requests were forwarded, want only the other client's", resp, err, received.Load())
 	}
 }
 
--- a/internal/node/connection_ends_test.go
+++ b/internal/node/connection_ends_test.go
@@ -22,7 +22,7 @@
 	const (
 		fin = iota
 		reset
-		stayOpen // more comes
+		stayOpen // the server sends no more and keeps the connection
 	)
 	long := "HTTP/1.1 503 No\r\nX-Unprocessed: 1\r\nX: " + strings.Repeat("x", maxBufferedAnswer-2000) + "\r\n\r\n" + strings.Repeat("y", 4000)
 	for name, c := range map[string]struct {
@@ -60,7 +60,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			// The first request of each class ends in the way of the test case, and later ones are served.
-			serveFailing := func(came *[3]atomic.Int64) func(net.Conn) {
+			serveFailing := func(received *[3]atomic.Int64) func(net.Conn) {
 				return func(conn net.Conn) {
 					r := bufio.NewReader(conn)
 					for {
@@ -68,7 +68,7 @@
 						if err != nil {
 							return
 						}
-						if io.Copy(io.Discard, req.Body); came[strings.IndexByte("rto", req.URL.Path[1])].Add(1) > 1 {
+						if io.Copy(io.Discard, req.Body); received[strings.IndexByte("rto", req.URL.Path[1])].Add(1) > 1 {
 							io.WriteString(conn, ok("again"))
 							continue
 						}
@@ -83,38 +83,38 @@
 					}
 				}
 			}
-			wait := patient
+			timeout := patient
 			if c.code == policy.TimedOut || name == "half a status line" {
-				wait = 150 * time.Millisecond
+				timeout = 150 * time.Millisecond
 			}
 			b := newUpstreams(&Config{Settings: settings()}, 10, quiet)
 			b.update(known(backend(t, serveFailing(new([3]atomic.Int64)))))
-			if r := b.roundTrip(t.Context(), b.host(1), get(wait)); r.code != c.code {
+			if r := b.roundTrip(t.Context(), b.host(1), get(timeout)); r.code != c.code {
 				t.Errorf("outcome %v (%v), want %v", r.code, r.err, c.code)
 			}
-			never := c.code == policy.Rejected
+			neverRan := c.code == policy.Rejected
 			var counts [3]atomic.Int64
 			serve := serveFailing(&counts)
 			n := start(t, &Config{Settings: settings(), Known: known(backend(t, serve), backend(t, serve))})
 			for _, class := range []string{"order", "tag", "read"} {
-				resp, body := n.ask(t, message(class, fmt.Sprint(min(wait, patient/2).Seconds()), ""))
-				came, right := counts[strings.IndexByte("rto", class[0])].Load(), false
+				resp, body := n.ask(t, message(class, fmt.Sprint(min(timeout, patient/2).Seconds()), ""))
+				received, valid := counts[strings.IndexByte("rto", class[0])].Load(), false
 				switch status := resp.StatusCode; {
-				case came == 0: // the module rejected it because of the failures of the classes before
-					right = status == 503 && class != "order"
+				case received == 0: // the module rejected it because of the failures of the classes before
+					valid = status == 503 && class != "order"
 				case c.code == policy.OK:
-					right = status == 200 && came == 1
+					valid = status == 200 && received == 1
 				case status == 200:
-					right = body == "again" && came == 2 && (class != "order" || never)
+					valid = body == "again" && received == 2 && (class != "order" || neverRan)
 				case status == 504: // the frontend's own answer if the module was late: it only states that the request failed
-					right = wait < patient && came == 1
+					valid = timeout < patient && received == 1
 				case status == 503: // the request never ran, or is safe to repeat
-					right = never || class == "read"
+					valid = neverRan || class == "read"
 				default:
-					right = status == 502 && !never && class != "read" && (class == "tag" || came == 1)
+					valid = status == 502 && !neverRan && class != "read" && (class == "tag" || received == 1)
 				}
-				if !right {
-					t.Errorf("%s: status %d, %.40q, the servers received %d requests", class, resp.StatusCode, body, came)
+				if !valid {
+					t.Errorf("%s: status %d, %.40q, the servers received %d requests", class, resp.StatusCode, body, received)
 				}
 			}
 		})
--- a/internal/node/connections.go
+++ b/internal/node/connections.go
@@ -187,7 +187,7 @@
 	}
 	raw, err := s.SyscallConn()
 	if err != nil {
-		return true // closed already
+		return true // the connection is closed already
 	}
 	noData := true
 	raw.Control(func(fd uintptr) {
--- a/internal/node/drain_test.go
+++ b/internal/node/drain_test.go
@@ -22,7 +22,7 @@
 	received, release := make(chan struct{}, 9), make(chan struct{})
 	addr := backend(t, answering(func(*http.Request, []byte) string { received <- struct{}{}; <-release; return ok("x") }))
 	n := start(t, &Config{Settings: settings(), Known: known(addr)})
-	held := make(chan *http.Response)
+	held := make(chan *http.Response) // the answer to a request that is open at the stop
 	go func() { resp, _ := n.ask(t, message("order", "9.5", "b")); held <- resp }()
 	<-received
 	idle, err := net.Dial("tcp", n.addr)
@@ -81,7 +81,7 @@
 	io.WriteString(conns[1], long)
 	<-began
 	n.stop()
-	conns[0], readers[0] = n.dial(t) // the listener stays for a while
+	conns[0], readers[0] = n.dial(t) // the listener stays open for a while after the stop
 	io.WriteString(conns[0], text[:20])
 	for end := time.Now().Add(patient); ; time.Sleep(time.Millisecond) {
 		probe, err := net.Dial("tcp", n.addr)
@@ -151,7 +151,7 @@
 			time.Sleep(minIdleTime / 2)
 		}
 		c.track(conns[0], http.StateActive)
-		c.track(conns[0], http.StateIdle) // now idle for the shorter time
+		c.track(conns[0], http.StateIdle) // now conns[0] has been idle for a shorter time than conns[1]
 		connect(2)
 		if closed(0) || closed(1) || !c.overLimit() {
 			t.Error("a connection is closed that was idle for less than minIdleTime")
--- a/internal/node/frontend.go
+++ b/internal/node/frontend.go
@@ -24,7 +24,7 @@
 	evacuationSweepInterval = 100 * time.Millisecond
 	otherProcessPoll        = 2 * time.Millisecond // between checks whether the other process has closed a client's connection
 	maxHeaderBytes          = 16 << 10
-	maxClientTimeout        = time.Hour // no client waits longer
+	maxClientTimeout        = time.Hour // longest X-Time-Left that is accepted: no client waits longer
 	// clientTimeoutMargin is subtracted from the time that a client waits, so that the answer reaches the client and is read
 	// before that time ends.
 	clientTimeoutMargin = 10 * time.Millisecond
@@ -156,7 +156,7 @@
 	defer f.openRequests.Add(-1)
 	req, err := f.readRequest(w, r, rules, class, client)
 	if err != nil {
-		w.Header().Set("Connection", "close") // what follows a bad request on its connection can't be trusted
+		w.Header().Set("Connection", "close") // the bytes after a bad request on its connection can't be trusted to be a request
 		http.Error(w, err.Error(), statusOf(err))
 		return
 	}
--- a/internal/node/frontend_test.go
+++ b/internal/node/frontend_test.go
@@ -84,7 +84,7 @@
 	return sync.OnceFunc(func() { close(released) })
 }
 
-// await waits for a condition.
+// await waits until a condition is met. It fails the test if that takes too long, and names what it waited for.
 func await(t *testing.T, what string, met func() bool) {
 	t.Helper()
 	for end := time.Now().Add(patient); !met(); time.Sleep(time.Millisecond) {
@@ -94,7 +94,7 @@
 	}
 }
 
-// leave ends a client's connection, by a reset or a close.
+// leave ends a client's connection with a reset or a normal close.
 func leave(c *net.TCPConn, reset bool) {
 	if reset {
 		c.SetLinger(0)
--- a/internal/node/pipelining_test.go
+++ b/internal/node/pipelining_test.go
@@ -17,7 +17,7 @@
 // and no other one is made.
 func TestClientLeftAfterPipelinedBytes(t *testing.T) {
 	t.Parallel()
-	for name, more := range map[string]string{"a byte": "x", "half a request": message("order", "9", "")[:60],
+	for name, extra := range map[string]string{"a byte": "x", "half a request": message("order", "9", "")[:60],
 		"a request": message("read", "9", ""), "a flood": strings.Repeat(message("read", "9", ""), 1e4)} {
 		for _, reset := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%s, reset %v", name, reset), func(t *testing.T) {
@@ -36,7 +36,7 @@
 				c, _, _ := f.dial(t)
 				io.WriteString(c, message("read", "9.5", ""))
 				<-received
-				if _, err := io.WriteString(c, more); err != nil {
+				if _, err := io.WriteString(c, extra); err != nil {
 					t.Fatal(err)
 				}
 				leave(c, reset)
--- a/internal/node/request_writer_test.go
+++ b/internal/node/request_writer_test.go
@@ -371,7 +371,7 @@
 			r := b.roundTrip(t.Context(), b.host(1), x)
 			<-reached
 			if <-seen; r.code != c.want || complete.Load() > 0 {
-				t.Errorf("outcome %v (%v), want %v; %d came whole", r.code, r.err, c.want, complete.Load())
+				t.Errorf("outcome %v (%v), want %v; %d requests came complete", r.code, r.err, c.want, complete.Load())
 			}
 		})
 	}
--- a/internal/node/streaming_test.go
+++ b/internal/node/streaming_test.go
@@ -76,7 +76,7 @@
 			}
 		}
 		if got.Load() != 4 {
-			t.Errorf("%d bytes: the server got %d requests", length, got.Load())
+			t.Errorf("%d bytes: the server received %d requests, want 4", length, got.Load())
 		}
 	}
 }
@@ -84,13 +84,13 @@
 // A body that its client breaks off, or that is malformed or too long, does not reach a server as a complete request.
 func TestIncompleteLongBody(t *testing.T) {
 	t.Parallel()
-	var complete, cut atomic.Int64
+	var complete, incomplete atomic.Int64
 	addr := backend(t, func(c net.Conn) {
 		r := bufio.NewReader(c)
 		for {
 			req, _, err := wholeRequest(r)
 			if req != nil && err != nil {
-				cut.Add(1)
+				incomplete.Add(1)
 			}
 			if err != nil {
 				return
@@ -121,16 +121,16 @@
 	if resp, err := http.ReadResponse(r, nil); err != nil || resp.StatusCode != 413 || !resp.Close {
 		t.Errorf("too long: %+v, %v", resp, err)
 	}
-	for end := time.Now().Add(patient); cut.Load() < 3; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(patient); incomplete.Load() < 3; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("the server received %d incomplete bodies, want 3", cut.Load())
+			t.Fatalf("the server received %d incomplete bodies, want 3", incomplete.Load())
 		}
 	}
 	if complete.Load() > 0 {
 		t.Errorf("%d bodies reached the server in full", complete.Load())
 	}
 	if resp, _ := n.ask(t, message("order", "9.5", "")); resp.StatusCode != 200 {
-		t.Errorf("after that: status %d", resp.StatusCode)
+		t.Errorf("the next request: status %d, want 200", resp.StatusCode)
 	}
 }
 
@@ -140,7 +140,7 @@
 	t.Parallel()
 	var served atomic.Int64
 	good := backend(t, answering(func(*http.Request, []byte) string { served.Add(1); return ok("x") }))
-	early := backend(t, func(c net.Conn) { // answers within the body
+	early := backend(t, func(c net.Conn) { // answers before it has read the body
 		http.ReadRequest(bufio.NewReader(c))
 		io.WriteString(c, "HTTP/1.1 503 Full\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n")
 		io.Copy(io.Discard, c)
@@ -169,7 +169,7 @@
 		}
 	}
 	if served.Load() != 4 {
-		t.Errorf("served %d", served.Load())
+		t.Errorf("the good server has served %d requests, want 4", served.Load())
 	}
 }
 
@@ -178,14 +178,14 @@
 	t.Parallel()
 	const length = 1 << 20
 	body := strings.Repeat("0123456789abcde\n", length/16)
-	type answering struct {
+	type framedAnswer struct {
 		framing string
-		half    chan bool // whether the rest follows
+		half    chan bool // receives whether the server sends the second half
 	}
-	var how atomic.Value
+	var current atomic.Value
 	addr := backend(t, func(c net.Conn) {
 		http.ReadRequest(bufio.NewReader(c))
-		as := how.Load().(answering)
+		as := current.Load().(framedAnswer)
 		framing := as.framing
 		io.WriteString(c, "HTTP/1.1 200 OK\r\n"+framing+"\r\n")
 		var w io.Writer = c
@@ -206,9 +206,9 @@
 	for _, framing := range []string{fmt.Sprintf("Content-Length: %d\r\n", length), "Transfer-Encoding: chunked\r\n", "X: close\r\n"} {
 		for _, complete := range []bool{true, false} {
 			n := start(t, &Config{Settings: settings(), Known: known(addr)})
-			as := answering{framing, make(chan bool, 1)}
+			as := framedAnswer{framing, make(chan bool, 1)}
 			defer close(as.half) // lets the server go if the test ends early
-			how.Store(as)
+			current.Store(as)
 			c, r := n.dial(t)
 			io.WriteString(c, message("read", "9.5", ""))
 			resp, err := http.ReadResponse(r, nil)
@@ -348,14 +348,14 @@
 	now := time.Now()
 	c := &clientConn{acceptedAt: now}
 	if by := c.bodyDeadline().Sub(now); by < 2*time.Second || by >= 3*time.Second {
-		t.Errorf("a new connection: %v", by)
+		t.Errorf("a new connection: the body may begin for %v, want 2 s to 3 s", by)
 	}
 	if by := c.bodyDeadline().Sub(now); by < 2*time.Second {
-		t.Errorf("a kept connection: %v", by)
+		t.Errorf("a reused connection: the body may begin for %v, want at least 2 s", by)
 	}
 	c = &clientConn{acceptedAt: now.Add(-requestHeadTimeout)}
 	if by := c.bodyDeadline().Sub(now); by < bodyStartTimeout || by >= 3*time.Second-requestHeadTimeout {
-		t.Errorf("after a slow head: %v", by)
+		t.Errorf("after a slow head: the body may begin for %v", by)
 	}
 }
 
--- a/internal/node/upload.go
+++ b/internal/node/upload.go
@@ -45,7 +45,7 @@
 	b.control.SetReadDeadline(time.Unix(1, 0))
 }
 
-// readBody reads a body up to a little more than maxBufferedBody. more is true if the end of the body has not been seen.
+// readBody reads a whole body, or the first 64 KiB and one byte of a longer one. In the second case more is true.
 func (b *pacedBody) readBody(length int64) (body []byte, more bool, err error) {
 	size := int64(maxBufferedBody)
 	if length >= 0 {
--- a/internal/node/upload_test.go
+++ b/internal/node/upload_test.go
@@ -16,17 +16,17 @@
 		u := &upload{complete: make(chan struct{}), body: &pacedBody{control: http.NewResponseController(httptest.NewRecorder()),
 			Reader: readFunc(func([]byte) (int, error) { close(reading); <-release; return 0, readErr })}}
 		w := &requestWriter{exchange: &exchange{onBodySent: func() {}}}
-		read, cut := make(chan error), make(chan bool)
+		read, stoppedEarly := make(chan error), make(chan bool)
 		go func() { _, err := u.read(w, make([]byte, 1)); read <- err }()
 		<-reading
-		go func() { cut <- u.stopEarly() }()
+		go func() { stoppedEarly <- u.stopEarly() }()
 		for !u.body.stopped.Load() { // until stopEarly has begun, while the read still waits
 		}
 		close(release)
 		if err := <-read; err != readErr {
 			t.Errorf("%s: %v", name, err)
 		}
-		if got := <-cut; got != (readErr != io.EOF) {
+		if got := <-stoppedEarly; got != (readErr != io.EOF) {
 			t.Errorf("%s: stopEarly returned %v", name, got)
 		}
 	}
--- a/internal/node/upstreams_test.go
+++ b/internal/node/upstreams_test.go
@@ -237,7 +237,7 @@
 		"attempt cancelled": {func(_ *upstreams, _ *exchange, cancel context.CancelFunc) { cancel() }, policy.Cancelled},
 	} {
 		b, h := fresh()
-		// An idle connection, so that connecting succeeds whatever the time.
+		// There is an idle connection, so that connect succeeds even after the deadline.
 		c1, err := b.connect(t.Context(), h, time.Now().Add(patient))
 		if err != nil {
 			t.Fatal(err)
@@ -265,7 +265,7 @@
 	t.Parallel()
 	addr := backend(t, answering(func(*http.Request, []byte) string { return ok("x") }))
 	other := backend(t, answering(func(*http.Request, []byte) string { return ok("x") }))
-	rejected, err := net.Dial("tcp", addr) // nobody listens at its own end, and nobody else can
+	rejected, err := net.Dial("tcp", addr) // its local port is bound and has no listener, so that connections to it are refused
 	if err != nil {
 		t.Fatal(err)
 	}
