--- a/internal/node/connections.go
+++ b/internal/node/connections.go
@@ -11,25 +11,25 @@
 
 const shedInterval = 50 * time.Millisecond
 
-// connections counts the clients' connections, from the accept until the descriptor is free. Above the limit new
-// requests are rejected at once and those closed that have been idle longest, so that there is always a slot to read and
-// answer what has been accepted.
+// connections counts the clients' connections, each from its accept until its descriptor is free. Above the limit the node
+// rejects new requests at once and closes the connections that have been idle longest, so that there is always a slot in
+// which to read and answer the requests of connections that it has accepted.
 type connections struct {
 	mu          sync.Mutex // guards count, idle, ended and shedding
 	count       int
 	limit       int
 	restart     *hotRestart
-	idle        map[net.Conn]time.Time // since when
-	ended       map[net.Conn]bool      // ended by the node, still counted; what comes on them is not taken
-	shedding    bool                   // there are still too many: shedIdle comes again
-	beforeClose func(net.Conn)         // set by tests: called between the look at a socket and its close
+	idle        map[net.Conn]time.Time // idle connections, and the time from which each has been idle
+	ended       map[net.Conn]bool      // connections that the node has ended and still counts; requests on them are not served
+	shedding    bool                   // there are still too many connections, and a timer will run shedIdle again
+	beforeClose func(net.Conn)         // set by tests: called between the check for unread data and the close
 }
 
 func newConnections(limit int) *connections {
 	return &connections{limit: limit, idle: map[net.Conn]time.Time{}, ended: map[net.Conn]bool{}}
 }
 
-// accepted counts a connection that has been accepted.
+// accepted counts a new connection, and sheds idle ones if there are too many now.
 func (c *connections) accepted() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -37,7 +37,7 @@
 	c.shedIdle()
 }
 
-// released counts one out whose descriptor is free.
+// released stops counting a connection whose descriptor is free.
 func (c *connections) released(conn net.Conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -45,26 +45,28 @@
 	c.count--
 }
 
-// shedIdle frees a slot at each arrival, so that none is rejected while another is idle, and as long as there are too many:
-// once all places are taken nobody comes, and those that were too young at the last arrival would keep everybody out.
+// shedIdle closes idle connections, the longest idle first, until the count is within the limit. It runs at each accept, so
+// that no request is rejected while some connection is idle. While there are too many connections it also runs every
+// shedInterval: once all slots are taken there are no more accepts, and connections that were idle for less than minIdleTime
+// at the last one would keep all new clients out. The caller holds mu.
 func (c *connections) shedIdle() {
-	if c.count == 0 || !c.isOverLimit() {
+	if c.count == 0 || !c.overLimitLocked() {
 		return
 	}
-	var old []net.Conn
+	var sheddable []net.Conn
 	for conn, since := range c.idle {
 		if time.Since(since) >= minIdleTime {
-			old = append(old, conn)
+			sheddable = append(sheddable, conn)
 		}
 	}
-	slices.SortFunc(old, func(a, b net.Conn) int { return c.idle[a].Compare(c.idle[b]) })
-	for _, conn := range old {
-		if !c.isOverLimit() {
+	slices.SortFunc(sheddable, func(a, b net.Conn) int { return c.idle[a].Compare(c.idle[b]) })
+	for _, conn := range sheddable {
+		if !c.overLimitLocked() {
 			return
 		}
 		c.close(conn)
 	}
-	if c.isOverLimit() && !c.shedding {
+	if c.overLimitLocked() && !c.shedding {
 		c.shedding = true
 		time.AfterFunc(shedInterval, func() {
 			c.mu.Lock()
@@ -78,7 +80,7 @@
 func (c *connections) overLimit() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.isOverLimit()
+	return c.overLimitLocked()
 }
 
 func (c *connections) open() int {
@@ -87,24 +89,28 @@
 	return c.count
 }
 
-// waitUntilNone waits until no connection is open, but not for longer than maximum.
+// waitUntilNone waits until no connection is open, but at most for the given time.
 func (c *connections) waitUntilNone(maximum time.Duration) {
-	for begun := time.Now(); c.open() > 0 && time.Since(begun) < maximum; time.Sleep(drainPollInterval) {
+	for start := time.Now(); c.open() > 0 && time.Since(start) < maximum; time.Sleep(drainPollInterval) {
 	}
 }
 
-// isOverLimit reports whether there are too many that may bring requests. Those that wait for their peers' end bring none:
-// for their sake no request is rejected.
-func (c *connections) isOverLimit() bool { return c.count-len(c.ended)+c.restart.clients() > c.limit }
+// overLimitLocked reports whether more connections that may carry requests are open than the limit allows, including those of
+// the other process of a hot restart. Connections that the node has ended and that wait for their peer's end carry no
+// requests, so they are not a reason to reject any. The caller holds mu.
+func (c *connections) overLimitLocked() bool {
+	return c.count-len(c.ended)+c.restart.clients() > c.limit
+}
 
-// overLimitWithEnded reports whether there are too many with those, whose places are wanted then.
+// overLimitWithEnded reports whether there are too many connections if those that the node has ended count too. Their slots
+// are needed then.
 func (c *connections) overLimitWithEnded() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.count+c.restart.clients() > c.limit
 }
 
-// markEnded notes that the node has ended a connection.
+// markEnded records that the node has ended a connection.
 func (c *connections) markEnded(conn net.Conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -123,8 +129,8 @@
 	switch state {
 	case http.StateIdle:
 		c.idle[conn] = time.Now()
-		if own, ok := conn.(*clientConn); ok {
-			own.requestDone()
+		if client, ok := conn.(*clientConn); ok {
+			client.requestDone()
 		}
 	case http.StateActive:
 		delete(c.idle, conn)
@@ -133,7 +139,7 @@
 	}
 }
 
-// closeIdle closes the connections that have been idle for that long.
+// closeIdle closes the connections that have been idle for at least the given time.
 func (c *connections) closeIdle(minimum time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -144,7 +150,8 @@
 	}
 }
 
-// closeIdleForOthers closes those that a client can't count on, or all if there are too many with those of a newer process.
+// closeIdleForOthers closes the connections that have been idle for minIdleTime, on which clients can't count any more. If
+// there are too many connections, including those of a newer process of this node, it closes all idle ones.
 func (c *connections) closeIdleForOthers() {
 	minimum := minIdleTime
 	if c.overLimit() {
@@ -153,11 +160,11 @@
 	c.closeIdle(minimum)
 }
 
-// close closes an idle connection, but not one on which a request has come or is being read: its client would have to
-// send it again. What comes after the look crosses the close, and is read by nobody.
+// close closes an idle connection, unless a request has arrived or is being read on it, which the client would have to send
+// again. Bytes that arrive after the check cross the close and are not read as a request. The caller holds mu.
 func (c *connections) close(conn net.Conn) {
-	own, _ := conn.(*clientConn)
-	if own != nil && own.hasPendingRequest() && !own.isStalled() || !hasNoUnreadData(conn) {
+	client, _ := conn.(*clientConn)
+	if client != nil && client.hasPendingRequest() && !client.isStalled() || !hasNoUnreadData(conn) {
 		return
 	}
 	if c.beforeClose != nil {
@@ -165,14 +172,14 @@
 	}
 	delete(c.idle, conn)
 	c.ended[conn] = true
-	if own != nil {
-		own.endIdle()
+	if client != nil {
+		client.endIdle()
 		return
 	}
 	conn.Close()
 }
 
-// hasNoUnreadData reports whether nothing has come that is not read yet, not even the end.
+// hasNoUnreadData reports whether the socket holds neither unread bytes nor an unread end of the connection.
 func hasNoUnreadData(conn net.Conn) bool {
 	s, ok := conn.(syscall.Conn)
 	if !ok {
@@ -180,13 +187,13 @@
 	}
 	raw, err := s.SyscallConn()
 	if err != nil {
-		return true // closed already
+		return true // the connection is closed already
 	}
-	quiet := true
+	noData := true
 	raw.Control(func(fd uintptr) {
-		var one [1]byte
-		_, _, err := syscall.Recvfrom(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		quiet = err == syscall.EAGAIN
+		var buf [1]byte
+		_, _, err := syscall.Recvfrom(int(fd), buf[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+		noData = err == syscall.EAGAIN
 	})
-	return quiet
+	return noData
 }
--- a/internal/node/drain_test.go
+++ b/internal/node/drain_test.go
@@ -15,16 +15,16 @@
 	"time"
 )
 
-// SIGTERM loses nothing: what is applied is answered, what comes for a moment more is served, each answer closes
-// its connection, and then the node ends.
+// The node loses no request at SIGTERM: it answers the open requests, still serves those that come for a moment more, closes
+// each connection with its answer, and then ends.
 func TestDrain(t *testing.T) {
 	t.Parallel()
-	came, let := make(chan struct{}, 9), make(chan struct{})
-	addr := backend(t, answering(func(*http.Request, []byte) string { came <- struct{}{}; <-let; return ok("x") }))
+	received, release := make(chan struct{}, 9), make(chan struct{})
+	addr := backend(t, answering(func(*http.Request, []byte) string { received <- struct{}{}; <-release; return ok("x") }))
 	n := start(t, &Config{Settings: settings(), Known: known(addr)})
-	held := make(chan *http.Response)
+	held := make(chan *http.Response) // the answer to a request that is open at the stop
 	go func() { resp, _ := n.ask(t, message("order", "9.5", "b")); held <- resp }()
-	<-came
+	<-received
 	idle, err := net.Dial("tcp", n.addr)
 	if err != nil {
 		t.Fatal(err)
@@ -35,13 +35,13 @@
 		if resp, _ := n.ask(t, "GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n"); resp.StatusCode == 503 {
 			break
 		} else if time.Now().After(end) {
-			t.Fatal("still ready")
+			t.Fatal("the health check still reports the node as ready")
 		}
 	}
 	late := make(chan *http.Response)
 	go func() { resp, _ := n.ask(t, message("read", "9.5", "")); late <- resp }()
-	<-came
-	close(let)
+	<-received
+	close(release)
 	for _, c := range []chan *http.Response{held, late} {
 		if resp := <-c; resp.StatusCode != 200 || !resp.Close {
 			t.Errorf("status %d, closes: %v", resp.StatusCode, resp.Close)
@@ -57,8 +57,9 @@
 	}
 }
 
-// What is being read when the listener closes is rejected and not dropped: it may have come complete too late to be served.
-func TestDrainAnswersWhatIsBeingRead(t *testing.T) {
+// A request that is still being read when the listener closes is rejected and not dropped, as it may be complete too late to
+// be served.
+func TestDrainRejectsRequestsBeingRead(t *testing.T) {
 	t.Parallel()
 	var complete atomic.Int64
 	began := make(chan struct{})
@@ -80,7 +81,7 @@
 	io.WriteString(conns[1], long)
 	<-began
 	n.stop()
-	conns[0], readers[0] = n.dial(t) // the listener stays for a while
+	conns[0], readers[0] = n.dial(t) // the listener stays open for a while after the stop
 	io.WriteString(conns[0], text[:20])
 	for end := time.Now().Add(patient); ; time.Sleep(time.Millisecond) {
 		probe, err := net.Dial("tcp", n.addr)
@@ -99,15 +100,15 @@
 		}
 	}
 	if err := <-n.ended; err != nil || complete.Load() > 0 {
-		t.Errorf("ended with %v, %d bodies passed on whole", err, complete.Load())
+		t.Errorf("ended with %v, %d bodies were relayed in full", err, complete.Load())
 	}
 }
 
-// At its bounds a node rejects at once, and each connection that it has accepted gets an answer.
+// At its limits a node rejects requests at once, and each connection that it has accepted gets an answer.
 func TestBounds(t *testing.T) {
 	t.Parallel()
-	let := make(chan struct{})
-	addr := backend(t, answering(func(*http.Request, []byte) string { <-let; return ok("x") }))
+	release := make(chan struct{})
+	addr := backend(t, answering(func(*http.Request, []byte) string { <-release; return ok("x") }))
 	c := &Config{Settings: settings(), Known: known(addr), Limits: Limits{Cores: 1, MemoryMB: 192, Sockets: minSockets}}
 	c.Settings.MaxOpenRequests = 1
 	n := start(t, c)
@@ -125,14 +126,15 @@
 	for range cap(statuses) - 1 {
 		count[<-statuses]++
 	}
-	close(let)
+	close(release)
 	count[<-statuses]++
 	if count[503] != cap(statuses)-1 || count[200] != 1 {
 		t.Errorf("statuses %v", count)
 	}
 }
 
-// Above the bound the connection that has been idle longest is closed, but none that a client may still count on.
+// Above the limit the connection that has been idle longest is closed, but none that has been idle for less than minIdleTime,
+// on which its client may still count.
 func TestOverLimitClosesLongestIdle(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := &connections{limit: 2, idle: map[net.Conn]time.Time{}, ended: map[net.Conn]bool{}}
@@ -142,42 +144,41 @@
 			_, err := conns[i].Read(make([]byte, 1))
 			return !errors.Is(err, os.ErrDeadlineExceeded)
 		}
-		come := func(i int) { conns[i], peers[i] = net.Pipe(); c.accepted() }
+		connect := func(i int) { conns[i], peers[i] = net.Pipe(); c.accepted() }
 		for i := range 2 {
-			come(i)
+			connect(i)
 			c.track(conns[i], http.StateIdle)
 			time.Sleep(minIdleTime / 2)
 		}
 		c.track(conns[0], http.StateActive)
-		c.track(conns[0], http.StateIdle) // now idle for the shorter time
-		come(2)
+		c.track(conns[0], http.StateIdle) // now conns[0] has been idle for a shorter time than conns[1]
+		connect(2)
 		if closed(0) || closed(1) || !c.overLimit() {
-			t.Error("a connection is closed that was idle for less than it may")
+			t.Error("a connection is closed that was idle for less than minIdleTime")
 		}
-		time.Sleep(minIdleTime/2 + 2*shedInterval) // the other one has been idle for long enough now
+		time.Sleep(minIdleTime/2 + 2*shedInterval) // now conns[1] has been idle for minIdleTime
 		if closed(0) || !closed(1) || c.overLimit() {
 			t.Error("want the connection closed that was idle longest, and no other")
 		}
-		come(3)
+		connect(3)
 		if closed(0) || !c.overLimit() {
-			t.Error("a connection is closed for the next one that was idle for less than it may")
+			t.Error("a connection that was idle for less than minIdleTime is closed for the next one")
 		}
 		time.Sleep(minIdleTime)
 		if !closed(0) || c.overLimit() {
-			t.Error("want room made for the last one too")
+			t.Error("want an idle connection closed for the last one too")
 		}
 		for _, conn := range conns {
 			c.track(conn, http.StateClosed)
 			c.released(conn)
 		}
 		if c.count != 0 || len(c.ended) != 0 {
-			t.Errorf("with all closed %d are counted, %d shed", c.count, len(c.ended))
+			t.Errorf("with all connections closed %d are counted, %d of them as ended", c.count, len(c.ended))
 		}
 	})
 }
 
-// A request that crosses the close of its connection is not taken: its client sends it again, and it must not run
-// twice.
+// A request that crosses the node's close of its connection is not served: the client sends it again, and it must not run twice.
 func TestRequestThatCrossesTheClose(t *testing.T) {
 	t.Parallel()
 	c := &Config{Settings: settings()}
--- a/internal/node/exchange.go
+++ b/internal/node/exchange.go
@@ -18,23 +18,23 @@
 	"meadowsill/policy"
 )
 
-// exchange is one request to a backend.
+// exchange is one request to an app server, and its answer.
 type exchange struct {
-	request   context.Context // once it has ended, nothing is written; nil: it does not end
-	writeLock *sync.Mutex     // held while something is, and as request is ended with a final answer; nil: no need
+	request   context.Context // the context of the client's request, after whose end nothing is written; nil if there is none
+	writeLock *sync.Mutex     // held during each write, and while the final answer ends the context above; may be nil
 	method    string
 	url       *url.URL
 	header    http.Header
 	body      []byte
-	deadline  time.Time // the node waits no longer
-	writeBy   time.Time // if set, nothing is written from then on
+	deadline  time.Time // until which the node waits for the answer
+	writeBy   time.Time // after which nothing is written, unless it is zero
 
-	upload     *upload                                                     // what follows on body, or nil
-	onBodySent func()                                                      // called when some of that is about to be sent
-	onStream   func(resp *http.Response, held []byte, rest *io.PipeReader) // takes a long answer; nil: none is taken
+	upload     *upload                                                     // the rest of a long body after body, or nil
+	onBodySent func()                                                      // called before the first byte of upload is read and sent
+	onStream   func(resp *http.Response, held []byte, rest *io.PipeReader) // receives a long answer; if nil, long answers fail
 }
 
-// result is how an exchange ended.
+// result is the outcome of an exchange.
 type result struct {
 	code   policy.OutcomeCode
 	report *policy.LoadReport
@@ -43,21 +43,21 @@
 	err    error
 }
 
-// roundTrip makes an exchange and blocks until it is over. An end of ctx calls it off.
-func (b *upstreams) roundTrip(ctx context.Context, h *upstreamHost, x *exchange) result {
+// roundTrip makes an exchange and blocks until it is over. The end of ctx cancels it.
+func (u *upstreams) roundTrip(ctx context.Context, h *upstreamHost, x *exchange) result {
 	if h == nil {
 		return result{code: policy.ConnectFailed, err: errHostClosed}
 	}
-	dialing := ctx
-	if x.request != nil { // a dial takes time, and its request may end: nothing is written then, and no leave is needed
-		var let context.CancelFunc
-		dialing, let = context.WithCancel(ctx)
-		defer let()
-		defer context.AfterFunc(x.request, let)()
+	dialCtx := ctx
+	if x.request != nil { // if the request ends during the dial nothing has been written, so the attempt ends without a cancel
+		var cancelDial context.CancelFunc
+		dialCtx, cancelDial = context.WithCancel(ctx)
+		defer cancelDial()
+		defer context.AfterFunc(x.request, cancelDial)()
 	}
 	for {
 		began := time.Now()
-		c, err := b.connect(dialing, h, x.deadline)
+		c, err := u.connect(dialCtx, h, x.deadline)
 		switch {
 		case err == nil:
 		case x.request != nil && x.request.Err() != nil:
@@ -67,32 +67,32 @@
 		default:
 			return result{code: policy.ConnectFailed, err: err}
 		}
-		r := b.exchangeOn(ctx, h, c, x)
-		if errors.Is(r.err, errUnexpectedBytes) { // the connection is closed by now, and the next one is another
+		r := u.exchangeOn(ctx, h, c, x)
+		if errors.Is(r.err, errUnexpectedBytes) { // that connection is closed now; the next try takes another one
 			continue
 		}
 		if r.code == policy.TimedOut {
-			b.closeIfSilent(h, began)
+			u.closeIfSilent(h, began)
 		}
 		return r
 	}
 }
 
-// exchangeOn makes an exchange on a connection, and gives that back.
-func (b *upstreams) exchangeOn(ctx context.Context, h *upstreamHost, c *upstreamConn, x *exchange) result {
+// exchangeOn makes an exchange on a connection, and releases the connection.
+func (u *upstreams) exchangeOn(ctx context.Context, h *upstreamHost, c *upstreamConn, x *exchange) result {
 	c.SetDeadline(x.deadline)
 	stop := context.AfterFunc(ctx, func() { c.SetDeadline(time.Unix(1, 0)) })
-	w := newWriter(ctx, b, h, c, x)
+	w := newWriter(ctx, u, h, c, x)
 	r, keep := writeAndRead(ctx, w)
-	// One that has begun may set its deadline at any time, also when the next request is on the connection.
-	stopped := w.unhook()
+	// A callback that has begun may set its deadline at any time, even when the connection carries the next request.
+	stopped := w.detachRequest()
 	stopped = stop() && stopped
 	switch {
 	case r.err == nil:
-		b.mu.Lock()
+		u.mu.Lock()
 		h.lastAnswerAt = time.Now()
-		b.mu.Unlock()
-	case w.isUntouched(r.err):
+		u.mu.Unlock()
+	case w.isConnUntouched(r.err):
 		keep = true
 	case r.code == policy.ConnectFailed || r.code == policy.NotSent:
 	case ctx.Err() != nil:
@@ -100,19 +100,19 @@
 	case errors.Is(r.err, os.ErrDeadlineExceeded):
 		r.code = policy.TimedOut
 	}
-	b.release(h, c, keep && stopped)
+	u.release(h, c, keep && stopped)
 	return r
 }
 
-// writeAndRead writes a request and reads its answer. keep reports whether the connection can take another.
+// writeAndRead writes a request and reads its answer. keep is true if the connection can carry another request.
 func writeAndRead(ctx context.Context, w *requestWriter) (r result, keep bool) {
 	x := w.exchange
-	left := max(0, time.Until(x.deadline))
+	timeLeft := max(0, time.Until(x.deadline))
 	header := x.header.Clone()
 	if header == nil {
 		header = http.Header{}
 	}
-	header["X-Time-Left"] = []string{strconv.FormatFloat(left.Seconds(), 'f', 3, 64)}
+	header["X-Time-Left"] = []string{strconv.FormatFloat(timeLeft.Seconds(), 'f', 3, 64)}
 	req := &http.Request{Method: x.method, URL: x.url, Host: x.url.Host, Header: header, ProtoMajor: 1, ProtoMinor: 1}
 	if len(x.body) > 0 || x.method == http.MethodPost {
 		req.ContentLength, req.Body = int64(len(x.body)), io.NopCloser(bytes.NewReader(x.body))
@@ -123,21 +123,21 @@
 	if x.upload != nil {
 		return uploadAndRead(ctx, w, req)
 	}
-	var text bytes.Buffer
-	text.Grow(1<<10 + len(x.body))
-	if err := req.Write(&text); err != nil {
+	var buf bytes.Buffer
+	buf.Grow(1<<10 + len(x.body))
+	if err := req.Write(&buf); err != nil {
 		return result{code: policy.ConnectFailed, err: err}, false
 	}
-	if _, err := w.Write(text.Bytes()); err != nil {
+	if _, err := w.Write(buf.Bytes()); err != nil {
 		return w.unsentResult(err), false
 	}
-	w.unhook()
+	w.detachRequest()
 	return readResult(ctx, w.conn, x, req)
 }
 
-// readResult reads the answer to a request.
+// readResult reads the answer to a request. keep is true if the connection can carry another request.
 func readResult(ctx context.Context, c *upstreamConn, x *exchange, req *http.Request) (r result, keep bool) {
-	c.remaining.remaining = maxBufferedAnswer // http.ReadResponse itself takes a header of any size, and any number of interim answers
+	c.remaining.remaining = maxBufferedAnswer // http.ReadResponse has no limit on the header's size or the number of interim answers
 	resp, err := http.ReadResponse(c.reader, req)
 	for err == nil && resp.StatusCode < 200 && resp.StatusCode != http.StatusSwitchingProtocols {
 		resp, err = http.ReadResponse(c.reader, req)
@@ -154,11 +154,11 @@
 		}
 		return result{code: code, err: err}, false
 	}
-	if !complete { // it has gone to the client
+	if !complete { // readAnswer has relayed the body to the client
 		return result{code: policy.OK, report: parseReport(resp.Header.Get("X-Backend-Load"))}, !resp.Close
 	}
-	// An answer that may have no body ends with its head, whatever length it states: what it may mean as a body is on its
-	// way, and would be read as the beginning of the next answer.
+	// An answer whose status allows no body ends with its head, whatever length it states. If the server sends a body all the
+	// same, it would be read as the beginning of the next answer.
 	headOnly := resp.StatusCode < 200 || resp.StatusCode == http.StatusNoContent || resp.StatusCode == http.StatusNotModified
 	r = result{code: policy.ServerError, report: parseReport(resp.Header.Get("X-Backend-Load")), header: resp.Header, body: body}
 	switch status := resp.StatusCode; {
@@ -170,7 +170,7 @@
 	return r, !resp.Close && !headOnly
 }
 
-// parseReport reads a load report. One with no field that is known and a number is none.
+// parseReport parses a load report. It returns nil if the text has no known field with a finite number.
 func parseReport(text string) *policy.LoadReport {
 	var r policy.LoadReport
 	known := false
@@ -186,9 +186,9 @@
 	return &r
 }
 
-// checkHealth checks the health of a backend.
-func (b *upstreams) checkHealth(ctx context.Context, h *upstreamHost, path string) result {
-	r := b.roundTrip(ctx, h, &exchange{method: http.MethodGet, url: &url.URL{Path: path, Host: "api.internal"}, deadline: time.Now().Add(healthCheckTimeout)})
+// checkHealth makes a health check of an app server. A load report may come in the answer's header or its body.
+func (u *upstreams) checkHealth(ctx context.Context, h *upstreamHost, path string) result {
+	r := u.roundTrip(ctx, h, &exchange{method: http.MethodGet, url: &url.URL{Path: path, Host: "api.internal"}, deadline: time.Now().Add(healthCheckTimeout)})
 	if r.report == nil && r.code == policy.OK {
 		r.report = parseReport(string(r.body))
 	}
--- a/internal/node/streaming.go
+++ b/internal/node/streaming.go
@@ -9,87 +9,90 @@
 	"time"
 )
 
-// Bodies over 64 KiB, which are relayed as they come: the limits, and answers' (upload.go has requests').
+// This file has the limits of bodies over 64 KiB, which the node relays while they arrive, and the relaying of answers with
+// such bodies. upload.go has the relaying of requests.
 
 const (
-	maxLongBody       = 32 << 20 // bytes of a body, either way
+	maxLongBody       = 32 << 20 // bytes of a body, of a request or an answer
 	copyBufferSize    = 16 << 10
-	kernelBufferSize  = 64 << 10                // of the kernel's buffers under a long body
-	minBodyRate       = 48e3                    // bytes a second that a client sends at least: 64,000, with some slack
-	bodyConnDeadline  = 2750 * time.Millisecond // from connecting on, a peer that sends nothing more is ended
+	kernelBufferSize  = 64 << 10                // bytes of the kernel's socket buffers for a long body
+	minBodyRate       = 48e3                    // bytes per second; clients send at least 64,000, and the rest is slack
+	bodyConnDeadline  = 2750 * time.Millisecond // from the accept, for the first body to begin; the node ends silent peers then
 	bodyStartTimeout  = 550 * time.Millisecond  // for a body to begin, at least
-	reusedBodyTimeout = requestHeadTimeout      // the same on a kept connection
+	reusedBodyTimeout = requestHeadTimeout      // for a body to begin on a reused connection
 	stallTimeout      = 6 * time.Second         // for any progress on a long body
-	streamDelay       = 100 * time.Millisecond  // an answer of unknown length is held for so long: it may be a short one
+	streamDelay       = 100 * time.Millisecond  // an answer of unknown length is buffered for this long: it may be a short one
 )
 
 var copyBuffers = sync.Pool{New: func() any { return new([copyBufferSize]byte) }}
 
-// streamedAnswer is an answer that is held back until it is complete, or is begun to be passed on.
+// streamedAnswer is an answer's body that is buffered until it is complete or the node begins to relay it. Relayed bytes go
+// through a pipe to the client's handler.
 type streamedAnswer struct {
 	onStart func(held []byte, rest *io.PipeReader)
 	ctx     context.Context
 
-	mu       sync.Mutex // guards the fields below
-	buffered []byte
-	started  bool
-	pipe     *io.PipeWriter
-	unhook   func() bool // stops what the end of ctx would do to the pipe
+	mu            sync.Mutex // guards the fields below
+	buffered      []byte
+	started       bool
+	pipe          *io.PipeWriter
+	detachContext func() bool // cancels the closing of the pipe at the end of ctx
 }
 
-// start begins to pass the answer on, if it has not begun.
-func (d *streamedAnswer) start() {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.startLocked()
+// start begins to relay the answer, unless that has begun already.
+func (s *streamedAnswer) start() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.startLocked()
 }
 
-func (d *streamedAnswer) startLocked() {
-	if !d.started {
-		d.started = true
+func (s *streamedAnswer) startLocked() {
+	if !s.started {
+		s.started = true
 		r, w := io.Pipe()
-		d.pipe = w
-		d.unhook = context.AfterFunc(d.ctx, func() { r.CloseWithError(d.ctx.Err()) })
-		d.onStart(d.buffered, r)
-		d.buffered = nil
+		s.pipe = w
+		s.detachContext = context.AfterFunc(s.ctx, func() { r.CloseWithError(s.ctx.Err()) })
+		s.onStart(s.buffered, r)
+		s.buffered = nil
 	}
 }
 
-// errClientClosed is an end that the server has no part in.
-var errClientClosed = errors.New("the client takes no more")
+// errClientClosed is the error of a transfer that ended for a reason on the client's side, and not the server's.
+var errClientClosed = errors.New("the client receives no more")
 
-// write holds a piece back or passes it on, and then blocks until it is taken.
-func (d *streamedAnswer) write(p []byte) error {
-	d.mu.Lock()
-	if !d.started {
-		d.buffered = append(d.buffered, p...)
-		if len(d.buffered) > maxBufferedBody {
-			d.startLocked()
+// write buffers a part of the body or, once the relaying has begun, passes it on and blocks until the handler has read it.
+func (s *streamedAnswer) write(p []byte) error {
+	s.mu.Lock()
+	if !s.started {
+		s.buffered = append(s.buffered, p...)
+		if len(s.buffered) > maxBufferedBody {
+			s.startLocked()
 		}
-		d.mu.Unlock()
+		s.mu.Unlock()
 		return nil
 	}
-	d.mu.Unlock()
-	if _, err := d.pipe.Write(p); err != nil {
+	s.mu.Unlock()
+	if _, err := s.pipe.Write(p); err != nil {
 		return errClientClosed
 	}
 	return nil
 }
 
-// finish is called when no more comes. It reports whether the answer was buffered completely.
-func (d *streamedAnswer) finish(err error) (complete bool) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if d.started {
-		d.unhook()
-		d.pipe.CloseWithError(err) // io.EOF for nil
+// finish ends the body, with err if it is incomplete. It reports whether the whole body is in the buffer.
+func (s *streamedAnswer) finish(err error) (complete bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.started {
+		s.detachContext()
+		s.pipe.CloseWithError(err) // io.EOF for nil
 		return false
 	}
-	d.started = true // the timer comes too late
+	s.started = true // so that the timer does not start the relaying any more
 	return err == nil
 }
 
-// readAnswer reads an answer's body. One that is short is returned whole; the rest of a longer one goes to x.begin.
+// readAnswer reads an answer's body. It returns a short body whole; a longer one it relays through x.onStream, and complete
+// is false then.
 func readAnswer(ctx context.Context, c *upstreamConn, x *exchange, resp *http.Response) (body []byte, complete bool, err error) {
 	if resp.ContentLength > maxLongBody {
 		return nil, false, errTooLarge
@@ -101,37 +104,38 @@
 		}
 		return body, err == nil, err
 	}
-	c.remaining.remaining = 2 * maxLongBody // with its framing
+	c.remaining.remaining = 2 * maxLongBody // with space for the chunk framing
 	c.SetReadBuffer(kernelBufferSize)
-	patient := func() { // from its beginning on an answer may take its time, also the piece that is waited for
+	// Once an answer is being relayed only stalls limit its time. The new deadline also applies to a read that is waiting.
+	extendDeadline := func() {
 		if c.SetReadDeadline(time.Now().Add(stallTimeout)); ctx.Err() != nil {
-			c.SetReadDeadline(time.Unix(1, 0)) // as the end of ctx does
+			c.SetReadDeadline(time.Unix(1, 0)) // again: the line above may have replaced the deadline that the end of ctx set
 		}
 	}
-	d := &streamedAnswer{ctx: ctx, onStart: func(held []byte, rest *io.PipeReader) {
-		patient()
+	streamed := &streamedAnswer{ctx: ctx, onStart: func(held []byte, rest *io.PipeReader) {
+		extendDeadline()
 		x.onStream(resp, held, rest)
 	}}
 	if resp.ContentLength > maxBufferedBody {
-		d.start()
+		streamed.start()
 	} else {
-		defer time.AfterFunc(streamDelay, d.start).Stop()
+		defer time.AfterFunc(streamDelay, streamed.start).Stop()
 	}
-	piece := copyBuffers.Get().(*[copyBufferSize]byte)
-	defer copyBuffers.Put(piece)
+	buf := copyBuffers.Get().(*[copyBufferSize]byte)
+	defer copyBuffers.Put(buf)
 	for total := 0; ; {
-		if d.hasStarted() {
-			patient()
+		if streamed.hasStarted() {
+			extendDeadline()
 		}
 		var n int
-		n, err = resp.Body.Read(piece[:])
+		n, err = resp.Body.Read(buf[:])
 		if total += n; total > maxLongBody {
 			err = errTooLarge
 			break
 		}
 		if n > 0 {
-			if werr := d.write(piece[:n]); werr != nil {
-				err = werr
+			if writeErr := streamed.write(buf[:n]); writeErr != nil {
+				err = writeErr
 				break
 			}
 		}
@@ -142,36 +146,37 @@
 	if err == io.EOF {
 		err = nil
 	}
-	complete = d.finish(err)
-	return d.buffered, complete, err
+	complete = streamed.finish(err)
+	return streamed.buffered, complete, err
 }
 
-func (d *streamedAnswer) hasStarted() bool {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.started
+func (s *streamedAnswer) hasStarted() bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.started
 }
 
-// relayStream passes a long answer on to the client. A client that can't have it whole has its connection closed within it.
+// relayStream relays a long answer to the client. If the answer can't be relayed in full, the client's connection is closed
+// within it.
 func (f *frontend) relayStream(w http.ResponseWriter, r *http.Request, a answer) {
-	defer a.stream.CloseWithError(errClientClosed) // after the end nobody sees it
+	defer a.stream.CloseWithError(errClientClosed) // has no effect if the stream has ended
 	if conn, ok := r.Context().Value(connKey{}).(interface{ SetWriteBuffer(int) error }); ok {
 		conn.SetWriteBuffer(kernelBufferSize)
 	}
 	control := http.NewResponseController(w)
-	piece := copyBuffers.Get().(*[copyBufferSize]byte)
-	defer copyBuffers.Put(piece)
-	pass := func(p []byte) {
+	buf := copyBuffers.Get().(*[copyBufferSize]byte)
+	defer copyBuffers.Put(buf)
+	send := func(p []byte) {
 		control.SetWriteDeadline(time.Now().Add(stallTimeout))
 		if _, err := w.Write(p); err != nil || control.Flush() != nil {
 			panic(http.ErrAbortHandler)
 		}
 	}
-	pass(a.body)
+	send(a.body)
 	for {
-		n, err := a.stream.Read(piece[:])
+		n, err := a.stream.Read(buf[:])
 		if n > 0 {
-			pass(piece[:n])
+			send(buf[:n])
 		}
 		if err == io.EOF {
 			return
