--- a/internal/node/endpoint_races_test.go
+++ b/internal/node/endpoint_races_test.go
@@ -93,8 +93,8 @@
 	d.client.CloseIdleConnections()
 }
 
-// startLoop starts an event loop with a module and a client of discovery at an address, without the other parts of a node.
-func startLoop(t *testing.T, pushed bool, addr netip.AddrPort) *eventLoop {
+// startDiscoveryLoop starts an event loop with a module and a client of discovery at an address, without the other parts of a node.
+func startDiscoveryLoop(t *testing.T, pushed bool, addr netip.AddrPort) *eventLoop {
 	c := &Config{Settings: settings(), Discovery: addr, Known: endpointList{version: 1}}
 	c.Settings.PollsEndpoints = !pushed
 	ctx, stop := context.WithCancel(context.Background())
@@ -153,7 +153,7 @@
 			<-t.Context().Done()
 			return ""
 		})
-		l := startLoop(t, pushed, old)
+		l := startDiscoveryLoop(t, pushed, old)
 		await(t, "the list", func() bool { return l.listedAddr() == addrA })
 		<-waiting
 		release := l.block(t, func() {})
@@ -189,7 +189,7 @@
 	answer := make(chan struct{})
 	restarted := make(chan string, 99)
 	end := make(chan struct{})
-	l := startLoop(t, false, registry(t, func(_ int, q url.Values) string {
+	l := startDiscoveryLoop(t, false, registry(t, func(_ int, q url.Values) string {
 		switch since, begins := q.Get("since"), q.Get("timeout_ms") == "1"; {
 		case since == "1":
 			return jsonList(2, true, "ready", addrA)
@@ -256,7 +256,7 @@
 				return ""
 			})(c)
 		})
-		l := startLoop(t, pushed, netip.MustParseAddrPort(addr))
+		l := startDiscoveryLoop(t, pushed, netip.MustParseAddrPort(addr))
 		if first, second := <-requested, <-requested; first != "1" || second != "2" {
 			t.Errorf("polled from %s and %s, want 1 and 2", first, second)
 		}
@@ -279,7 +279,7 @@
 	for _, pushed := range []bool{true, false} {
 		for _, complete := range []bool{true, false} {
 			requested := make(chan string, 99)
-			l := startLoop(t, pushed, registry(t, func(_ int, q url.Values) string {
+			l := startDiscoveryLoop(t, pushed, registry(t, func(_ int, q url.Values) string {
 				requested <- q.Get("since")
 				switch q.Get("since") {
 				case "1":
@@ -320,7 +320,7 @@
 	}
 	var version atomic.Int64
 	states := map[int64][]string{2: {"ready"}, 3: {"gone", "ready"}, 4: {"ready", "gone"}}
-	l := startLoop(t, true, registry(t, func(_ int, q url.Values) string {
+	l := startDiscoveryLoop(t, true, registry(t, func(_ int, q url.Values) string {
 		since, _ := strconv.ParseInt(q.Get("since"), 10, 64)
 		for t.Context().Err() == nil {
 			if v := version.Load(); v > since {
