--- a/policy/admission.go
+++ b/policy/admission.go
@@ -26,12 +26,12 @@
 }
 
 // configureLocalQuotas sets up the token buckets of the tenants in the settings, except for tenants that the
-// control plane governs.
+// control plane manages.
 func (m *Module) configureLocalQuotas() {
 	previous := m.localQuotas
 	m.localQuotas = map[string]*localQuota{}
 	for _, t := range m.settings.Tenants {
-		if m.fleet.governs(t.Name) {
+		if m.fleet.overridesSettings(t.Name) {
 			continue
 		}
 		quota := &localQuota{}
@@ -62,8 +62,8 @@
 	if m.requests[e.ID] != nil {
 		return
 	}
-	c := m.classNamed(e.Class)
-	r := &request{id: e.ID, class: c, rules: m.settings, arrivedAt: m.now, deadline: m.now + e.Timeout}
+	c := m.ensureClass(e.Class)
+	r := &request{id: e.ID, class: c, arrivalSettings: m.settings, arrivedAt: m.now, deadline: m.now + e.Timeout}
 	m.requests[e.ID] = r
 	m.open = append(m.open, r)
 	if !m.admitTenant(r, e.Tenant) {
--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -17,7 +17,7 @@
 func BenchmarkCapacityListOneChange(b *testing.B) {
 	for _, n := range benchServers {
 		m := New(sparseSettings(2200), 1)
-		m.Handle(time.Hour, sparseList(n))
+		m.Handle(time.Hour, cachedEndpoints(n))
 		b.Run(fmt.Sprintf("servers=%d", n), func(b *testing.B) {
 			now := Time(time.Hour)
 			for b.Loop() {
@@ -33,7 +33,7 @@
 func BenchmarkCapacityTick(b *testing.B) {
 	for _, n := range benchServers {
 		m := New(sparseSettings(2200), 1)
-		m.Handle(time.Hour, sparseList(n))
+		m.Handle(time.Hour, cachedEndpoints(n))
 		b.Run(fmt.Sprintf("servers=%d", n), func(b *testing.B) {
 			now := Time(time.Hour)
 			for b.Loop() {
@@ -49,7 +49,7 @@
 	settings := sparseSettings(2200)
 	settings.Fleet = true
 	m := New(settings, 1)
-	m.Handle(time.Hour, sparseList(8))
+	m.Handle(time.Hour, cachedEndpoints(8))
 	for i := range n {
 		m.Handle(time.Hour, TenantUpdate{Name: fmt.Sprintf("tenant-%06d", i), UID: uint64(i + 1), Revision: uint64(i + 1),
 			Committed: &TenantRules{Generation: 1, Digest: "0123456789abcdef", Rate: 10, Burst: 20}})
@@ -90,7 +90,7 @@
 		settings := sparseSettings(2200)
 		settings.Fleet = true
 		m := New(settings, 1)
-		list := sparseList(n)
+		list := cachedEndpoints(n)
 		for i := range list.Servers {
 			list.Servers[i].Name = fmt.Sprintf("s-%08d", i)
 		}
--- a/policy/conformance_test.go
+++ b/policy/conformance_test.go
@@ -75,7 +75,7 @@
 func threshold(t *testing.T, text string, h float64) float64 {
 	sum := 0.0
 	sign := 1.0
-	base := map[string]float64{"L": lowThresholdPart * h, "H": h, "R": blockThresholdFactor*h + 1}
+	base := map[string]float64{"L": lowThresholdFraction * h, "H": h, "R": blockThresholdFactor*h + 1}
 	for _, part := range strings.SplitAfter(strings.NewReplacer("-", "-|", "+", "+|").Replace(text), "|") {
 		nextSign := 1.0
 		if strings.HasSuffix(part, "-|") {
@@ -107,7 +107,7 @@
 	m.weights.mean = m.weights.max
 	var h float64
 	for i, s := range row.Servers {
-		k := m.serverByID(ServerID(i + 1))
+		k := m.ensureServer(ServerID(i + 1))
 		_, h = m.serverLoad(k)
 		k.inFlight, k.overload.mode = threshold(t, s.N, h), Mode(max(0, slices.Index(modeNames, s.Mode)))
 		if s.Imposed != "" {
@@ -127,8 +127,8 @@
 			k.slowStart.since, k.slowStart.tokensAt = now, now
 		}
 	}
-	if h < 1 || lowThresholdPart*h >= h || h >= blockThresholdFactor*h+1 {
-		t.Fatalf("L, H and R are %v, %v, %v", lowThresholdPart*h, h, blockThresholdFactor*h+1)
+	if h < 1 || lowThresholdFraction*h >= h || h >= blockThresholdFactor*h+1 {
+		t.Fatalf("L, H and R are %v, %v, %v", lowThresholdFraction*h, h, blockThresholdFactor*h+1)
 	}
 	if row.Budget != nil {
 		m.retryBudget = *row.Budget
@@ -137,10 +137,10 @@
 	if row.TimeoutMS > 0 {
 		timeout = time.Duration(row.TimeoutMS) * time.Millisecond
 	}
-	r := &request{id: "r", class: m.classNamed(row.Class), rules: m.settings, arrivedAt: now, deadline: now + timeout, priority: row.Class != "bulk"}
+	r := &request{id: "r", class: m.ensureClass(row.Class), arrivalSettings: m.settings, arrivedAt: now, deadline: now + timeout, priority: row.Class != "bulk"}
 	for _, a := range row.Attempts {
 		code := slices.Index(codeNames, a.Code)
-		r.attempts = append(r.attempts, attempt{server: m.serverByID(ServerID(a.Server)), sentAt: now, ended: a.Code != "in-flight",
+		r.attempts = append(r.attempts, attempt{server: m.ensureServer(ServerID(a.Server)), sentAt: now, ended: a.Code != "in-flight",
 			mayHaveRun: code < 0 || code != int(Rejected) && code != int(ConnectFailed) && code != int(NotSent)})
 		if a.Code == "in-flight" {
 			r.inFlight++
@@ -192,7 +192,7 @@
 		return fmt.Sprintf("q1 %.2f q2 %.2f", q1, q2)
 	case "report", "look":
 		if row.Event == "report" {
-			m.applyLoadReport(m.serverByID(1), &LoadReport{InFlight: row.InFlight, HasInFlight: true})
+			m.applyLoadReport(m.ensureServer(1), &LoadReport{InFlight: row.InFlight, HasInFlight: true})
 		} else if row.Code != "" {
 			m.Handle(now, end)
 		}
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -52,7 +52,7 @@
 // counts as started then, even if the list has an earlier start. After a start the faults of an earlier
 // process are forgotten and the server gets a slow start.
 func (m *Module) updateServer(entry Server) {
-	s := m.serverByID(entry.ID)
+	s := m.ensureServer(entry.ID)
 	if entry.State == Ready {
 		entry.StartedAt = max(entry.StartedAt, m.includedAt[entry.ID])
 		if entry.StartedAt > s.StartedAt {
--- a/policy/fleet_load_test.go
+++ b/policy/fleet_load_test.go
@@ -68,7 +68,7 @@
 // run simulates the fleet for length, and counts the requests that arrive after warmUp.
 func (f fleetRun) run(seed int64, warmUp, length time.Duration) fleetResult {
 	rng := rand.New(rand.NewSource(seed))
-	list := sparseList(f.servers)
+	list := cachedEndpoints(f.servers)
 	zones := []string{"a", "b", "c", "d"}
 	for i := range list.Servers {
 		list.Servers[i].Zone = zones[i%4]
@@ -235,7 +235,7 @@
 			s := sparseSettings(nodes)
 			s.Tenants = []Tenant{{Name: "small", Quota: quota}}
 			m, rng := New(s, 1), rand.New(rand.NewSource(1))
-			m.Handle(time.Hour, sparseList(1))
+			m.Handle(time.Hour, cachedEndpoints(1))
 			arrived, withPriority := 0, 0.0
 			rate := load * quota / float64(nodes)
 			for now := time.Hour; now < time.Hour+seconds*time.Second*time.Duration(nodes)/4; arrived++ {
@@ -260,7 +260,7 @@
 // nodes restarted, one request of each would keep up the overload. A baseline well within the objectives does give one.
 func TestStartUnderOverloadFindsNoCapacity(t *testing.T) {
 	m := New(sparseSettings(300), 1)
-	s := m.serverByID(1)
+	s := m.ensureServer(1)
 	m.latency.answers, m.latency.atObjective = 100, 0.230
 	for learned, want := range map[float64]float64{0.030: 1, 0.090: 1, 0.190: 0.44, 0.220: 0.11, 0.300: 0} {
 		m.latency.mean, m.latency.baseline = learned, learned
--- a/policy/fleet_state.go
+++ b/policy/fleet_state.go
@@ -67,7 +67,7 @@
 		func(a, b *fleetTenant) int { return cmp.Compare(a.name, b.name) })
 }
 
-// governs reports whether the control plane's intent for a tenant applies in place of the settings' rules.
-func (f *fleetState) governs(name string) bool {
+// overridesSettings reports whether the control plane's intent for a tenant applies in place of the settings.
+func (f *fleetState) overridesSettings(name string) bool {
 	return f != nil && f.tenants[name] != nil && !f.tenants[name].fromSettings
 }
--- a/policy/fleet_zones_test.go
+++ b/policy/fleet_zones_test.go
@@ -214,7 +214,7 @@
 			w.run(50*time.Millisecond, testRate, false)
 		}
 		w.run(12*time.Second, 0, false)
-		if len(w.violations) > 0 || len(w.sends) == 0 {
+		if len(w.violations) > 0 || len(w.sentAt) == 0 {
 			t.Fatalf("seed %d: %d violations, the first: %s", seed, len(w.violations), w.violations[:min(1, len(w.violations))])
 		}
 	}
--- a/policy/module.go
+++ b/policy/module.go
@@ -23,7 +23,7 @@
 
 	classes     map[string]*class
 	classOrder  []*class
-	localQuotas map[string]*localQuota // of tenants in the settings, unless the control plane governs them
+	localQuotas map[string]*localQuota // of tenants in the settings, unless the control plane manages them
 
 	requests    map[RequestID]*request
 	open        []*request // open requests in order of arrival; finished ones are removed at the next tick
@@ -89,7 +89,7 @@
 	m.classOrder = nil
 	m.weights.max = 0
 	for _, settings := range m.settings.Classes {
-		c := m.classNamed(settings.Name)
+		c := m.ensureClass(settings.Name)
 		if old := previous[settings.Name]; old != nil {
 			*c = *old
 		}
--- a/policy/overload.go
+++ b/policy/overload.go
@@ -19,7 +19,7 @@
 
 const (
 	overloadValidity     = time.Second // how long an imposed mode holds
-	lowThresholdPart     = 0.5         // L as a fraction of H; the gap between L and H is the hysteresis
+	lowThresholdFraction = 0.5         // L as a fraction of H; the gap between L and H is the hysteresis
 	blockThresholdFactor = 2.0         // R as a multiple of H; the gap keeps capacity for priority requests
 	// objectiveFraction is the fraction of a class's latency objective that its mean latency may reach. The
 	// rest is for the long tail of latencies.
@@ -71,7 +71,7 @@
 
 // nextMode is NextMode with L and R computed from H.
 func nextMode(m Mode, n, high float64) Mode {
-	return NextMode(m, n, lowThresholdPart*high, high, blockThresholdFactor*high+1)
+	return NextMode(m, n, lowThresholdFraction*high, high, blockThresholdFactor*high+1)
 }
 
 // overloadMode updates a server's mode by this node's count, and returns it or a stricter imposed mode.
--- a/policy/polling_test.go
+++ b/policy/polling_test.go
@@ -36,7 +36,7 @@
 		s.PollsEndpoints = true
 		s.MaxPollInterval = 10 * time.Second
 		d.modules = append(d.modules, New(s, int64(node)))
-		d.modules[node].Handle(d.now, sparseList(60))
+		d.modules[node].Handle(d.now, cachedEndpoints(60))
 	}
 	return d
 }
--- a/policy/request.go
+++ b/policy/request.go
@@ -23,20 +23,20 @@
 
 // request is the state of a client's request until all its attempts have ended.
 type request struct {
-	id            RequestID
-	class         *class
-	rules         *Settings // the settings in force when it arrived
-	arrivedAt     Time
-	deadline      Time
-	attempts      []attempt
-	inFlight      int          // number of attempts in flight
-	priority      bool         // the request has priority and is shed last
-	done          bool         // the client has its final answer or is gone
-	streaming     bool         // the answer has begun
-	notReplayable bool         // the body can't be sent again
-	trial         bool         // an attempt went to an ejected server as a trial
-	tenant        *fleetTenant // nil if the request names no tenant or there is no control plane
-	route         *TenantRoute // selects the servers that may get the request; nil: all servers
+	id              RequestID
+	class           *class
+	arrivalSettings *Settings // the settings in force when it arrived
+	arrivedAt       Time
+	deadline        Time
+	attempts        []attempt
+	inFlight        int          // number of attempts in flight
+	priority        bool         // the request has priority and is shed last
+	done            bool         // the client has its final answer or is gone
+	streaming       bool         // the answer has begun
+	notReplayable   bool         // the body can't be sent again
+	trial           bool         // an attempt went to an ejected server as a trial
+	tenant          *fleetTenant // nil if the request names no tenant or there is no control plane
+	route           *TenantRoute // selects the servers that may get the request; nil: all servers
 }
 
 // mayForward reports whether the state of the request allows another attempt.
@@ -54,9 +54,9 @@
 	return false
 }
 
-// classNamed returns the class of this name and creates it if needed. A class that the settings lack is
+// ensureClass returns the class of this name and creates it if needed. A class that the settings lack is
 // non-idempotent and has priority weight 0.
-func (m *Module) classNamed(name string) *class {
+func (m *Module) ensureClass(name string) *class {
 	if m.classes[name] == nil {
 		m.classes[name] = &class{relativeCost: 1}
 		m.classOrder = append(m.classOrder, m.classes[name])
@@ -114,9 +114,9 @@
 // if no attempt is in flight.
 func (m *Module) closeRequest(r *request) {
 	r.done = true
-	r.leaveTenant()
+	r.releaseTenant()
 	for i := range r.attempts {
-		if r.rules.MayCancel && !r.attempts[i].ended && !r.streaming {
+		if r.arrivalSettings.MayCancel && !r.attempts[i].ended && !r.streaming {
 			m.emit(CancelAttempt{ID: r.id, Attempt: i})
 		}
 	}
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -61,9 +61,9 @@
 		return false
 	case s.State != Ready, s.excluded:
 		return false
-	case len(r.attempts) >= max(1, r.rules.MaxAttempts):
+	case len(r.attempts) >= max(1, r.arrivalSettings.MaxAttempts):
 		return false
-	case r.inFlight >= maxInFlight, r.inFlight > 0 && !r.rules.MayHedge:
+	case r.inFlight >= maxInFlight, r.inFlight > 0 && !r.arrivalSettings.MayHedge:
 		return false
 	}
 	return m.directiveAllows(r, s) && m.mayRepeat(r, s)
@@ -90,7 +90,7 @@
 	case NonIdempotent:
 		return false
 	}
-	if m.now+r.rules.MinTick >= a.sentAt+r.class.DedupWindow {
+	if m.now+r.arrivalSettings.MinTick >= a.sentAt+r.class.DedupWindow {
 		return false
 	}
 	switch r.class.KeyScope {
--- a/policy/server.go
+++ b/policy/server.go
@@ -27,8 +27,8 @@
 	lostAt     Time // when an attempt was last lost; 0 if one was answered since, or none was lost
 }
 
-// serverByID returns the state of a server and creates it if needed.
-func (m *Module) serverByID(id ServerID) *server {
+// ensureServer returns the state of a server and creates it if needed.
+func (m *Module) ensureServer(id ServerID) *server {
 	if m.servers[id] == nil {
 		m.servers[id] = &server{
 			firstSeen:     m.now,
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -116,7 +116,7 @@
 // fast answer, a slow fleet would look fast.
 func TestFirstAnswersDoNotInflateWarmServerRate(t *testing.T) {
 	m := New(sparseSettings(300), 1)
-	m.Handle(time.Hour, sparseList(8))
+	m.Handle(time.Hour, cachedEndpoints(8))
 	for i := range 3 {
 		id := RequestID(fmt.Sprint(i))
 		for _, a := range m.Handle(time.Hour+time.Duration(i)*time.Millisecond, RequestArrived{ID: id, Class: "priority", Timeout: time.Second}) {
@@ -134,14 +134,14 @@
 // The slow-start rate of a server must depend on its own machine kind: a weak server among strong ones gets the rate of a weak one.
 func TestSlowStartRateDependsOnKind(t *testing.T) {
 	m := New(sparseSettings(2), 1)
-	update := sparseList(8)
+	update := cachedEndpoints(8)
 	for i := range update.Servers {
 		update.Servers[i].Kind = []string{"strong", "weak"}[i%2]
 	}
 	m.Handle(time.Hour, update)
 	driveAt(m, time.Hour, 10, 40, func(id ServerID) time.Duration { return time.Duration(50+450*(id%2^1)) * time.Millisecond }, nil)
-	strong, weak := m.warmServerRate(m.serverByID(1)), m.warmServerRate(m.serverByID(2))
-	if got := m.serverByID(2).answers.perSecond / m.serverByID(1).answers.perSecond; weak > m.load.all.maxRate/2 || strong < m.load.all.maxRate || strong > maxKindFactor*m.load.all.maxRate {
+	strong, weak := m.warmServerRate(m.ensureServer(1)), m.warmServerRate(m.ensureServer(2))
+	if got := m.ensureServer(2).answers.perSecond / m.ensureServer(1).answers.perSecond; weak > m.load.all.maxRate/2 || strong < m.load.all.maxRate || strong > maxKindFactor*m.load.all.maxRate {
 		t.Errorf("strong %.2f, weak %.2f, all %.2f answers/s; the ratio of the servers' rates is %.2f", strong, weak, m.load.all.maxRate, got)
 	}
 }
--- a/policy/subset_test.go
+++ b/policy/subset_test.go
@@ -18,7 +18,7 @@
 			{Name: "bulk", PriorityWeight: 1, LatencyObjective: 600 * time.Millisecond, Deadline: 2 * time.Second, Idempotency: Idempotent}}}
 }
 
-func sparseList(servers int) EndpointUpdate {
+func cachedEndpoints(servers int) EndpointUpdate {
 	l := EndpointUpdate{Kind: EndpointsCached}
 	for i := range servers {
 		l.Servers = append(l.Servers, Server{ID: ServerID(i + 1)})
@@ -75,7 +75,7 @@
 		s := sparseSettings(nodes)
 		s.NodeIndex = self
 		m := New(s, int64(self))
-		m.Handle(time.Hour, sparseList(servers))
+		m.Handle(time.Hour, cachedEndpoints(servers))
 		drive(m, time.Hour, 3, 100*time.Millisecond, nil)
 		if len(m.subset.servers) < 8 || len(m.subset.servers) > 16 {
 			t.Fatalf("node %d has %d of %d servers in its subset", self, len(m.subset.servers), servers)
@@ -95,7 +95,7 @@
 // zone has three times as many servers as another.
 func TestSubsetsPreferLocalZoneEvenly(t *testing.T) {
 	zones := []string{"a", "b", "c", "d"}
-	l := sparseList(60)
+	l := cachedEndpoints(60)
 	for i := range l.Servers {
 		l.Servers[i].Zone = []string{"a", "a", "a", "b", "b", "c", "c", "c", "d", "d", "d", "d"}[i%12]
 	}
@@ -132,7 +132,7 @@
 	s := sparseSettings(4)
 	s.Zones, s.Zone = []string{"a", "b"}, "a"
 	m := New(s, 1)
-	l := sparseList(18)
+	l := cachedEndpoints(18)
 	for i := range l.Servers {
 		l.Servers[i].Zone = s.Zones[i%2]
 	}
@@ -146,7 +146,7 @@
 // A node with many requests must use every server.
 func TestBusyNodeUsesAllServers(t *testing.T) {
 	m := New(sparseSettings(2), 1)
-	m.Handle(time.Hour, sparseList(20))
+	m.Handle(time.Hour, cachedEndpoints(20))
 	for i := range 400 {
 		now := time.Hour + time.Duration(i)*10*time.Millisecond
 		m.Handle(now, RequestArrived{ID: RequestID(fmt.Sprint(i)), Class: "priority", Timeout: time.Second})
@@ -164,7 +164,7 @@
 		s := sparseSettings(80)
 		s.NodeIndex = self
 		m := New(s, int64(self))
-		m.Handle(time.Hour, sparseList(60))
+		m.Handle(time.Hour, cachedEndpoints(60))
 		_, now := driveAt(m, time.Hour, 10, 20, func(ServerID) time.Duration { return 50 * time.Millisecond }, nil)
 		n, _ := driveAt(m, now, 4, 20, func(id ServerID) time.Duration {
 			if id%5 == 0 {
@@ -187,7 +187,7 @@
 		s := sparseSettings(80)
 		s.NodeIndex = self
 		m := New(s, int64(self))
-		m.Handle(time.Hour, sparseList(60))
+		m.Handle(time.Hour, cachedEndpoints(60))
 		sent, _ := driveAt(m, time.Hour, 2, 20, func(ServerID) time.Duration { return 50 * time.Millisecond }, nil)
 		bulk += sent["bulk"]
 	}
@@ -201,7 +201,7 @@
 // reject requests forever.
 func TestSparseNodeShedsByLatencyAndRecovers(t *testing.T) {
 	m := New(sparseSettings(600), 3)
-	m.Handle(time.Hour, sparseList(180))
+	m.Handle(time.Hour, cachedEndpoints(180))
 	light, now := drive(m, time.Hour, 20, 60*time.Millisecond, nil)
 	if light["priority"] < 39 || light["bulk"] < 39 {
 		t.Errorf("light load: %v sent of 40 each", light)
@@ -224,7 +224,7 @@
 // unloaded server.
 func TestFastFirstAnswersDoNotSetMinimumLatency(t *testing.T) {
 	m := New(sparseSettings(80), 3)
-	m.Handle(time.Hour, sparseList(60))
+	m.Handle(time.Hour, cachedEndpoints(60))
 	_, now := drive(m, time.Hour, 1, 5*time.Millisecond, nil)
 	_, now = drive(m, now, 20, 80*time.Millisecond, nil)
 	if sent, _ := drive(m, now, 10, 80*time.Millisecond, nil); sent["priority"] < 19 || sent["bulk"] < 19 {
@@ -239,7 +239,7 @@
 		s := sparseSettings(80)
 		s.NodeIndex = self
 		m := New(s, int64(self))
-		m.Handle(time.Hour, sparseList(60))
+		m.Handle(time.Hour, cachedEndpoints(60))
 		n := 0
 		took := func(ServerID) time.Duration { n++; return time.Duration(5+n/2*13%60) * time.Millisecond }
 		_, now := driveAt(m, time.Hour, 10, 20, took, nil)
@@ -258,7 +258,7 @@
 		want     Mode
 	}{{0, Normal}, {3, Overloaded}, {30, Blocking}} {
 		m := New(sparseSettings(600), 3)
-		m.Handle(time.Hour, sparseList(8))
+		m.Handle(time.Hour, cachedEndpoints(8))
 		_, now := drive(m, time.Hour, 10, 60*time.Millisecond, nil)
 		m.now = now
 		s := m.subset.servers[0]
@@ -273,7 +273,7 @@
 // the server.
 func TestFailedConnectsCountAsFailures(t *testing.T) {
 	m := New(sparseSettings(600), 1)
-	m.Handle(time.Hour, sparseList(1))
+	m.Handle(time.Hour, cachedEndpoints(1))
 	for i := range 3 {
 		id := RequestID(fmt.Sprint(i))
 		now := time.Hour + time.Duration(i)*time.Second
@@ -289,7 +289,7 @@
 // must not be retried. One error must not eject a server, nor two timeouts, which load can cause.
 func TestServerWithHighErrorRateStaysEjected(t *testing.T) {
 	m := New(sparseSettings(80), 1)
-	m.Handle(time.Hour, sparseList(1))
+	m.Handle(time.Hour, cachedEndpoints(1))
 	now := time.Hour
 	for i, step := range []struct {
 		code OutcomeCode
@@ -314,7 +314,7 @@
 func TestInvalidLoadReportsHaveBoundedEffect(t *testing.T) {
 	for _, v := range []float64{math.NaN(), math.Inf(1), -5, 1e300} {
 		m := New(sparseSettings(600), 3)
-		m.Handle(time.Hour, sparseList(8))
+		m.Handle(time.Hour, cachedEndpoints(8))
 		_, now := drive(m, time.Hour, 5, 60*time.Millisecond, &LoadReport{InFlight: v, HasInFlight: true})
 		_, now = drive(m, now, 30, 60*time.Millisecond, nil)
 		if sent, _ := drive(m, now, 10, 60*time.Millisecond, nil); sent["priority"]+sent["bulk"] < 36 {
@@ -335,7 +335,7 @@
 			s.PollsEndpoints = true
 			s.MaxPollInterval = 10 * time.Second
 			modules = append(modules, New(s, int64(node)))
-			modules[node].Handle(time.Hour, sparseList(60))
+			modules[node].Handle(time.Hour, cachedEndpoints(60))
 		}
 		busyUntil, served := time.Hour, 0 // busyUntil: when discovery has handled all calls so far
 		type reply struct {
--- a/policy/tenant_quota.go
+++ b/policy/tenant_quota.go
@@ -102,8 +102,8 @@
 	return true
 }
 
-// leaveTenant removes a request from its tenant's count of open requests.
-func (r *request) leaveTenant() {
+// releaseTenant removes a request from its tenant's count of open requests.
+func (r *request) releaseTenant() {
 	if r.tenant != nil {
 		r.tenant.open--
 		r.tenant = nil
--- a/policy/tenant_update.go
+++ b/policy/tenant_update.go
@@ -39,7 +39,7 @@
 func (m *Module) applyTenantUpdate(e TenantUpdate) {
 	t := m.fleet.tenants[e.Name]
 	switch {
-	case e.Name == "", t != nil && t.revision > 0 && !t.isOlderThan(e):
+	case e.Name == "", t != nil && t.revision > 0 && !t.isSupersededBy(e):
 		return
 	case e.Committed != nil && e.Committed.invalidReason() != "":
 		return
@@ -87,10 +87,10 @@
 	}
 }
 
-// isOlderThan reports whether the tenant's state is older than an update. A tenant keeps its item's revision
+// isSupersededBy reports whether an update is newer than the tenant's state. A tenant keeps its item's revision
 // when it leaves the node's scope or returns to it. Such an update therefore counts as newer too, provided
 // that its intent is not older.
-func (t *fleetTenant) isOlderThan(e TenantUpdate) bool {
+func (t *fleetTenant) isSupersededBy(e TenantUpdate) bool {
 	if e.IntentRevision == 0 {
 		return e.Revision > t.revision
 	}
--- a/policy/world_check_test.go
+++ b/policy/world_check_test.go
@@ -56,13 +56,13 @@
 			w.violate("keyed request sent outside its group or window")
 		}
 	}
-	w.sends[a.Server] = append(w.sends[a.Server], w.now)
+	w.sentAt[a.Server] = append(w.sentAt[a.Server], w.now)
 	started := max(s.StartedAt, s.includedAt)
 	age := (w.now - started).Seconds() / w.settings.SlowStartWindow.Seconds()
 	if (s.startNotified || s.includedAt > 0) && age < 1 {
 		part := w.settings.SlowStartMinCapacity + (1-w.settings.SlowStartMinCapacity)*max(0, age)
 		n := 0
-		for _, at := range w.sends[a.Server] {
+		for _, at := range w.sentAt[a.Server] {
 			if at > w.now-w.settings.OverloadDuration && at >= started {
 				n++
 			}
--- a/policy/world_test.go
+++ b/policy/world_test.go
@@ -51,7 +51,7 @@
 	requests   map[policy.RequestID]*liveRequest
 	servers    map[policy.ServerID]*listedServer
 	ids        []policy.ServerID
-	sends      map[policy.ServerID][]time.Duration
+	sentAt     map[policy.ServerID][]time.Duration
 	capacity   float64 // this node's part of the capacity of a warm server, requests/s
 	module     *policy.Module
 	mutate     func(w *world, a []policy.Action) []policy.Action
@@ -287,7 +287,7 @@
 
 func newWorld(seed int64) *world {
 	r := rand.New(rand.NewSource(seed))
-	w := &world{random: r, now: time.Hour, servers: map[policy.ServerID]*listedServer{}, sends: map[policy.ServerID][]time.Duration{}}
+	w := &world{random: r, now: time.Hour, servers: map[policy.ServerID]*listedServer{}, sentAt: map[policy.ServerID][]time.Duration{}}
 	ms := func(lo, hi int) time.Duration { return time.Duration(lo+r.Intn(hi-lo)) * time.Millisecond }
 	w.settings = policy.Settings{Nodes: 1 + r.Intn(6), Zone: "z0", MaxAttempts: 1 + r.Intn(5), MayHedge: r.Intn(2) == 0,
 		MayCancel: r.Intn(3) > 0, MayHealthCheck: r.Intn(2) == 0, MayMessagePeers: r.Intn(2) == 0, SendsRetryAfter: r.Intn(2) == 0,
--- a/policy/zone_routing.go
+++ b/policy/zone_routing.go
@@ -148,7 +148,7 @@
 // attempt.
 func (r *request) mayCancelForRetry() bool {
 	return len(r.attempts) > 0 && r.mayForward() && r.inFlight == 1 && r.class.Idempotency == Idempotent &&
-		r.rules.MayCancel && len(r.attempts) < r.rules.MaxAttempts
+		r.arrivalSettings.MayCancel && len(r.attempts) < r.arrivalSettings.MaxAttempts
 }
 
 // directiveAllows reports whether the control plane's rules allow forwarding a request to a server: the
