--- a/internal/node/accept.go
+++ b/internal/node/accept.go
@@ -100,7 +100,7 @@
 	case <-l.done:
 		return nil, net.ErrClosed
 	}
-	for len(l.slots)+l.restart.clients() > cap(l.slots) {
+	for len(l.slots)+l.restart.clientConns() > cap(l.slots) {
 		select {
 		case <-time.After(otherProcessPoll):
 		case <-l.done:
@@ -114,8 +114,8 @@
 		return nil, err
 	}
 	l.restart.count(1, 0)
-	l.conns.accepted()
+	l.conns.connAccepted()
 	c := &clientConn{TCPConn: conn, conns: l.conns, acceptedAt: time.Now()}
-	c.releaseSlot = sync.OnceFunc(func() { l.conns.released(c); l.restart.count(-1, 0); <-l.slots })
+	c.releaseSlot = sync.OnceFunc(func() { l.conns.connReleased(c); l.restart.count(-1, 0); <-l.slots })
 	return c, nil
 }
--- a/internal/node/answer_wait.go
+++ b/internal/node/answer_wait.go
@@ -72,7 +72,7 @@
 		a.contextEnded()
 	case <-a.overdue.C:
 		return a.deadlinePassed()
-	case <-f.answersOver:
+	case <-f.answerWaitOver:
 		a.abandon()
 		a.finish(answer{status: a.unansweredStatus()})
 		return true
--- a/internal/node/attempts.go
+++ b/internal/node/attempts.go
@@ -144,10 +144,10 @@
 			break
 		}
 	}
-	h := l.backends.host(a.Server)
+	h := l.upstreamPool.host(a.Server)
 	l.running.Go(func() {
 		defer cancel()
-		res := l.backends.roundTrip(ctx, h, x)
+		res := l.upstreamPool.roundTrip(ctx, h, x)
 		l.post(func() { l.endAttempt(a, n, res) })
 	})
 }
@@ -208,14 +208,14 @@
 }
 
 func (l *eventLoop) checkHealth(id policy.ServerID) {
-	h := l.backends.host(id)
+	h := l.upstreamPool.host(id)
 	path := "/stats"
 	if l.rules.Load().LoadReportSource == policy.LoadReportsNone {
 		path = "/health/live"
 	}
 	began := time.Now()
 	l.running.Go(func() {
-		res := l.backends.checkHealth(l.ctx, h, path)
+		res := l.upstreamPool.checkHealth(l.ctx, h, path)
 		l.post(func() {
 			l.handle(policy.HealthCheckEnded{Server: id, Code: res.code, Elapsed: time.Since(began), Report: res.report})
 		})
--- a/internal/node/connections.go
+++ b/internal/node/connections.go
@@ -29,16 +29,16 @@
 	return &connections{limit: limit, idle: map[net.Conn]time.Time{}, ended: map[net.Conn]bool{}}
 }
 
-// accepted counts a new connection, and sheds idle ones if there are too many now.
-func (c *connections) accepted() {
+// connAccepted counts a new connection, and sheds idle ones if there are too many now.
+func (c *connections) connAccepted() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.count++
 	c.shedIdle()
 }
 
-// released stops counting a connection whose descriptor is free.
-func (c *connections) released(conn net.Conn) {
+// connReleased stops counting a connection whose descriptor is free.
+func (c *connections) connReleased(conn net.Conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.ended, conn)
@@ -99,7 +99,7 @@
 // the other process of a hot restart. Connections that the node has ended and that wait for their peer's end carry no
 // requests, so they are not a reason to reject any. The caller holds mu.
 func (c *connections) overLimitLocked() bool {
-	return c.count-len(c.ended)+c.restart.clients() > c.limit
+	return c.count-len(c.ended)+c.restart.clientConns() > c.limit
 }
 
 // overLimitWithEnded reports whether there are too many connections if those that the node has ended count too. Their slots
@@ -107,7 +107,7 @@
 func (c *connections) overLimitWithEnded() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.count+c.restart.clients() > c.limit
+	return c.count+c.restart.clientConns() > c.limit
 }
 
 // markEnded records that the node has ended a connection.
@@ -150,9 +150,9 @@
 	}
 }
 
-// closeIdleForOthers closes the connections that have been idle for minIdleTime, on which clients can't count any more. If
+// closeIdleInDrain closes the connections that have been idle for minIdleTime, on which clients can't count any more. If
 // there are too many connections, including those of a newer process of this node, it closes all idle ones.
-func (c *connections) closeIdleForOthers() {
+func (c *connections) closeIdleInDrain() {
 	minimum := minIdleTime
 	if c.overLimit() {
 		minimum = 0
--- a/internal/node/discovery.go
+++ b/internal/node/discovery.go
@@ -58,7 +58,7 @@
 	addr string
 }
 
-// states maps the names of states at discovery to those of the module.
+// serverStates maps the names of states at discovery to those of the module.
 var serverStates = map[string]policy.ServerState{"ready": policy.Ready, "draining": policy.Draining, "gone": policy.Removed}
 
 // decodeList decodes an endpoint list. It rejects the complete list if any entry is invalid.
--- a/internal/node/drain_test.go
+++ b/internal/node/drain_test.go
@@ -144,7 +144,7 @@
 			_, err := conns[i].Read(make([]byte, 1))
 			return !errors.Is(err, os.ErrDeadlineExceeded)
 		}
-		connect := func(i int) { conns[i], peers[i] = net.Pipe(); c.accepted() }
+		connect := func(i int) { conns[i], peers[i] = net.Pipe(); c.connAccepted() }
 		for i := range 2 {
 			connect(i)
 			c.track(conns[i], http.StateIdle)
@@ -170,7 +170,7 @@
 		}
 		for _, conn := range conns {
 			c.track(conn, http.StateClosed)
-			c.released(conn)
+			c.connReleased(conn)
 		}
 		if c.count != 0 || len(c.ended) != 0 {
 			t.Errorf("with all connections closed %d are counted, %d of them as ended", c.count, len(c.ended))
--- a/internal/node/event_loop.go
+++ b/internal/node/event_loop.go
@@ -25,13 +25,13 @@
 // eventLoop owns the policy module. It passes everything that happens to the module as an event, one at a time, and starts
 // the actions that the module requests. The loop never waits for the network.
 type eventLoop struct {
-	module     *policy.Module
-	rules      atomic.Pointer[requestRules] // apply to requests that arrive from now on; only the loop's goroutine changes them
-	backends   *upstreams
-	discovery  *discoveryClient
-	peers      *peerMessenger
-	exclusions *exclusions // nil without an admin API
-	log        *slog.Logger
+	module       *policy.Module
+	rules        atomic.Pointer[requestRules] // apply to requests that arrive from now on; only the loop's goroutine changes them
+	upstreamPool *upstreams
+	discovery    *discoveryClient
+	peers        *peerMessenger
+	exclusions   *exclusions // nil without an admin API
+	log          *slog.Logger
 
 	ctx            context.Context // ends every goroutine that the loop starts
 	events         chan func()
@@ -60,7 +60,7 @@
 	now := time.Now()
 	l := &eventLoop{
 		module:             policy.New(c.Settings, c.Seed),
-		backends:           u,
+		upstreamPool:       u,
 		discovery:          d,
 		peers:              p,
 		log:                log,
@@ -171,7 +171,7 @@
 			l.post(func() { l.endpointsFetched(n, err) })
 		})
 	case policy.CloseIdleConnections:
-		l.backends.closeIdle(a.Server)
+		l.upstreamPool.closeIdle(a.Server)
 	case policy.Log:
 		l.log.Info(a.Line)
 	}
@@ -182,7 +182,7 @@
 	previous := l.rules.Load()
 	s.PollsEndpoints, s.Fleet = previous.PollsEndpoints, previous.Fleet // both are fixed when the node starts
 	l.settingsSince = time.Now()
-	l.backends.configure(s)
+	l.upstreamPool.configure(s)
 	l.handle(policy.SettingsChanged{Settings: s})
 	l.rules.Store(newRequestRules(s))
 }
--- a/internal/node/exclusions.go
+++ b/internal/node/exclusions.go
@@ -32,7 +32,7 @@
 // endpoint list. A nil *exclusions has no excluded server.
 type exclusions struct {
 	path         string
-	backends     *upstreams
+	upstreamPool *upstreams
 	inclusionTTL time.Duration // how long an inclusion is reported: while the server warms up
 	log          *slog.Logger
 	changed      chan struct{} // has a buffer of one; a value means that the loop has to notify the module
@@ -59,7 +59,7 @@
 func openExclusions(c *Config, u *upstreams, log *slog.Logger) *exclusions {
 	e := &exclusions{
 		path:         exclusionsPath(c),
-		backends:     u,
+		upstreamPool: u,
 		inclusionTTL: c.Settings.SlowStartWindow,
 		log:          log,
 		changed:      make(chan struct{}, 1),
@@ -111,11 +111,11 @@
 func (e *exclusions) apply(f exclusionsFile) {
 	for _, name := range e.state.Excluded {
 		if !slices.Contains(f.Excluded, name) {
-			e.backends.exclude(serverID(name), false)
+			e.upstreamPool.setExcluded(serverID(name), false)
 		}
 	}
 	for _, name := range f.Excluded {
-		e.backends.exclude(serverID(name), true)
+		e.upstreamPool.setExcluded(serverID(name), true)
 	}
 	e.mu.Lock()
 	e.state = f
--- a/internal/node/exclusions_test.go
+++ b/internal/node/exclusions_test.go
@@ -99,7 +99,7 @@
 		processes[i].setServerNames(map[policy.ServerID]string{1: "s-00000001", 2: "s-00000002"})
 	}
 	closed := func(i int) string {
-		return fmt.Sprint(processes[i].backends.host(1).closed, processes[i].backends.host(2).closed)
+		return fmt.Sprint(processes[i].upstreamPool.host(1).closed, processes[i].upstreamPool.host(2).closed)
 	}
 	if err := processes[0].exclude("s-00000001"); err != nil {
 		t.Fatal(err)
@@ -148,7 +148,7 @@
 			}
 			time.Sleep(grace / 2) // the other half is for the disk and a slow core
 			synctest.Wait()
-			if !processes[1].backends.isClosed(processes[1].backends.host(1)) {
+			if !processes[1].upstreamPool.isClosed(processes[1].upstreamPool.host(1)) {
 				t.Errorf("with a grace of %v the exclusion does not take effect", grace)
 			}
 		})
--- a/internal/node/frontend.go
+++ b/internal/node/frontend.go
@@ -40,7 +40,7 @@
 	listening       atomic.Bool   // the node listens for clients
 	draining        atomic.Bool   // the process is ending
 	drainClosed     chan struct{} // closed when the drain takes no more requests
-	answersOver     chan struct{} // closed when the drain stops waiting for answers
+	answerWaitOver  chan struct{} // closed when the drain stops waiting for answers
 	evacuated       atomic.Bool   // the operators have evacuated the node, and have not ended that yet
 	openRequests    atomic.Int64  // number of requests being served
 	maxOpenRequests int64
@@ -53,7 +53,7 @@
 		loop:            l,
 		log:             log,
 		drainClosed:     make(chan struct{}),
-		answersOver:     make(chan struct{}),
+		answerWaitOver:  make(chan struct{}),
 		maxOpenRequests: int64(maxConns),
 		connections:     newConnections(maxConns),
 	}
--- a/internal/node/hotrestart.go
+++ b/internal/node/hotrestart.go
@@ -89,8 +89,8 @@
 // connCounts are the numbers of a process's connections from clients and to app servers. They are in a file that both
 // processes map.
 type connCounts struct {
-	clients  atomic.Int64
-	backends atomic.Int64
+	clientConns atomic.Int64
+	serverConns atomic.Int64
 }
 
 // openHotRestart opens the files of the two slots and claims a slot if one is free.
@@ -125,8 +125,8 @@
 	defer h.mu.Unlock()
 	for i, f := range h.slotFiles {
 		if h.slot == nil && syscall.Flock(int(f.Fd()), syscall.LOCK_EX|syscall.LOCK_NB) == nil {
-			h.slotCounts[i].clients.Store(h.ownCounts.clients.Load())
-			h.slotCounts[i].backends.Store(h.ownCounts.backends.Load())
+			h.slotCounts[i].clientConns.Store(h.ownCounts.clientConns.Load())
+			h.slotCounts[i].serverConns.Store(h.ownCounts.serverConns.Load())
 			h.slot = f
 			h.otherSlot = h.slotFiles[1-i]
 			h.ownCounts = h.slotCounts[i]
@@ -161,19 +161,19 @@
 	debug.SetMemoryLimit(int64(limit))
 }
 
-// clients returns the number of the other process's connections from clients. After a SIGKILL of that process, its last
-// number counts until the next refresh.
-func (h *hotRestart) clients() int {
-	return h.sum(func(c *connCounts) int64 { return c.clients.Load() })
+// clientConns returns the number of the other process's connections from clients. After a SIGKILL of that process, its
+// last number counts until the next refresh.
+func (h *hotRestart) clientConns() int {
+	return h.sum(func(c *connCounts) int64 { return c.clientConns.Load() })
 }
 
-// backends returns the number of the other process's connections to app servers, plus the descriptors that it reserves for
-// itself.
-func (h *hotRestart) backends() int {
+// serverConns returns the number of the other process's connections to app servers, plus the descriptors that it reserves
+// for itself.
+func (h *hotRestart) serverConns() int {
 	if h == nil || !h.hasOther.Load() {
 		return 0
 	}
-	return h.sum(func(c *connCounts) int64 { return c.backends.Load() }) + reservedSockets
+	return h.sum(func(c *connCounts) int64 { return c.serverConns.Load() }) + reservedSockets
 }
 
 func (h *hotRestart) sum(field func(*connCounts) int64) int {
@@ -190,11 +190,11 @@
 }
 
 // count adds to the numbers of this process's connections that the other process sees.
-func (h *hotRestart) count(clients, backends int) {
+func (h *hotRestart) count(clientConns, serverConns int) {
 	if h != nil {
 		h.mu.Lock()
 		defer h.mu.Unlock()
-		h.ownCounts.clients.Add(int64(clients))
-		h.ownCounts.backends.Add(int64(backends))
+		h.ownCounts.clientConns.Add(int64(clientConns))
+		h.ownCounts.serverConns.Add(int64(serverConns))
 	}
 }
--- a/internal/node/hotrestart_test.go
+++ b/internal/node/hotrestart_test.go
@@ -132,16 +132,16 @@
 			t.Errorf("connection %d, with 3 of the other process, of 4: %v", i, err)
 		}
 	}
-	if got := newer.backends(); got != reservedSockets+1 {
+	if got := newer.serverConns(); got != reservedSockets+1 {
 		t.Errorf("the newer process sees %d connections to servers", got)
 	}
 	end(older)
 	newer.refresh()
-	if newer.hasOther.Load() || newer.backends() != 0 {
+	if newer.hasOther.Load() || newer.serverConns() != 0 {
 		t.Error("the older process has ended and is still counted")
 	}
 	next := open()
-	if got := next.backends(); got != reservedSockets+3 {
+	if got := next.serverConns(); got != reservedSockets+3 {
 		t.Errorf("the next process sees %d connections to servers", got)
 	}
 	end(newer)
@@ -154,7 +154,7 @@
 		t.Error("no error without a directory")
 	}
 	var none *hotRestart
-	if none.count(1, 1); none.clients()+none.backends() != 0 {
+	if none.count(1, 1); none.clientConns()+none.serverConns() != 0 {
 		t.Error("a nil hotRestart counts connections of another process")
 	}
 }
@@ -216,14 +216,14 @@
 	older.refresh()
 	conns := &connections{limit: 3, restart: older, idle: map[net.Conn]time.Time{}, ended: map[net.Conn]bool{}}
 	conn, _ := net.Pipe()
-	conns.accepted()
+	conns.connAccepted()
 	conns.track(conn, http.StateIdle)
 	for _, clients := range []int{2, 1} {
 		if conns.ended[conn] {
 			t.Error("closed although the limit is not exceeded")
 		}
 		newer.count(clients, 0)
-		conns.closeIdleForOthers()
+		conns.closeIdleInDrain()
 	}
 	if !conns.ended[conn] {
 		t.Error("with 3 clients at the newer process and 1 here, of 3, the idle connection is not closed")
@@ -253,24 +253,24 @@
 	lock(older.otherSlot, syscall.LOCK_SH) // as if it were stopped during its check
 	newer := open()
 	newer.count(2, 3)
-	if clients, backends := newer.clients(), newer.backends(); clients != 5 || backends != reservedSockets+6 {
-		t.Errorf("without a slot it sees %d clients and %d connections to servers", clients, backends)
+	if clientConns, serverConns := newer.clientConns(), newer.serverConns(); clientConns != 5 || serverConns != reservedSockets+6 {
+		t.Errorf("without a slot it sees %d clients and %d connections to servers", clientConns, serverConns)
 	}
 	lock(older.otherSlot, syscall.LOCK_UN)
 	newer.refresh()
 	older.refresh()
-	if clients, backends := older.clients(), older.backends(); clients != 2 || backends != reservedSockets+3 {
-		t.Errorf("with a slot it is seen with %d clients and %d connections to servers", clients, backends)
+	if clientConns, serverConns := older.clientConns(), older.serverConns(); clientConns != 2 || serverConns != reservedSockets+3 {
+		t.Errorf("with a slot it is seen with %d clients and %d connections to servers", clientConns, serverConns)
 	}
 	third := open()
 	third.count(1, 1)
-	if clients := third.clients(); clients != 7 {
-		t.Errorf("the third process sees %d clients", clients)
+	if clientConns := third.clientConns(); clientConns != 7 {
+		t.Errorf("the third process sees %d clients", clientConns)
 	}
 	lock(older.slot, syscall.LOCK_UN) // as after a SIGKILL: the counts stay in the file
 	third.refresh()
 	newer.refresh()
-	if seen, sees := newer.clients(), third.clients(); seen != 1 || sees != 2 {
+	if seen, sees := newer.clientConns(), third.clientConns(); seen != 1 || sees != 2 {
 		t.Errorf("in the slot of the first, the third process is seen with %d clients and sees %d", seen, sees)
 	}
 }
--- a/internal/node/linger.go
+++ b/internal/node/linger.go
@@ -10,10 +10,10 @@
 // therefore closes its own side first, and reads and drops the bytes that still arrive until the peer has closed its side.
 
 const (
-	finTimeout      = 500 * time.Millisecond // for the peer to close its side
-	finShortTimeout = 50 * time.Millisecond  // the same while slots are short
-	maxFinBytes     = 256 << 10              // bytes that are dropped at most; a flood is not read further
-	finBufferSize   = 4 << 10
+	lingerTimeout      = 500 * time.Millisecond // for the peer to close its side
+	shortLingerTimeout = 50 * time.Millisecond  // the same while slots are short
+	maxLingerBytes     = 256 << 10              // bytes that are dropped at most; a flood is not read further
+	lingerBufferSize   = 4 << 10
 )
 
 // errConnClosing is returned by reads on a connection that the node is closing. net/http takes an error of this type for a
@@ -40,9 +40,9 @@
 		}
 		c.conns.markEnded(c)
 		c.TCPConn.CloseWrite()
-		timeout := finTimeout
+		timeout := lingerTimeout
 		if c.conns.overLimitWithEnded() {
-			timeout = finShortTimeout
+			timeout = shortLingerTimeout
 		}
 		c.SetReadDeadline(time.Now().Add(timeout))
 		go c.linger()
@@ -56,8 +56,8 @@
 
 func (c *clientConn) linger() {
 	defer c.release()
-	buf := make([]byte, finBufferSize)
-	for remaining := maxFinBytes; remaining > 0; {
+	buf := make([]byte, lingerBufferSize)
+	for remaining := maxLingerBytes; remaining > 0; {
 		n, err := c.TCPConn.Read(buf)
 		if err != nil {
 			return
--- a/internal/node/linger_test.go
+++ b/internal/node/linger_test.go
@@ -176,7 +176,7 @@
 }
 
 // A connection is counted before Accept returns it, and keeps its slot until its descriptor is free, which is at the peer's
-// end or after finTimeout. Bytes that come in between are dropped.
+// end or after lingerTimeout. Bytes that come in between are dropped.
 func TestSlotIsHeldToTheEnd(t *testing.T) {
 	t.Parallel()
 	for _, ends := range []bool{true, false} {
@@ -219,7 +219,7 @@
 			t.Fatal(err)
 		}
 		s.connections.mu.Lock()
-		s.connections.limit = 9 // within the limit the wait is finTimeout and not finShortTimeout
+		s.connections.limit = 9 // within the limit the wait is lingerTimeout and not shortLingerTimeout
 		s.connections.mu.Unlock()
 		conn.Close()
 	}
@@ -271,7 +271,7 @@
 	var conns [4]net.Conn
 	for i := range conns {
 		conns[i], _ = net.Pipe()
-		c.accepted()
+		c.connAccepted()
 		if i < 2 {
 			c.idle[conns[i]] = time.Now().Add(-2 * minIdleTime)
 		}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -204,7 +204,7 @@
 	// connection that is not closed when the process ends.
 	f.connections.waitUntilNone(finalAnswerTimeout)
 	server.Close()
-	f.connections.waitUntilNone(finTimeout)
+	f.connections.waitUntilNone(lingerTimeout)
 	return err
 }
 
@@ -245,7 +245,7 @@
 	answerDeadline, closeDeadline := drainStart.Add(answerTime), drainStart.Add(closeTime)
 	// Idle connections are closed early, and at once if a newer process needs their slots for its clients.
 	for ; time.Since(drainStart) < drainAcceptTime; time.Sleep(drainPollInterval) {
-		f.connections.closeIdleForOthers()
+		f.connections.closeIdleInDrain()
 	}
 	close(f.drainClosed)
 	// Closing the listener would reset connections that still wait in the accept queue, for a slot or for a slow core. They
@@ -262,8 +262,8 @@
 		default:
 		}
 		now := time.Now()
-		if now.After(answerDeadline) && !isClosed(f.answersOver) {
-			close(f.answersOver)
+		if now.After(answerDeadline) && !isClosed(f.answerWaitOver) {
+			close(f.answerWaitOver)
 		}
 		if now.After(closeDeadline) {
 			f.log.Warn("drained with open connections", "connections", f.connections.open(), "requests", f.openRequests.Load())
--- a/internal/node/upstreams.go
+++ b/internal/node/upstreams.go
@@ -122,8 +122,8 @@
 	}
 }
 
-// exclude excludes a server, or ends its exclusion if out is false, whatever its state in the endpoint list is.
-func (u *upstreams) exclude(id policy.ServerID, isExcluded bool) {
+// setExcluded excludes a server, or ends its exclusion if isExcluded is false, whatever its state in the endpoint list is.
+func (u *upstreams) setExcluded(id policy.ServerID, isExcluded bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	h, wasExcluded := u.hosts[id], u.excluded[id]
@@ -265,7 +265,7 @@
 		}
 		u.drop(c)
 	}
-	if u.open+u.restart.backends() >= u.limit && !u.evict() {
+	if u.open+u.restart.serverConns() >= u.limit && !u.evict() {
 		u.mu.Unlock()
 		return nil, errTooManyConns
 	}
