--- a/internal/node/actions_test.go
+++ b/internal/node/actions_test.go
@@ -21,7 +21,7 @@
 	t.Parallel()
 	seen := make(chan string, 100)
 	stopped := make(chan struct{})
-	addr := backend(t, func(c net.Conn) {
+	addr := startServer(t, func(c net.Conn) {
 		r := bufio.NewReader(c)
 		for {
 			req, err := http.ReadRequest(r)
@@ -43,10 +43,10 @@
 		t.Fatal(err)
 	}
 	defer other.Close()
-	c := &Config{Settings: settings(), Known: known(addr), PeerListen: netip.MustParseAddrPort("127.0.0.1:0"),
+	c := &Config{Settings: settings(), Known: readyServers(addr), PeerListen: netip.MustParseAddrPort("127.0.0.1:0"),
 		Peers: []netip.AddrPort{{}, other.LocalAddr().(*net.UDPAddr).AddrPort()}}
 	c.Settings.MayMessagePeers = true
-	c.Discovery = registry(t, func(_ int, q url.Values) string {
+	c.Discovery = stubDiscovery(t, func(_ int, q url.Values) string {
 		seen <- "list since " + q.Get("since")
 		if q.Get("timeout_ms") != "1" {
 			time.Sleep(50 * time.Millisecond)
@@ -54,13 +54,13 @@
 		return jsonList(1, !q.Has("since"), "ready", addr)
 	})
 	ctx, cancel := context.WithCancel(t.Context())
-	b := newUpstreams(c, 10, quiet)
-	p, err := listenPeerMessages(c, quiet)
+	b := newUpstreams(c, 10, discardLog)
+	p, err := listenPeerMessages(c, discardLog)
 	if err != nil {
 		t.Fatal(err)
 	}
 	ownAddr := p.conn.LocalAddr().(*net.UDPAddr).AddrPort()
-	l := newEventLoop(ctx, c, b, newDiscoveryClient(c, quiet), p, quiet)
+	l := newEventLoop(ctx, c, b, newDiscoveryClient(c, discardLog), p, discardLog)
 	l.rules.Load().PollsEndpoints = true // so that the loop follows the list only at the Subscribe action
 	var running sync.WaitGroup
 	running.Go(func() { l.run(c.Known) })
@@ -74,7 +74,7 @@
 	performAction := func(a policy.Action) { l.post(func() { l.perform(a) }) }
 	expect := func(want string) {
 		t.Helper()
-		end := time.After(patient)
+		end := time.After(testTimeout)
 		for {
 			select {
 			case s := <-seen:
@@ -107,7 +107,7 @@
 	performAction(policy.SendMessage{To: 9})
 	performAction(policy.Log{Line: "line"})
 	buf := make([]byte, 999)
-	other.SetReadDeadline(time.Now().Add(patient))
+	other.SetReadDeadline(time.Now().Add(testTimeout))
 	for _, want := range []string{"one", "all"} {
 		if n, _, err := other.ReadFromUDP(buf); err != nil || string(buf[:n]) != want {
 			t.Errorf("datagram %q, %v; want %q", buf[:n], err, want)
@@ -118,7 +118,7 @@
 	if got := <-received; got != "1hi" {
 		t.Errorf("heard %q", got)
 	}
-	r := &request{arrived: policy.RequestArrived{ID: "q", Class: "order"}, deadline: time.Now().Add(patient), method: "POST",
+	r := &request{arrived: policy.RequestArrived{ID: "q", Class: "order"}, deadline: time.Now().Add(testTimeout), method: "POST",
 		class: policy.Class{Name: "order"}, rules: l.rules.Load(), url: &url.URL{Path: "/order", Host: "h"}, answer: make(chan answer, 1)}
 	r.context, r.cancel = context.WithCancel(t.Context())
 	l.post(func() { l.startRequest(r) })
--- a/internal/node/admin_test.go
+++ b/internal/node/admin_test.go
@@ -22,7 +22,7 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	c.SetDeadline(time.Now().Add(patient))
+	c.SetDeadline(time.Now().Add(testTimeout))
 	io.WriteString(c, text)
 	reply, err := io.ReadAll(c)
 	if err != nil {
@@ -35,8 +35,8 @@
 // earlier requests took.
 func (n *testNode) awaitServed(t *testing.T) *http.Response {
 	t.Helper()
-	for end := time.Now().Add(patient); ; time.Sleep(10 * time.Millisecond) {
-		resp, _ := n.ask(t, message("read", "9.5", ""))
+	for end := time.Now().Add(testTimeout); ; time.Sleep(10 * time.Millisecond) {
+		resp, _ := n.doRequest(t, requestText("read", "9.5", ""))
 		if resp.StatusCode == http.StatusOK {
 			return resp
 		}
@@ -48,7 +48,7 @@
 
 func TestAdminAnswersALine(t *testing.T) {
 	t.Parallel()
-	n := start(t, &Config{Admin: anyPort, Settings: settings(), Known: known("127.0.0.1:1")})
+	n := start(t, &Config{Admin: anyPort, Settings: settings(), Known: readyServers("127.0.0.1:1")})
 	n.waitReady(t, http.StatusOK)
 	for call, want := range map[string]string{
 		"readyz\n": "ACK\n", "readyz\r\n": "ACK\n", "activate\n": "ACK\n",
@@ -66,9 +66,9 @@
 // such callers in time.
 func TestAdminIsNotBlocked(t *testing.T) {
 	t.Parallel()
-	c := &Config{Settings: settings(), Known: known("127.0.0.1:1")}
-	b := newUpstreams(c, 10, quiet)
-	f := newFrontend(newEventLoop(t.Context(), c, b, nil, nil, quiet), 10, quiet)
+	c := &Config{Settings: settings(), Known: readyServers("127.0.0.1:1")}
+	b := newUpstreams(c, 10, discardLog)
+	f := newFrontend(newEventLoop(t.Context(), c, b, nil, nil, discardLog), 10, discardLog)
 	f.loop.hasReadyServer.Store(true)
 	f.listening.Store(true)
 	for range cap(f.loop.events) { // fills the queue; no loop runs, so a call that waits for the loop would wait forever
@@ -78,7 +78,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	server := &adminServer{frontend: f, ctx: t.Context(), log: quiet}
+	server := &adminServer{frontend: f, ctx: t.Context(), log: discardLog}
 	go server.run(l)
 	n := &testNode{admin: l.Addr().String()}
 	var callers []net.Conn
@@ -97,7 +97,7 @@
 		}
 	}
 	for _, caller := range callers {
-		caller.SetDeadline(time.Now().Add(patient))
+		caller.SetDeadline(time.Now().Add(testTimeout))
 		if _, err := io.Copy(io.Discard, caller); err != nil && strings.Contains(err.Error(), "timeout") {
 			t.Error("the connection of a caller that does not finish its line stays open")
 		}
@@ -114,7 +114,7 @@
 	}
 	defer l.Close()
 	c := &Config{Settings: settings()}
-	f := newFrontend(newEventLoop(t.Context(), c, newUpstreams(c, 10, quiet), nil, nil, quiet), 10, quiet)
+	f := newFrontend(newEventLoop(t.Context(), c, newUpstreams(c, 10, discardLog), nil, nil, discardLog), 10, discardLog)
 	for line, want := range map[string]string{"evacuate\n": "ACK\n", "evac": "NAK the line is not finished\n"} {
 		caller, err := net.Dial("tcp", l.Addr().String())
 		if err != nil {
@@ -126,15 +126,15 @@
 			t.Fatal(err)
 		}
 		io.WriteString(caller, line)
-		for end := time.Now().Add(patient); hasNoUnreadData(conn); time.Sleep(time.Millisecond) {
+		for end := time.Now().Add(testTimeout); hasNoUnreadData(conn); time.Sleep(time.Millisecond) {
 			if time.Now().After(end) {
 				t.Fatal("the line does not arrive")
 			}
 		}
-		server := &adminServer{frontend: f, ctx: t.Context(), log: quiet, waiting: []*net.TCPConn{conn}}
+		server := &adminServer{frontend: f, ctx: t.Context(), log: discardLog, waiting: []*net.TCPConn{conn}}
 		server.evictOldest()
 		go server.serveConn(conn)
-		caller.SetDeadline(time.Now().Add(patient))
+		caller.SetDeadline(time.Now().Add(testTimeout))
 		if got, err := io.ReadAll(caller); string(got) != want || err != nil {
 			t.Errorf("%q: %q, %v", line, got, err)
 		}
@@ -145,15 +145,15 @@
 // has been idle for as long as its client may rely on it. The process and its listener stay, and activate ends the evacuation.
 func TestEvacuateAndActivate(t *testing.T) {
 	t.Parallel()
-	addr := backend(t, answering(func(*http.Request, []byte) string { return ok("x") }))
-	n := start(t, &Config{Admin: anyPort, Settings: settings(), Known: known(addr)})
+	addr := startServer(t, answerWith(func(*http.Request, []byte) string { return ok("x") }))
+	n := start(t, &Config{Admin: anyPort, Settings: settings(), Known: readyServers(addr)})
 	idle, err := net.Dial("tcp", n.addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer idle.Close()
 	r := bufio.NewReader(idle)
-	io.WriteString(idle, message("read", "9.5", ""))
+	io.WriteString(idle, requestText("read", "9.5", ""))
 	resp, err := http.ReadResponse(r, nil)
 	if err != nil || resp.Close {
 		t.Fatalf("before: %+v, %v", resp, err)
@@ -165,7 +165,7 @@
 			t.Errorf("evacuate: %q", got)
 		}
 	}
-	if resp, _ := n.ask(t, "GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n"); resp.StatusCode != 503 {
+	if resp, _ := n.doRequest(t, "GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n"); resp.StatusCode != 503 {
 		t.Errorf("evacuated: /health/ready answers %d", resp.StatusCode)
 	}
 	if got := n.call(t, "readyz\n"); !strings.HasPrefix(got, "NAK evacuated") {
@@ -174,7 +174,7 @@
 	if resp := n.awaitServed(t); !resp.Close {
 		t.Errorf("evacuated: status %d, closes: %v", resp.StatusCode, resp.Close)
 	}
-	idle.SetDeadline(time.Now().Add(patient))
+	idle.SetDeadline(time.Now().Add(testTimeout))
 	if _, err := r.ReadByte(); err != io.EOF || time.Since(evacuatedAt) < minIdleTime/2 {
 		t.Errorf("the idle connection ended with %v after %v", err, time.Since(evacuatedAt))
 	}
@@ -205,12 +205,12 @@
 	arrived, proceed := make(chan struct{}, 9), make(chan struct{})
 	release := sync.OnceFunc(func() { close(proceed) })
 	defer release()
-	addr := backend(t, answering(func(*http.Request, []byte) string { arrived <- struct{}{}; <-proceed; return ok("x") }))
+	addr := startServer(t, answerWith(func(*http.Request, []byte) string { arrived <- struct{}{}; <-proceed; return ok("x") }))
 	c := &Config{Name: "n", Admin: anyPort, Settings: settings(), Known: twoServers(addr, addr), TempDir: t.TempDir()}
 	n := start(t, c)
 	n.waitReady(t, http.StatusOK)
 	answer := make(chan *http.Response, 1)
-	go func() { resp, _ := n.ask(t, message("order", "9.5", "b")); answer <- resp }()
+	go func() { resp, _ := n.doRequest(t, requestText("order", "9.5", "b")); answer <- resp }()
 	<-arrived
 	unfinished, err := net.Dial("tcp", n.admin)
 	if err != nil {
@@ -220,7 +220,7 @@
 	io.WriteString(unfinished, "activ")
 	n.call(t, "evacuate\n")
 	n.stop()
-	for end := time.Now().Add(patient); !strings.HasPrefix(n.call(t, "readyz\n"), "NAK the process ends"); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !strings.HasPrefix(n.call(t, "readyz\n"), "NAK the process ends"); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("the drain does not begin")
 		}
@@ -237,7 +237,7 @@
 	if err := <-n.ended; err != nil {
 		t.Error(err)
 	}
-	if excluded, _ := openExclusions(c, newUpstreams(c, 10, quiet), quiet).current(); !excluded["s-00000001"] {
+	if excluded, _ := openExclusions(c, newUpstreams(c, 10, discardLog), discardLog).current(); !excluded["s-00000001"] {
 		t.Errorf("excluded after the end: %v", excluded)
 	}
 }
--- a/internal/node/client_left_test.go
+++ b/internal/node/client_left_test.go
@@ -24,14 +24,14 @@
 	t.Parallel()
 	// the client's timeout is longer than the test's
 	long := strings.Replace(orderHead("Content-Length: 80000"), "X-Time-Left: 9\r\n", "X-Time-Left: 90\r\n", 1)
-	for name, text := range map[string]string{"short": message("order", "90", "b"), "bytes after it": message("order", "90", "b") + "x",
+	for name, text := range map[string]string{"short": requestText("order", "90", "b"), "bytes after it": requestText("order", "90", "b") + "x",
 		"long": long + strings.Repeat("b", 80000), "the most of a long one": long + strings.Repeat("b", 70000)} {
 		for _, reset := range []bool{false, true} {
 			t.Run(name, func(t *testing.T) {
 				t.Parallel()
 				var received atomic.Int64
-				addr := backend(t, answering(func(*http.Request, []byte) string { received.Add(1); return ok("x") }))
-				f := startFrontend(t, &Config{Settings: settings(), Known: known(addr)})
+				addr := startServer(t, answerWith(func(*http.Request, []byte) string { received.Add(1); return ok("x") }))
+				f := startFrontend(t, &Config{Settings: settings(), Known: readyServers(addr)})
 				release := f.hold()
 				defer release()
 				c, _, _ := f.dial(t)
@@ -43,7 +43,7 @@
 				await(t, "the request to end with its client", func() bool { return f.openRequests.Load() == 0 })
 				release()
 				other, r, _ := f.dial(t)
-				io.WriteString(other, message("order", "9.5", "other"))
+				io.WriteString(other, requestText("order", "9.5", "other"))
 				if resp, err := http.ReadResponse(r, nil); err != nil || resp.StatusCode != 200 || received.Load() != 1 {
 					t.Errorf("%+v, %v; %d requests were forwarded, want only the other client's", resp, err, received.Load())
 				}
@@ -59,16 +59,16 @@
 	for _, extra := range []string{"", "x"} {
 		for _, reset := range []bool{false, true} {
 			received := make(chan struct{}, 9)
-			addr := backend(t, func(c net.Conn) {
+			addr := startServer(t, func(c net.Conn) {
 				http.ReadRequest(bufio.NewReader(c))
 				received <- struct{}{}
 				io.Copy(io.Discard, c)
 			})
-			c := &Config{Settings: settings(), Known: known(addr)}
+			c := &Config{Settings: settings(), Known: readyServers(addr)}
 			c.Settings.MayCancel = false
 			f := startFrontend(t, c)
 			client, _, _ := f.dial(t)
-			io.WriteString(client, message("read", "9.5", ""))
+			io.WriteString(client, requestText("read", "9.5", ""))
 			<-received
 			requestCtxs := make(chan context.Context, 1)
 			f.loop.post(func() {
@@ -94,26 +94,26 @@
 func TestQueueFull(t *testing.T) {
 	t.Parallel()
 	var received atomic.Int64
-	addr := backend(t, answering(func(*http.Request, []byte) string { received.Add(1); return ok("x") }))
-	f := startFrontend(t, &Config{Settings: settings(), Known: known(addr)})
+	addr := startServer(t, answerWith(func(*http.Request, []byte) string { received.Add(1); return ok("x") }))
+	f := startFrontend(t, &Config{Settings: settings(), Known: readyServers(addr)})
 	release := f.hold()
 	defer release()
 	for range cap(f.loop.events) {
 		f.loop.post(func() {})
 	}
 	client, _, _ := f.dial(t)
-	io.WriteString(client, message("order", "9.5", "b"))
+	io.WriteString(client, requestText("order", "9.5", "b"))
 	await(t, "the request to be read", func() bool { return f.openRequests.Load() == 1 })
 	client.Close()
 	await(t, "the request to end with its client", func() bool { return f.openRequests.Load() == 0 })
 	waiting, r, _ := f.dial(t)
-	io.WriteString(waiting, message("order", "0.05", "b"))
+	io.WriteString(waiting, requestText("order", "0.05", "b"))
 	if resp, err := http.ReadResponse(r, nil); err != nil || resp.StatusCode < 500 {
 		t.Errorf("%+v, %v; want an error by the client's deadline", resp, err)
 	}
 	release()
 	other, r, _ := f.dial(t)
-	io.WriteString(other, message("order", "9.5", "other"))
+	io.WriteString(other, requestText("order", "9.5", "other"))
 	if resp, err := http.ReadResponse(r, nil); err != nil || resp.StatusCode != 200 || received.Load() != 1 {
 		t.Errorf("%+v, %v; %d requests were forwarded, want only the other client's", resp, err, received.Load())
 	}
@@ -154,8 +154,8 @@
 	t.Parallel()
 	for _, reset := range []bool{false, true} {
 		c := &Config{Settings: settings()}
-		f := newFrontend(newEventLoop(t.Context(), c, newUpstreams(c, 10, quiet), nil, nil, quiet), 10, quiet)
-		r, err := http.ReadRequest(bufio.NewReader(strings.NewReader(message("order", "9.5", ""))))
+		f := newFrontend(newEventLoop(t.Context(), c, newUpstreams(c, 10, discardLog), nil, nil, discardLog), 10, discardLog)
+		r, err := http.ReadRequest(bufio.NewReader(strings.NewReader(requestText("order", "9.5", ""))))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -179,18 +179,18 @@
 	const rest = 30000
 	for _, chunked := range []bool{false, true} {
 		complete := make(chan error, 1)
-		addr := backend(t, func(c net.Conn) {
-			_, _, err := wholeRequest(bufio.NewReader(c))
+		addr := startServer(t, func(c net.Conn) {
+			_, _, err := readCompleteRequest(bufio.NewReader(c))
 			complete <- err
 		})
-		c := &Config{Settings: settings(), Known: known(addr)}
-		b := newUpstreams(c, 10, quiet)
+		c := &Config{Settings: settings(), Known: readyServers(addr)}
+		b := newUpstreams(c, 10, discardLog)
 		b.update(c.Known)
 		conn := departedClientConn(t, strings.Repeat("b", rest), false)
 		u := &upload{length: -1, clientTimeout: time.Minute, complete: make(chan struct{}), client: conn,
 			body: &pacedBody{Reader: io.LimitReader(conn, rest), control: http.NewResponseController(httptest.NewRecorder())}}
 		x := &exchange{method: http.MethodPost, url: &url.URL{Host: "h", Path: "/order"}, body: make([]byte, maxBufferedBody+1),
-			deadline: time.Now().Add(patient), upload: u, onBodySent: func() {}}
+			deadline: time.Now().Add(testTimeout), upload: u, onBodySent: func() {}}
 		if !chunked {
 			u.length = int64(len(x.body)) + rest
 		}
@@ -213,11 +213,11 @@
 	t.Parallel()
 	const length = 1 << 20
 	cut := make(chan error, 9)
-	addr := backend(t, func(c net.Conn) {
-		_, _, err := wholeRequest(bufio.NewReader(c))
+	addr := startServer(t, func(c net.Conn) {
+		_, _, err := readCompleteRequest(bufio.NewReader(c))
 		cut <- err
 	})
-	f := startFrontend(t, &Config{Settings: settings(), Known: known(addr)})
+	f := startFrontend(t, &Config{Settings: settings(), Known: readyServers(addr)})
 	release := f.hold()
 	defer release()
 	c, _, conn := f.dial(t)
@@ -240,11 +240,11 @@
 // A request whose context has ended before the event loop handles its event is not passed to the module.
 func TestRequestEndsBeforeItsEvent(t *testing.T) {
 	t.Parallel()
-	c := &Config{Settings: settings(), Known: known(backend(t, func(net.Conn) {}))}
-	l := newEventLoop(t.Context(), c, newUpstreams(c, 10, quiet), nil, nil, quiet)
+	c := &Config{Settings: settings(), Known: readyServers(startServer(t, func(net.Conn) {}))}
+	l := newEventLoop(t.Context(), c, newUpstreams(c, 10, discardLog), nil, nil, discardLog)
 	rules := l.rules.Load()
 	r := &request{arrived: policy.RequestArrived{ID: "a", Class: "read"}, class: rules.classes["read"], rules: rules,
-		deadline: time.Now().Add(patient), answer: make(chan answer, 1)}
+		deadline: time.Now().Add(testTimeout), answer: make(chan answer, 1)}
 	r.context, r.cancel = context.WithCancel(t.Context())
 	r.cancel()
 	l.startRequest(r)
@@ -276,13 +276,13 @@
 func TestBodyEndsAsItIsInterrupted(t *testing.T) {
 	t.Parallel()
 	body := &endingBody{atEnd: make(chan struct{}), release: make(chan struct{})}
-	addr := backend(t, func(c net.Conn) {
+	addr := startServer(t, func(c net.Conn) {
 		go io.Copy(io.Discard, c)
 		<-body.atEnd
 		io.WriteString(c, "HTTP/1.1 503 Full\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n")
 		<-t.Context().Done()
 	})
-	c := &Config{Settings: settings(), Known: known(addr)}
+	c := &Config{Settings: settings(), Known: readyServers(addr)}
 	c.Settings.MaxAttempts = 1
 	f := startFrontend(t, c)
 	r, err := http.ReadRequest(bufio.NewReader(strings.NewReader(orderHead("Transfer-Encoding: chunked"))))
--- a/internal/node/connection_ends_test.go
+++ b/internal/node/connection_ends_test.go
@@ -83,21 +83,21 @@
 					}
 				}
 			}
-			timeout := patient
+			timeout := testTimeout
 			if c.code == policy.TimedOut || name == "half a status line" {
 				timeout = 150 * time.Millisecond
 			}
-			b := newUpstreams(&Config{Settings: settings()}, 10, quiet)
-			b.update(known(backend(t, serveFailing(new([3]atomic.Int64)))))
+			b := newUpstreams(&Config{Settings: settings()}, 10, discardLog)
+			b.update(readyServers(startServer(t, serveFailing(new([3]atomic.Int64)))))
 			if r := b.roundTrip(t.Context(), b.host(1), get(timeout)); r.code != c.code {
 				t.Errorf("outcome %v (%v), want %v", r.code, r.err, c.code)
 			}
 			neverRan := c.code == policy.Rejected
 			var counts [3]atomic.Int64
 			serve := serveFailing(&counts)
-			n := start(t, &Config{Settings: settings(), Known: known(backend(t, serve), backend(t, serve))})
+			n := start(t, &Config{Settings: settings(), Known: readyServers(startServer(t, serve), startServer(t, serve))})
 			for _, class := range []string{"order", "tag", "read"} {
-				resp, body := n.ask(t, message(class, fmt.Sprint(min(timeout, patient/2).Seconds()), ""))
+				resp, body := n.doRequest(t, requestText(class, fmt.Sprint(min(timeout, testTimeout/2).Seconds()), ""))
 				received, valid := counts[strings.IndexByte("rto", class[0])].Load(), false
 				switch status := resp.StatusCode; {
 				case received == 0: // the module rejected it because of the failures of the classes before
@@ -107,7 +107,7 @@
 				case status == 200:
 					valid = body == "again" && received == 2 && (class != "order" || neverRan)
 				case status == 504: // the frontend's own answer if the module was late: it only states that the request failed
-					valid = timeout < patient && received == 1
+					valid = timeout < testTimeout && received == 1
 				case status == 503: // the request never ran, or is safe to repeat
 					valid = neverRan || class == "read"
 				default:
@@ -126,7 +126,7 @@
 func TestResetAsAnAnswerIsBegun(t *testing.T) {
 	t.Parallel()
 	begun, reset := make(chan struct{}), make(chan struct{})
-	addr := backend(t, func(c net.Conn) {
+	addr := startServer(t, func(c net.Conn) {
 		http.ReadRequest(bufio.NewReader(c))
 		io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\nbegun")
 		<-begun
@@ -134,9 +134,9 @@
 		c.Close()
 		close(reset)
 	})
-	b := newUpstreams(&Config{Settings: settings()}, 10, quiet)
-	b.update(known(addr))
-	x := get(patient)
+	b := newUpstreams(&Config{Settings: settings()}, 10, discardLog)
+	b.update(readyServers(addr))
+	x := get(testTimeout)
 	ended := make(chan error, 1)
 	x.onStream = func(_ *http.Response, held []byte, rest *io.PipeReader) {
 		close(begun)
@@ -161,18 +161,18 @@
 	t.Parallel()
 	for _, late := range []string{ok("another's"), "HTTP/1.1 5", ""} {
 		conns := make(chan net.Conn, 9)
-		addr := backend(t, func(c net.Conn) {
+		addr := startServer(t, func(c net.Conn) {
 			conns <- c
-			answering(func(*http.Request, []byte) string { return ok("its own") })(c)
+			answerWith(func(*http.Request, []byte) string { return ok("its own") })(c)
 		})
-		b := newUpstreams(&Config{Settings: settings()}, 10, quiet)
-		b.update(known(addr))
+		b := newUpstreams(&Config{Settings: settings()}, 10, discardLog)
+		b.update(readyServers(addr))
 		h := b.host(1)
-		if r := b.roundTrip(t.Context(), h, get(patient)); r.code != policy.OK {
+		if r := b.roundTrip(t.Context(), h, get(testTimeout)); r.code != policy.OK {
 			t.Fatalf("outcome %v (%v)", r.code, r.err)
 		}
 		first := <-conns
-		c, err := b.connect(t.Context(), h, time.Now().Add(patient))
+		c, err := b.connect(t.Context(), h, time.Now().Add(testTimeout))
 		if err != nil || !c.reused {
 			t.Fatalf("connect did not return the idle connection: %v", err)
 		}
@@ -181,13 +181,13 @@
 		} else {
 			io.WriteString(first, late)
 		}
-		for end := time.Now().Add(patient); hasNoUnreadData(c.TCPConn) && time.Now().Before(end); {
+		for end := time.Now().Add(testTimeout); hasNoUnreadData(c.TCPConn) && time.Now().Before(end); {
 			time.Sleep(time.Millisecond)
 		}
-		if r := b.exchangeOn(t.Context(), h, c, get(patient)); r.code != policy.ConnectFailed || !errors.Is(r.err, errUnexpectedBytes) {
+		if r := b.exchangeOn(t.Context(), h, c, get(testTimeout)); r.code != policy.ConnectFailed || !errors.Is(r.err, errUnexpectedBytes) {
 			t.Errorf("%q: outcome %v (%v), %q", late, r.code, r.err, r.body)
 		}
-		if r := b.roundTrip(t.Context(), h, get(patient)); r.code != policy.OK || string(r.body) != "its own" {
+		if r := b.roundTrip(t.Context(), h, get(testTimeout)); r.code != policy.OK || string(r.body) != "its own" {
 			t.Errorf("%q: outcome %v (%v), %q", late, r.code, r.err, r.body)
 		}
 	}
@@ -213,7 +213,7 @@
 	t.Parallel()
 	for _, status := range []string{"101 Switching Protocols", "204 No Content", "304 Not Modified"} {
 		done := make(chan struct{})
-		addr := backend(t, func(c net.Conn) {
+		addr := startServer(t, func(c net.Conn) {
 			r := bufio.NewReader(c)
 			http.ReadRequest(r)
 			io.WriteString(c, "HTTP/1.1 "+status+"\r\nContent-Length: 40\r\n\r\n")
@@ -222,9 +222,9 @@
 			}
 			close(done)
 		})
-		b := newUpstreams(&Config{Settings: settings()}, 10, quiet)
-		b.update(known(addr))
-		if r := b.roundTrip(t.Context(), b.host(1), get(patient)); r.code != policy.ServerError || len(b.host(1).idle) > 0 {
+		b := newUpstreams(&Config{Settings: settings()}, 10, discardLog)
+		b.update(readyServers(addr))
+		if r := b.roundTrip(t.Context(), b.host(1), get(testTimeout)); r.code != policy.ServerError || len(b.host(1).idle) > 0 {
 			t.Errorf("%s: outcome %v (%v), %d connections kept", status, r.code, r.err, len(b.host(1).idle))
 		}
 		b.update(endpointList{complete: true})
--- a/internal/node/discovery_test.go
+++ b/internal/node/discovery_test.go
@@ -10,11 +10,11 @@
 	"time"
 )
 
-// registry starts a stub of discovery and returns its address. The stub passes the number and the query of each call to answer,
-// and sends back the result.
-func registry(t *testing.T, answer func(n int, query url.Values) string) netip.AddrPort {
+// stubDiscovery starts a stub of discovery and returns its address. The stub passes the number and the query of each call to
+// answer, and sends back the result.
+func stubDiscovery(t *testing.T, answer func(n int, query url.Values) string) netip.AddrPort {
 	var calls atomic.Int64
-	return netip.MustParseAddrPort(backend(t, answering(func(r *http.Request, _ []byte) string {
+	return netip.MustParseAddrPort(startServer(t, answerWith(func(r *http.Request, _ []byte) string {
 		return answer(int(calls.Add(1)), r.URL.Query())
 	})))
 }
@@ -26,8 +26,8 @@
 
 func (n *testNode) waitReady(t *testing.T, want int) {
 	t.Helper()
-	for end := time.Now().Add(patient); ; time.Sleep(5 * time.Millisecond) {
-		resp, _ := n.ask(t, "GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n")
+	for end := time.Now().Add(testTimeout); ; time.Sleep(5 * time.Millisecond) {
+		resp, _ := n.doRequest(t, "GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n")
 		if resp.StatusCode == want {
 			return
 		}
@@ -43,14 +43,14 @@
 	t.Parallel()
 	for _, pushed := range []bool{false, true} {
 		var requests atomic.Int64
-		addr := backend(t, answering(func(*http.Request, []byte) string { requests.Add(1); return ok("x") }))
+		addr := startServer(t, answerWith(func(*http.Request, []byte) string { requests.Add(1); return ok("x") }))
 		failed := make(chan struct{})
 		repaired := make(chan struct{})
 		drain := make(chan struct{})
 		badAnswers := []string{ok(`{"version":"x"`), jsonList(5, false, "asleep", addr), "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"}
 		c := &Config{Settings: settings(), Known: endpointList{version: 1}}
 		c.Settings.PollsEndpoints = !pushed
-		c.Discovery = registry(t, func(n int, q url.Values) string {
+		c.Discovery = stubDiscovery(t, func(n int, q url.Values) string {
 			if n == len(badAnswers) {
 				close(failed)
 			}
@@ -79,12 +79,12 @@
 		n.waitReady(t, 503)
 		close(repaired)
 		n.waitReady(t, 200)
-		if resp, _ := n.ask(t, message("read", "9.5", "")); resp.StatusCode != 200 {
+		if resp, _ := n.doRequest(t, requestText("read", "9.5", "")); resp.StatusCode != 200 {
 			t.Errorf("status %d", resp.StatusCode)
 		}
 		close(drain)
 		n.waitReady(t, 503)
-		if resp, _ := n.ask(t, message("read", "9.5", "")); resp.StatusCode != 503 || requests.Load() != 1 {
+		if resp, _ := n.doRequest(t, requestText("read", "9.5", "")); resp.StatusCode != 503 || requests.Load() != 1 {
 			t.Errorf("status %d, %d requests to a draining app server", resp.StatusCode, requests.Load()-1)
 		}
 		n.stop()
@@ -95,9 +95,9 @@
 func TestDiscoveryAddressChanges(t *testing.T) {
 	t.Parallel()
 	for _, pushed := range []bool{false, true} {
-		addr := backend(t, answering(func(*http.Request, []byte) string { return ok("x") }))
+		addr := startServer(t, answerWith(func(*http.Request, []byte) string { return ok("x") }))
 		held := make(chan struct{})
-		old := registry(t, func(n int, _ url.Values) string {
+		old := stubDiscovery(t, func(n int, _ url.Values) string {
 			if n == 2 {
 				close(held)
 			}
@@ -110,7 +110,7 @@
 		c.Settings.PollsEndpoints = !pushed
 		n := start(t, c)
 		<-held
-		n.reloads <- &Config{Settings: c.Settings, Discovery: registry(t, func(n int, q url.Values) string {
+		n.reloads <- &Config{Settings: c.Settings, Discovery: stubDiscovery(t, func(n int, q url.Values) string {
 			if n > 1 {
 				return ""
 			}
--- a/internal/node/drain_test.go
+++ b/internal/node/drain_test.go
@@ -20,10 +20,10 @@
 func TestDrain(t *testing.T) {
 	t.Parallel()
 	received, release := make(chan struct{}, 9), make(chan struct{})
-	addr := backend(t, answering(func(*http.Request, []byte) string { received <- struct{}{}; <-release; return ok("x") }))
-	n := start(t, &Config{Settings: settings(), Known: known(addr)})
+	addr := startServer(t, answerWith(func(*http.Request, []byte) string { received <- struct{}{}; <-release; return ok("x") }))
+	n := start(t, &Config{Settings: settings(), Known: readyServers(addr)})
 	held := make(chan *http.Response) // the answer to a request that is open at the stop
-	go func() { resp, _ := n.ask(t, message("order", "9.5", "b")); held <- resp }()
+	go func() { resp, _ := n.doRequest(t, requestText("order", "9.5", "b")); held <- resp }()
 	<-received
 	idle, err := net.Dial("tcp", n.addr)
 	if err != nil {
@@ -31,15 +31,15 @@
 	}
 	defer idle.Close()
 	n.stop()
-	for end := time.Now().Add(patient); ; time.Sleep(time.Millisecond) {
-		if resp, _ := n.ask(t, "GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n"); resp.StatusCode == 503 {
+	for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
+		if resp, _ := n.doRequest(t, "GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n"); resp.StatusCode == 503 {
 			break
 		} else if time.Now().After(end) {
 			t.Fatal("the health check still reports the node as ready")
 		}
 	}
 	late := make(chan *http.Response)
-	go func() { resp, _ := n.ask(t, message("read", "9.5", "")); late <- resp }()
+	go func() { resp, _ := n.doRequest(t, requestText("read", "9.5", "")); late <- resp }()
 	<-received
 	close(release)
 	for _, c := range []chan *http.Response{held, late} {
@@ -52,7 +52,7 @@
 		if err != nil {
 			t.Error(err)
 		}
-	case <-time.After(patient):
+	case <-time.After(testTimeout):
 		t.Error("the node does not end")
 	}
 }
@@ -63,7 +63,7 @@
 	t.Parallel()
 	var complete atomic.Int64
 	began := make(chan struct{})
-	addr := backend(t, func(c net.Conn) {
+	addr := startServer(t, func(c net.Conn) {
 		r := bufio.NewReader(c)
 		if req, err := http.ReadRequest(r); err == nil {
 			close(began)
@@ -72,9 +72,9 @@
 			}
 		}
 	})
-	n := start(t, &Config{Settings: settings(), Known: known(addr)})
+	n := start(t, &Config{Settings: settings(), Known: readyServers(addr)})
 	n.waitReady(t, 200)
-	text, long := message("order", "9.5", "body"), orderHead("Content-Length: 1000000")+strings.Repeat("b", 200000)
+	text, long := requestText("order", "9.5", "body"), orderHead("Content-Length: 1000000")+strings.Repeat("b", 200000)
 	var conns [2]net.Conn
 	var readers [2]*bufio.Reader
 	conns[1], readers[1] = n.dial(t)
@@ -83,7 +83,7 @@
 	n.stop()
 	conns[0], readers[0] = n.dial(t) // the listener stays open for a while after the stop
 	io.WriteString(conns[0], text[:20])
-	for end := time.Now().Add(patient); ; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
 		probe, err := net.Dial("tcp", n.addr)
 		if err != nil { // the listener is closed
 			break
@@ -108,14 +108,14 @@
 func TestBounds(t *testing.T) {
 	t.Parallel()
 	release := make(chan struct{})
-	addr := backend(t, answering(func(*http.Request, []byte) string { <-release; return ok("x") }))
-	c := &Config{Settings: settings(), Known: known(addr), Limits: Limits{Cores: 1, MemoryMB: 192, Sockets: minSockets}}
+	addr := startServer(t, answerWith(func(*http.Request, []byte) string { <-release; return ok("x") }))
+	c := &Config{Settings: settings(), Known: readyServers(addr), Limits: Limits{Cores: 1, MemoryMB: 192, Sockets: minSockets}}
 	c.Settings.MaxOpenRequests = 1
 	n := start(t, c)
 	statuses := make(chan int, 60)
 	for range cap(statuses) {
 		go func() {
-			resp, _ := n.ask(t, message("read", "9.5", ""))
+			resp, _ := n.doRequest(t, requestText("read", "9.5", ""))
 			if resp.StatusCode == 503 && resp.Header.Get("Retry-After") == "" {
 				t.Error("no Retry-After")
 			}
@@ -182,10 +182,10 @@
 func TestRequestThatCrossesTheClose(t *testing.T) {
 	t.Parallel()
 	c := &Config{Settings: settings()}
-	f := newFrontend(newEventLoop(t.Context(), c, newUpstreams(c, 10, quiet), nil, nil, quiet), 10, quiet)
+	f := newFrontend(newEventLoop(t.Context(), c, newUpstreams(c, 10, discardLog), nil, nil, discardLog), 10, discardLog)
 	conn, _ := net.Pipe()
 	f.connections.ended[conn] = true
-	r, err := http.ReadRequest(bufio.NewReader(strings.NewReader(message("order", "0.1", ""))))
+	r, err := http.ReadRequest(bufio.NewReader(strings.NewReader(requestText("order", "0.1", ""))))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/node/endpoint_races_test.go
+++ b/internal/node/endpoint_races_test.go
@@ -53,18 +53,18 @@
 func TestCanceledCallCancelsItsDial(t *testing.T) {
 	t.Parallel()
 	listener := listenFullQueue(t)
-	d := newDiscoveryClient(&Config{Discovery: netip.MustParseAddrPort(listener.Addr().String())}, quiet)
+	d := newDiscoveryClient(&Config{Discovery: netip.MustParseAddrPort(listener.Addr().String())}, discardLog)
 	var openDials atomic.Int64
 	d.client.Transport.(*http.Transport).DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		openDials.Add(1)
 		defer openDials.Add(-1)
-		return (&net.Dialer{Timeout: 2 * patient}).DialContext(ctx, network, addr)
+		return (&net.Dialer{Timeout: 2 * testTimeout}).DialContext(ctx, network, addr)
 	}
 	for range 5 { // one more than MaxConnsPerHost
 		ctx, cancel := context.WithCancel(t.Context())
 		ended := make(chan error, 1)
 		go func() {
-			_, err := d.call(ctx, "", 2*patient)
+			_, err := d.call(ctx, "", 2*testTimeout)
 			ended <- err
 		}()
 		await(t, "a dial", func() bool { return openDials.Load() > 0 })
@@ -83,11 +83,11 @@
 			}
 			running.Go(func() {
 				defer c.Close()
-				answering(func(*http.Request, []byte) string { return ok(`{"version":9,"full":true,"servers":[]}`) })(c)
+				answerWith(func(*http.Request, []byte) string { return ok(`{"version":9,"full":true,"servers":[]}`) })(c)
 			})
 		}
 	})
-	if l, err := d.call(t.Context(), "", patient); err != nil || l.version != 9 {
+	if l, err := d.call(t.Context(), "", testTimeout); err != nil || l.version != 9 {
 		t.Errorf("after discovery's return: version %d, %v", l.version, err)
 	}
 	d.client.CloseIdleConnections()
@@ -98,7 +98,7 @@
 	c := &Config{Settings: settings(), Discovery: addr, Known: endpointList{version: 1}}
 	c.Settings.PollsEndpoints = !pushed
 	ctx, stop := context.WithCancel(context.Background())
-	l := newEventLoop(ctx, c, newUpstreams(c, 10, quiet), newDiscoveryClient(c, quiet), nil, quiet)
+	l := newEventLoop(ctx, c, newUpstreams(c, 10, discardLog), newDiscoveryClient(c, discardLog), nil, discardLog)
 	var running sync.WaitGroup
 	running.Go(func() { l.run(c.Known) })
 	t.Cleanup(func() { stop(); running.Wait(); l.discovery.client.CloseIdleConnections() })
@@ -133,7 +133,7 @@
 	t.Parallel()
 	for _, pushed := range []bool{true, false} {
 		waiting, answer := make(chan struct{}, 9), make(chan struct{})
-		old := registry(t, func(_ int, q url.Values) string {
+		old := stubDiscovery(t, func(_ int, q url.Values) string {
 			switch q.Get("since") {
 			case "1":
 				return jsonList(2, true, "ready", addrA)
@@ -146,7 +146,7 @@
 			return ""
 		})
 		since := make(chan string, 99)
-		newAddr := registry(t, func(_ int, q url.Values) string {
+		newAddr := stubDiscovery(t, func(_ int, q url.Values) string {
 			if since <- q.Get("since"); q.Get("since") != "4" {
 				return jsonList(4, false, "ready", addrC)
 			}
@@ -189,7 +189,7 @@
 	answer := make(chan struct{})
 	restarted := make(chan string, 99)
 	end := make(chan struct{})
-	l := startDiscoveryLoop(t, false, registry(t, func(_ int, q url.Values) string {
+	l := startDiscoveryLoop(t, false, stubDiscovery(t, func(_ int, q url.Values) string {
 		switch since, begins := q.Get("since"), q.Get("timeout_ms") == "1"; {
 		case since == "1":
 			return jsonList(2, true, "ready", addrA)
@@ -233,8 +233,8 @@
 		truncate := make(chan struct{})
 		answerEmpty := make(chan struct{})
 		var second atomic.Int64
-		addr := backend(t, func(c net.Conn) {
-			answering(func(r *http.Request, _ []byte) string {
+		addr := startServer(t, func(c net.Conn) {
+			answerWith(func(r *http.Request, _ []byte) string {
 				since := r.FormValue("since")
 				if requested <- since; since == "1" {
 					return jsonList(2, true, "ready", addrA)
@@ -279,7 +279,7 @@
 	for _, pushed := range []bool{true, false} {
 		for _, complete := range []bool{true, false} {
 			requested := make(chan string, 99)
-			l := startDiscoveryLoop(t, pushed, registry(t, func(_ int, q url.Values) string {
+			l := startDiscoveryLoop(t, pushed, stubDiscovery(t, func(_ int, q url.Values) string {
 				requested <- q.Get("since")
 				switch q.Get("since") {
 				case "1":
@@ -320,7 +320,7 @@
 	}
 	var version atomic.Int64
 	states := map[int64][]string{2: {"ready"}, 3: {"gone", "ready"}, 4: {"ready", "gone"}}
-	l := startDiscoveryLoop(t, true, registry(t, func(_ int, q url.Values) string {
+	l := startDiscoveryLoop(t, true, stubDiscovery(t, func(_ int, q url.Values) string {
 		since, _ := strconv.ParseInt(q.Get("since"), 10, 64)
 		for t.Context().Err() == nil {
 			if v := version.Load(); v > since {
@@ -358,7 +358,7 @@
 	l.upstreamPool.mu.Unlock()
 	version.Store(3)
 	await(t, "the server's return", func() bool { h := host(); return h != nil && h != oldHost })
-	peer.SetReadDeadline(time.Now().Add(patient))
+	peer.SetReadDeadline(time.Now().Add(testTimeout))
 	if _, err := peer.Read(make([]byte, 1)); err == nil || os.IsTimeout(err) {
 		t.Errorf("a connection to the old process: %v", err)
 	}
--- a/internal/node/exclusions_test.go
+++ b/internal/node/exclusions_test.go
@@ -20,7 +20,7 @@
 
 // twoServers returns a complete list of two ready servers at the given addresses, s-00000001 and s-00000002.
 func twoServers(first, second string) endpointList {
-	l := known(first, second)
+	l := readyServers(first, second)
 	l.entries[0].name, l.entries[1].name = "s-00000001", "s-00000002"
 	return l
 }
@@ -30,10 +30,10 @@
 func TestExcludeAndInclude(t *testing.T) {
 	t.Parallel()
 	var firstRequests, secondRequests atomic.Int64
-	firstAddr := backend(t, answering(func(*http.Request, []byte) string { firstRequests.Add(1); return ok("1") }))
-	secondAddr := backend(t, answering(func(*http.Request, []byte) string { secondRequests.Add(1); return ok("2") }))
+	firstAddr := startServer(t, answerWith(func(*http.Request, []byte) string { firstRequests.Add(1); return ok("1") }))
+	secondAddr := startServer(t, answerWith(func(*http.Request, []byte) string { secondRequests.Add(1); return ok("2") }))
 	updates := make(chan string)
-	discovery := registry(t, func(int, url.Values) string { return <-updates })
+	discovery := stubDiscovery(t, func(int, url.Values) string { return <-updates })
 	t.Cleanup(func() { close(updates) }) // runs before the cleanup of discovery, which waits for the handlers that wait here
 	config := func(dir string) *Config {
 		c := &Config{Admin: anyPort, Settings: settings(), Known: twoServers(firstAddr, secondAddr), TempDir: dir}
@@ -49,7 +49,7 @@
 			n.awaitServed(t)
 		}
 	}
-	for end := time.Now().Add(patient); firstRequests.Load() == 0 || secondRequests.Load() == 0; request(n, 1) {
+	for end := time.Now().Add(testTimeout); firstRequests.Load() == 0 || secondRequests.Load() == 0; request(n, 1) {
 		if time.Now().After(end) {
 			t.Fatal("not both servers get requests")
 		}
@@ -80,7 +80,7 @@
 	if got := n.call(t, "include s-00000001\n"); got != "ACK\n" { // one include undoes two excludes
 		t.Errorf("include: %q", got)
 	}
-	for end := time.Now().Add(patient); firstRequests.Load() == before; {
+	for end := time.Now().Add(testTimeout); firstRequests.Load() == before; {
 		if request(n, 1); time.Now().After(end) {
 			t.Fatal("the included server gets no requests")
 		}
@@ -93,9 +93,9 @@
 	c := &Config{Settings: settings(), TempDir: t.TempDir()}
 	var processes [2]*exclusions
 	for i := range processes {
-		b := newUpstreams(c, 10, quiet)
+		b := newUpstreams(c, 10, discardLog)
 		b.update(twoServers("127.0.0.1:1", "127.0.0.1:2"))
-		processes[i] = openExclusions(c, b, quiet)
+		processes[i] = openExclusions(c, b, discardLog)
 		processes[i].setServerNames(map[policy.ServerID]string{1: "s-00000001", 2: "s-00000002"})
 	}
 	closed := func(i int) string {
@@ -116,7 +116,7 @@
 	}
 	processes[1].refresh()
 	excluded, includedAt := processes[1].current()
-	if closed(1) != "true false" || !excluded["s-00000001"] || len(excluded) != 1 || time.Since(includedAt["s-00000002"]) > patient {
+	if closed(1) != "true false" || !excluded["s-00000001"] || len(excluded) != 1 || time.Since(includedAt["s-00000002"]) > testTimeout {
 		t.Errorf("after an inclusion: closed %s, excluded %v, included %v", closed(1), excluded, includedAt)
 	}
 	// An exclusion outlasts its server: it can be undone after the server has left the list.
@@ -134,9 +134,9 @@
 			c := &Config{Settings: settings(), TempDir: t.TempDir()}
 			var processes [2]*exclusions
 			for i := range processes {
-				b := newUpstreams(c, 10, quiet)
+				b := newUpstreams(c, 10, discardLog)
 				b.update(twoServers("127.0.0.1:1", "127.0.0.1:2"))
-				processes[i] = openExclusions(c, b, quiet)
+				processes[i] = openExclusions(c, b, discardLog)
 				processes[i].setServerNames(map[policy.ServerID]string{1: "s-00000001", 2: "s-00000002"})
 			}
 			ctx, stop := context.WithCancel(t.Context())
@@ -159,8 +159,8 @@
 func TestExclusionsFileDamaged(t *testing.T) {
 	t.Parallel()
 	c := &Config{Name: "n/1", Settings: settings(), TempDir: t.TempDir()}
-	b := newUpstreams(c, 10, quiet)
-	path := openExclusions(c, b, quiet).path
+	b := newUpstreams(c, 10, discardLog)
+	path := openExclusions(c, b, discardLog).path
 	if filepath.Dir(path) != c.TempDir {
 		t.Fatalf("%s is not in %s", path, c.TempDir)
 	}
@@ -168,16 +168,16 @@
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		e := openExclusions(c, b, quiet)
+		e := openExclusions(c, b, discardLog)
 		e.setServerNames(map[policy.ServerID]string{1: "s-00000001"})
 		if err := e.exclude("s-00000001"); err != nil {
 			t.Errorf("%q: %v", text, err)
 		}
-		if excluded, _ := openExclusions(c, b, quiet).current(); !excluded["s-00000001"] {
+		if excluded, _ := openExclusions(c, b, discardLog).current(); !excluded["s-00000001"] {
 			t.Errorf("after %q the exclusion is not stored", text)
 		}
 	}
-	e := openExclusions(c, b, quiet)
+	e := openExclusions(c, b, discardLog)
 	e.setServerNames(map[policy.ServerID]string{2: "s-00000002"})
 	if err := os.RemoveAll(c.TempDir); err != nil {
 		t.Fatal(err)
@@ -191,8 +191,8 @@
 func TestExclusionsChangedWithinATick(t *testing.T) {
 	t.Parallel()
 	c := &Config{Name: "n", Settings: settings(), TempDir: t.TempDir()}
-	b := newUpstreams(c, 10, quiet)
-	path, at := openExclusions(c, b, quiet).path, time.Now().Add(-time.Second)
+	b := newUpstreams(c, 10, discardLog)
+	path, at := openExclusions(c, b, discardLog).path, time.Now().Add(-time.Second)
 	var e *exclusions
 	for i, text := range []string{`{"out":["s-00000001"],"back":{}}`, `{"out":["s-00000002"],"back":{}}`} {
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil { // the same inode and size
@@ -202,7 +202,7 @@
 			t.Fatal(err)
 		}
 		if i == 0 {
-			e = openExclusions(c, b, quiet)
+			e = openExclusions(c, b, discardLog)
 		}
 	}
 	e.refresh()
@@ -215,7 +215,7 @@
 func TestExclusionsLockedByOtherProcess(t *testing.T) {
 	t.Parallel()
 	c := &Config{Name: "n", Settings: settings(), TempDir: t.TempDir()}
-	e := openExclusions(c, newUpstreams(c, 10, quiet), quiet)
+	e := openExclusions(c, newUpstreams(c, 10, discardLog), discardLog)
 	names := map[policy.ServerID]string{1: "s-00000001"}
 	e.setServerNames(names)
 	other, err := e.lock()
@@ -236,7 +236,7 @@
 	go func() { e.setServerNames(names); e.current(); close(loopRan) }()
 	select {
 	case <-loopRan:
-	case <-time.After(patient):
+	case <-time.After(testTimeout):
 		t.Error("the loop waits for the file")
 	}
 	close(resume)
@@ -245,7 +245,7 @@
 		if excluded, _ := e.current(); err == nil || len(excluded) > 0 {
 			t.Errorf("the call: %v, excluded %v", err, excluded)
 		}
-	case <-time.After(patient):
+	case <-time.After(testTimeout):
 		t.Fatal("the call does not return")
 	}
 	other.Close()
--- a/internal/node/fleet_client_test.go
+++ b/internal/node/fleet_client_test.go
@@ -70,7 +70,7 @@
 // awaitReport waits until the last report meets a condition, and returns that report.
 func (a *stubAgent) awaitReport(t *testing.T, what string, match func(fleet.Report) bool) fleet.Report {
 	t.Helper()
-	for end := time.Now().Add(patient); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 		a.mu.Lock()
 		n := len(a.reports)
 		var last fleet.Report
@@ -98,7 +98,7 @@
 
 // startFleetNode starts a node with a fleet block.
 func startFleetNode(t *testing.T, a *stubAgent, catchUp time.Duration, servers ...string) *testNode {
-	c := &Config{Name: "n 0", Settings: settings(), Known: known(servers...), Fleet: &FleetConfig{
+	c := &Config{Name: "n 0", Settings: settings(), Known: readyServers(servers...), Fleet: &FleetConfig{
 		Agent: netip.MustParseAddrPort(a.Listener.Addr().String()), Report: minReportMS * time.Millisecond, CatchUp: catchUp}}
 	for i := range c.Known.entries {
 		c.Known.entries[i].name = fmt.Sprint("s-", i)
@@ -116,7 +116,7 @@
 func TestFleet(t *testing.T) {
 	t.Parallel()
 	var requests atomic.Int64
-	addr := backend(t, answering(func(*http.Request, []byte) string { requests.Add(1); return ok("x") }))
+	addr := startServer(t, answerWith(func(*http.Request, []byte) string { requests.Add(1); return ok("x") }))
 	a := newStubAgent(t)
 	a.set(func() {
 		a.intent, a.answer = fleet.Intent{Full: true}, fleet.ReportAnswer{NotReady: true, LeaseTTLMS: 60_000}
@@ -144,15 +144,15 @@
 	if len(r.Tenants) != 1 || r.Tenants[0].Committed != 2 || r.Tenants[0].UID != 3 || r.Tenants[0].Digest != "00ff" || r.Zone != "z" || r.Incarnation == 0 {
 		t.Errorf("reported %+v", r)
 	}
-	if resp, _ := n.ask(t, withAccount("a", message("read", "9.5", ""))); resp.StatusCode != 200 {
+	if resp, _ := n.doRequest(t, withAccount("a", requestText("read", "9.5", ""))); resp.StatusCode != 200 {
 		t.Errorf("a committed tenant: status %d", resp.StatusCode)
 	}
 	before := requests.Load()
-	if resp, _ := n.ask(t, withAccount("b", message("read", "9.5", ""))); resp.StatusCode != 503 || requests.Load() != before {
+	if resp, _ := n.doRequest(t, withAccount("b", requestText("read", "9.5", ""))); resp.StatusCode != 503 || requests.Load() != before {
 		t.Errorf("a tenant without a generation: status %d, %d attempts", resp.StatusCode, requests.Load()-before)
 	}
 	reportedAnswer := false
-	for end := time.Now().Add(patient); !reportedAnswer && time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !reportedAnswer && time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 		a.set(func() {
 			for _, r := range a.reports {
 				for _, w := range r.Zones {
@@ -169,7 +169,7 @@
 	n.waitReady(t, 503)
 	a.set(func() { a.override = func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(503) } })
 	n.waitReady(t, 200) // the lease of the agent's answer has expired
-	if resp, _ := n.ask(t, withAccount("a", message("read", "9.5", ""))); resp.StatusCode != 200 {
+	if resp, _ := n.doRequest(t, withAccount("a", requestText("read", "9.5", ""))); resp.StatusCode != 200 {
 		t.Errorf("without an agent: status %d", resp.StatusCode)
 	}
 	a.set(func() { a.override, a.answer = nil, fleet.ReportAnswer{} })
@@ -187,7 +187,7 @@
 // Unusable answers of the agent change nothing: they are counted and logged at a bounded rate, and the node continues to serve.
 func TestFleetAgentAnswersUnusable(t *testing.T) {
 	t.Parallel()
-	addr := backend(t, answering(func(*http.Request, []byte) string { return ok("x") }))
+	addr := startServer(t, answerWith(func(*http.Request, []byte) string { return ok("x") }))
 	var otherCalls atomic.Int64
 	other := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { otherCalls.Add(1) }))
 	defer other.Close()
@@ -219,13 +219,13 @@
 			n.waitReady(t, 200)
 			a.set(func() { a.override = override })
 			calls := a.calls.Load()
-			for end := time.Now().Add(patient); a.calls.Load() < calls+4 && time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
+			for end := time.Now().Add(testTimeout); a.calls.Load() < calls+4 && time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 			}
 			if a.calls.Load() < calls+4 {
 				t.Error("the node does not call the agent again")
 			}
 			for account, want := range map[string]int{"a": 200, "b": 503} {
-				if resp, _ := n.ask(t, withAccount(account, message("read", "9.5", ""))); resp.StatusCode != want {
+				if resp, _ := n.doRequest(t, withAccount(account, requestText("read", "9.5", ""))); resp.StatusCode != want {
 					t.Errorf("tenant %s: status %d, want %d", account, resp.StatusCode, want)
 				}
 			}
@@ -247,7 +247,7 @@
 // Without an agent, the node is not ready for the time to catch up, and becomes ready after that.
 func TestFleetCatchUpEnds(t *testing.T) {
 	t.Parallel()
-	addr := backend(t, answering(func(*http.Request, []byte) string { return ok("x") }))
+	addr := startServer(t, answerWith(func(*http.Request, []byte) string { return ok("x") }))
 	a := newStubAgent(t)
 	a.Close()
 	began := time.Now()
@@ -274,7 +274,7 @@
 
 // Without the fleet block, the node starts no goroutine of the fleet client and makes no call to the agent.
 func TestNoFleetWithoutBlock(t *testing.T) { // not parallel: it examines the stacks of all goroutines
-	addr := backend(t, answering(func(*http.Request, []byte) string { return ok("x") }))
+	addr := startServer(t, answerWith(func(*http.Request, []byte) string { return ok("x") }))
 	stacks := func() string {
 		buf := make([]byte, 1<<20)
 		return string(buf[:runtime.Stack(buf, true)])
@@ -286,7 +286,7 @@
 			n = startFleetNode(t, a, time.Hour, addr)
 			a.awaitReport(t, "at all", func(fleet.Report) bool { return true })
 		} else {
-			n = start(t, &Config{Settings: settings(), Known: known(addr)})
+			n = start(t, &Config{Settings: settings(), Known: readyServers(addr)})
 			n.waitReady(t, 200)
 		}
 		if has := strings.Contains(stacks(), "(*fleetClient)"); has != withBlock || (a.calls.Load() > 0) != withBlock {
@@ -295,7 +295,7 @@
 		n.stop()
 		<-n.ended
 	}
-	if client := newFleetClient(&Config{}, nil, nil, quiet); client != nil || client.notReadyReason() != "" {
+	if client := newFleetClient(&Config{}, nil, nil, discardLog); client != nil || client.notReadyReason() != "" {
 		t.Error("a fleet client without a block")
 	}
 }
--- a/internal/node/fleet_scope_test.go
+++ b/internal/node/fleet_scope_test.go
@@ -98,7 +98,7 @@
 	t.Parallel()
 	started, finish := make(chan struct{}, 1), make(chan struct{})
 	var attempts atomic.Int64
-	answer := answering(func(r *http.Request, _ []byte) string {
+	answer := answerWith(func(r *http.Request, _ []byte) string {
 		attempts.Add(1)
 		if r.URL.Path == "/order" {
 			started <- struct{}{}
@@ -108,13 +108,13 @@
 	})
 	var servers []string // several, because the module avoids the server that is slow to answer the open request
 	for range 4 {
-		servers = append(servers, backend(t, answer))
+		servers = append(servers, startServer(t, answer))
 	}
 	release := sync.OnceFunc(func() { close(finish) })
 	t.Cleanup(release)
 	a := newRestartableAgent(t)
 	a.restart("billing", "search")
-	c := &Config{Name: "n 0", Settings: settings(), Known: known(servers...), Fleet: &FleetConfig{Agent: a.address,
+	c := &Config{Name: "n 0", Settings: settings(), Known: readyServers(servers...), Fleet: &FleetConfig{Agent: a.address,
 		Report: minReportMS * time.Millisecond, CatchUp: time.Hour, Services: []string{"billing", "search"}}}
 	for i := range c.Known.entries {
 		c.Known.entries[i].name = fmt.Sprint("s-", i)
@@ -126,12 +126,12 @@
 	n := start(t, c)
 	n.waitReady(t, 200)
 	status := func(account string) int {
-		resp, _ := n.ask(t, withAccount(account, message("read", "100", "")))
+		resp, _ := n.doRequest(t, withAccount(account, requestText("read", "100", "")))
 		return resp.StatusCode
 	}
 	awaitStatus := func(want int) {
 		t.Helper()
-		for limit := time.Now().Add(patient); status("search") != want; time.Sleep(20 * time.Millisecond) {
+		for limit := time.Now().Add(testTimeout); status("search") != want; time.Sleep(20 * time.Millisecond) {
 			if time.Now().After(limit) {
 				t.Fatalf("the tenant's requests never get status %d", want)
 			}
@@ -142,7 +142,7 @@
 	}
 	answered := make(chan error, 1)
 	go func() {
-		resp, body := n.ask(t, withAccount("search", message("order", "200", "")))
+		resp, body := n.doRequest(t, withAccount("search", requestText("order", "200", "")))
 		var err error
 		if resp.StatusCode != 200 || body != "x" {
 			err = fmt.Errorf("status %d, %q", resp.StatusCode, body)
--- a/internal/node/frontend_test.go
+++ b/internal/node/frontend_test.go
@@ -38,11 +38,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.Discovery = netip.MustParseAddrPort(backend(t, func(net.Conn) {}))
+	c.Discovery = netip.MustParseAddrPort(startServer(t, func(net.Conn) {}))
 	ctx, stop := context.WithCancel(context.Background())
-	b := newUpstreams(c, 100, quiet)
-	l := newEventLoop(ctx, c, b, newDiscoveryClient(c, quiet), nil, quiet)
-	f := &testFrontend{frontend: newFrontend(l, 100, quiet), addr: tcp.Addr().String(), conns: make(chan *clientConn, 100)}
+	b := newUpstreams(c, 100, discardLog)
+	l := newEventLoop(ctx, c, b, newDiscoveryClient(c, discardLog), nil, discardLog)
+	f := &testFrontend{frontend: newFrontend(l, 100, discardLog), addr: tcp.Addr().String(), conns: make(chan *clientConn, 100)}
 	listener := newClientListener(tcp, 100, nil, f.frontend.connections)
 	f.slots = listener.slots
 	srv := f.server()
@@ -66,7 +66,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(patient))
+	c.SetDeadline(time.Now().Add(testTimeout))
 	return c.(*net.TCPConn), bufio.NewReader(c), <-f.conns
 }
 
@@ -87,7 +87,7 @@
 // await waits until a condition is met. It fails the test if that takes too long, and names what it waited for.
 func await(t *testing.T, what string, met func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patient); !met(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !met(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("timed out waiting for: %s", what)
 		}
--- a/internal/node/golden_test.go
+++ b/internal/node/golden_test.go
@@ -95,12 +95,12 @@
 	golden.JSON[exclusionsFile](t, "bans")
 	dir := t.TempDir()
 	c := &Config{Name: "a/b", TempDir: dir, Settings: settings()}
-	e := openExclusions(c, newUpstreams(c, 10, quiet), quiet)
+	e := openExclusions(c, newUpstreams(c, 10, discardLog), discardLog)
 	e.setServerNames(map[policy.ServerID]string{1: "s-00000001"})
 	if err := e.exclude("s-00000001"); err != nil {
 		t.Fatal(err)
 	}
-	h, err := openHotRestart(c, quiet)
+	h, err := openHotRestart(c, discardLog)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -126,7 +126,7 @@
 // The answers of the admin API to each line stay the same.
 func TestAdminAnswers(t *testing.T) {
 	t.Parallel()
-	n := start(t, &Config{Admin: anyPort, Settings: settings(), Known: known("127.0.0.1:1")})
+	n := start(t, &Config{Admin: anyPort, Settings: settings(), Known: readyServers("127.0.0.1:1")})
 	n.waitReady(t, http.StatusOK)
 	var lines strings.Builder
 	for _, line := range []string{"readyz\n", "readyz\r\n", "readyz now\n", "restart\n", "READYZ\n", "\n", " \n", "read\x00yz\n", "caf\xe9\n",
--- a/internal/node/harness_test.go
+++ b/internal/node/harness_test.go
@@ -18,10 +18,10 @@
 	"meadowsill/policy"
 )
 
-// patient is how long a test waits for something that has to happen, even on a slow machine.
-const patient = 20 * time.Second
+// testTimeout is how long a test waits for something that has to happen, even on a slow machine.
+const testTimeout = 20 * time.Second
 
-var quiet = slog.New(slog.DiscardHandler)
+var discardLog = slog.New(slog.DiscardHandler)
 
 func settings() policy.Settings {
 	class := func(name string, idempotency policy.Idempotency) policy.Class {
@@ -36,8 +36,8 @@
 		Classes:         []policy.Class{class("read", policy.Idempotent), class("tag", policy.IdempotentByKey), class("order", policy.NonIdempotent)}}
 }
 
-// backend starts a server on a port that the kernel chooses, and returns its address. It passes each connection to serve.
-func backend(t *testing.T, serve func(net.Conn)) string {
+// startServer starts a server on a port that the kernel chooses, and returns its address. It passes each connection to serve.
+func startServer(t *testing.T, serve func(net.Conn)) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -75,8 +75,9 @@
 	return l.Addr().String()
 }
 
-// answering returns a handler that reads requests and writes the answers that reply returns. An empty answer ends the connection.
-func answering(reply func(*http.Request, []byte) string) func(net.Conn) {
+// answerWith returns a handler that reads requests and writes the answers that reply returns. An empty answer ends the
+// connection.
+func answerWith(reply func(*http.Request, []byte) string) func(net.Conn) {
 	return func(c net.Conn) {
 		r := bufio.NewReader(c)
 		for {
@@ -94,9 +95,9 @@
 	}
 }
 
-// refusing returns an address that refuses connections until the test ends. Its port is bound without a listener, since the
-// kernel may give a released port to another stub.
-func refusing(t *testing.T) string {
+// refusingAddr returns an address that refuses connections until the test ends. Its port is bound without a listener, since
+// the kernel may give a released port to another stub.
+func refusingAddr(t *testing.T) string {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	if err != nil {
@@ -113,8 +114,8 @@
 	return fmt.Sprintf("127.0.0.1:%d", addr.(*syscall.SockaddrInet4).Port)
 }
 
-// wholeRequest reads a request, and discards its body. It returns an error if the request does not arrive completely.
-func wholeRequest(r *bufio.Reader) (req *http.Request, body int64, err error) {
+// readCompleteRequest reads a request, and discards its body. It returns an error if the request does not arrive completely.
+func readCompleteRequest(r *bufio.Reader) (req *http.Request, body int64, err error) {
 	if req, err = http.ReadRequest(r); err == nil {
 		body, err = io.Copy(io.Discard, req.Body)
 	}
@@ -125,7 +126,7 @@
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-func known(addrs ...string) endpointList {
+func readyServers(addrs ...string) endpointList {
 	l := endpointList{version: 1, complete: true}
 	for i, a := range addrs {
 		l.entries = append(l.entries, endpoint{addr: a, Server: policy.Server{ID: policy.ServerID(i + 1), Zone: "z", State: policy.Ready, Weight: 1}})
@@ -157,7 +158,7 @@
 		c.TempDir = t.TempDir()
 	}
 	if !c.Discovery.IsValid() {
-		c.Discovery = netip.MustParseAddrPort(backend(t, func(c net.Conn) { io.Copy(io.Discard, c) }))
+		c.Discovery = netip.MustParseAddrPort(startServer(t, func(c net.Conn) { io.Copy(io.Discard, c) }))
 	}
 	var admin *net.TCPListener
 	adminAddr := ""
@@ -170,7 +171,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	n := &testNode{admin: adminAddr, discovery: c.Discovery, addr: tcp.Addr().String(), stop: stop, ended: make(chan error, 1), reloads: make(chan *Config)}
 	go func() {
-		n.ended <- serve(ctx, c, func() (*net.TCPListener, error) { return tcp, nil }, admin, n.reloads, quiet)
+		n.ended <- serve(ctx, c, func() (*net.TCPListener, error) { return tcp, nil }, admin, n.reloads, discardLog)
 		close(n.ended)
 	}()
 	t.Cleanup(func() { stop(); <-n.ended })
@@ -179,7 +180,7 @@
 
 var ids atomic.Int64
 
-func message(class, left, body string) string {
+func requestText(class, left, body string) string {
 	method, key := "GET", ""
 	if class != "read" {
 		method = "POST"
@@ -191,15 +192,15 @@
 		method, class, ids.Add(1), key, left, len(body), body)
 }
 
-// ask sends text on a new connection and reads one answer.
-func (n *testNode) ask(t *testing.T, text string) (*http.Response, string) {
+// doRequest sends text on a new connection and reads one answer.
+func (n *testNode) doRequest(t *testing.T, text string) (*http.Response, string) {
 	t.Helper()
 	c, err := net.Dial("tcp", n.addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
-	c.SetDeadline(time.Now().Add(patient))
+	c.SetDeadline(time.Now().Add(testTimeout))
 	io.WriteString(c, text)
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil {
--- a/internal/node/hotrestart_test.go
+++ b/internal/node/hotrestart_test.go
@@ -15,7 +15,7 @@
 func TestNewerListenerGetsAllConnections(t *testing.T) {
 	t.Parallel()
 	listen := func(addr string) *net.TCPListener {
-		l, err := listenClients(netip.MustParseAddrPort(addr), true, quiet)
+		l, err := listenClients(netip.MustParseAddrPort(addr), true, discardLog)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -30,7 +30,7 @@
 				t.Fatal(err)
 			}
 			defer c.Close()
-			l.SetDeadline(time.Now().Add(patient))
+			l.SetDeadline(time.Now().Add(testTimeout))
 			if _, err := l.Accept(); err != nil {
 				t.Fatalf("a new connection did not reach the expected listener: %v", err)
 			}
@@ -46,7 +46,7 @@
 	expectConns(third, 40)
 	third.Close() // as if the new process failed
 	expectConns(second, 20)
-	if l, err := listenClients(netip.MustParseAddrPort(second.Addr().String()), false, quiet); err == nil {
+	if l, err := listenClients(netip.MustParseAddrPort(second.Addr().String()), false, discardLog); err == nil {
 		l.Close()
 		t.Error("a second process without an admin API can listen too")
 	}
@@ -65,7 +65,7 @@
 	c.Settings.MayMessagePeers = true
 	listen := func() *peerMessenger {
 		t.Helper()
-		p, err := listenPeerMessages(c, quiet)
+		p, err := listenPeerMessages(c, discardLog)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -79,7 +79,7 @@
 			if _, err := sender.WriteToUDPAddrPort([]byte("x"), c.PeerListen); err != nil {
 				t.Fatal(err)
 			}
-			p.conn.SetReadDeadline(time.Now().Add(patient))
+			p.conn.SetReadDeadline(time.Now().Add(testTimeout))
 			if _, err := p.conn.Read(make([]byte, 1)); err != nil {
 				t.Fatalf("%s: %v", who, err)
 			}
@@ -92,7 +92,7 @@
 	newer.conn.Close()
 	expectMessages(older, "the older, after the newer has ended")
 	c.Admin = netip.AddrPort{}
-	if p, err := listenPeerMessages(c, quiet); err == nil {
+	if p, err := listenPeerMessages(c, discardLog); err == nil {
 		p.conn.Close()
 		t.Error("a second process without an admin API can listen too")
 	}
@@ -102,7 +102,7 @@
 func TestLimitsAreShared(t *testing.T) {
 	c := &Config{Name: "n", Settings: settings(), TempDir: t.TempDir(), Limits: Limits{MemoryMB: 1 << 14}}
 	open := func() *hotRestart {
-		b, err := openHotRestart(c, quiet)
+		b, err := openHotRestart(c, discardLog)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -123,12 +123,12 @@
 	if conns.count = 2; !conns.overLimit() {
 		t.Error("not over the limit with 2 clients here and 2 at the other process, of 3")
 	}
-	b := newUpstreams(c, reservedSockets+4, quiet)
+	b := newUpstreams(c, reservedSockets+4, discardLog)
 	b.restart = older
-	addr := backend(t, func(net.Conn) {})
-	b.update(known(addr))
+	addr := startServer(t, func(net.Conn) {})
+	b.update(readyServers(addr))
 	for i, want := range []error{nil, errTooManyConns} {
-		if _, err := b.connect(t.Context(), b.host(1), time.Now().Add(patient)); err != want {
+		if _, err := b.connect(t.Context(), b.host(1), time.Now().Add(testTimeout)); err != want {
 			t.Errorf("connection %d, with 3 of the other process, of 4: %v", i, err)
 		}
 	}
@@ -150,7 +150,7 @@
 	if err := os.RemoveAll(c.TempDir); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := openHotRestart(c, quiet); err == nil {
+	if _, err := openHotRestart(c, discardLog); err == nil {
 		t.Error("no error without a directory")
 	}
 	var none *hotRestart
@@ -187,7 +187,7 @@
 		}
 		if i == 0 {
 			client.Write([]byte("G"))
-			for end := time.Now().Add(patient); hasNoUnreadData(conns[0]); time.Sleep(time.Millisecond) {
+			for end := time.Now().Add(testTimeout); hasNoUnreadData(conns[0]); time.Sleep(time.Millisecond) {
 				if time.Now().After(end) {
 					t.Fatal("the byte does not arrive")
 				}
@@ -205,11 +205,11 @@
 // At SIGTERM idle connections are closed to make room for the newer process's clients, even before they reach minIdleTime.
 func TestIdleConnectionsMakeRoomForNewerProcess(t *testing.T) {
 	c := &Config{Name: "n", TempDir: t.TempDir(), Limits: Limits{MemoryMB: 1 << 14}}
-	older, err := openHotRestart(c, quiet)
+	older, err := openHotRestart(c, discardLog)
 	if err != nil {
 		t.Fatal(err)
 	}
-	newer, err := openHotRestart(c, quiet)
+	newer, err := openHotRestart(c, discardLog)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -236,7 +236,7 @@
 	c := &Config{Name: "n", TempDir: t.TempDir(), Limits: Limits{MemoryMB: 1 << 14}}
 	open := func() *hotRestart {
 		t.Helper()
-		h, err := openHotRestart(c, quiet)
+		h, err := openHotRestart(c, discardLog)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/node/linger_test.go
+++ b/internal/node/linger_test.go
@@ -31,7 +31,7 @@
 		t.Fatal(err)
 	}
 	c := &Config{Settings: settings()}
-	f := newFrontend(newEventLoop(t.Context(), c, newUpstreams(c, 10, quiet), nil, nil, quiet), limit, quiet)
+	f := newFrontend(newEventLoop(t.Context(), c, newUpstreams(c, 10, discardLog), nil, nil, discardLog), limit, discardLog)
 	s := &frontendOnly{frontend: f, listener: newClientListener(tcp, slots, nil, f.connections), srv: f.server(), held: make(chan *clientConn, 9),
 		release: make(chan struct{}), ended: make(chan error, 1)}
 	s.srv.Handler = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -56,7 +56,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(patient))
+	c.SetDeadline(time.Now().Add(testTimeout))
 	return c, bufio.NewReader(c)
 }
 
--- a/internal/node/listener_close_test.go
+++ b/internal/node/listener_close_test.go
@@ -22,7 +22,7 @@
 	}
 	await(t, "the slots to be taken", func() bool { return s.connections.open() == 2 })
 	waiting, r := s.dial(t)
-	io.WriteString(waiting, message("read", "9.5", ""))
+	io.WriteString(waiting, requestText("read", "9.5", ""))
 	drained := make(chan struct{})
 	go func() { s.drain(s.listener, s.ended); close(drained) }()
 	<-s.drainClosed
@@ -81,7 +81,7 @@
 	s.loop.rules.Store(newRequestRules(short))
 	s.serve()
 	c, r := s.dial(t)
-	io.WriteString(c, message("order", "9.5", ""))
+	io.WriteString(c, requestText("order", "9.5", ""))
 	await(t, "request", func() bool { return len(s.loop.events) == 1 })
 	drained := make(chan struct{})
 	go func() { s.drain(s.listener, s.ended); close(drained) }()
@@ -95,8 +95,8 @@
 func TestUnansweredIsFailedBeforeSIGKILL(t *testing.T) {
 	t.Parallel()
 	came := make(chan struct{}, 9)
-	addr := backend(t, answering(func(*http.Request, []byte) string { came <- struct{}{}; <-t.Context().Done(); return "" }))
-	c := &Config{Settings: settings(), Known: known(addr)}
+	addr := startServer(t, answerWith(func(*http.Request, []byte) string { came <- struct{}{}; <-t.Context().Done(); return "" }))
+	c := &Config{Settings: settings(), Known: readyServers(addr)}
 	c.Settings.MayHedge = false
 	for i := range c.Settings.Classes {
 		c.Settings.Classes[i].Deadline = 100 * time.Millisecond
@@ -104,7 +104,7 @@
 	n := start(t, c)
 	n.waitReady(t, 200)
 	client, r := n.dial(t)
-	io.WriteString(client, message("order", "9.5", "b"))
+	io.WriteString(client, requestText("order", "9.5", "b"))
 	<-came
 	n.stop()
 	readAnswerAndEnd(t, r, http.StatusBadGateway)
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -17,17 +17,17 @@
 	t.Parallel()
 	want := strings.Repeat("\x00é\r\n", 4000)
 	seen := make(chan string, 10)
-	addr := backend(t, answering(func(r *http.Request, body []byte) string {
+	addr := startServer(t, answerWith(func(r *http.Request, body []byte) string {
 		seen <- fmt.Sprint(r.Method, " ", r.RequestURI, " ", r.Header.Get("Idempotency-Key"), " ", r.Header.Get("X-Correlation-Id") != "", " ", string(body))
 		return ok(want)
 	}))
-	n := start(t, &Config{Settings: settings(), Known: known(addr)})
+	n := start(t, &Config{Settings: settings(), Known: readyServers(addr)})
 	for class, line := range map[string]string{"read": "GET /read?obj=a%2fb  true ", "tag": "POST /tag?obj=a%2fb k true B", "order": "POST /order?obj=a%2fb  true B"} {
 		body := "B"
 		if class == "read" {
 			body = ""
 		}
-		resp, got := n.ask(t, message(class, "9.5", body))
+		resp, got := n.doRequest(t, requestText(class, "9.5", body))
 		if resp.StatusCode != 200 || got != want {
 			t.Errorf("%s: status %d, %d bytes", class, resp.StatusCode, len(got))
 		}
@@ -36,7 +36,7 @@
 			if got != line {
 				t.Errorf("the app server got %q, want %q", got, line)
 			}
-		case <-time.After(patient):
+		case <-time.After(testTimeout):
 			t.Fatalf("%s: the app server got nothing", class)
 		}
 	}
@@ -44,8 +44,8 @@
 
 func TestBadInput(t *testing.T) {
 	t.Parallel()
-	addr := backend(t, answering(func(*http.Request, []byte) string { return ok("x") }))
-	n := start(t, &Config{Settings: settings(), Known: known(addr)})
+	addr := startServer(t, answerWith(func(*http.Request, []byte) string { return ok("x") }))
+	n := start(t, &Config{Settings: settings(), Known: readyServers(addr)})
 	head := "Host: h\r\nX-Correlation-Id: q\r\n"
 	for text, want := range map[string]int{
 		"\x16\x03\x01\r\n\r\n": 400,
@@ -70,7 +70,7 @@
 		"POST /unheard-of HTTP/1.1\r\n" + head + "X-Time-Left: 9\r\nContent-Length: 0\r\n\r\n":                                          404,
 		"GET /read HTTP/1.1\r\n" + head + "X-Time-Left: -5\r\n\r\n":                                                                     503,
 	} {
-		if resp, _ := n.ask(t, text); resp.StatusCode != want {
+		if resp, _ := n.doRequest(t, text); resp.StatusCode != want {
 			t.Errorf("%.80q: status %d, want %d", text, resp.StatusCode, want)
 		}
 	}
@@ -81,8 +81,8 @@
 func TestNoRequestSmuggledInBody(t *testing.T) {
 	t.Parallel()
 	var requests atomic.Int64
-	addr := backend(t, answering(func(*http.Request, []byte) string { requests.Add(1); return ok("x") }))
-	n := start(t, &Config{Settings: settings(), Known: known(addr)})
+	addr := startServer(t, answerWith(func(*http.Request, []byte) string { requests.Add(1); return ok("x") }))
+	n := start(t, &Config{Settings: settings(), Known: readyServers(addr)})
 	head := "Host: h\r\nX-Time-Left: 9\r\n"
 	inner := "GET /read HTTP/1.1\r\nX-Correlation-Id: inner\r\n" + head + "\r\n"
 	for text, want := range map[string]int{
@@ -91,11 +91,11 @@
 		"POST /order HTTP/1.0\r\nConnection: keep-alive\r\nX-Correlation-Id: b\r\n" + head +
 			"Transfer-Encoding: chunked\r\n\r\n" + inner: 505,
 	} {
-		if resp, _ := n.ask(t, text); resp.StatusCode != want || !resp.Close {
+		if resp, _ := n.doRequest(t, text); resp.StatusCode != want || !resp.Close {
 			t.Errorf("%.30q: status %d, close %v, want %d and a close", text, resp.StatusCode, resp.Close, want)
 		}
 	}
-	if resp, _ := n.ask(t, message("read", "9.5", "")); resp.StatusCode != 200 || requests.Load() != 1 {
+	if resp, _ := n.doRequest(t, requestText("read", "9.5", "")); resp.StatusCode != 200 || requests.Load() != 1 {
 		t.Errorf("an ordinary request after that: status %d; the app server got %d requests, want 1", resp.StatusCode, requests.Load())
 	}
 }
@@ -104,19 +104,19 @@
 // the module would count that as a failure of the server.
 func TestUnknownClass(t *testing.T) {
 	t.Parallel()
-	addr := backend(t, answering(func(r *http.Request, _ []byte) string {
+	addr := startServer(t, answerWith(func(r *http.Request, _ []byte) string {
 		if r.URL.Path != "/read" {
 			return "HTTP/1.1 400 No\r\nContent-Length: 0\r\n\r\n"
 		}
 		return ok("x")
 	}))
-	n := start(t, &Config{Settings: settings(), Known: known(addr)})
+	n := start(t, &Config{Settings: settings(), Known: readyServers(addr)})
 	for range 5 {
-		if resp, _ := n.ask(t, message("readings", "9.5", "")); resp.StatusCode != 404 || !resp.Close {
+		if resp, _ := n.doRequest(t, requestText("readings", "9.5", "")); resp.StatusCode != 404 || !resp.Close {
 			t.Errorf("status %d, close %v, want 404 and a close", resp.StatusCode, resp.Close)
 		}
 	}
-	if resp, _ := n.ask(t, message("read", "9.5", "")); resp.StatusCode != 200 {
+	if resp, _ := n.doRequest(t, requestText("read", "9.5", "")); resp.StatusCode != 200 {
 		t.Errorf("an ordinary request after that: status %d", resp.StatusCode)
 	}
 }
@@ -142,7 +142,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				c := &Config{Settings: settings()}
-				f := newFrontend(newEventLoop(t.Context(), c, newUpstreams(c, 10, quiet), nil, nil, quiet), 10, quiet)
+				f := newFrontend(newEventLoop(t.Context(), c, newUpstreams(c, 10, discardLog), nil, nil, discardLog), 10, discardLog)
 				l, srv := make(pipeListener), f.server()
 				go srv.Serve(l)
 				defer srv.Close()
@@ -169,7 +169,7 @@
 func TestClientLeft(t *testing.T) {
 	t.Parallel()
 	arrived, closed := make(chan struct{}), make(chan struct{})
-	addr := backend(t, func(c net.Conn) {
+	addr := startServer(t, func(c net.Conn) {
 		r := bufio.NewReader(c)
 		if _, err := http.ReadRequest(r); err != nil {
 			return
@@ -178,12 +178,12 @@
 		r.ReadByte()
 		close(closed)
 	})
-	n := start(t, &Config{Settings: settings(), Known: known(addr)})
+	n := start(t, &Config{Settings: settings(), Known: readyServers(addr)})
 	c, err := net.Dial("tcp", n.addr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	io.WriteString(c, message("order", "9.5", "b"))
+	io.WriteString(c, requestText("order", "9.5", "b"))
 	<-arrived
 	c.Close()
 	select {
@@ -197,13 +197,13 @@
 func TestDuplicateOpenRequestID(t *testing.T) {
 	t.Parallel()
 	arrived, proceed := make(chan struct{}, 9), make(chan struct{})
-	addr := backend(t, answering(func(*http.Request, []byte) string { arrived <- struct{}{}; <-proceed; return ok("x") }))
-	n := start(t, &Config{Settings: settings(), Known: known(addr)})
-	text := message("order", "9.5", "b")
+	addr := startServer(t, answerWith(func(*http.Request, []byte) string { arrived <- struct{}{}; <-proceed; return ok("x") }))
+	n := start(t, &Config{Settings: settings(), Known: readyServers(addr)})
+	text := requestText("order", "9.5", "b")
 	first := make(chan int)
-	go func() { resp, _ := n.ask(t, text); first <- resp.StatusCode }()
+	go func() { resp, _ := n.doRequest(t, text); first <- resp.StatusCode }()
 	<-arrived
-	if resp, _ := n.ask(t, text); resp.StatusCode != http.StatusConflict {
+	if resp, _ := n.doRequest(t, text); resp.StatusCode != http.StatusConflict {
 		t.Errorf("status %d", resp.StatusCode)
 	}
 	close(proceed)
--- a/internal/node/notification_time_test.go
+++ b/internal/node/notification_time_test.go
@@ -154,7 +154,7 @@
 	c.Settings.NodeIndex = nodes - 1
 	c.Settings.PollsEndpoints = !pushed
 	c.Settings.MinTick = 100 * time.Millisecond // of the module's clock; a finer one makes the test slower
-	d := newDiscoveryClient(c, quiet)
+	d := newDiscoveryClient(c, discardLog)
 	var mu sync.Mutex
 	byAddr := map[string]*outage{}
 	discoveryAt := func(addr string) *outage {
@@ -169,7 +169,7 @@
 		return discoveryAt(addr).dial(ctx)
 	}
 	ctx, stop := context.WithCancel(t.Context())
-	l := newEventLoop(ctx, c, newUpstreams(c, 10, quiet), d, nil, quiet)
+	l := newEventLoop(ctx, c, newUpstreams(c, 10, discardLog), d, nil, discardLog)
 	var running sync.WaitGroup
 	defer func() {
 		stop()
--- a/internal/node/pipelining_test.go
+++ b/internal/node/pipelining_test.go
@@ -17,13 +17,13 @@
 // and no other one is made.
 func TestClientLeftAfterPipelinedBytes(t *testing.T) {
 	t.Parallel()
-	for name, extra := range map[string]string{"a byte": "x", "half a request": message("order", "9", "")[:60],
-		"a request": message("read", "9", ""), "a flood": strings.Repeat(message("read", "9", ""), 1e4)} {
+	for name, extra := range map[string]string{"a byte": "x", "half a request": requestText("order", "9", "")[:60],
+		"a request": requestText("read", "9", ""), "a flood": strings.Repeat(requestText("read", "9", ""), 1e4)} {
 		for _, reset := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%s, reset %v", name, reset), func(t *testing.T) {
 				t.Parallel()
 				received, ended := make(chan struct{}, 9), make(chan struct{}, 9)
-				addr := backend(t, func(c net.Conn) {
+				addr := startServer(t, func(c net.Conn) {
 					r := bufio.NewReader(c)
 					if _, err := http.ReadRequest(r); err != nil {
 						return
@@ -32,9 +32,9 @@
 					r.ReadByte()
 					ended <- struct{}{}
 				})
-				f := startFrontend(t, &Config{Settings: settings(), Known: known(addr)})
+				f := startFrontend(t, &Config{Settings: settings(), Known: readyServers(addr)})
 				c, _, _ := f.dial(t)
-				io.WriteString(c, message("read", "9.5", ""))
+				io.WriteString(c, requestText("read", "9.5", ""))
 				<-received
 				if _, err := io.WriteString(c, extra); err != nil {
 					t.Fatal(err)
@@ -60,30 +60,30 @@
 	released := make(chan struct{})
 	release := sync.OnceFunc(func() { close(released) })
 	defer release()
-	addr := backend(t, answering(func(r *http.Request, body []byte) string {
+	addr := startServer(t, answerWith(func(r *http.Request, body []byte) string {
 		if len(body) == 1 {
 			<-released
 		}
 		return ok(string(body))
 	}))
-	f := startFrontend(t, &Config{Settings: settings(), Known: known(addr)})
+	f := startFrontend(t, &Config{Settings: settings(), Known: readyServers(addr)})
 	c, r, conn := f.dial(t)
 	bodies := []string{"1", "second", strings.Repeat("third", 1000), "fourth"}
-	io.WriteString(c, message("order", "9.5", bodies[0]))
+	io.WriteString(c, requestText("order", "9.5", bodies[0]))
 	await(t, "the request to be in flight", func() bool { return f.openRequests.Load() == 1 })
 	send := func(piece string) { // waits until the piece has been read, before the next one is sent
 		conn.lastReadAt.Store(0)
 		io.WriteString(c, piece)
 		await(t, "bytes to be read while a request is in flight", func() bool { return conn.lastReadAt.Load() != 0 })
 	}
-	for _, b := range []byte(message("order", "9.5", bodies[1])) {
+	for _, b := range []byte(requestText("order", "9.5", bodies[1])) {
 		send(string(b))
 	}
-	third := message("order", "9.5", bodies[2])
+	third := requestText("order", "9.5", bodies[2])
 	send(third[:len(third)/2])
 	send(third[len(third)/2:])
 	release()
-	io.WriteString(c, message("order", "9.5", bodies[3]))
+	io.WriteString(c, requestText("order", "9.5", bodies[3]))
 	for _, want := range bodies {
 		resp, err := http.ReadResponse(r, nil)
 		if err != nil {
@@ -102,12 +102,12 @@
 	released, received := make(chan struct{}), make(chan struct{}, 99)
 	release := sync.OnceFunc(func() { close(released) })
 	defer release()
-	addr := backend(t, answering(func(*http.Request, []byte) string { received <- struct{}{}; <-released; return ok("x") }))
-	f := startFrontend(t, &Config{Settings: settings(), Known: known(addr)})
+	addr := startServer(t, answerWith(func(*http.Request, []byte) string { received <- struct{}{}; <-released; return ok("x") }))
+	f := startFrontend(t, &Config{Settings: settings(), Known: readyServers(addr)})
 	c, r, conn := f.dial(t)
-	io.WriteString(c, message("read", "9.5", "")+message("read", "9.5", "")[:20])
+	io.WriteString(c, requestText("read", "9.5", "")+requestText("read", "9.5", "")[:20])
 	<-received
-	if _, err := io.WriteString(c, strings.Repeat(message("read", "9.5", ""), 1e4)); err != nil {
+	if _, err := io.WriteString(c, strings.Repeat(requestText("read", "9.5", ""), 1e4)); err != nil {
 		t.Fatal(err)
 	}
 	await(t, "the flood to be read", func() bool { return hasNoUnreadData(conn) })
@@ -133,10 +133,10 @@
 	release := sync.OnceFunc(func() { close(released) })
 	defer release()
 	var got atomic.Int64
-	addr := backend(t, func(c net.Conn) {
+	addr := startServer(t, func(c net.Conn) {
 		r := bufio.NewReader(c)
 		for {
-			req, n, err := wholeRequest(r)
+			req, n, err := readCompleteRequest(r)
 			if err != nil {
 				return
 			}
@@ -149,12 +149,12 @@
 			}
 		}
 	})
-	f := startFrontend(t, &Config{Settings: settings(), Known: known(addr)})
+	f := startFrontend(t, &Config{Settings: settings(), Known: readyServers(addr)})
 	c, r, conn := f.dial(t)
 	var first *http.Response
 	for first == nil || first.StatusCode == http.StatusServiceUnavailable { // on a busy machine the module may reject the request, which is harmless
 		var err error
-		io.WriteString(c, message("read", "9.5", ""))
+		io.WriteString(c, requestText("read", "9.5", ""))
 		if first, err = http.ReadResponse(r, nil); err != nil {
 			t.Fatal(err)
 		}
@@ -166,7 +166,10 @@
 	conn.lastReadAt.Store(0)
 	const length = 4 * maxPipelinedBytes
 	next := make(chan error, 1)
-	go func() { _, err := io.WriteString(c, message("order", "9.5", strings.Repeat("b", length))); next <- err }()
+	go func() {
+		_, err := io.WriteString(c, requestText("order", "9.5", strings.Repeat("b", length)))
+		next <- err
+	}()
 	await(t, "the next request's bytes to be read while the answer is being relayed", func() bool { return conn.lastReadAt.Load() != 0 })
 	await(t, "more bytes of the next request", func() bool { return !hasNoUnreadData(conn) })
 	release()
--- a/internal/node/request_writer_test.go
+++ b/internal/node/request_writer_test.go
@@ -100,14 +100,14 @@
 			t.Parallel()
 			may := make(chan struct{})
 			addr, complete, end := smallBufferServer(t, may)
-			b := newUpstreams(&Config{Settings: settings()}, 10, quiet)
+			b := newUpstreams(&Config{Settings: settings()}, 10, discardLog)
 			full := make(chan struct{})
 			b.dial = stallingDialer(full)
-			b.update(known(addr))
+			b.update(readyServers(addr))
 			client, disconnect := context.WithCancel(t.Context())
 			ctx, cancel := context.WithCancel(t.Context())
 			x := &exchange{request: client, writeLock: new(sync.Mutex), method: "POST", url: &url.URL{Path: "/order", Host: "h"},
-				body: make([]byte, maxBufferedBody), deadline: time.Now().Add(patient)}
+				body: make([]byte, maxBufferedBody), deadline: time.Now().Add(testTimeout)}
 			if c.change != nil {
 				c.change(x)
 			}
@@ -143,7 +143,7 @@
 
 func newHeldDials(t *testing.T) *heldDials {
 	h := &heldDials{dialed: make(chan struct{}, 9), release: make(chan struct{}), ended: make(chan struct{}, 9)}
-	h.addr = backend(t, func(c net.Conn) {
+	h.addr = startServer(t, func(c net.Conn) {
 		n, _ := io.Copy(io.Discard, c)
 		h.bytes.Add(n)
 		h.ended <- struct{}{}
@@ -161,11 +161,11 @@
 func startLoop(t *testing.T, h *heldDials, addrs ...string) (*eventLoop, *upstreams) {
 	policySettings := settings()
 	policySettings.MayCancel = false
-	c := &Config{Settings: policySettings, Known: known(addrs...)}
+	c := &Config{Settings: policySettings, Known: readyServers(addrs...)}
 	ctx, stop := context.WithCancel(context.Background())
-	b := newUpstreams(c, 10, quiet)
+	b := newUpstreams(c, 10, discardLog)
 	b.dial = h.dial
-	l := newEventLoop(ctx, c, b, newDiscoveryClient(c, quiet), nil, quiet)
+	l := newEventLoop(ctx, c, b, newDiscoveryClient(c, discardLog), nil, discardLog)
 	l.rules.Load().PollsEndpoints = true
 	var running sync.WaitGroup
 	running.Go(func() { l.run(c.Known) })
@@ -176,7 +176,7 @@
 
 func newRequest(l *eventLoop, class string) (r *request, disconnect context.CancelFunc) {
 	rules := l.rules.Load()
-	r = &request{arrived: policy.RequestArrived{ID: "q", Class: class}, deadline: time.Now().Add(patient / 2), method: "POST",
+	r = &request{arrived: policy.RequestArrived{ID: "q", Class: class}, deadline: time.Now().Add(testTimeout / 2), method: "POST",
 		class: rules.classes[class], rules: rules, url: &url.URL{Path: "/" + class, Host: "h"}, answer: make(chan answer, 1)}
 	client, disconnect := context.WithCancel(context.Background())
 	r.context, r.cancel = context.WithCancel(client)
@@ -193,7 +193,7 @@
 // awaitNoRequests waits until the event loop holds no request any more.
 func awaitNoRequests(t *testing.T, l *eventLoop) {
 	t.Helper()
-	for end := time.Now().Add(patient); ; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
 		open := 0
 		runInLoop(l, func() { open = len(l.requests) })
 		if open == 0 {
@@ -248,15 +248,15 @@
 // A dial ends when its request ends. Otherwise it would hold a descriptor until the server answers.
 func TestDialEndsWithItsRequest(t *testing.T) {
 	t.Parallel()
-	b := newUpstreams(&Config{Settings: settings()}, 10, quiet)
-	b.update(known("127.0.0.1:1"))
+	b := newUpstreams(&Config{Settings: settings()}, 10, discardLog)
+	b.update(readyServers("127.0.0.1:1"))
 	dialed := make(chan struct{})
 	b.dial = func(ctx context.Context, _ net.Dialer, _ string) (*upstreamConn, error) {
 		close(dialed)
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
-	x := get(patient)
+	x := get(testTimeout)
 	client, disconnect := context.WithCancel(t.Context())
 	x.request = client
 	got := make(chan result, 1)
@@ -287,17 +287,17 @@
 func TestRequestEndWaitsForAWrite(t *testing.T) {
 	t.Parallel()
 	got := make(chan struct{}, 1)
-	addr := backend(t, answering(func(*http.Request, []byte) string { got <- struct{}{}; return ok("x") }))
-	b := newUpstreams(&Config{Settings: settings()}, 10, quiet)
-	b.update(known(addr))
+	addr := startServer(t, answerWith(func(*http.Request, []byte) string { got <- struct{}{}; return ok("x") }))
+	b := newUpstreams(&Config{Settings: settings()}, 10, discardLog)
+	b.update(readyServers(addr))
 	h := b.host(1)
-	c, err := b.connect(t.Context(), h, time.Now().Add(patient))
+	c, err := b.connect(t.Context(), h, time.Now().Add(testTimeout))
 	if err != nil {
 		t.Fatal(err)
 	}
 	r := &request{}
 	r.context, r.cancel = context.WithCancel(t.Context())
-	x := get(patient)
+	x := get(testTimeout)
 	x.request, x.writeLock = r.context, &r.writeLock
 	b.mu.Lock() // the writer blocks within the write, where it checks whether its host is closed
 	res := make(chan result, 1)
@@ -348,7 +348,7 @@
 			t.Parallel()
 			var complete atomic.Int64
 			seen := make(chan error, 1)
-			addr := backend(t, func(conn net.Conn) {
+			addr := startServer(t, func(conn net.Conn) {
 				req, err := http.ReadRequest(bufio.NewReader(conn))
 				if err == nil {
 					if _, err = io.Copy(io.Discard, req.Body); err == nil {
@@ -357,15 +357,15 @@
 				}
 				seen <- err
 			})
-			b := newUpstreams(&Config{Settings: settings()}, 10, quiet)
-			b.update(known(addr))
+			b := newUpstreams(&Config{Settings: settings()}, 10, discardLog)
+			b.update(readyServers(addr))
 			client, disconnect := context.WithCancel(t.Context())
 			defer disconnect()
 			reached := make(chan struct{})
 			x := &exchange{request: client, writeLock: new(sync.Mutex), method: "POST", url: &url.URL{Path: "/order", Host: "h"},
-				body: make([]byte, maxBufferedBody), deadline: time.Now().Add(patient)}
+				body: make([]byte, maxBufferedBody), deadline: time.Now().Add(testTimeout)}
 			x.onBodySent = func() { close(reached); c.end(x, disconnect) } // called just before the rest of the body is read
-			u := &upload{length: maxBufferedBody + 1, clientTimeout: patient, complete: make(chan struct{}),
+			u := &upload{length: maxBufferedBody + 1, clientTimeout: testTimeout, complete: make(chan struct{}),
 				body: &pacedBody{Reader: lastByte{}, deadline: time.Now(), deadlineSet: time.Now()}}
 			x.upload = u
 			r := b.roundTrip(t.Context(), b.host(1), x)
--- a/internal/node/settings_test.go
+++ b/internal/node/settings_test.go
@@ -78,7 +78,7 @@
 func TestSettingsChange(t *testing.T) {
 	t.Parallel()
 	arrived, outcomes := make(chan string, 9), make(chan string, 9)
-	addr := backend(t, answering(func(r *http.Request, _ []byte) string {
+	addr := startServer(t, answerWith(func(r *http.Request, _ []byte) string {
 		arrived <- r.Method + " " + r.URL.Path
 		if <-outcomes == "ok" {
 			return ok("x")
@@ -87,11 +87,11 @@
 	}))
 	initial := settings()
 	initial.Classes = initial.Classes[:1] // read, which is idempotent
-	n := start(t, &Config{Settings: initial, Known: known(addr, addr)})
+	n := start(t, &Config{Settings: initial, Known: readyServers(addr, addr)})
 	statuses := make(chan int)
 	sendRequest := func(method, path string) {
 		go func() {
-			resp, _ := n.ask(t, fmt.Sprintf("%s /%s HTTP/1.1\r\nHost: h\r\nX-Correlation-Id: %s%d\r\nX-Time-Left: 9\r\nContent-Length: 0\r\n\r\n",
+			resp, _ := n.doRequest(t, fmt.Sprintf("%s /%s HTTP/1.1\r\nHost: h\r\nX-Correlation-Id: %s%d\r\nX-Time-Left: 9\r\nContent-Length: 0\r\n\r\n",
 				method, path, path, ids.Add(1)))
 			statuses <- resp.StatusCode
 		}()
@@ -103,7 +103,7 @@
 	changed.Classes = []policy.Class{changed.Classes[0], {Name: "buy", PriorityWeight: 1, LatencyObjective: 5 * time.Second, Deadline: 10 * time.Second, Idempotency: policy.Idempotent}}
 	changed.Classes[0].Idempotency = policy.NonIdempotent
 	n.reloads <- &Config{Settings: changed, Discovery: n.discovery}
-	for end := time.Now().Add(patient); ; {
+	for end := time.Now().Add(testTimeout); ; {
 		sendRequest("GET", "buy")
 		select {
 		case status := <-statuses:
@@ -125,7 +125,7 @@
 		if got != "GET /read" {
 			t.Errorf("retried: %q", got)
 		}
-	case <-time.After(patient):
+	case <-time.After(testTimeout):
 		t.Fatal("the older request is not retried")
 	}
 	if status := <-statuses; status == 200 {
@@ -141,7 +141,7 @@
 	}
 	changed.Classes = changed.Classes[1:]
 	n.reloads <- &Config{Settings: changed, Discovery: n.discovery}
-	for end := time.Now().Add(patient); ; {
+	for end := time.Now().Add(testTimeout); ; {
 		sendRequest("POST", "read")
 		select {
 		case <-arrived:
@@ -162,13 +162,13 @@
 func TestRequestReadUnderOldRules(t *testing.T) {
 	t.Parallel()
 	c := &Config{Settings: settings()}
-	l := newEventLoop(t.Context(), c, newUpstreams(c, 10, quiet), nil, nil, quiet)
+	l := newEventLoop(t.Context(), c, newUpstreams(c, 10, discardLog), nil, nil, discardLog)
 	old := l.rules.Load()
 	changed := settings()
 	changed.Classes[0].Idempotency = policy.NonIdempotent
 	l.changeSettings(changed)
 	r := &request{arrived: policy.RequestArrived{ID: "a", Class: "read"}, class: old.classes["read"], rules: old,
-		deadline: time.Now().Add(patient), answer: make(chan answer, 1), context: t.Context()}
+		deadline: time.Now().Add(testTimeout), answer: make(chan answer, 1), context: t.Context()}
 	l.startRequest(r)
 	if a := <-r.answer; a.status != http.StatusServiceUnavailable || len(l.requests) > 0 {
 		t.Errorf("%+v, %d open", a, len(l.requests))
--- a/internal/node/silence_test.go
+++ b/internal/node/silence_test.go
@@ -24,8 +24,8 @@
 		for _, reload := range []bool{false, true} {
 			t.Run(fmt.Sprintf("pushed %v, reload %v", pushed, reload), func(t *testing.T) {
 				t.Parallel()
-				var former, later = backend(t, answering(func(*http.Request, []byte) string { return ok("former") })),
-					backend(t, answering(func(*http.Request, []byte) string { return ok("later") }))
+				var former, later = startServer(t, answerWith(func(*http.Request, []byte) string { return ok("former") })),
+					startServer(t, answerWith(func(*http.Request, []byte) string { return ok("later") }))
 				silent, reopened := make(chan time.Time, 1), make(chan time.Time, 9)
 				c := &Config{Settings: settings(), Known: endpointList{version: 1}}
 				c.Settings.PollsEndpoints = !pushed
@@ -41,11 +41,11 @@
 					if took := at.Sub(began); took > maxNotificationTime {
 						t.Errorf("the watch was opened again after %v, want %v at most", took, maxNotificationTime)
 					}
-				case <-time.After(2 * patient):
+				case <-time.After(2 * testTimeout):
 					t.Fatal("the silent watch is not opened again")
 				}
-				for end := time.Now().Add(patient); ; time.Sleep(5 * time.Millisecond) {
-					if _, body := n.ask(t, message("read", "9.5", "")); body == "later" {
+				for end := time.Now().Add(testTimeout); ; time.Sleep(5 * time.Millisecond) {
+					if _, body := n.doRequest(t, requestText("read", "9.5", "")); body == "later" {
 						return
 					}
 					if time.Now().After(end) {
@@ -60,7 +60,7 @@
 // silentDiscovery starts a stub of discovery that never answers the third call, although the list changes meanwhile: server later
 // replaces former. It sends the times at which the third and the fourth call arrive to silent and reopened.
 func silentDiscovery(t *testing.T, former, later string, silent, reopened chan time.Time) netip.AddrPort {
-	return registry(t, func(n int, q url.Values) string {
+	return stubDiscovery(t, func(n int, q url.Values) string {
 		switch {
 		case n == 1:
 			return jsonList(2, true, "ready", former)
--- a/internal/node/slow_clients_test.go
+++ b/internal/node/slow_clients_test.go
@@ -15,7 +15,7 @@
 // kept.
 func TestPeersThatDisconnect(t *testing.T) {
 	t.Parallel()
-	complete, long := message("order", "9.5", "b"), orderHead("Content-Length: 1000000")
+	complete, long := requestText("order", "9.5", "b"), orderHead("Content-Length: 1000000")
 	for name, text := range map[string]string{"nothing": "", "half a head": complete[:40], "half a body": complete[:len(complete)-1],
 		"a megabyte of garbage": strings.Repeat("\x16\x03", 1<<19), "a head without an end": "GET /read HTTP/1.1\r\nX: " + strings.Repeat("x", 1<<20),
 		"a part of a long body": long + strings.Repeat(complete, 2000), "a chunk without an end": orderHead("Transfer-Encoding: chunked") + "fffff\r\n" + strings.Repeat("b", 1<<17),
@@ -24,17 +24,17 @@
 			t.Run(name, func(t *testing.T) {
 				t.Parallel()
 				var got atomic.Int64
-				addr := backend(t, func(c net.Conn) {
+				addr := startServer(t, func(c net.Conn) {
 					r := bufio.NewReader(c)
 					for {
-						if _, _, err := wholeRequest(r); err != nil {
+						if _, _, err := readCompleteRequest(r); err != nil {
 							return // incomplete, so no request
 						}
 						got.Add(1)
 						io.WriteString(c, ok("x"))
 					}
 				})
-				f := startFrontend(t, &Config{Settings: settings(), Known: known(addr)})
+				f := startFrontend(t, &Config{Settings: settings(), Known: readyServers(addr)})
 				c, _, _ := f.dial(t)
 				io.WriteString(c, text) // fails if the node closes the connection before it has received all of text
 				leave(c, reset)
@@ -52,12 +52,12 @@
 func TestRequestInSingleBytes(t *testing.T) {
 	t.Parallel()
 	var got atomic.Int64
-	addr := backend(t, answering(func(*http.Request, []byte) string { got.Add(1); return ok("x") }))
-	f := startFrontend(t, &Config{Settings: settings(), Known: known(addr)})
+	addr := startServer(t, answerWith(func(*http.Request, []byte) string { got.Add(1); return ok("x") }))
+	f := startFrontend(t, &Config{Settings: settings(), Known: readyServers(addr)})
 	c, r, _ := f.dial(t)
 	c.SetNoDelay(true)
 	w := bufio.NewWriterSize(c, 16)
-	for _, b := range []byte(message("order", "9.5", "body") + "\x00 is no request\r\n\r\n") {
+	for _, b := range []byte(requestText("order", "9.5", "body") + "\x00 is no request\r\n\r\n") {
 		w.WriteByte(b)
 		w.Flush()
 	}
--- a/internal/node/streaming_test.go
+++ b/internal/node/streaming_test.go
@@ -23,7 +23,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(patient))
+	c.SetDeadline(time.Now().Add(testTimeout))
 	return c, bufio.NewReader(c)
 }
 
@@ -37,7 +37,7 @@
 	for _, length := range []int{maxBufferedBody - 1, maxBufferedBody, maxBufferedBody + 1, 3 << 20} {
 		body := bytes.Repeat([]byte("0123456789abcde\n"), length/16+1)[:length]
 		var got atomic.Int64
-		addr := backend(t, answering(func(r *http.Request, b []byte) string {
+		addr := startServer(t, answerWith(func(r *http.Request, b []byte) string {
 			if len(b) > 1 && !bytes.Equal(b, body) {
 				return ""
 			}
@@ -47,7 +47,7 @@
 		for _, chunked := range []bool{false, true} {
 			// Each framing has a node of its own: on a busy machine the module may reject a third request because of the
 			// time that the first two took.
-			n := start(t, &Config{Settings: settings(), Known: known(addr)})
+			n := start(t, &Config{Settings: settings(), Known: readyServers(addr)})
 			c, r := n.dial(t)
 			if chunked {
 				io.WriteString(c, orderHead("Transfer-Encoding: chunked"))
@@ -64,7 +64,7 @@
 				}
 				c.Write(body)
 			}
-			io.WriteString(c, message("order", "9.5", "x")) // pipelined
+			io.WriteString(c, requestText("order", "9.5", "x")) // pipelined
 			for _, want := range []int{length, 1} {
 				resp, err := http.ReadResponse(r, nil)
 				if err != nil {
@@ -85,10 +85,10 @@
 func TestIncompleteLongBody(t *testing.T) {
 	t.Parallel()
 	var complete, incomplete atomic.Int64
-	addr := backend(t, func(c net.Conn) {
+	addr := startServer(t, func(c net.Conn) {
 		r := bufio.NewReader(c)
 		for {
-			req, _, err := wholeRequest(r)
+			req, _, err := readCompleteRequest(r)
 			if req != nil && err != nil {
 				incomplete.Add(1)
 			}
@@ -99,7 +99,7 @@
 			io.WriteString(c, ok("x"))
 		}
 	})
-	n := start(t, &Config{Settings: settings(), Known: known(addr)})
+	n := start(t, &Config{Settings: settings(), Known: readyServers(addr)})
 	c, _ := n.dial(t)
 	io.WriteString(c, orderHead("Content-Length: 1000000")+strings.Repeat("b", 200000))
 	c.Close()
@@ -121,7 +121,7 @@
 	if resp, err := http.ReadResponse(r, nil); err != nil || resp.StatusCode != 413 || !resp.Close {
 		t.Errorf("too long: %+v, %v", resp, err)
 	}
-	for end := time.Now().Add(patient); incomplete.Load() < 3; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); incomplete.Load() < 3; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("the server received %d incomplete bodies, want 3", incomplete.Load())
 		}
@@ -129,7 +129,7 @@
 	if complete.Load() > 0 {
 		t.Errorf("%d bodies reached the server in full", complete.Load())
 	}
-	if resp, _ := n.ask(t, message("order", "9.5", "")); resp.StatusCode != 200 {
+	if resp, _ := n.doRequest(t, requestText("order", "9.5", "")); resp.StatusCode != 200 {
 		t.Errorf("the next request: status %d, want 200", resp.StatusCode)
 	}
 }
@@ -139,23 +139,23 @@
 func TestLongBodyIsSentOnce(t *testing.T) {
 	t.Parallel()
 	var served atomic.Int64
-	good := backend(t, answering(func(*http.Request, []byte) string { served.Add(1); return ok("x") }))
-	early := backend(t, func(c net.Conn) { // answers before it has read the body
+	good := startServer(t, answerWith(func(*http.Request, []byte) string { served.Add(1); return ok("x") }))
+	early := startServer(t, func(c net.Conn) { // answers before it has read the body
 		http.ReadRequest(bufio.NewReader(c))
 		io.WriteString(c, "HTTP/1.1 503 Full\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n")
 		io.Copy(io.Discard, c)
 	})
-	dead := refusing(t)
+	dead := refusingAddr(t)
 	body := strings.Repeat("b", 4<<20)
 	for first, want := range map[string]int{dead: 200, early: 503} {
 		set := settings()
-		b := known(first)
+		b := readyServers(first)
 		n := start(t, &Config{Settings: set, Known: b})
 		if first == dead { // the other server is listed after a failure, so that the first attempt goes to the dead one
 			n.stop()
-			n = start(t, &Config{Settings: set, Known: known(dead, good)})
-			for end := time.Now().Add(patient); served.Load() < 4; { // on a busy machine the module may reject a request, which is harmless
-				resp, _ := n.ask(t, orderHead(fmt.Sprintf("Content-Length: %d", len(body)))+body)
+			n = start(t, &Config{Settings: set, Known: readyServers(dead, good)})
+			for end := time.Now().Add(testTimeout); served.Load() < 4; { // on a busy machine the module may reject a request, which is harmless
+				resp, _ := n.doRequest(t, orderHead(fmt.Sprintf("Content-Length: %d", len(body)))+body)
 				if resp.StatusCode != want && resp.StatusCode != http.StatusServiceUnavailable || time.Now().After(end) {
 					t.Fatalf("with a dead server: status %d, %d served", resp.StatusCode, served.Load())
 				}
@@ -183,7 +183,7 @@
 		half    chan bool // receives whether the server sends the second half
 	}
 	var current atomic.Value
-	addr := backend(t, func(c net.Conn) {
+	addr := startServer(t, func(c net.Conn) {
 		http.ReadRequest(bufio.NewReader(c))
 		as := current.Load().(framedAnswer)
 		framing := as.framing
@@ -205,12 +205,12 @@
 	})
 	for _, framing := range []string{fmt.Sprintf("Content-Length: %d\r\n", length), "Transfer-Encoding: chunked\r\n", "X: close\r\n"} {
 		for _, complete := range []bool{true, false} {
-			n := start(t, &Config{Settings: settings(), Known: known(addr)})
+			n := start(t, &Config{Settings: settings(), Known: readyServers(addr)})
 			as := framedAnswer{framing, make(chan bool, 1)}
 			defer close(as.half) // lets the server go if the test ends early
 			current.Store(as)
 			c, r := n.dial(t)
-			io.WriteString(c, message("read", "9.5", ""))
+			io.WriteString(c, requestText("read", "9.5", ""))
 			resp, err := http.ReadResponse(r, nil)
 			if err != nil || resp.StatusCode != 200 {
 				t.Fatalf("%q: %+v, %v", framing, resp, err)
@@ -232,16 +232,16 @@
 func TestLongAnswerPauses(t *testing.T) {
 	t.Parallel()
 	begun := make(chan struct{})
-	addr := backend(t, func(c net.Conn) {
+	addr := startServer(t, func(c net.Conn) {
 		http.ReadRequest(bufio.NewReader(c))
 		io.WriteString(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nbegun\r\n")
 		<-begun
 		io.WriteString(c, "5\r\nended\r\n0\r\n\r\n")
 	})
-	n := start(t, &Config{Settings: settings(), Known: known(addr)})
+	n := start(t, &Config{Settings: settings(), Known: readyServers(addr)})
 	c, r := n.dial(t)
 	const left = 2 * time.Second
-	io.WriteString(c, message("read", fmt.Sprint(left.Seconds()), ""))
+	io.WriteString(c, requestText("read", fmt.Sprint(left.Seconds()), ""))
 	resp, err := http.ReadResponse(r, nil)
 	if err != nil || resp.StatusCode != 200 {
 		t.Fatalf("%+v, %v", resp, err)
@@ -257,7 +257,7 @@
 func TestBufferedAnswerIsRetried(t *testing.T) {
 	t.Parallel()
 	var calls atomic.Int64
-	addr := backend(t, func(c net.Conn) {
+	addr := startServer(t, func(c net.Conn) {
 		r := bufio.NewReader(c)
 		for {
 			if _, err := http.ReadRequest(r); err != nil {
@@ -270,8 +270,8 @@
 			io.WriteString(c, ok("whole"))
 		}
 	})
-	n := start(t, &Config{Settings: settings(), Known: known(addr, addr)})
-	if resp, body := n.ask(t, message("read", "9.5", "")); resp.StatusCode != 200 || body != "whole" {
+	n := start(t, &Config{Settings: settings(), Known: readyServers(addr, addr)})
+	if resp, body := n.doRequest(t, requestText("read", "9.5", "")); resp.StatusCode != 200 || body != "whole" {
 		t.Errorf("status %d, %q", resp.StatusCode, body)
 	}
 }
@@ -280,7 +280,7 @@
 func TestMemoryUnderLongAnswers(t *testing.T) {
 	const count, length = 12, 8 << 20
 	piece := make([]byte, 1<<16)
-	addr := backend(t, func(c net.Conn) {
+	addr := startServer(t, func(c net.Conn) {
 		http.ReadRequest(bufio.NewReader(c))
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", length)
 		for range length / len(piece) {
@@ -289,7 +289,7 @@
 			}
 		}
 	})
-	n := start(t, &Config{Settings: settings(), Known: known(addr)})
+	n := start(t, &Config{Settings: settings(), Known: readyServers(addr)})
 	heap := func() uint64 {
 		var m runtime.MemStats
 		runtime.GC()
@@ -300,7 +300,7 @@
 	var readers []*http.Response
 	for len(readers) < count {
 		c, r := n.dial(t)
-		io.WriteString(c, message("read", "9.5", ""))
+		io.WriteString(c, requestText("read", "9.5", ""))
 		resp, err := http.ReadResponse(r, nil)
 		if err == nil && resp.StatusCode == 503 { // the module may reject requests on a busy machine; the deadline on the client's connection ends the loop
 			time.Sleep(10 * time.Millisecond)
@@ -362,8 +362,8 @@
 // An upload that waits for its client ends when the client closes its side during a drain.
 func TestUploadIsInterrupted(t *testing.T) {
 	t.Parallel()
-	addr := backend(t, func(c net.Conn) { io.Copy(io.Discard, c) })
-	n := start(t, &Config{Settings: settings(), Known: known(addr)})
+	addr := startServer(t, func(c net.Conn) { io.Copy(io.Discard, c) })
+	n := start(t, &Config{Settings: settings(), Known: readyServers(addr)})
 	c, r := n.dial(t)
 	io.WriteString(c, orderHead("Content-Length: 1000000")+strings.Repeat("b", 200000))
 	time.Sleep(10 * time.Millisecond)
@@ -375,7 +375,7 @@
 	}
 	select {
 	case <-n.ended:
-	case <-time.After(patient):
+	case <-time.After(testTimeout):
 		t.Error("the node does not end")
 	}
 }
--- a/internal/node/upstreams_test.go
+++ b/internal/node/upstreams_test.go
@@ -44,20 +44,20 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			addr := backend(t, func(conn net.Conn) {
+			addr := startServer(t, func(conn net.Conn) {
 				if _, err := http.ReadRequest(bufio.NewReader(conn)); err == nil {
 					io.WriteString(conn, c.reply)
 				}
 			})
-			b := newUpstreams(&Config{Settings: settings()}, 10, quiet)
-			b.update(known(addr))
-			x := get(patient)
+			b := newUpstreams(&Config{Settings: settings()}, 10, discardLog)
+			b.update(readyServers(addr))
+			x := get(testTimeout)
 			x.onStream = func(_ *http.Response, _ []byte, rest *io.PipeReader) { go io.Copy(io.Discard, rest) }
 			if r := b.roundTrip(t.Context(), b.host(1), x); r.code != c.code {
 				t.Errorf("outcome %v (%v), want %v", r.code, r.err, c.code)
 			}
-			n := start(t, &Config{Settings: settings(), Known: known(addr)})
-			if resp, _ := n.ask(t, message("order", "9.5", "")); resp.StatusCode != c.status {
+			n := start(t, &Config{Settings: settings(), Known: readyServers(addr)})
+			if resp, _ := n.doRequest(t, requestText("order", "9.5", "")); resp.StatusCode != c.status {
 				t.Errorf("status %d, want %d", resp.StatusCode, c.status)
 			}
 		})
@@ -73,7 +73,7 @@
 func TestNoHiddenResend(t *testing.T) {
 	t.Parallel()
 	var got atomic.Int64
-	addr := backend(t, func(c net.Conn) {
+	addr := startServer(t, func(c net.Conn) {
 		r := bufio.NewReader(c)
 		for n := 0; ; n++ {
 			if _, err := http.ReadRequest(r); err != nil {
@@ -86,9 +86,9 @@
 			io.WriteString(c, ok("x"))
 		}
 	})
-	n := start(t, &Config{Settings: settings(), Known: known(addr)})
+	n := start(t, &Config{Settings: settings(), Known: readyServers(addr)})
 	for i, want := range []int{200, 503} {
-		if resp, _ := n.ask(t, message("read", "9.5", "")); resp.StatusCode != want {
+		if resp, _ := n.doRequest(t, requestText("read", "9.5", "")); resp.StatusCode != want {
 			t.Errorf("request %d: status %d, want %d", i, resp.StatusCode, want)
 		}
 	}
@@ -101,16 +101,16 @@
 func TestIdleClosedByBackend(t *testing.T) {
 	t.Parallel()
 	closed := make(chan struct{}, 9)
-	addr := backend(t, func(c net.Conn) {
+	addr := startServer(t, func(c net.Conn) {
 		if _, err := http.ReadRequest(bufio.NewReader(c)); err == nil {
 			io.WriteString(c, ok("x"))
 		}
 		c.Close()
 		closed <- struct{}{}
 	})
-	n := start(t, &Config{Settings: settings(), Known: known(addr)})
+	n := start(t, &Config{Settings: settings(), Known: readyServers(addr)})
 	for range 5 {
-		if resp, _ := n.ask(t, message("order", "9.5", "")); resp.StatusCode != 200 {
+		if resp, _ := n.doRequest(t, requestText("order", "9.5", "")); resp.StatusCode != 200 {
 			t.Fatalf("status %d", resp.StatusCode)
 		}
 		<-closed
@@ -128,7 +128,7 @@
 			// frontend answers the overdue request by itself. The test then tries again, until a request has been sent and
 			// answered in time. Each try has a node of its own: a third failure in a row would eject the server
 			// (TestEjectedServerGetsNoNonIdempotentRequest).
-			for end := time.Now().Add(patient); time.Now().Before(end); {
+			for end := time.Now().Add(testTimeout); time.Now().Before(end); {
 				status, received := askSilentBackend(t, class)
 				want := whenSent
 				if received == 0 {
@@ -157,8 +157,8 @@
 		t.Fatal(err)
 	}
 	defer listener.Close()
-	n := start(t, &Config{Settings: settings(), Known: known(listener.Addr().String())})
-	resp, _ := n.ask(t, message(class, "0.4", ""))
+	n := start(t, &Config{Settings: settings(), Known: readyServers(listener.Addr().String())})
+	resp, _ := n.doRequest(t, requestText(class, "0.4", ""))
 	n.stop()
 	<-n.ended
 	last, err := net.Dial("tcp", listener.Addr().String())
@@ -176,7 +176,7 @@
 			return resp.StatusCode, received
 		}
 		for r := bufio.NewReader(conn); ; received++ {
-			if _, _, err := wholeRequest(r); err != nil {
+			if _, _, err := readCompleteRequest(r); err != nil {
 				break
 			}
 		}
@@ -188,19 +188,19 @@
 func TestEjectedServerGetsNoNonIdempotentRequest(t *testing.T) {
 	t.Parallel()
 	var received atomic.Int64
-	addr := backend(t, func(conn net.Conn) { // the server closes each connection at its first request
+	addr := startServer(t, func(conn net.Conn) { // the server closes each connection at its first request
 		if _, err := http.ReadRequest(bufio.NewReader(conn)); err == nil {
 			received.Add(1)
 		}
 	})
-	n := start(t, &Config{Settings: settings(), Known: known(addr)})
+	n := start(t, &Config{Settings: settings(), Known: readyServers(addr)})
 	for range 3 { // failures in a row: the policy's maxConsecutiveFailures
-		if resp, _ := n.ask(t, message("read", "9.5", "")); resp.StatusCode != 503 {
+		if resp, _ := n.doRequest(t, requestText("read", "9.5", "")); resp.StatusCode != 503 {
 			t.Fatalf("read: status %d, want 503", resp.StatusCode)
 		}
 	}
 	failed := received.Load()
-	resp, _ := n.ask(t, message("order", "9.5", ""))
+	resp, _ := n.doRequest(t, requestText("order", "9.5", ""))
 	if resp.StatusCode != 503 || failed != 3 || received.Load() != failed {
 		t.Errorf("order: status %d, want 503; the server received %d reads, want 3, and %d orders, want 0",
 			resp.StatusCode, failed, received.Load()-failed)
@@ -211,10 +211,10 @@
 func TestChecksAgainBeforeWriting(t *testing.T) {
 	t.Parallel()
 	var got atomic.Int64
-	addr := backend(t, answering(func(*http.Request, []byte) string { got.Add(1); return ok("x") }))
+	addr := startServer(t, answerWith(func(*http.Request, []byte) string { got.Add(1); return ok("x") }))
 	fresh := func() (*upstreams, *upstreamHost) {
-		b := newUpstreams(&Config{Settings: settings()}, 10, quiet)
-		b.update(known(addr))
+		b := newUpstreams(&Config{Settings: settings()}, 10, discardLog)
+		b.update(readyServers(addr))
 		return b, b.host(1)
 	}
 	for name, c := range map[string]struct {
@@ -222,13 +222,13 @@
 		want   policy.OutcomeCode
 	}{
 		"draining": {func(b *upstreams, _ *exchange, _ context.CancelFunc) {
-			l := known(addr)
+			l := readyServers(addr)
 			l.complete, l.entries[0].State = false, policy.Draining
 			b.update(l)
 		}, policy.ConnectFailed},
 		"removed from the list": {func(b *upstreams, _ *exchange, _ context.CancelFunc) { b.update(endpointList{complete: true}) }, policy.ConnectFailed},
 		"restarted": {func(b *upstreams, _ *exchange, _ context.CancelFunc) {
-			l := known(addr)
+			l := readyServers(addr)
 			l.entries[0].StartedAt = 1
 			b.update(l)
 		}, policy.ConnectFailed},
@@ -238,12 +238,12 @@
 	} {
 		b, h := fresh()
 		// There is an idle connection, so that connect succeeds even after the deadline.
-		c1, err := b.connect(t.Context(), h, time.Now().Add(patient))
+		c1, err := b.connect(t.Context(), h, time.Now().Add(testTimeout))
 		if err != nil {
 			t.Fatal(err)
 		}
 		ctx, cancel := context.WithCancel(t.Context())
-		x := get(patient)
+		x := get(testTimeout)
 		b.release(h, c1, true)
 		c.change(b, x, cancel)
 		if r := b.roundTrip(ctx, h, x); r.code != c.want {
@@ -263,25 +263,25 @@
 // An attempt whose connection is refused never ran. The limit on connections is kept, by closing idle ones first.
 func TestConnect(t *testing.T) {
 	t.Parallel()
-	addr := backend(t, answering(func(*http.Request, []byte) string { return ok("x") }))
-	other := backend(t, answering(func(*http.Request, []byte) string { return ok("x") }))
+	addr := startServer(t, answerWith(func(*http.Request, []byte) string { return ok("x") }))
+	other := startServer(t, answerWith(func(*http.Request, []byte) string { return ok("x") }))
 	rejected, err := net.Dial("tcp", addr) // its local port is bound and has no listener, so that connections to it are refused
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer rejected.Close()
-	b := newUpstreams(&Config{Settings: settings()}, 1, quiet)
-	b.update(known(addr, other, rejected.LocalAddr().String()))
+	b := newUpstreams(&Config{Settings: settings()}, 1, discardLog)
+	b.update(readyServers(addr, other, rejected.LocalAddr().String()))
 	for i, want := range map[policy.ServerID]policy.OutcomeCode{1: policy.OK, 2: policy.OK, 3: policy.ConnectFailed, 4: policy.ConnectFailed} {
-		if r := b.roundTrip(t.Context(), b.host(i), get(patient)); r.code != want {
+		if r := b.roundTrip(t.Context(), b.host(i), get(testTimeout)); r.code != want {
 			t.Errorf("server %d: %v (%v)", i, r.code, r.err)
 		}
 	}
-	held, err := b.connect(t.Context(), b.host(1), time.Now().Add(patient))
+	held, err := b.connect(t.Context(), b.host(1), time.Now().Add(testTimeout))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r := b.roundTrip(t.Context(), b.host(2), get(patient)); r.code != policy.ConnectFailed {
+	if r := b.roundTrip(t.Context(), b.host(2), get(testTimeout)); r.code != policy.ConnectFailed {
 		t.Errorf("above the limit on connections: %v", r.code)
 	}
 	b.release(b.host(1), held, true)
@@ -295,15 +295,15 @@
 // are closed. If it has answered another request in the meantime, they are kept.
 func TestSilenceClosesIdle(t *testing.T) {
 	t.Parallel()
-	addr := backend(t, func(c net.Conn) { io.Copy(io.Discard, c) })
+	addr := startServer(t, func(c net.Conn) { io.Copy(io.Discard, c) })
 	for answered, want := range map[bool]int{false: 0, true: 1} {
-		b := newUpstreams(&Config{Settings: settings()}, 10, quiet)
-		b.update(known(addr))
+		b := newUpstreams(&Config{Settings: settings()}, 10, discardLog)
+		b.update(readyServers(addr))
 		h := b.host(1)
 		var conns [2]*upstreamConn
 		for i := range conns {
 			var err error
-			if conns[i], err = b.connect(t.Context(), h, time.Now().Add(patient)); err != nil {
+			if conns[i], err = b.connect(t.Context(), h, time.Now().Add(testTimeout)); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -311,7 +311,7 @@
 			b.release(h, c, true)
 		}
 		if answered {
-			h.lastAnswerAt = time.Now().Add(patient)
+			h.lastAnswerAt = time.Now().Add(testTimeout)
 		}
 		if r := b.roundTrip(t.Context(), h, get(time.Second)); r.code != policy.TimedOut {
 			t.Errorf("outcome %v (%v)", r.code, r.err)
