--- a/cmd/fleetlab/simulate_drift.go
+++ b/cmd/fleetlab/simulate_drift.go
@@ -32,7 +32,7 @@
 	for range max(workers, 1) {
 		wg.Go(func() {
 			for s := range todo {
-				done <- driftplay.One(s, nodes, most*float64(s%6)/5, length, rules)
+				done <- driftplay.Run(s, nodes, most*float64(s%6)/5, length, rules)
 			}
 		})
 	}
--- a/internal/fleet/agentclient/intent_mirror.go
+++ b/internal/fleet/agentclient/intent_mirror.go
@@ -81,7 +81,7 @@
 	}
 	slices.Sort(m.ChangedTenants)
 	m.Revision, m.Answered = in.Revision, true
-	m.Age, m.LeaseLeft = Millis(in.AgeMS), Millis(in.LeaseMS)
+	m.Age, m.LeaseLeft = DurationFromMillis(in.AgeMS), DurationFromMillis(in.LeaseMS)
 	return nil
 }
 
@@ -127,7 +127,7 @@
 				Rate:           applied.Rate,
 				Trial:          applied.Trial,
 				Age:            age,
-				ValidFor:       Millis(applied.ValidMS),
+				ValidFor:       DurationFromMillis(applied.ValidMS),
 			}
 		}
 		out = append(out, e)
@@ -172,7 +172,7 @@
 		if !ok || it.Removed || json.Unmarshal(it.Body, &d) != nil || d.Phase == fleet.Serving {
 			continue
 		}
-		if best == nil || fleet.IsNarrower(*best, d) {
+		if best == nil || fleet.OwnTakesPrecedence(*best, d) {
 			best, rev = &d, it.Revision
 		}
 	}
@@ -198,7 +198,7 @@
 	return r
 }
 
-// Millis converts a message's number of ms to a duration, limited to the range from 0 to one day.
-func Millis(ms int64) time.Duration {
+// DurationFromMillis converts a message's number of ms to a duration, limited to the range from 0 to one day.
+func DurationFromMillis(ms int64) time.Duration {
 	return time.Duration(min(max(0, ms), maxAge.Milliseconds())) * time.Millisecond
 }
--- a/internal/fleet/agentclient/report.go
+++ b/internal/fleet/agentclient/report.go
@@ -32,7 +32,7 @@
 // Report builds the report of the observation. want lists the keys that the last answer requested.
 func (o *Observation) Report(m fleet.Member, seq uint64, want []string) fleet.Report {
 	span := max(o.Now-o.Window.Start, time.Millisecond)
-	r := fleet.Report{Member: m, Sequence: seq, Revision: o.Revision, Ready: o.Ready, WindowMS: span.Milliseconds(), List: o.ListVersion}
+	r := fleet.Report{Member: m, Sequence: seq, Revision: o.Revision, Ready: o.Ready, WindowMS: span.Milliseconds(), AppliedListVersion: o.ListVersion}
 	for _, z := range o.Window.Zones {
 		if z.Zone == "" {
 			continue // servers without a zone give no evidence about a zone
--- a/internal/fleet/applied.go
+++ b/internal/fleet/applied.go
@@ -115,11 +115,11 @@
 	return applied
 }
 
-// IsNarrower reports whether own takes precedence over every at a node of the observing zone. every is the directive for
-// all nodes ("zone/Y"), own the directive for the observing zone alone ("zone/Y@X"). The directive with the smaller
-// share is in force, then the one with the smaller floor; on a tie every is in force.
-func IsNarrower(every, own Directive) bool {
-	return cmp.Or(cmp.Compare(own.Share, every.Share), cmp.Compare(own.Floor, every.Floor)) < 0
+// OwnTakesPrecedence reports whether own takes precedence over forAll at a node of the observing zone. forAll is the
+// directive for all nodes ("zone/Y"), own the directive for the observing zone alone ("zone/Y@X"). The directive with
+// the smaller share is in force, then the one with the smaller floor; on a tie forAll is in force.
+func OwnTakesPrecedence(forAll, own Directive) bool {
+	return cmp.Or(cmp.Compare(own.Share, forAll.Share), cmp.Compare(own.Floor, forAll.Floor)) < 0
 }
 
 // AppliedTenantOf returns the tenant as a node applies it.
--- a/internal/fleet/drift/intent_expectation.go
+++ b/internal/fleet/drift/intent_expectation.go
@@ -19,7 +19,7 @@
 			v := e.at(atRevision)
 			if v == nil {
 				complete = false
-			} else if !v.removed && v.directive.Phase != fleet.Serving && (best == nil || fleet.IsNarrower(*best.directive, *v.directive)) {
+			} else if !v.removed && v.directive.Phase != fleet.Serving && (best == nil || fleet.OwnTakesPrecedence(*best.directive, *v.directive)) {
 				best = v
 			}
 		}
@@ -66,7 +66,7 @@
 		if v.removed || v.directive.Phase == fleet.Serving {
 			continue
 		}
-		if d == nil || fleet.IsNarrower(*d, *v.directive) {
+		if d == nil || fleet.OwnTakesPrecedence(*d, *v.directive) {
 			d, rev = v.directive, v.revision
 		}
 	}
--- a/internal/fleet/drift/intent_history.go
+++ b/internal/fleet/drift/intent_history.go
@@ -182,7 +182,7 @@
 	switch {
 	case r.Revision > h.revision:
 		return "revision"
-	case !h.withoutList && r.List > h.newestRevision:
+	case !h.withoutList && r.AppliedListVersion > h.newestRevision:
 		return "list"
 	}
 	return ""
--- a/internal/fleet/drift/intent_test.go
+++ b/internal/fleet/drift/intent_test.go
@@ -90,7 +90,7 @@
 	intent.Intended.Revision = before // the control plane keeps the revision, because no item has changed
 	m := simulation.SimulatedModule{Member: fleet.Member{Node: "n000", Zone: "z2"}}
 	m.ApplyIntent(intent.Intended)
-	m.List++
+	m.AppliedListVersion++
 	n := NewNode(m.Report())
 	n.Compare(&history)
 	must(t, n.NeedsCompareAgain() && !n.IsComparable() && !n.WantsListKeys(), "compared although the list version was unknown")
--- a/internal/fleet/drift/node.go
+++ b/internal/fleet/drift/node.go
@@ -132,7 +132,7 @@
 	}
 	if history.withoutList {
 		n.trees[1] = treeContent{compared: true, same: true}
-	} else if l := history.listAt(r.List); l != nil && (r.List > 0 || history.newestListRevision == 0) {
+	} else if l := history.listAt(r.AppliedListVersion); l != nil && (r.AppliedListVersion > 0 || history.newestListRevision == 0) {
 		n.trees[1].compare(now, r, r.ListRoot, listTree, l.tree, l.items, func(string, json.RawMessage) bool { return false })
 	}
 }
@@ -196,7 +196,7 @@
 
 // updateLags updates since when the node has lagged behind the intent and the list.
 func (n *node) updateLags(history *intentHistory) {
-	for i, at := range []uint64{n.report.Revision, n.report.List} {
+	for i, at := range []uint64{n.report.Revision, n.report.AppliedListVersion} {
 		l := &n.lags[i]
 		if i == 1 && history.withoutList {
 			*l = intentLag{}
@@ -233,7 +233,7 @@
 	if above && now-n.aheadSince >= bounds.MaxAheadTime {
 		d := Difference{Key: "*", Field: newer, Intended: strconv.FormatUint(history.revision, 10), Applied: strconv.FormatUint(n.report.Revision, 10)}
 		if newer == "list" {
-			d.Intended, d.Applied = strconv.FormatUint(history.newestRevision, 10), strconv.FormatUint(n.report.List, 10)
+			d.Intended, d.Applied = strconv.FormatUint(history.newestRevision, 10), strconv.FormatUint(n.report.AppliedListVersion, 10)
 		}
 		return evaluation{state: Ahead, overrides: slices.Clone(n.overrides), evidence: evidenceAboveLeader, differences: []Difference{d}}
 	}
@@ -255,7 +255,7 @@
 	switch {
 	case e.state != "" || above:
 	case previousState == Diverged && n.verdict.evidence == evidenceBehaviour && n.countedReports < 3:
-	case previousState == Stuck && lagging && n.report.Revision <= n.firstCounted[0] && n.report.List <= n.firstCounted[1]:
+	case previousState == Stuck && lagging && n.report.Revision <= n.firstCounted[0] && n.report.AppliedListVersion <= n.firstCounted[1]:
 	case (previousState == Diverged || previousState == Ahead) && (naming || !n.isComparable()): // the verdict of an earlier leader stays
 	case naming:
 		e.state, e.evidence = CatchingUp, evidenceNaming
@@ -281,7 +281,7 @@
 	n.countedSince = now
 	n.aheadSince = longAgo
 	n.countedReports = 0
-	n.firstCounted = [2]uint64{n.report.Revision, n.report.List}
+	n.firstCounted = [2]uint64{n.report.Revision, n.report.AppliedListVersion}
 }
 
 // raise sets the state if there is none yet, or if the new state is Ahead.
@@ -317,7 +317,7 @@
 // evaluateLags adds the items that have been outstanding for too long to the evaluation. It reports whether any item is
 // outstanding.
 func (n *node) evaluateLags(bounds *Bounds, e *evaluation) (lagging bool) {
-	for i, at := range []uint64{n.report.Revision, n.report.List} {
+	for i, at := range []uint64{n.report.Revision, n.report.AppliedListVersion} {
 		l := &n.lags[i]
 		if l.revision == 0 {
 			continue
--- a/internal/fleet/drift/scope_test.go
+++ b/internal/fleet/drift/scope_test.go
@@ -39,7 +39,7 @@
 	for range 70 {
 		n.now += 100 * time.Millisecond
 		n.seq++
-		r := fleet.Report{Member: n.member, Services: []string{"billing"}, Sequence: n.seq, Revision: n.revision, List: in.Revision, WindowMS: 100}
+		r := fleet.Report{Member: n.member, Services: []string{"billing"}, Sequence: n.seq, Revision: n.revision, AppliedListVersion: in.Revision, WindowMS: 100}
 		FillReport(&r, n.applied, n.wanted)
 		must(t, n.detector.Observe(n.now, r) == nil, "refused")
 		_, n.wanted = n.detector.Answer(n.member.Node)
--- a/internal/fleet/drift/simulation/intent.go
+++ b/internal/fleet/drift/simulation/intent.go
@@ -79,12 +79,12 @@
 // SimulatedModule is the state of a simulated node's process: what it received, and the faults that a test injects.
 type SimulatedModule struct {
 	fleet.Member
-	sequence uint64
-	revision uint64
-	List     uint64 // version of the server list that the node reports
-	applied  []fleet.AppliedItem
-	local    []fleet.AppliedItem
-	Wanted   []string
+	sequence           uint64
+	revision           uint64
+	AppliedListVersion uint64 // version of the server list that the node reports
+	applied            []fleet.AppliedItem
+	local              []fleet.AppliedItem
+	Wanted             []string
 	// ignoresIntent: the node applies no further intent. ignoresWants: the node doesn't answer requests for keys.
 	ignoresIntent bool
 	ignoresWants  bool
@@ -107,13 +107,13 @@
 	}
 	m.applied = applied
 	m.revision = in.Revision
-	m.List = in.Revision
+	m.AppliedListVersion = in.Revision
 }
 
 // Report returns the node's next report, with the requested keys.
 func (m *SimulatedModule) Report() fleet.Report {
 	m.sequence++
-	r := fleet.Report{Member: m.Member, Sequence: m.sequence, Revision: m.revision, List: m.List, WindowMS: 500, Draining: m.draining}
+	r := fleet.Report{Member: m.Member, Sequence: m.sequence, Revision: m.revision, AppliedListVersion: m.AppliedListVersion, WindowMS: 500, Draining: m.draining}
 	applied := append(slices.Clone(m.applied), m.local...)
 	if m.AlterApplied != nil {
 		applied = m.AlterApplied(applied)
--- a/internal/fleet/drift/simulation/simulation.go
+++ b/internal/fleet/drift/simulation/simulation.go
@@ -25,10 +25,10 @@
 // lossDelay is the longest additional time until a drift is named if messages are lost.
 const lossDelay = 3 * time.Second
 
-// One runs the simulation of a seed. For d it runs a fleet without drift through a rolling restart with message loss,
+// Run simulates a seed. For d it runs a fleet without drift through a rolling restart with message loss,
 // pauses, failovers and changes of intent. Then it injects the seed's drift into one node of such a fleet in which only
 // messages are lost. loss is the ratio of lost messages.
-func One(seed uint64, nodes int, loss float64, d time.Duration, r Rules) Outcome {
+func Run(seed uint64, nodes int, loss float64, d time.Duration, r Rules) Outcome {
 	fault := DriftFaults[seed%uint64(len(DriftFaults))]
 	o := Outcome{Seed: seed, FaultName: fault.name, Stuck: fault.state == drift.Stuck, Alarm: RunWithoutDrift(nodes, seed, loss, r, d)}
 	timeout := r.Bounds.MaxLag
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -149,18 +149,18 @@
 // leader.
 type Report struct {
 	Member
-	Services    []string       `json:"services,omitempty"` // the scope of the run, sorted; if empty, every service
-	Sequence    uint64         `json:"seq"`                // increases by one with each report of an incarnation
-	Revision    uint64         `json:"revision"`           // newest intent that the node's module has applied
-	Ready       bool           `json:"ready"`              // the node's answer to /health/ready is yes
-	WindowMS    int64          `json:"window_ms"`          // length of the window of Zones and Tenants
-	Zones       []ZoneEvidence `json:"zones,omitempty"`
-	Tenants     []TenantAck    `json:"tenants,omitempty"` // every tenant that the module knows
-	List        uint64         `json:"list,omitempty"`    // version of the server list that the module has applied; 0: none
-	Applied     []AppliedItem  `json:"held,omitempty"`    // local items (settings, exclusions) and the keys that the last answer requested
-	AppliedRoot string         `json:"root"`              // digest over the applied zones, tenants and share (docs/drift.md)
-	ListRoot    string         `json:"list_root"`         // digest over the list entries in use
-	Draining    bool           `json:"leaving,omitempty"` // the node drains and its session ends with this report
+	Services           []string       `json:"services,omitempty"` // the scope of the run, sorted; if empty, every service
+	Sequence           uint64         `json:"seq"`                // increases by one with each report of an incarnation
+	Revision           uint64         `json:"revision"`           // newest intent that the node's module has applied
+	Ready              bool           `json:"ready"`              // the node's answer to /health/ready is yes
+	WindowMS           int64          `json:"window_ms"`          // length of the window of Zones and Tenants
+	Zones              []ZoneEvidence `json:"zones,omitempty"`
+	Tenants            []TenantAck    `json:"tenants,omitempty"` // every tenant that the module knows
+	AppliedListVersion uint64         `json:"list,omitempty"`    // version of the server list that the module has applied; 0: none
+	Applied            []AppliedItem  `json:"held,omitempty"`    // local items (settings, exclusions) and the keys that the last answer requested
+	AppliedRoot        string         `json:"root"`              // digest over the applied zones, tenants and share (docs/drift.md)
+	ListRoot           string         `json:"list_root"`         // digest over the list entries in use
+	Draining           bool           `json:"leaving,omitempty"` // the node drains and its session ends with this report
 }
 
 // ZoneEvidence is a node's evidence about one zone over the report's window.
--- a/internal/fleet/reportdelta/digest.go
+++ b/internal/fleet/reportdelta/digest.go
@@ -17,7 +17,7 @@
 	hash := xxhash.New()
 	b := make(hashBuffer, 0, 512)
 	b.text(r.Node, r.Zone)
-	b.numbers(r.Incarnation, r.Sequence, r.Revision, uint64(r.WindowMS), r.List, flag(r.Ready), flag(r.Draining))
+	b.numbers(r.Incarnation, r.Sequence, r.Revision, uint64(r.WindowMS), r.AppliedListVersion, flag(r.Ready), flag(r.Draining))
 	b.text(r.AppliedRoot, r.ListRoot)
 	b.numbers(uint64(len(r.Services)), uint64(len(r.Zones)), uint64(len(r.Tenants)), uint64(len(r.Applied)))
 	b.text(r.Services...)
--- a/internal/fleet/reportdelta/reportdelta_test.go
+++ b/internal/fleet/reportdelta/reportdelta_test.go
@@ -19,7 +19,7 @@
 // node makes the reports of a node with so many tenants, of which the first active ones have load.
 func node(tenants, active int, seq uint64) fleet.Report {
 	r := fleet.Report{Member: fleet.Member{Node: "ghala-17", Zone: "ghala", Incarnation: 1_764_652_571_000_000_000}, Sequence: seq,
-		Revision: 4711, Ready: true, WindowMS: 1000 + int64(seq%7), List: 12, AppliedRoot: "0123456789abcdef", ListRoot: "fedcba9876543210",
+		Revision: 4711, Ready: true, WindowMS: 1000 + int64(seq%7), AppliedListVersion: 12, AppliedRoot: "0123456789abcdef", ListRoot: "fedcba9876543210",
 		Applied: []fleet.AppliedItem{{Key: fleet.KeySettings, Digest: "00000000000000aa", ChangedBy: "the configuration file", SinceMS: 1_764_652_571_000}}}
 	for i := range tenants {
 		t := fleet.TenantAck{Name: fmt.Sprintf("tenant-%05d", i), UID: uint64(1000 + i), Committed: 3, Digest: fmt.Sprintf("%016x", i*7919), Rate: 0.2}
--- a/internal/fleet/sim/module.go
+++ b/internal/fleet/sim/module.go
@@ -142,7 +142,7 @@
 		update := policy.ZoneDirective{Zone: y, Revision: n.intent.revision, IntentRevision: n.intent.revision, Serving: true, Share: 1, Floor: 1, Age: age}
 		e, every := n.intent.directives[n.keys[z][0]]
 		own, has := n.intent.directives[n.keys[z][1]]
-		if has && (!every || fleet.IsNarrower(e.Directive, own.Directive)) {
+		if has && (!every || fleet.OwnTakesPrecedence(e.Directive, own.Directive)) {
 			e = own
 		}
 		if every || has {
--- a/internal/node/fleet_client.go
+++ b/internal/node/fleet_client.go
@@ -249,7 +249,7 @@
 	}
 	ttl := defaultNotReadyTTL
 	if a.LeaseTTLMS > 0 {
-		ttl = min(agentclient.Millis(a.LeaseTTLMS), maxNotReadyTTL)
+		ttl = min(agentclient.DurationFromMillis(a.LeaseTTLMS), maxNotReadyTTL)
 	}
 	if f.notReadyUntil.Swap(time.Now().Add(ttl).UnixNano()) == 0 {
 		f.log.Warn("fleet: taken out of the load balancer", "ttl", ttl)
