--- a/internal/node/accept.go
+++ b/internal/node/accept.go
@@ -70,7 +70,7 @@
 	closeOnce      sync.Once
 
 	startedRequests  int64        // number of requests that the handler has got; only the serving goroutine uses it
-	answeredRequests atomic.Int64 // takenRequests as of the last answer that has begun
+	answeredRequests atomic.Int64 // startedRequests as of the last answer that has begun
 	pipelined        []byte       // bytes that came after a request in flight; only the reader uses it
 	hasPipelined     atomic.Bool  // pipelined is not empty
 	flooded          atomic.Bool  // more pipelined bytes came than the node keeps: the connection ends with the answer
