--- a/policy/tenant_update.go
+++ b/policy/tenant_update.go
@@ -87,9 +87,9 @@
 	}
 }
 
-// isSupersededBy reports whether an update is newer than the tenant's state. A tenant keeps its item's revision
-// when it leaves the node's scope or returns to it. Such an update therefore counts as newer too, provided
-// that its intent is not older.
+// isSupersededBy reports whether an update is newer than the tenant's state. A tenant keeps its item's
+// revision when it leaves the node's scope or returns to it. Such an update therefore counts as newer too,
+// provided that its intent is not older.
 func (t *fleetTenant) isSupersededBy(e TenantUpdate) bool {
 	if e.IntentRevision == 0 {
 		return e.Revision > t.revision
