--- a/internal/fleet/tenants/controller.go
+++ b/internal/fleet/tenants/controller.go
@@ -8,13 +8,13 @@
 	"meadowsill/internal/fleet"
 )
 
-// Controller is the leader's soft part: it sees what nodes report and says which commands the state is ready for. It
-// loses everything when its leadership ends; what it decides is rejected by the state where it is out of date.
+// Controller is the leader's part that is not replicated: it receives the nodes' reports and decides which commands the
+// state is ready for. It loses all its data when its leadership ends. The state rejects outdated commands.
 type Controller struct {
 	config      Config
 	leaderSince fleet.Time
 	reports     map[string]*nodeReport // by node
-	steps       map[string]stepStart   // by tenant: the step that its rollout or removal is at
+	steps       map[string]stepStart   // by tenant: the current step of its rollout or removal
 	divider     quotaDivider
 }
 
@@ -24,7 +24,7 @@
 	tenants map[string]tenantReport
 }
 
-// tenantReport is what a node last reported of a tenant, and what it was offered of late, requests/s.
+// tenantReport is a node's last report on a tenant, and the moving average of the load offered there, in requests/s.
 type tenantReport struct {
 	ack  *fleet.TenantAck
 	load float64
@@ -33,17 +33,17 @@
 type stepStart struct {
 	uid      uint64
 	revision uint64
-	seenAt   fleet.Time // when this leader first saw it
+	seenAt   fleet.Time // when this leader first saw the step
 }
 
-// NewController makes a controller whose leadership began at 0.
+// NewController returns a controller whose leadership begins at time 0.
 func NewController(cfg Config) *Controller {
-	j := &Controller{config: cfg}
-	j.Lead(0)
-	return j
+	ctl := &Controller{config: cfg}
+	ctl.Lead(0)
+	return ctl
 }
 
-// Lead begins a leadership: nothing seen before counts.
+// Lead begins a leadership and discards everything that was observed before.
 func (ctl *Controller) Lead(now fleet.Time) {
 	ctl.leaderSince = now
 	ctl.reports = map[string]*nodeReport{}
@@ -51,49 +51,50 @@
 	ctl.divider = newQuotaDivider()
 }
 
-// Observe takes a present node's newest report. Those of older incarnations, and older ones of a run, are left out.
+// Observe records a present node's report. It ignores reports of older incarnations, and older reports of the same run.
 func (ctl *Controller) Observe(now fleet.Time, v fleet.NodeView) {
-	old := ctl.reports[v.Node]
-	if old != nil && (v.Incarnation < old.Incarnation || v.Incarnation == old.Incarnation && v.Report.Sequence < old.Report.Sequence) {
+	stored := ctl.reports[v.Node]
+	if stored != nil && (v.Incarnation < stored.Incarnation || v.Incarnation == stored.Incarnation && v.Report.Sequence < stored.Report.Sequence) {
 		return
 	}
-	part := 1.0
-	if old == nil || old.Incarnation != v.Incarnation {
-		old = &nodeReport{tenants: make(map[string]tenantReport, len(v.Report.Tenants))}
-		ctl.reports[v.Node] = old
+	weight := 1.0
+	if stored == nil || stored.Incarnation != v.Incarnation {
+		stored = &nodeReport{tenants: make(map[string]tenantReport, len(v.Report.Tenants))}
+		ctl.reports[v.Node] = stored
 	} else {
-		part = 1 - math.Exp(-float64(max(0, v.ReceivedAt-old.ReceivedAt))/float64(loadTau))
+		weight = 1 - math.Exp(-float64(max(0, v.ReceivedAt-stored.ReceivedAt))/float64(loadTimeConstant))
 	}
-	old.NodeView = v
+	stored.NodeView = v
 	for i := range v.Report.Tenants {
 		a := &v.Report.Tenants[i]
-		x := a.Offered
-		if !(x >= 0 && x <= maxRate) {
-			x = 0
+		offered := a.Offered
+		if !(offered >= 0 && offered <= maxRate) {
+			offered = 0
 		}
-		r, known := old.tenants[a.Name]
+		r, known := stored.tenants[a.Name]
 		if known {
-			x = r.load + part*(x-r.load)
+			offered = r.load + weight*(offered-r.load)
 		}
-		old.tenants[a.Name] = tenantReport{ack: a, load: x}
+		stored.tenants[a.Name] = tenantReport{ack: a, load: offered}
 	}
-	if len(old.tenants) > len(v.Report.Tenants) { // some are no more
-		for name := range old.tenants {
+	if len(stored.tenants) > len(v.Report.Tenants) { // some tenants are no longer reported
+		for name := range stored.tenants {
 			if !slices.ContainsFunc(v.Report.Tenants, func(a fleet.TenantAck) bool { return a.Name == name }) {
-				delete(old.tenants, name)
+				delete(stored.tenants, name)
 			}
 		}
 	}
 }
 
-// Step returns the commands that the state is ready for, from what has been observed of those who are present. Of a tenant
-// only the present members of its scope count. It is called about every 100 ms; a command that it gives again before the first was applied is rejected by
-// the state and does no harm. Over 200 tenants and 50 (300) nodes a step takes 0.1 (0.2) ms, one a second that divides 4 (25) ms,
-// and a report observed 0.1 ms: BenchmarkStep.
+// Step returns the commands that the state is ready for, based on the reports of the present members. For each tenant only
+// the present members of its scope count. Step is called about every 100 ms. If it returns a command again before the first
+// one is applied, the state rejects the second one, which does no harm. With 200 tenants and 50 (300) nodes a step takes
+// 0.1 (0.2) ms; one step a second also divides the quotas and takes 4 (25) ms; observing a report takes 0.1 ms. See
+// BenchmarkStep.
 func (ctl *Controller) Step(now fleet.Time, s *State, p Present) []Command {
-	r := newPresentByScope(p)
+	scopes := newPresentByScope(p)
 	for n := range ctl.reports {
-		if _, ok := slices.BinarySearchFunc(r.Members, fleet.Member{Node: n}, byNode); !ok {
+		if _, ok := slices.BinarySearchFunc(scopes.Members, fleet.Member{Node: n}, byNode); !ok {
 			delete(ctl.reports, n)
 		}
 	}
@@ -105,33 +106,33 @@
 	var out []Command
 	for _, name := range sortedKeys(s.Tenants) {
 		e := s.Tenants[name]
-		if c, ok := ctl.nextStep(now, s, e, name, r); ok {
+		if c, ok := ctl.nextStep(now, s, e, name, scopes); ok {
 			service := e.Service()
 			c.Name = name
 			c.UID = e.UID
 			c.IfRevision = e.Revision
-			c.Epoch = r.Epoch(service)
+			c.Epoch = scopes.Epoch(service)
 			c.Scoped = service != ""
 			if c.Operation == Commit || c.Operation == Applied {
-				c.Runs = r.of(service).runs
+				c.Runs = scopes.of(service).runs
 			}
 			out = append(out, c)
 		}
 	}
-	if d := ctl.divide(now, s, r); d != nil {
-		out = append(out, Command{Operation: Divide, IfRevision: s.DividedRevision, Epoch: r.Epoch(""), Division: d})
+	if d := ctl.divide(now, s, scopes); d != nil {
+		out = append(out, Command{Operation: Divide, IfRevision: s.DividedRevision, Epoch: scopes.Epoch(""), Division: d})
 	}
 	return out
 }
 
-// nextStep says what a tenant is ready for.
-func (ctl *Controller) nextStep(now fleet.Time, s *State, e *Entry, name string, r *presentByScope) (Command, bool) {
+// nextStep returns the command that a tenant is ready for, and whether there is one.
+func (ctl *Controller) nextStep(now fleet.Time, s *State, e *Entry, name string, scopes *presentByScope) (Command, bool) {
 	phase := s.Phase(name)
 	if phase == PhaseSettled {
 		return Command{}, false
 	}
-	present := r.of(e.Service())
-	if b := ctl.steps[name]; b.uid != e.UID || b.revision != e.Revision {
+	present := scopes.of(e.Service())
+	if step := ctl.steps[name]; step.uid != e.UID || step.revision != e.Revision {
 		ctl.steps[name] = stepStart{uid: e.UID, revision: e.Revision, seenAt: now}
 	}
 	switch phase {
@@ -151,28 +152,28 @@
 }
 
 func (ctl *Controller) stagingStep(now fleet.Time, s *State, e *Entry, name string, present []fleet.Member) (Command, bool) {
-	back := Command{Operation: Rollback, Generation: e.Staged.Number}
+	rollback := Command{Operation: Rollback, Generation: e.Staged.Number}
 	for _, m := range present {
 		ok, rejected, why := ctl.hasStaged(e, name, m)
 		if rejected {
-			back.Node, back.Reason = m.Node, shortenReason(why)
-			return back, true
+			rollback.Node, rollback.Reason = m.Node, shortenReason(why)
+			return rollback, true
 		}
-		if !ok && back.Node == "" {
-			back.Node, back.Reason = m.Node, reasonNotStaged+": "+why
+		if !ok && rollback.Node == "" {
+			rollback.Node, rollback.Reason = m.Node, reasonNotStaged+": "+why
 		}
 	}
-	if back.Node == "" {
+	if rollback.Node == "" {
 		if s.CanCommit(name) {
 			return Command{Operation: Commit, Generation: e.Staged.Number}, true
 		}
-		back.Node, back.Reason = s.leaseHolder(name), reasonNotStaged+": may still hold a share of the larger quota"
+		rollback.Node, rollback.Reason = s.leaseHolder(name), reasonNotStaged+": may still hold a share of the larger quota"
 	}
-	return back, now-ctl.steps[name].seenAt >= StageTimeout
+	return rollback, now-ctl.steps[name].seenAt >= StageTimeout
 }
 
-// hasStaged reports whether a node has validated and staged what is intended, by its own report with its module's digest;
-// rejected, that it can't; why, as text.
+// hasStaged reports whether a node has validated and staged the staged generation, according to the digest of its module in
+// the node's own report. rejected says that the node can't stage it; why gives the reason as text.
 func (ctl *Controller) hasStaged(e *Entry, name string, m fleet.Member) (ok, rejected bool, why string) {
 	if !ctl.hasRevision(e, m) {
 		return false, false, "has not heard of it"
@@ -191,13 +192,13 @@
 	return true, false, ""
 }
 
-// hasRevision reports whether a present run's module holds intent as new as the tenant's item.
+// hasRevision reports whether a present run's module holds intent at least as new as the tenant's item.
 func (ctl *Controller) hasRevision(e *Entry, m fleet.Member) bool {
 	v := ctl.reports[m.Node]
 	return v != nil && v.Incarnation == m.Incarnation && v.Report.Revision >= e.Revision
 }
 
-// tenantReport is a present run's report on this tenant, and on none that had its name before.
+// tenantReport returns a present run's report on this tenant, but not on an earlier tenant of the same name.
 func (ctl *Controller) tenantReport(e *Entry, name string, m fleet.Member) (fleet.TenantAck, bool) {
 	v := ctl.reports[m.Node]
 	if v == nil || v.Incarnation != m.Incarnation {
@@ -215,5 +216,5 @@
 	return ok && ctl.hasRevision(e, m) && a.Committed == e.Committed.Number && a.Digest == e.Committed.Digest
 }
 
-// shortenReason keeps a node's text short enough for the log, and on one line.
+// shortenReason shortens a node's text to fit into the log, and to one line.
 func shortenReason(s string) string { return oneLine(s[:min(len(s), 200)]) }
--- a/internal/fleet/tenants/division.go
+++ b/internal/fleet/tenants/division.go
@@ -10,17 +10,17 @@
 	"meadowsill/internal/fleet"
 )
 
-// roundingSlack is what sums of parts may be over by rounding alone, as a part of the quota.
-const roundingSlack = 1e-9
+// roundingTolerance is how far a sum of parts may exceed its limit because of rounding, as a fraction of the quota.
+const roundingTolerance = 1e-9
 
-// guaranteedRate is what of a quota the guaranteed parts of all slots may come to, where the nodes with outdated rates may still go by a
-// larger rate: the largest of them, as no more than Slots nodes run at one time. Two runs of one name are one slot: a
-// floor belongs to the name.
-func (s *State) guaranteedRate(rate float64, behind map[string]float64) float64 {
+// guaranteedRate returns the largest possible sum of the guaranteed parts of all slots, in requests/s. Nodes in outdated may
+// still derive their part from a larger rate; the largest of these rates count, because no more than Slots nodes run at
+// one time. Two runs of one node count as one slot, because the guaranteed part belongs to the node's name.
+func (s *State) guaranteedRate(rate float64, outdated map[string]float64) float64 {
 	if s.Slots == 0 {
-		return rate // no division yet: nothing to lease
+		return rate // before the first division nothing can be leased
 	}
-	larger := slices.Sorted(maps.Values(behind))
+	larger := slices.Sorted(maps.Values(outdated))
 	larger = larger[max(0, len(larger)-s.Slots):]
 	sum := float64(s.Slots-len(larger)) * rate
 	for _, r := range larger {
@@ -29,7 +29,7 @@
 	return fleet.GuaranteedPart * sum / float64(s.Slots)
 }
 
-// outdatedRatesAt is OutdatedRates as it will be once rate is committed over the present generation.
+// outdatedRatesAt returns the OutdatedRates of e after a generation with this rate is committed.
 func (s *State) outdatedRatesAt(e *Entry, rate float64) map[string]float64 {
 	out := map[string]float64{}
 	for n, r := range e.OutdatedRates {
@@ -49,50 +49,51 @@
 	e.OutdatedRates = s.outdatedRatesAt(e, rate)
 }
 
-// leasableOf is what may be leased of a quota of rate: what its guaranteed parts leave, never below 0.
-func (s *State) leasableOf(rate float64, behind map[string]float64) float64 {
-	return max(0, rate-s.guaranteedRate(rate, behind))
+// leasableRate returns how much of a quota may be leased, in requests/s: rate minus the guaranteed parts, never below 0.
+func (s *State) leasableRate(rate float64, outdated map[string]float64) float64 {
+	return max(0, rate-s.guaranteedRate(rate, outdated))
 }
 
-// Leasable is what all leases of a tenant may add up to now, requests/s. It goes down before a smaller quota is committed
-// and up after a larger one is; a tenant that is being removed, or was never committed, leases nothing.
+// Leasable returns the present upper limit of the sum of a tenant's leases, in requests/s. It decreases before a smaller
+// quota is committed, and increases after a larger one is committed. It is 0 for a tenant that is being removed or was
+// never committed.
 func (s *State) Leasable(name string) float64 {
 	e := s.Tenants[name]
 	if e == nil || e.Committed == nil || e.Removing {
 		return 0
 	}
-	p := s.leasableOf(e.Committed.Spec.Quota.Rate, e.OutdatedRates)
+	leasable := s.leasableRate(e.Committed.Spec.Quota.Rate, e.OutdatedRates)
 	if e.Staged != nil {
 		next := e.Staged.Spec.Quota.Rate
-		p = min(p, s.leasableOf(next, s.outdatedRatesAt(e, next)))
+		leasable = min(leasable, s.leasableRate(next, s.outdatedRatesAt(e, next)))
 	}
-	return p
+	return leasable
 }
 
-// CanCommit reports whether the leases that runs may hold of a name are within what the staged quota leaves. A
-// smaller quota is committed only then, so that T3 holds for it from the first moment.
+// CanCommit reports whether the leases that runs may hold of a tenant fit into what the staged quota leaves for leases. A
+// smaller quota is committed only then, so that T3 holds for it from the start.
 func (s *State) CanCommit(name string) bool {
 	e := s.Tenants[name]
 	if e == nil || e.Staged == nil {
 		return false
 	}
 	rate := e.Staged.Spec.Quota.Rate
-	return s.maxLeased(name) <= s.leasableOf(rate, s.outdatedRatesAt(e, rate))+roundingSlack*rate
+	return s.maxLeased(name) <= s.leasableRate(rate, s.outdatedRatesAt(e, rate))+roundingTolerance*rate
 }
 
-// maxLeased is the sum of what runs may hold leased of a name.
+// maxLeased returns the sum of the leases that runs may hold under a tenant's name, in requests/s.
 func (s *State) maxLeased(name string) float64 {
 	sum := 0.0
 	for _, n := range sortedKeys(s.Runs) {
 		sum += s.Runs[n].MaxRates[name]
 	}
-	for _, g := range s.OrphanedLeases {
-		sum += g.MaxRates[name]
+	for _, orphan := range s.OrphanedLeases {
+		sum += orphan.MaxRates[name]
 	}
 	return sum
 }
 
-// maxLeasedByTenant returns it for every name, each sum taken in the order of the nodes.
+// maxLeasedByTenant returns maxLeased for every name. Each sum is added up in the order of the nodes.
 func (s *State) maxLeasedByTenant() map[string]float64 {
 	sums := map[string]float64{}
 	for _, n := range sortedKeys(s.Runs) {
@@ -100,32 +101,32 @@
 			sums[name] += r
 		}
 	}
-	for _, g := range s.OrphanedLeases {
-		for name, r := range g.MaxRates {
+	for _, orphan := range s.OrphanedLeases {
+		for name, r := range orphan.MaxRates {
 			sums[name] += r
 		}
 	}
 	return sums
 }
 
-// leaseHolder names a node that may hold more of a name than it is to, for people; empty where none does.
+// leaseHolder returns a node that may hold more of a tenant's quota than it is leased now, for error messages; "" if none does.
 func (s *State) leaseHolder(name string) string {
 	for _, n := range sortedKeys(s.Runs) {
-		if l := s.Runs[n]; l.MaxRates[name] > l.Rates[name] {
+		if lease := s.Runs[n]; lease.MaxRates[name] > lease.Rates[name] {
 			return n
 		}
 	}
-	for _, g := range s.OrphanedLeases {
-		if g.MaxRates[name] > 0 {
-			return g.Node
+	for _, orphan := range s.OrphanedLeases {
+		if orphan.MaxRates[name] > 0 {
+			return orphan.Node
 		}
 	}
 	return ""
 }
 
-// applyDivision carries out a division: first what runs have confirmed and which are over, then the grants. A run of a larger
-// incarnation takes its node's place and begins with nothing; its predecessor stays an orphaned lease until it is over. Where the
-// raises of a tenant would take what runs may hold over its pool, that tenant has none of them.
+// applyDivision applies a division: first the confirmations and the expired runs, then the grants. A run with a larger
+// incarnation replaces its node's run and starts without leases; the leases of the old run remain as an orphaned lease
+// until they expire. If the raises for a tenant would let runs hold more than its leasable rate, none of them is applied.
 func (s *State) applyDivision(c Command, rev func() uint64) ([]string, error) {
 	d := c.Division
 	switch {
@@ -151,7 +152,7 @@
 		l := next.Runs[g.Node]
 		l.Rates, l.MaxRates = cloneRates(l.Rates), cloneRates(l.MaxRates)
 	}
-	raises := map[string][]Grant{} // by tenant: one rate each, above what the run may hold
+	raises := map[string][]Grant{} // by tenant: grants with one rate each, which exceeds what the run may hold
 	for _, g := range d.Grants {
 		for name, r := range g.Rates {
 			if l := next.Runs[g.Node]; r <= l.MaxRates[name] {
@@ -167,7 +168,7 @@
 		for _, g := range grants {
 			sum += g.Rates[name] - next.Runs[g.Node].MaxRates[name]
 		}
-		if sum > pool+roundingSlack*max(pool, 1) {
+		if sum > pool+roundingTolerance*max(pool, 1) {
 			continue
 		}
 		for _, g := range grants {
@@ -178,27 +179,27 @@
 	return s.adoptLeases(next, d, rev()), nil
 }
 
-// draftLeases is the leases as they are after what d confirms and ends, with an empty one for each new run. Their maps are
-// the state's own: whoever changes one takes a copy first.
+// draftLeases returns the leases after the confirmations and expired runs of d, with an empty lease for each new run. The
+// maps are shared with the state: a caller must copy a map before it changes it.
 func (s *State) draftLeases(d *Division) *State {
 	next := &State{Tenants: s.Tenants, CountedNodes: s.CountedNodes, Slots: d.Slots, Runs: map[string]*Lease{}}
-	over := map[Run]bool{}
+	expired := map[Run]bool{}
 	for _, r := range d.Expired {
-		over[r] = true
+		expired[r] = true
 	}
 	for _, g := range s.OrphanedLeases {
-		if !over[g.Run] {
+		if !expired[g.Run] {
 			next.OrphanedLeases = append(next.OrphanedLeases, g)
 		}
 	}
 	for n, l := range s.Runs {
-		if !over[Run{n, l.Incarnation}] {
+		if !expired[Run{n, l.Incarnation}] {
 			c := *l
 			next.Runs[n] = &c
 		}
 	}
-	for _, h := range d.Confirmed {
-		if l := next.Runs[h.Node]; l != nil && l.Incarnation == h.Incarnation && h.Revision >= l.Revision {
+	for _, confirmation := range d.Confirmed {
+		if l := next.Runs[confirmation.Node]; l != nil && l.Incarnation == confirmation.Incarnation && confirmation.Revision >= l.Revision {
 			l.MaxRates = l.Rates
 		}
 	}
@@ -215,7 +216,7 @@
 	return next
 }
 
-// adoptLeases makes a draft the state: nothing before has changed anything.
+// adoptLeases makes the leases of a draft those of the state. It is the only step of a division that changes the state.
 func (s *State) adoptLeases(next *State, d *Division, rev uint64) (changed []string) {
 	s.Division++
 	s.DividedRevision = rev
@@ -240,10 +241,10 @@
 	s.OrphanedLeases = next.OrphanedLeases
 	s.Slots = next.Slots
 	s.countNodes(runs)
-	for _, h := range d.Confirmed {
+	for _, c := range d.Confirmed {
 		for _, e := range s.Tenants {
-			if l := s.Runs[h.Node]; h.SoleRun && h.Revision >= e.Revision && l != nil && l.Incarnation == h.Incarnation {
-				delete(e.OutdatedRates, h.Node)
+			if l := s.Runs[c.Node]; c.SoleRun && c.Revision >= e.Revision && l != nil && l.Incarnation == c.Incarnation {
+				delete(e.OutdatedRates, c.Node)
 			}
 		}
 	}
@@ -255,7 +256,7 @@
 	return changed
 }
 
-// cloneRates copies a map, never to nil.
+// cloneRates copies a map. The copy is never nil.
 func cloneRates(m map[string]float64) map[string]float64 {
 	out := make(map[string]float64, len(m))
 	maps.Copy(out, m)
--- a/internal/fleet/tenants/items.go
+++ b/internal/fleet/tenants/items.go
@@ -9,7 +9,7 @@
 	"meadowsill/internal/fleet"
 )
 
-// Phases of a tenant (docs/fleet.md, "Tenants").
+// Phases of a tenant's rollout or removal (docs/fleet.md, "Tenants").
 const (
 	PhaseNone           = "none"
 	PhaseSettled        = "settled"
@@ -19,7 +19,7 @@
 	PhaseQuotaWithdrawn = "unquoted"
 )
 
-// Phase returns where a tenant is in its rollout or removal.
+// Phase returns the phase of the tenant with this name.
 func (s *State) Phase(name string) string {
 	switch e := s.Tenants[name]; {
 	case e == nil:
@@ -36,8 +36,8 @@
 	return PhaseSettled
 }
 
-// Tenant returns a tenant as it is intended; fleet.ErrNotFound wrapped, with the reason of the rollback where there was
-// one, for a name that has none.
+// Tenant returns a tenant as the fleet intends it. If no tenant has this name, the error wraps fleet.ErrNotFound and
+// includes the reason if its last rollout was rolled back.
 func (s *State) Tenant(name string) (fleet.Tenant, error) {
 	if e := s.Tenants[name]; e != nil {
 		return e.Tenant, nil
@@ -45,17 +45,18 @@
 	return fleet.Tenant{}, s.notFound(name)
 }
 
-// Items returns every item, by key, in order: tenants and shares, and as Removed those whose tombstone is kept. A reader
-// of changes takes those with Revision after its own, or all that are not Removed where its own is before Compacted.
+// Items returns every item in the order of the keys: tenants and quota leases, and as Removed the items that have a
+// tombstone. A reader of changes takes the items whose Revision is after its own; if its own revision is before Compacted,
+// the reader takes all items that are not Removed.
 func (s *State) Items() []fleet.Item { return s.items("") }
 
-// ItemsFor returns the same for one node: every tenant, and no other node's quota lease.
+// ItemsFor returns the items for one node: those that Items returns, without the quota leases of other nodes.
 func (s *State) ItemsFor(node string) []fleet.Item { return s.items(node) }
 
-// Compacted is the revision up to which changes can no longer be read from the tombstones kept.
+// Compacted returns the revision up to which removals may be missing, because their tombstones were dropped.
 func (s *State) Compacted() uint64 { return s.Floor }
 
-// Item returns one item by its key: live, or Removed where its tombstone is kept; false for neither.
+// Item returns the item with a key: the present one, or one marked Removed if there is a tombstone; false if there is neither.
 func (s *State) Item(key string) (fleet.Item, bool) {
 	if name, ok := strings.CutPrefix(key, keyTenant); ok && s.Tenants[name] != nil {
 		e := s.Tenants[name]
@@ -64,7 +65,7 @@
 	if node, ok := strings.CutPrefix(key, keyLease); ok && s.Runs[node] != nil {
 		l := s.Runs[node]
 		rates := l.Rates
-		if rates == nil { // as after a restore: the item's bytes are the same on every replica
+		if rates == nil { // a restored snapshot has nil here; the bytes of the item must be the same on every replica
 			rates = map[string]float64{}
 		}
 		return item(key, l.Revision, fleet.QuotaLease{Epoch: l.Division, Incarnation: l.Incarnation, Slots: s.Slots, Rates: rates}), true
@@ -78,7 +79,7 @@
 }
 
 func item(key string, rev uint64, body any) fleet.Item {
-	raw, _ := json.Marshal(body) // finite numbers: Validate and divide see to it
+	raw, _ := json.Marshal(body) // marshalling can't fail: Validate and divide allow only finite numbers
 	return fleet.Item{Key: key, Revision: rev, Body: raw}
 }
 
@@ -105,7 +106,7 @@
 	return out
 }
 
-// notFound is the error of a name that has no tenant, with why the last rollout under it was rolled back.
+// notFound returns the error for a name that has no tenant, with the reason if its last rollout was rolled back.
 func (s *State) notFound(name string) error {
 	for _, t := range s.Tombstones {
 		if t.Key == keyTenant+name && t.RolledBack != "" {
--- a/internal/fleet/tenants/parse.go
+++ b/internal/fleet/tenants/parse.go
@@ -14,10 +14,10 @@
 	"meadowsill/internal/fleet"
 )
 
-// maxDepth is how deep a JSON body may be nested; the schema needs 3.
+// maxDepth is the maximum nesting depth of a JSON body; the schema needs 3.
 const maxDepth = 8
 
-// ParseTOML reads a tenant file and validates it completely. Errors are *FieldError with the field and its line.
+// ParseTOML parses a tenant file and validates it completely. Errors are of type *FieldError with the field and its line.
 func ParseTOML(data []byte) (fleet.Spec, error) {
 	if len(data) > fleet.MaxTenantBytes {
 		return fleet.Spec{}, fieldError("", "is over %d bytes", fleet.MaxTenantBytes)
@@ -30,7 +30,7 @@
 		}
 		return fleet.Spec{}, fieldError("", "%s", err)
 	}
-	spec, err := fromTree(tree)
+	spec, err := readSpec(tree)
 	var fe *FieldError
 	if errors.As(err, &fe) {
 		fe.Line = lineOf(string(data), fe.Field)
@@ -38,17 +38,17 @@
 	return spec, err
 }
 
-// ParseJSON reads the same from JSON. Errors are *FieldError with the field's path.
+// ParseJSON parses a specification from JSON and validates it completely. Errors are of type *FieldError with the field's path.
 func ParseJSON(data []byte) (fleet.Spec, error) {
 	tree, err := decodeJSON(data)
 	if err != nil {
 		return fleet.Spec{}, err
 	}
-	return fromTree(tree)
+	return readSpec(tree)
 }
 
-// ParseProposal reads the body of PUT /fleet/v1/tenants/NAME, {"generation": G, "spec": SPEC}: the generation that
-// the operator read (0: none) and the specification, validated completely. Field paths begin with "spec.".
+// ParseProposal parses the body of PUT /fleet/v1/tenants/NAME, {"generation": G, "spec": SPEC}: the generation that the
+// operator read (0: none) and the specification, which it validates completely. Paths of its fields begin with "spec.".
 func ParseProposal(data []byte) (generation uint64, spec fleet.Spec, err error) {
 	body, err := decodeJSON(data)
 	if err != nil {
@@ -67,15 +67,15 @@
 	if !ok {
 		return 0, fleet.Spec{}, fieldError("spec", "must be an object")
 	}
-	spec, err = fromTree(inner)
+	spec, err = readSpec(inner)
 	var fe *FieldError
 	if errors.As(err, &fe) {
-		fe.Field = strings.TrimSuffix(join("spec", fe.Field), ".")
+		fe.Field = strings.TrimSuffix(joinPath("spec", fe.Field), ".")
 	}
 	return uint64(g), spec, err
 }
 
-// decodeJSON reads one JSON object, its numbers as float64.
+// decodeJSON decodes one JSON object. Numbers become float64.
 func decodeJSON(data []byte) (map[string]any, error) {
 	if len(data) > fleet.MaxTenantBytes {
 		return nil, fieldError("", "is over %d bytes", fleet.MaxTenantBytes)
@@ -96,93 +96,93 @@
 	return tree, nil
 }
 
-// readJSON reads one value token by token, so that a key given twice is an error and not the last one's.
-func readJSON(dec *json.Decoder, at string, depth int) (any, error) {
+// readJSON reads one value token by token, so that a duplicate key is an error; json.Unmarshal would use the last one.
+func readJSON(dec *json.Decoder, path string, depth int) (any, error) {
 	if depth > maxDepth {
-		return nil, fieldError(at, "is nested too deep")
+		return nil, fieldError(path, "is nested too deep")
 	}
 	tok, err := dec.Token()
 	if err != nil {
-		return nil, fieldError(at, "is no JSON: %s", strings.TrimPrefix(err.Error(), "json: "))
+		return nil, fieldError(path, "is no JSON: %s", strings.TrimPrefix(err.Error(), "json: "))
 	}
 	switch t := tok.(type) {
 	case json.Delim:
 		if t == '[' {
 			list := []any{}
 			for dec.More() {
-				v, err := readJSON(dec, fmt.Sprintf("%s[%d]", at, len(list)), depth+1)
+				v, err := readJSON(dec, fmt.Sprintf("%s[%d]", path, len(list)), depth+1)
 				if err != nil {
 					return nil, err
 				}
 				list = append(list, v)
 			}
-			return list, closeJSON(dec, at)
+			return list, readClosingDelim(dec, path)
 		}
 		m := map[string]any{}
 		for dec.More() {
 			k, err := dec.Token()
 			key, ok := k.(string)
 			if err != nil || !ok {
-				return nil, fieldError(at, "is no JSON: a key must be a string")
+				return nil, fieldError(path, "is no JSON: a key must be a string")
 			}
-			if _, twice := m[key]; twice {
-				return nil, fieldError(join(at, key), "is given twice")
+			if _, duplicate := m[key]; duplicate {
+				return nil, fieldError(joinPath(path, key), "is given twice")
 			}
-			v, err := readJSON(dec, join(at, key), depth+1)
+			v, err := readJSON(dec, joinPath(path, key), depth+1)
 			if err != nil {
 				return nil, err
 			}
 			m[key] = v
 		}
-		return m, closeJSON(dec, at)
+		return m, readClosingDelim(dec, path)
 	case json.Number:
 		f, err := t.Float64()
 		if err != nil {
-			return nil, fieldError(at, "must be a finite number")
+			return nil, fieldError(path, "must be a finite number")
 		}
 		return f, nil
 	}
 	return tok, nil
 }
 
-func closeJSON(dec *json.Decoder, at string) error {
+func readClosingDelim(dec *json.Decoder, path string) error {
 	if _, err := dec.Token(); err != nil {
-		return fieldError(at, "is no JSON: it has no end")
+		return fieldError(path, "is no JSON: it has no end")
 	}
 	return nil
 }
 
-func join(at, key string) string {
-	if at == "" {
+func joinPath(path, key string) string {
+	if path == "" {
 		return key
 	}
-	return at + "." + key
+	return path + "." + key
 }
 
-// tree walks decoded TOML or JSON by the schema and keeps the first fault.
-type tree struct{ err error }
+// treeReader reads a specification from a decoded TOML or JSON tree by the schema and keeps the first error.
+type treeReader struct{ err error }
 
-func (t *tree) fail(field, format string, args ...any) {
+func (t *treeReader) fail(field, format string, args ...any) {
 	if t.err == nil {
 		t.err = fieldError(field, format, args...)
 	}
 }
 
-// fields calls each for every key, in order; it reports whether it knows the key.
-func (t *tree) fields(at string, v any, each func(field, key string, v any) bool) {
+// fields calls each for every key of the table v, in order. each reports whether the key is known.
+func (t *treeReader) fields(path string, v any, each func(field, key string, v any) bool) {
 	m, ok := v.(map[string]any)
 	if !ok {
-		t.fail(at, "must be a table")
+		t.fail(path, "must be a table")
 		return
 	}
 	for _, k := range sortedKeys(m) {
-		if !each(join(at, k), k, m[k]) {
-			t.fail(join(at, k), "is not known")
+		if !each(joinPath(path, k), k, m[k]) {
+			t.fail(joinPath(path, k), "is not known")
 		}
 	}
 }
 
-func (t *tree) text(field string, v any, to *string) bool {
+func (t *treeReader) text(field string, v any, to *string) bool {
 	s, ok := v.(string)
 	if !ok {
 		t.fail(field, "must be a string")
@@ -191,7 +191,7 @@
 	return true
 }
 
-func (t *tree) number(field string, v any, to *float64) bool {
+func (t *treeReader) number(field string, v any, to *float64) bool {
 	switch n := v.(type) {
 	case float64:
 		*to = n
@@ -204,13 +204,13 @@
 	return true
 }
 
-func (t *tree) list(field string, v any, each func(field string, v any)) bool {
+func (t *treeReader) list(field string, v any, each func(field string, v any)) bool {
 	switch l := v.(type) {
 	case []any:
 		for i, v := range l {
 			each(fmt.Sprintf("%s[%d]", field, i), v)
 		}
-	case []map[string]any: // TOML's arrays of tables
+	case []map[string]any: // an array of tables in TOML
 		for i, v := range l {
 			each(fmt.Sprintf("%s[%d]", field, i), v)
 		}
@@ -220,9 +220,9 @@
 	return true
 }
 
-func fromTree(m map[string]any) (fleet.Spec, error) {
+func readSpec(m map[string]any) (fleet.Spec, error) {
 	var s fleet.Spec
-	var t tree
+	var t treeReader
 	t.fields("", m, func(field, key string, v any) bool {
 		switch key {
 		case "name":
@@ -273,8 +273,8 @@
 	return s, nil
 }
 
-func (t *tree) quota(at string, v any, q *fleet.Quota) {
-	t.fields(at, v, func(field, key string, v any) bool {
+func (t *treeReader) quota(path string, v any, q *fleet.Quota) {
+	t.fields(path, v, func(field, key string, v any) bool {
 		switch key {
 		case "rate":
 			return t.number(field, v, &q.Rate)
--- a/internal/fleet/tenants/quota_divider.go
+++ b/internal/fleet/tenants/quota_divider.go
@@ -9,105 +9,108 @@
 	"meadowsill/internal/fleet"
 )
 
-// quotaDivider is the controller's part that divides quotas: its targets, and which leases have expired.
+// quotaDivider is the part of the controller that divides quotas. It holds the targets, and which leases have expired.
 type quotaDivider struct {
 	started       bool
-	dividedAt     fleet.Time         // when a division was last thought of
-	targets       map[string]target  // by tenant
-	presentBefore map[string]uint64  // present runs at the last step
-	presentSince  map[Run]fleet.Time // and since when each was, in this leadership
-	epoch         uint64             // and its epoch
-	vanishedAt    map[Run]fleet.Time // when a leased run was first seen not to be present
+	dividedAt     fleet.Time         // when the quotas were last evaluated
+	targets       map[string]target  // by tenant name
+	presentBefore map[string]uint64  // runs present at the last step: incarnation by node
+	presentSince  map[Run]fleet.Time // when each present run was first seen under this leadership
+	epoch         uint64             // session epoch at the last step
+	vanishedAt    map[Run]fleet.Time // when a leased run was first seen to be absent
 	expired       map[Run]bool       // leased runs whose sessions have lapsed for certain
 }
 
-// target is what a tenant's division moves to, and for what pool and service it was made. All are dropped when the runs change.
+// target is the division of one tenant's quota that the leases move toward, with the leasable rate and the service that it
+// was computed for. All targets are discarded when the present runs change.
 type target struct {
 	leasable float64
 	service  string
-	rates    []float64 // by run present in the scope, in order
+	rates    []float64 // requests/s of each run present in the scope, in the order of the nodes
 }
 
 func newQuotaDivider() quotaDivider {
 	return quotaDivider{targets: map[string]target{}, presentSince: map[Run]fleet.Time{}, vanishedAt: map[Run]fleet.Time{}, expired: map[Run]bool{}}
 }
 
-// trackLeases notes which leased runs are over. A run that lapsed is over: it counted itself out before the leader did.
-// One that a larger incarnation ended may hold its lease for another TTL; so may any that vanished while this controller
-// can't tell how: it did not lead yet, or the epoch moved more often than the present runs did.
+// trackLeases records which leased runs have expired. A run whose session lapsed has expired, because it stops using its
+// lease before the leader ends the session. A run that was replaced by a larger incarnation may hold its lease for another
+// TTL. So may a run that vanished when this controller can't tell why: the controller did not lead yet, or the session
+// epoch changed more often than the set of present runs did.
 func (ctl *Controller) trackLeases(now fleet.Time, s *State, epoch uint64, present []fleet.Member) {
-	l := &ctl.divider
-	cur := make(map[string]uint64, len(present))
-	moves := uint64(0)
+	qd := &ctl.divider
+	current := make(map[string]uint64, len(present))
+	changes := uint64(0)
 	for _, m := range present {
-		cur[m.Node] = m.Incarnation
-		if l.presentBefore[m.Node] != m.Incarnation {
-			moves++
+		current[m.Node] = m.Incarnation
+		if qd.presentBefore[m.Node] != m.Incarnation {
+			changes++
 		}
 	}
-	for n := range l.presentBefore {
-		if _, ok := cur[n]; !ok {
-			moves++
+	for n := range qd.presentBefore {
+		if _, ok := current[n]; !ok {
+			changes++
 		}
 	}
-	if moves > 0 || epoch != l.epoch { // a run that is back may have another scope
-		clear(l.targets)
+	if changes > 0 || epoch != qd.epoch { // a run that rejoined may have another scope
+		clear(qd.targets)
 	}
-	for r := range l.presentSince {
-		if cur[r.Node] != r.Incarnation {
-			delete(l.presentSince, r)
+	for r := range qd.presentSince {
+		if current[r.Node] != r.Incarnation {
+			delete(qd.presentSince, r)
 		}
 	}
-	for n, inc := range cur {
-		if _, ok := l.presentSince[Run{n, inc}]; !ok {
-			l.presentSince[Run{n, inc}] = now
+	for n, inc := range current {
+		if _, ok := qd.presentSince[Run{n, inc}]; !ok {
+			qd.presentSince[Run{n, inc}] = now
 		}
 	}
-	allSeen := l.presentBefore != nil && epoch-l.epoch == moves
+	sawEveryChange := qd.presentBefore != nil && epoch-qd.epoch == changes
 	leased := map[Run]bool{}
-	look := func(r Run) {
+	track := func(r Run) {
 		leased[r] = true
-		inc, there := cur[r.Node]
-		if there && inc == r.Incarnation { // it may be back
-			delete(l.vanishedAt, r)
-			delete(l.expired, r)
+		inc, nodePresent := current[r.Node]
+		if nodePresent && inc == r.Incarnation { // the run may have rejoined
+			delete(qd.vanishedAt, r)
+			delete(qd.expired, r)
 			return
 		}
-		if _, ok := l.vanishedAt[r]; !ok {
-			l.vanishedAt[r] = now
-			l.expired[r] = allSeen && !there && l.presentBefore[r.Node] == r.Incarnation
+		if _, ok := qd.vanishedAt[r]; !ok {
+			qd.vanishedAt[r] = now
+			qd.expired[r] = sawEveryChange && !nodePresent && qd.presentBefore[r.Node] == r.Incarnation
 		}
-		if now-l.vanishedAt[r] >= ctl.config.TTL {
-			l.expired[r] = true
+		if now-qd.vanishedAt[r] >= ctl.config.TTL {
+			qd.expired[r] = true
 		}
 	}
-	for n, le := range s.Runs {
-		look(Run{n, le.Incarnation})
+	for n, lease := range s.Runs {
+		track(Run{n, lease.Incarnation})
 	}
 	for _, g := range s.OrphanedLeases {
-		look(g.Run)
+		track(g.Run)
 	}
-	for r := range l.vanishedAt {
+	for r := range qd.vanishedAt {
 		if !leased[r] {
-			delete(l.vanishedAt, r)
-			delete(l.expired, r)
+			delete(qd.vanishedAt, r)
+			delete(qd.expired, r)
 		}
 	}
-	l.presentBefore, l.epoch = cur, epoch
+	qd.presentBefore, qd.epoch = current, epoch
 }
 
-// divide decides one division, or none: it looks once in DivideInterval, and changes only what is to change.
+// divide decides on a division, or returns nil. It evaluates the quotas once per DivideInterval, and grants only the rates
+// that change.
 func (ctl *Controller) divide(now fleet.Time, s *State, r *presentByScope) *Division {
 	present := r.Members
 	ctl.trackLeases(now, s, r.Epoch(""), present)
-	l := &ctl.divider
-	if ctl.config.Slots <= 0 || l.started && now-l.dividedAt < DivideInterval {
+	qd := &ctl.divider
+	if ctl.config.Slots <= 0 || qd.started && now-qd.dividedAt < DivideInterval {
 		return nil
 	}
-	l.started, l.dividedAt = true, now
+	qd.started, qd.dividedAt = true, now
 	d := &Division{Slots: ctl.config.Slots}
-	for r, over := range l.expired {
-		if over {
+	for r, isExpired := range qd.expired {
+		if isExpired {
 			d.Expired = append(d.Expired, r)
 		}
 	}
@@ -115,18 +118,18 @@
 		return cmp.Or(strings.Compare(a.Node, b.Node), cmp.Compare(a.Incarnation, b.Incarnation))
 	})
 	grants := make([]Grant, len(present))
-	fresh := make([]bool, len(present)) // a run that has no lease yet
+	fresh := make([]bool, len(present)) // whether the run has no lease yet
 	for i, m := range present {
 		grants[i] = Grant{Run: Run{m.Node, m.Incarnation}}
-		le := s.Runs[m.Node]
-		fresh[i] = le == nil || le.Incarnation != m.Incarnation
+		held := s.Runs[m.Node]
+		fresh[i] = held == nil || held.Incarnation != m.Incarnation
 		v := ctl.reports[m.Node]
 		if v == nil || v.Incarnation != m.Incarnation || fresh[i] {
 			continue
 		}
-		h := Confirmation{Run: grants[i].Run, Revision: v.Report.Revision, SoleRun: now-l.presentSince[grants[i].Run] >= ctl.config.TTL}
-		if s.freesQuota(h, le) {
-			d.Confirmed = append(d.Confirmed, h)
+		confirmation := Confirmation{Run: grants[i].Run, Revision: v.Report.Revision, SoleRun: now-qd.presentSince[grants[i].Run] >= ctl.config.TTL}
+		if s.freesQuota(confirmation, held) {
+			d.Confirmed = append(d.Confirmed, confirmation)
 		}
 	}
 	next := s.draftLeases(&Division{Slots: ctl.config.Slots, Confirmed: d.Confirmed, Expired: d.Expired, Grants: grants})
@@ -149,8 +152,8 @@
 		runs[i].withdrawOutOfScope(next, r.Services[m.Node])
 	}
 	d.Grants = slices.DeleteFunc(grants, func(g Grant) bool {
-		le := s.Runs[g.Node]
-		return len(g.Rates) == 0 && le != nil && le.Incarnation == g.Incarnation
+		held := s.Runs[g.Node]
+		return len(g.Rates) == 0 && held != nil && held.Incarnation == g.Incarnation
 	})
 	if len(d.Grants) == 0 && len(d.Expired) == 0 && len(d.Confirmed) == 0 {
 		return nil
@@ -158,24 +161,24 @@
 	return d
 }
 
-// freesQuota reports whether what a run holds frees anything.
-func (s *State) freesQuota(h Confirmation, le *Lease) bool {
-	if h.Revision >= le.Revision {
-		for name, m := range le.MaxRates {
-			if m > le.Rates[name] {
+// freesQuota reports whether a confirmation releases quota: a rate above the run's lease, or an outdated rate of its node.
+func (s *State) freesQuota(confirmation Confirmation, lease *Lease) bool {
+	if confirmation.Revision >= lease.Revision {
+		for name, m := range lease.MaxRates {
+			if m > lease.Rates[name] {
 				return true
 			}
 		}
 	}
 	for _, e := range s.Tenants {
-		if _, ok := e.OutdatedRates[h.Node]; ok && h.SoleRun && h.Revision >= e.Revision {
+		if _, ok := e.OutdatedRates[confirmation.Node]; ok && confirmation.SoleRun && confirmation.Revision >= e.Revision {
 			return true
 		}
 	}
 	return false
 }
 
-// names are the tenants that lease something or may.
+// names returns the names that have a tenant or under which runs may hold leases, in order.
 func (s *State) names(maxLeased map[string]float64) []string {
 	all := sortedKeys(s.Tenants)
 	for name := range maxLeased {
@@ -187,14 +190,14 @@
 	return all
 }
 
-// presentRun is a present run as a division sees it.
+// presentRun is a present run with the inputs and the result of a division.
 type presentRun struct {
 	lease   *Lease
-	reports map[string]tenantReport // nil: it has not reported to this leader
+	reports map[string]tenantReport // nil: the run has not reported to this leader
 	grant   *Grant
 }
 
-// setRate has the division lease a rate to the run.
+// setRate sets the rate in the run's grant.
 func (p presentRun) setRate(name string, rate float64) {
 	if p.grant.Rates == nil {
 		p.grant.Rates = map[string]float64{}
@@ -202,8 +205,8 @@
 	p.grant.Rates[name] = rate
 }
 
-// withdrawOutOfScope takes from a run of these services what it is leased of tenants outside of them: its scope was another before,
-// or the tenant's name was.
+// withdrawOutOfScope withdraws the leases of tenants outside the given services, which are the run's scope. A run has such
+// leases if its scope or the service of the tenant's name was another one before.
 func (p presentRun) withdrawOutOfScope(next *State, services []string) {
 	for name := range p.lease.Rates {
 		if e := next.Tenants[name]; e != nil && !fleet.Serves(services, e.Service()) {
@@ -212,65 +215,67 @@
 	}
 }
 
-// grantTenant moves one tenant's parts to its aim as far as may be now: down at once, up out of what no run may hold.
+// grantTenant moves the leases of one tenant toward their targets. Leases decrease at once, and increase only by what no
+// run may hold.
 func (ctl *Controller) grantTenant(next *State, name, service string, maxLeased float64, runs []presentRun) {
 	pool := next.Leasable(name)
 	if pool == 0 && maxLeased == 0 {
 		return
 	}
-	want := ctl.targetRates(next, name, service, pool, runs)
+	targets := ctl.targetRates(next, name, service, pool, runs)
 	leased := make([]float64, len(runs))
 	need := 0.0
-	for i, st := range runs {
-		leased[i] = st.lease.MaxRates[name]
-		need += max(0, want[i]-leased[i])
+	for i, run := range runs {
+		leased[i] = run.lease.MaxRates[name]
+		need += max(0, targets[i]-leased[i])
 	}
-	part := 0.0
+	fraction := 0.0
 	if need > 0 {
-		part = min(1, max(0, pool-maxLeased)/need)
+		fraction = min(1, max(0, pool-maxLeased)/need)
 	}
-	for i, st := range runs {
-		to := min(want[i], leased[i])
-		to = roundDown(to + part*max(0, want[i]-to))
-		if to != st.lease.Rates[name] {
-			st.setRate(name, to)
+	for i, run := range runs {
+		rate := min(targets[i], leased[i])
+		rate = roundDown(rate + fraction*max(0, targets[i]-rate))
+		if rate != run.lease.Rates[name] {
+			run.setRate(name, rate)
 		}
 	}
 }
 
-// targetRates returns the part of what may be leased of each run present in the scope. It stays as it was while that and the runs are the same and
-// either every run has capacity, or no run's part would move by more than the hysteresis.
+// targetRates returns the target lease of each run present in the scope, in requests/s. The targets don't change while the
+// leasable rate and the runs are the same and either every run has capacity to spare, or no run's part would change by more
+// than the hysteresis.
 func (ctl *Controller) targetRates(next *State, name, service string, pool float64, runs []presentRun) []float64 {
-	floor := 0.0
+	guaranteed := 0.0
 	if e := next.Tenants[name]; e != nil && e.Committed != nil {
-		floor = fleet.GuaranteedPart * e.Committed.Spec.Quota.Rate / float64(next.Slots)
+		guaranteed = fleet.GuaranteedPart * e.Committed.Spec.Quota.Rate / float64(next.Slots)
 	}
 	loads := make([]float64, len(runs))
-	for i, st := range runs {
-		if st.reports != nil {
-			loads[i] = max(0, st.reports[name].load-floor)
+	for i, run := range runs {
+		if run.reports != nil {
+			loads[i] = max(0, run.reports[name].load-guaranteed)
 		} else {
-			loads[i] = st.lease.Rates[name] // nothing heard: as it is
+			loads[i] = run.lease.Rates[name] // no report yet: assume a load equal to the lease
 		}
 	}
 	old, ok := ctl.divider.targets[name]
-	if ok = ok && old.service == service; !ok { // a new leader continues from what is leased, where that is nearly all
+	if ok = ok && old.service == service; !ok { // a new leader continues with the present leases if they use up nearly all of the leasable rate
 		old = target{leasable: pool, service: service, rates: make([]float64, len(runs))}
 		sum := 0.0
-		for i, st := range runs {
-			old.rates[i] = st.lease.Rates[name]
+		for i, run := range runs {
+			old.rates[i] = run.lease.Rates[name]
 			sum += old.rates[i]
 		}
 		ok = sum <= pool && sum > pool*(1-hysteresis/10)
 	}
 	want := divideByLoad(pool, loads)
 	if ok && old.leasable == pool {
-		withinHysteresis, withinLoad := true, true
+		withinHysteresis, withinUtilization := true, true
 		for i := range want {
 			withinHysteresis = withinHysteresis && math.Abs(want[i]-old.rates[i]) <= hysteresis*max(old.rates[i], pool/float64(len(runs)))
-			withinLoad = withinLoad && loads[i] <= maxLoadPart*old.rates[i]
+			withinUtilization = withinUtilization && loads[i] <= maxUtilization*old.rates[i]
 		}
-		if withinHysteresis || withinLoad {
+		if withinHysteresis || withinUtilization {
 			want = old.rates
 		}
 	}
@@ -278,8 +283,8 @@
 	return want
 }
 
-// divideByLoad divides a pool: where it is enough everybody gets its load and the rest evenly, else all in proportion to
-// their loads. One run's report counts for no more than the pool.
+// divideByLoad divides a pool of requests/s. If the pool exceeds the sum of the loads, each run gets its load and an equal
+// part of the rest; otherwise the pool is divided in proportion to the loads. One run's load counts at most as the pool.
 func divideByLoad(pool float64, loads []float64) []float64 {
 	out := make([]float64, len(loads))
 	sum := 0.0
@@ -297,7 +302,8 @@
 	return out
 }
 
-// roundDown takes a rate down to four digits, so that small moves change nothing; it leaves what it gave as it is.
+// roundDown rounds a rate down to four significant digits, so that small changes of load don't change leases. Rounding a
+// rounded rate again does not change it.
 func roundDown(v float64) float64 {
 	if v <= 0 {
 		return 0
--- a/internal/fleet/tenants/schema.go
+++ b/internal/fleet/tenants/schema.go
@@ -14,24 +14,24 @@
 	"meadowsill/internal/fleet"
 )
 
-// Limits of the schema.
+// Limits of a specification.
 const (
-	nameLimit    = 64  // bytes of a name: tenant, class, zone, kind
-	patternLimit = 128 // bytes of an id pattern
-	classLimit   = 32  // classes named
-	routeLimit   = 64  // routes
-	maxRate      = 1e7 // requests/s, and requests of a burst
+	nameLimit    = 64  // bytes of a name of a tenant, service, class, zone or kind
+	patternLimit = 128 // bytes of a route's id pattern
+	classLimit   = 32  // number of classes in a list
+	routeLimit   = 64  // number of routes
+	maxRate      = 1e7 // requests/s of a rate, and requests of a burst
 	weightLimit  = 1e6
 )
 
-// FieldError is one fault of a specification. It wraps fleet.ErrInvalid.
+// FieldError describes one error in a specification. It wraps fleet.ErrInvalid.
 type FieldError struct {
-	Field   string // its path, as "routes[1].weight"; empty: the complete
-	Line    int    // of the TOML file, from 1; 0: not known
+	Field   string // path of the field, such as "routes[1].weight"; empty: the whole specification
+	Line    int    // line in the TOML file, counted from 1; 0: not known
 	Problem string
 }
 
-// Error returns one plain line: "invalid: line 4: quota.rate: must be above 0".
+// Error returns the error on one line, for example "invalid: line 4: quota.rate: must be above 0".
 func (e *FieldError) Error() string {
 	var b strings.Builder
 	b.WriteString(fleet.ErrInvalid.Error())
@@ -44,7 +44,7 @@
 	return b.String() + ": " + oneLine(e.Problem)
 }
 
-// oneLine keeps what a peer wrote short and without control characters.
+// oneLine shortens a text from a peer and replaces control characters, so that it fits on one line.
 func oneLine(s string) string {
 	if len(s) > 300 {
 		s = s[:300] + "..."
@@ -57,14 +57,14 @@
 	}, s)
 }
 
-// Unwrap makes errors.Is(err, fleet.ErrInvalid) true.
+// Unwrap returns fleet.ErrInvalid, so that errors.Is(err, fleet.ErrInvalid) is true.
 func (e *FieldError) Unwrap() error { return fleet.ErrInvalid }
 
 func fieldError(field, format string, args ...any) error {
 	return &FieldError{Field: field, Problem: fmt.Sprintf(format, args...)}
 }
 
-// Validate checks a specification whole and gives its first fault as a *FieldError, in the schema's order.
+// Validate checks a complete specification and returns the first error, in the order of the schema, as a *FieldError.
 func Validate(s fleet.Spec) error {
 	if err := checkName("name", s.Name); err != nil {
 		return err
@@ -83,7 +83,8 @@
 	return checkRoutes(s)
 }
 
-// checkName takes letters, digits and "._-", the first a letter or digit: what an X-Account and a path can carry.
+// checkName accepts letters, digits and "._-", beginning with a letter or digit, because a name must fit into an X-Account
+// header and into a path.
 func checkName(field, v string) error {
 	switch {
 	case v == "":
@@ -92,8 +93,8 @@
 		return fieldError(field, "is longer than %d bytes", nameLimit)
 	}
 	for i, r := range v {
-		plain := r < unicode.MaxASCII && (unicode.IsLetter(r) || unicode.IsDigit(r))
-		if !plain && (i == 0 || !strings.ContainsRune("._-", r)) {
+		alphanumeric := r < unicode.MaxASCII && (unicode.IsLetter(r) || unicode.IsDigit(r))
+		if !alphanumeric && (i == 0 || !strings.ContainsRune("._-", r)) {
 			return fieldError(field, "%q has other than letters, digits, '.', '_' and '-', or begins with none of the first two", v)
 		}
 	}
@@ -116,12 +117,12 @@
 	return nil
 }
 
-// checkNumber takes finite numbers from 0 (above: from over 0) to most.
-func checkNumber(field string, v, largest float64, above bool) error {
+// checkNumber accepts finite numbers from 0 to largest; if positive is set, 0 is rejected too.
+func checkNumber(field string, v, largest float64, positive bool) error {
 	switch {
 	case math.IsNaN(v) || math.IsInf(v, 0):
 		return fieldError(field, "must be a finite number")
-	case above && v <= 0:
+	case positive && v <= 0:
 		return fieldError(field, "must be above 0")
 	case v < 0:
 		return fieldError(field, "must not be negative")
@@ -164,24 +165,24 @@
 		return fieldError("routes", "are more than %d", routeLimit)
 	}
 	for i, r := range s.Routes {
-		at := func(f string) string { return fmt.Sprintf("routes[%d].%s", i, f) }
+		routeField := func(f string) string { return fmt.Sprintf("routes[%d].%s", i, f) }
 		if r.Zone != "" {
-			if err := checkName(at("zone"), r.Zone); err != nil {
+			if err := checkName(routeField("zone"), r.Zone); err != nil {
 				return err
 			}
 		}
 		if r.Kind != "" {
-			if err := checkName(at("kind"), r.Kind); err != nil {
+			if err := checkName(routeField("kind"), r.Kind); err != nil {
 				return err
 			}
 		}
 		if len(r.ID) > patternLimit {
-			return fieldError(at("id"), "is longer than %d bytes", patternLimit)
+			return fieldError(routeField("id"), "is longer than %d bytes", patternLimit)
 		}
 		if _, err := path.Match(r.ID, ""); err != nil || strings.ContainsFunc(r.ID, unicode.IsControl) {
-			return fieldError(at("id"), "%q is no pattern", r.ID)
+			return fieldError(routeField("id"), "%q is no pattern", r.ID)
 		}
-		if err := checkNumber(at("weight"), r.Weight, weightLimit, true); err != nil {
+		if err := checkNumber(routeField("weight"), r.Weight, weightLimit, true); err != nil {
 			return err
 		}
 		for k, o := range s.Routes[:i] {
@@ -200,16 +201,16 @@
 	return nil
 }
 
-// Canonical returns the JSON of a specification, the same bytes for the same meaning: classes in order, empty
-// lists left out. The order of routes is kept.
+// Canonical returns the canonical JSON of a specification: the bytes are the same for specifications of the same meaning.
+// Classes are sorted, and empty lists are left out. The order of routes is kept.
 func Canonical(s fleet.Spec) []byte {
 	s.Namespace.Classes = slices.Sorted(slices.Values(s.Namespace.Classes))
 	raw, err := json.Marshal(s)
-	if err != nil { // only numbers that Validate rejects
+	if err != nil { // only numbers that Validate rejects can't be encoded
 		return nil
 	}
 	return raw
 }
 
-// Digest is the xxhash64 of a specification's canonical JSON, 16 hex digits.
+// Digest returns the xxhash64 of a specification's canonical JSON as 16 hex digits.
 func Digest(s fleet.Spec) string { return fmt.Sprintf("%016x", xxhash.Sum64(Canonical(s))) }
--- a/internal/fleet/tenants/scope.go
+++ b/internal/fleet/tenants/scope.go
@@ -9,17 +9,17 @@
 	"meadowsill/internal/fleet"
 )
 
-// EpochOf returns the session epoch of a service's scope (session.State.ScopeEpoch); of no service, the fleet's.
+// EpochOf returns the session epoch of a service's scope, as session.State.ScopeEpoch does; for an empty service, the fleet's epoch.
 type EpochOf func(service string) uint64
 
-// Present is who is present, as the controller counts them.
+// Present describes the present members of the fleet, as the controller counts them.
 type Present struct {
 	Epoch    EpochOf
 	Members  []fleet.Member
-	Services map[string][]string // of members that have a scope, by node
+	Services map[string][]string // scopes by node, of members that have one
 }
 
-// serviceIndex holds the tenants by service and name.
+// serviceIndex indexes the tenants by service and name.
 type serviceIndex map[string]map[string]*Entry
 
 func (x *serviceIndex) add(service, name string, e *Entry) {
@@ -39,7 +39,7 @@
 	}
 }
 
-// UnmarshalJSON reads a snapshot, and makes the index anew.
+// UnmarshalJSON decodes a snapshot and rebuilds the index.
 func (s *State) UnmarshalJSON(raw []byte) error {
 	type plain State
 	if err := json.Unmarshal(raw, (*plain)(s)); err != nil {
@@ -52,7 +52,8 @@
 	return nil
 }
 
-// InScope returns the tenants that a node of these services holds, in no order; no services: all. It costs what it gives.
+// InScope returns the tenants that a node with these services holds, in no particular order; without services, all tenants.
+// Its cost is proportional to the number of tenants that it yields.
 func (s *State) InScope(services []string) iter.Seq2[string, *Entry] {
 	return func(yield func(string, *Entry) bool) {
 		if len(services) == 0 {
@@ -78,78 +79,79 @@
 	}
 }
 
-// presentByScope is who is present in each scope, worked out once a step and only for the scopes requested.
+// presentByScope holds the present members of each scope. It is created once per step and computes only the scopes that are
+// requested.
 type presentByScope struct {
 	Present
 	all       scopeMembers
-	unscoped  []int            // positions of the members without a scope
-	byService map[string][]int // positions of the members whose scope names a service
+	unscoped  []int            // positions in Members of the members without a scope
+	byService map[string][]int // positions in Members, by service in the members' scopes
 	byScope   map[string]*scopeMembers
 }
 
-// scopeMembers is the present members of one scope, by node.
+// scopeMembers holds the present members of one scope, sorted by node.
 type scopeMembers struct {
 	members   []fleet.Member
 	runs      []Run
-	positions []int // among all present members
+	positions []int // positions among all present members
 }
 
 func newPresentByScope(p Present) *presentByScope {
 	p.Members = slices.Clone(p.Members)
 	slices.SortFunc(p.Members, byNode)
-	r := &presentByScope{Present: p, byService: map[string][]int{}, byScope: map[string]*scopeMembers{}}
+	scopes := &presentByScope{Present: p, byService: map[string][]int{}, byScope: map[string]*scopeMembers{}}
 	for i, m := range p.Members {
-		r.all.add(m, i)
+		scopes.all.add(m, i)
 		services := p.Services[m.Node]
 		if len(services) == 0 {
-			r.unscoped = append(r.unscoped, i)
+			scopes.unscoped = append(scopes.unscoped, i)
 		}
 		for _, service := range services {
-			r.byService[service] = append(r.byService[service], i)
+			scopes.byService[service] = append(scopes.byService[service], i)
 		}
 	}
-	return r
+	return scopes
 }
 
-// of returns the members that serve a service; of no service, all.
-func (r *presentByScope) of(service string) *scopeMembers {
-	if service == "" || len(r.unscoped) == len(r.Members) {
-		return &r.all
+// of returns the members that serve a service; for an empty service, all members.
+func (p *presentByScope) of(service string) *scopeMembers {
+	if service == "" || len(p.unscoped) == len(p.Members) {
+		return &p.all
 	}
-	g := r.byScope[service]
-	if g == nil {
-		g = &scopeMembers{}
-		positions := slices.Concat(r.unscoped, r.byService[service])
+	scope := p.byScope[service]
+	if scope == nil {
+		scope = &scopeMembers{}
+		positions := slices.Concat(p.unscoped, p.byService[service])
 		slices.Sort(positions)
 		for _, i := range positions {
-			g.add(r.Members[i], i)
+			scope.add(p.Members[i], i)
 		}
-		r.byScope[service] = g
+		p.byScope[service] = scope
 	}
-	return g
+	return scope
 }
 
-func (g *scopeMembers) add(m fleet.Member, position int) {
-	g.members = append(g.members, m)
-	g.runs = append(g.runs, Run{m.Node, m.Incarnation})
-	g.positions = append(g.positions, position)
+func (s *scopeMembers) add(m fleet.Member, position int) {
+	s.members = append(s.members, m)
+	s.runs = append(s.runs, Run{m.Node, m.Incarnation})
+	s.positions = append(s.positions, position)
 }
 
 func byNode(a, b fleet.Member) int { return strings.Compare(a.Node, b.Node) }
 
-// pick returns the runs of the group's members, out of those of all present members.
-func (g *scopeMembers) pick(runs []presentRun) []presentRun {
-	if len(g.positions) == len(runs) {
+// pick returns the runs of the scope's members; runs holds those of all present members.
+func (s *scopeMembers) pick(runs []presentRun) []presentRun {
+	if len(s.positions) == len(runs) {
 		return runs
 	}
-	picked := make([]presentRun, len(g.positions))
-	for i, position := range g.positions {
+	picked := make([]presentRun, len(s.positions))
+	for i, position := range s.positions {
 		picked[i] = runs[position]
 	}
 	return picked
 }
 
-// all reports whether ok holds for every member.
-func (g *scopeMembers) all(ok func(fleet.Member) bool) bool {
-	return !slices.ContainsFunc(g.members, func(m fleet.Member) bool { return !ok(m) })
+// all reports whether ok returns true for every member.
+func (s *scopeMembers) all(ok func(fleet.Member) bool) bool {
+	return !slices.ContainsFunc(s.members, func(m fleet.Member) bool { return !ok(m) })
 }
--- a/internal/fleet/tenants/state.go
+++ b/internal/fleet/tenants/state.go
@@ -8,47 +8,49 @@
 	"meadowsill/internal/fleet"
 )
 
-// State is the replicated part: every replica's is the same, as commands carry no time and sums are taken in a
-// fixed order. It marshals to JSON and back whole. Apply alone changes it. The zero State is ready for use.
+// State is the replicated state. It is the same on every replica, because commands contain no time and sums are added up
+// in a fixed order. Marshalling to JSON and back loses nothing. Only Apply changes it. The zero State is ready for use.
 type State struct {
 	Tenants         map[string]*Entry `json:"tenants,omitempty"`  // by name
 	Runs            map[string]*Lease `json:"runs,omitempty"`     // the newest run of each node, by node
-	OrphanedLeases  []OrphanedLease   `json:"ghosts,omitempty"`   // runs that have a successor and may still hold their leases
-	CountedNodes    map[string]uint64 `json:"known,omitempty"`    // nodes that were counted, by the count's number
-	NodeCounts      uint64            `json:"counts,omitempty"`   // counts of nodes so far
-	Slots           int               `json:"slots,omitempty"`    // the fleet's full number of nodes
-	Division        uint64            `json:"division,omitempty"` // rises with every division
+	OrphanedLeases  []OrphanedLease   `json:"ghosts,omitempty"`   // runs that were replaced and may still hold their leases
+	CountedNodes    map[string]uint64 `json:"known,omitempty"`    // by node: the value of NodeCounts when the node was last counted
+	NodeCounts      uint64            `json:"counts,omitempty"`   // how many times nodes were counted
+	Slots           int               `json:"slots,omitempty"`    // full number of nodes of the fleet; 0: no division yet
+	Division        uint64            `json:"division,omitempty"` // increases by one with every division
 	DividedRevision uint64            `json:"divided,omitempty"`  // revision of the newest division
 	Tombstones      []Tombstone       `json:"tombs,omitempty"`    // oldest first
-	Floor           uint64            `json:"floor,omitempty"`    // changes up to here may have lost their tombstone
+	Floor           uint64            `json:"floor,omitempty"`    // tombstones up to this revision may have been dropped
 
-	index serviceIndex // of Tenants
+	index serviceIndex // index over Tenants
 }
 
-// Entry is one tenant: its item's body, the item's revision, and the nodes that may still hold a larger quota.
+// Entry is one tenant: the body and revision of its item, and the nodes that may still use a larger quota.
 type Entry struct {
 	fleet.Tenant
 	Revision      uint64             `json:"rev"`
-	Applying      bool               `json:"applying,omitempty"` // committed, and not yet applied on all that were present
-	OutdatedRates map[string]float64 `json:"behind,omitempty"`   // by node: the largest rate, above the present, that its floor may come of
+	Applying      bool               `json:"applying,omitempty"` // the committed generation is not yet applied on all present nodes
+	OutdatedRates map[string]float64 `json:"behind,omitempty"`   // by node: largest earlier rate, above the present, that may still set its part
 }
 
-// Lease is the leases of one run: as published, and the most that it may hold by what it has heard.
+// Lease holds the quota leases of one run: the published rates, and the largest rates that the run may still use, because it
+// may not have received the published ones yet.
 type Lease struct {
 	Incarnation uint64             `json:"incarnation"`
 	Revision    uint64             `json:"rev"`
-	Division    uint64             `json:"division"` // that Rates are of
+	Division    uint64             `json:"division"` // the division that set Rates
 	Rates       map[string]float64 `json:"rates,omitempty"`
-	MaxRates    map[string]float64 `json:"most,omitempty"` // at least Rates
+	MaxRates    map[string]float64 `json:"most,omitempty"` // never below Rates
 }
 
-// OrphanedLease is a run that has a successor and may hold what it was leased until the controller knows its lease to be over.
+// OrphanedLease holds the leases of a run that was replaced by a newer run of its node. The old run is assumed to use them
+// until the controller knows that they have expired.
 type OrphanedLease struct {
 	Run
 	MaxRates map[string]float64 `json:"most"`
 }
 
-// Tombstone remembers that an item is removed, and for a tenant why its last rollout was rolled back.
+// Tombstone records that an item was removed, and for a tenant why its last rollout was rolled back.
 type Tombstone struct {
 	Key        string `json:"key"`
 	Revision   uint64 `json:"rev"`
@@ -56,9 +58,9 @@
 	RolledBack string `json:"rolled_back,omitempty"`
 }
 
-// Apply changes the state by one command and gives the keys of the items changed. rev gives the revision of
-// this change; it is called once, and only where something changes. epoch gives the session epochs as they stand
-// where the command is applied. Errors wrap fleet.ErrInvalid, ErrConflict, ErrNotFound or ErrStale; they change nothing.
+// Apply applies one command and returns the keys of the changed items. rev returns the revision of the change; Apply calls
+// it at most once, and only if something changes. epoch returns the session epochs at the point of the log where the command
+// is applied. Errors wrap fleet.ErrInvalid, fleet.ErrConflict, fleet.ErrNotFound or ErrStale; the state is then unchanged.
 func (s *State) Apply(c Command, epoch EpochOf, rev func() uint64) (changed []string, err error) {
 	switch c.Operation {
 	case Put:
@@ -66,7 +68,7 @@
 	case Delete:
 		return s.beginRemoval(c, rev)
 	case Divide:
-		if d := c.Division; d != nil && len(d.Expired) > 0 && c.Epoch != epoch("") { // one of them may be back
+		if d := c.Division; d != nil && len(d.Expired) > 0 && c.Epoch != epoch("") { // one of the expired runs may have rejoined
 			return nil, fmt.Errorf("%w: division at epoch %d, it is %d", ErrStale, c.Epoch, epoch(""))
 		}
 		return s.applyDivision(c, rev)
@@ -77,24 +79,24 @@
 			return nil, fmt.Errorf("%w: %s of tenant %q: it is no more", ErrStale, c.Operation, c.Name)
 		case e.Revision != c.IfRevision:
 			return nil, fmt.Errorf("%w: %s of tenant %q at revision %d, it is at %d", ErrStale, c.Operation, c.Name, c.IfRevision, e.Revision)
-		case c.Epoch != c.epochNow(e, epoch) && c.Operation != Rollback:
-			return nil, fmt.Errorf("%w: %s of tenant %q at epoch %d, it is %d", ErrStale, c.Operation, c.Name, c.Epoch, c.epochNow(e, epoch))
+		case c.Epoch != c.currentEpoch(e, epoch) && c.Operation != Rollback:
+			return nil, fmt.Errorf("%w: %s of tenant %q at epoch %d, it is %d", ErrStale, c.Operation, c.Name, c.Epoch, c.currentEpoch(e, epoch))
 		}
 		return s.applyStep(e, c, rev)
 	}
 	return nil, fmt.Errorf("%w: op %q is not known", fleet.ErrInvalid, c.Operation)
 }
 
-// epochNow is the present value of the epoch that the command names. Those from before there were scopes name the fleet's,
-// and are rejected by it on every replica.
-func (c *Command) epochNow(e *Entry, epoch EpochOf) uint64 {
+// currentEpoch returns the present value of the epoch that the command refers to. Commands from logs written before scopes
+// existed refer to the fleet's epoch, so that every replica checks them against that one.
+func (c *Command) currentEpoch(e *Entry, epoch EpochOf) uint64 {
 	if c.Scoped {
 		return epoch(e.Service())
 	}
 	return epoch("")
 }
 
-// conflictError names the present generation, as the API's 409 does.
+// conflictError returns an error that names the present generation, for the API's 409 answer.
 func conflictError(name string, e *Entry, why string) error {
 	g := uint64(0)
 	if e != nil && e.Committed != nil {
@@ -158,15 +160,15 @@
 	return []string{keyTenant + c.Name}, nil
 }
 
-// applyStep carries out the controller's commands on a tenant that is as the controller saw it.
+// applyStep applies a controller's command to a tenant that has not changed since the controller decided.
 func (s *State) applyStep(e *Entry, c Command, rev func() uint64) ([]string, error) {
-	wrong := func() ([]string, error) {
+	wrongPhase := func() ([]string, error) {
 		return nil, fmt.Errorf("%w: %s of tenant %q, generation %d: not where the tenant is", ErrStale, c.Operation, c.Name, c.Generation)
 	}
 	switch c.Operation {
 	case Commit:
 		if e.Staged == nil || e.Staged.Number != c.Generation {
-			return wrong()
+			return wrongPhase()
 		}
 		if !s.CanCommit(c.Name) {
 			return nil, fmt.Errorf("%w: commit of tenant %q: leases of the larger quota may still be held", ErrStale, c.Name)
@@ -178,7 +180,7 @@
 		e.Applying = true
 	case Rollback:
 		if e.Staged == nil || e.Staged.Number != c.Generation {
-			return wrong()
+			return wrongPhase()
 		}
 		service := e.Service()
 		e.Staged, e.RolledBack = nil, fmt.Sprintf("generation %d: node %s: %s", c.Generation, c.Node, c.Reason)
@@ -187,19 +189,19 @@
 		}
 	case Applied:
 		if !e.Applying || e.Committed.Number != c.Generation {
-			return wrong()
+			return wrongPhase()
 		}
 		s.countNodes(c.Runs)
 		e.Applying = false
-		return nil, nil // the item is as it was
+		return nil, nil // the item itself does not change
 	case Drained:
 		if !e.Removing || e.QuotaWithdrawn {
-			return wrong()
+			return wrongPhase()
 		}
 		e.QuotaWithdrawn = true
 	case QuotaWithdrawn:
 		if !e.QuotaWithdrawn {
-			return wrong()
+			return wrongPhase()
 		}
 		return s.dropTenant(c.Name, e.Service(), e, rev()), nil
 	}
@@ -207,8 +209,8 @@
 	return []string{keyTenant + c.Name}, nil
 }
 
-// countNodes notes that nodes were counted. Of more than twice the slots those last counted longest ago are forgotten,
-// their larger guaranteed parts with them.
+// countNodes records that the nodes of these runs were counted. If more than twice as many nodes are recorded as there are
+// slots (or runs, if those are more), it forgets the ones that were not counted for the longest time, and their outdated rates.
 func (s *State) countNodes(runs []Run) {
 	if s.CountedNodes == nil {
 		s.CountedNodes = map[string]uint64{}
@@ -231,8 +233,8 @@
 	}
 }
 
-// dropTenant takes a tenant away and keeps its tombstone. What runs may hold of its quota stays counted, under its name,
-// against whatever tenant comes to bear it.
+// dropTenant deletes a tenant and adds a tombstone. The leases that runs may still hold of its quota remain recorded under
+// its name, and count against a later tenant of that name.
 func (s *State) dropTenant(name, service string, e *Entry, rev uint64) []string {
 	delete(s.Tenants, name)
 	s.index.remove(service, name)
@@ -249,7 +251,7 @@
 	}
 }
 
-// dropTombstone forgets the tombstone of an item that is there again.
+// dropTombstone removes the tombstone of an item that exists again.
 func (s *State) dropTombstone(key string) {
 	for i, t := range s.Tombstones {
 		if t.Key == key {
--- a/internal/fleet/tenants/status.go
+++ b/internal/fleet/tenants/status.go
@@ -6,18 +6,19 @@
 	"meadowsill/internal/fleet"
 )
 
-// Phases of a node with a tenant, in NodeStatus.
+// Phases of a node in a tenant's rollout or removal, as in NodeStatus.
 const (
-	NodeSilent   = "silent"   // no report since this leader began to lead
-	NodeBehind   = "behind"   // does not hold what is intended
-	NodeStaged   = "staged"   // has validated the staged generation
-	NodeRejected = "refused"  // can't stage it
-	NodeApplied  = "applied"  // serves by the committed generation
-	NodeDraining = "draining" // takes no new requests; some are open
-	NodeRemoved  = "removed"  // takes no new requests; none is open
+	NodeSilent   = "silent"   // the node has not reported since this leader began to lead
+	NodeBehind   = "behind"   // the node does not hold the intended state
+	NodeStaged   = "staged"   // the node has validated the staged generation
+	NodeRejected = "refused"  // the node can't stage the generation
+	NodeApplied  = "applied"  // the node serves by the committed generation
+	NodeDraining = "draining" // the node takes no new requests of the tenant; some are open
+	NodeRemoved  = "removed"  // the node takes no new requests of the tenant; none is open
 )
 
-// Status returns the phase with a tenant of each node present in its scope, by node; fleet.ErrNotFound wrapped for a name that has none.
+// Status returns the status of each node present in a tenant's scope, sorted by node. If no tenant has this name, the error
+// wraps fleet.ErrNotFound.
 func (ctl *Controller) Status(now fleet.Time, s *State, name string, p Present) ([]NodeStatus, error) {
 	e := s.Tenants[name]
 	if e == nil {
@@ -32,7 +33,7 @@
 			a, known := ctl.tenantReport(e, name, m)
 			st.Generation, st.Staged = a.Committed, a.Staged
 			st.Phase, st.Reason = ctl.nodePhase(e, name, m, a, known)
-			if b := ctl.steps[name]; st.Phase == NodeBehind && b.revision == e.Revision && now-b.seenAt >= ApplyTimeout && ctl.isLate(s, e, name, m) {
+			if step := ctl.steps[name]; st.Phase == NodeBehind && step.revision == e.Revision && now-step.seenAt >= ApplyTimeout && ctl.isLate(s, e, name, m) {
 				st.Reason = reasonLate
 			}
 		}
@@ -64,44 +65,44 @@
 	return NodeBehind, ""
 }
 
-// LateNode is a node present in a tenant's scope that holds up a step of a rollout or removal, past ApplyTimeout.
+// LateNode is a node present in a tenant's scope that has delayed a step of a rollout or removal for at least ApplyTimeout.
 type LateNode struct {
 	Node   string
 	Tenant string
-	// generations committed: intended, and by the node's report
+	// the committed generation: as intended, and as the node reports it
 	WantedGeneration uint64
 	Generation       uint64
 }
 
-// Late names those that hold up what is committed, by tenant and node: it is never taken back, and so nothing but them
-// stands in its way. A node that still has requests of a removed tenant open is not among them.
+// Late returns the nodes that delay a committed rollout or a removal, sorted by tenant and node. Neither is ever taken back,
+// so only these nodes keep it from finishing. A node that still has open requests of a removed tenant is not late.
 func (ctl *Controller) Late(now fleet.Time, s *State, p Present) (out []LateNode) {
-	var r *presentByScope // made for the first that is past its bound
+	var scopes *presentByScope // created for the first tenant that is past its time limit
 	for _, name := range sortedKeys(ctl.steps) {
 		e := s.Tenants[name]
-		if b := ctl.steps[name]; e == nil || b.revision != e.Revision || now-b.seenAt < ApplyTimeout {
+		if step := ctl.steps[name]; e == nil || step.revision != e.Revision || now-step.seenAt < ApplyTimeout {
 			continue
 		}
-		if r == nil {
-			r = newPresentByScope(p)
+		if scopes == nil {
+			scopes = newPresentByScope(p)
 		}
-		for _, m := range r.of(e.Service()).members {
+		for _, m := range scopes.of(e.Service()).members {
 			if ctl.isLate(s, e, name, m) {
-				l := LateNode{Node: m.Node, Tenant: name}
+				late := LateNode{Node: m.Node, Tenant: name}
 				if e.Committed != nil {
-					l.WantedGeneration = e.Committed.Number
+					late.WantedGeneration = e.Committed.Number
 				}
 				if a, ok := ctl.tenantReport(e, name, m); ok {
-					l.Generation = a.Committed
+					late.Generation = a.Committed
 				}
-				out = append(out, l)
+				out = append(out, late)
 			}
 		}
 	}
 	return out
 }
 
-// isLate reports whether a node has yet to take the step that a tenant is at.
+// isLate reports whether a node has not yet done the current step of a tenant.
 func (ctl *Controller) isLate(s *State, e *Entry, name string, m fleet.Member) bool {
 	switch s.Phase(name) {
 	case PhaseApplying:
@@ -112,7 +113,8 @@
 	return false
 }
 
-// HasFollowed reports whether a node that reports so holds up nothing: it has applied all that is committed in its scope.
+// HasFollowed reports whether a node with this report delays no rollout or removal, because it has applied all committed
+// changes in its scope.
 func HasFollowed(s *State, r fleet.Report) bool {
 	for name, e := range s.InScope(r.Services) {
 		if !e.Applying && !e.Removing && !e.QuotaWithdrawn {
@@ -130,10 +132,11 @@
 	return true
 }
 
-// CaughtUp reports whether a node that reports so may begin to serve: of every committed tenant of its scope it holds the present
-// generation, or while that is being applied its predecessor, and none of a tenant that is no more or is outside of it. It is checked before a
-// run becomes present; until then the leader answers its reports with NotReady (T2, T4).
-// Tenants of the node's own settings have UID 0 and don't count until intent names them.
+// CaughtUp reports whether a node with this report may begin to serve. The node must hold the present generation of every
+// committed tenant in its scope (or the previous generation while the present one is being applied), and no generation of a
+// tenant that no longer exists or is out of its scope. This is checked before a run becomes present; until then the leader
+// answers its reports with NotReady (T2, T4). Tenants from the node's own settings have UID 0 and don't count until intent
+// contains them.
 func CaughtUp(s *State, r fleet.Report) bool {
 	acks := map[string]fleet.TenantAck{}
 	for _, a := range r.Tenants {
--- a/internal/fleet/tenants/toml_line.go
+++ b/internal/fleet/tenants/toml_line.go
@@ -8,42 +8,42 @@
 	"strings"
 )
 
-// lineOf finds the line, from 1, of a field's path in a TOML text that decodes. A field that is missing, or that
-// stands in an inline table, gives the line of the nearest table above it that is there; 0 where none is.
+// lineOf returns the line, counted from 1, of a field's path in a valid TOML text. For a field that is missing or inside an
+// inline table, it returns the line of the innermost present key or table around the field; 0 if there is none.
 func lineOf(text, field string) int {
 	best, bestLen := 0, 0
 	table, seen := "", map[string]int{}
 	for i, line := range strings.Split(text, "\n") {
 		line = strings.TrimSpace(line)
-		var at string
+		var path string
 		if head, ok := strings.CutPrefix(line, "[["); ok {
 			head, _, _ = strings.Cut(head, "]]")
-			head = plainKey(head)
+			head = unquoteKey(head)
 			table = fmt.Sprintf("%s[%d]", head, seen[head])
 			seen[head]++
-			at = table
+			path = table
 		} else if head, ok := strings.CutPrefix(line, "["); ok {
 			head, _, _ = strings.Cut(head, "]")
-			table = plainKey(head)
-			at = table
+			table = unquoteKey(head)
+			path = table
 		} else if key, _, ok := strings.Cut(line, "="); ok && !strings.HasPrefix(line, "#") {
-			at = join(table, plainKey(key))
+			path = joinPath(table, unquoteKey(key))
 		}
-		if at != "" && len(at) > bestLen && within(field, at) {
-			best, bestLen = i+1, len(at)
+		if path != "" && len(path) > bestLen && within(field, path) {
+			best, bestLen = i+1, len(path)
 		}
 	}
 	return best
 }
 
-// within reports whether path field is at or below path at.
-func within(field, at string) bool {
-	rest, ok := strings.CutPrefix(field, at)
+// within reports whether the path field is equal to path or below it.
+func within(field, path string) bool {
+	rest, ok := strings.CutPrefix(field, path)
 	return ok && (rest == "" || rest[0] == '.' || rest[0] == '[')
 }
 
-func plainKey(k string) string {
-	parts := strings.Split(k, ".")
+func unquoteKey(key string) string {
+	parts := strings.Split(key, ".")
 	for i, p := range parts {
 		parts[i] = strings.Trim(strings.TrimSpace(p), `"'`)
 	}
