--- a/internal/fleet/tenants/simulation/invariants.go
+++ b/internal/fleet/tenants/simulation/invariants.go
@@ -7,25 +7,25 @@
 	"meadowsill/internal/fleet/tenants"
 )
 
-// service is how the runs serve one tenant.
-type service struct {
-	lowest     uint64 // generation of the committed tenant; 0 if a run that must serve it doesn't
+// servedTenant describes how the runs serve one tenant.
+type servedTenant struct {
+	lowest     uint64 // lowest generation that a run serves by; 0 if a run that must serve the tenant does not
 	highest    uint64
 	uids       map[uint64]bool
-	guaranteed map[string]float64 // requests/s by node
-	leased     float64            // requests/s over all runs
+	guaranteed map[string]float64 // guaranteed parts by node, requests/s
+	leased     float64            // sum of the leases of all runs, requests/s
 }
 
-// check holds the invariants against what every process would do with a request now.
+// check verifies the invariants, based on what every process would do with a request now.
 func (m *model) check() {
 	for _, name := range modelNames {
 		e := m.state.Tenants[name]
-		s := service{lowest: ^uint64(0), uids: map[uint64]bool{}, guaranteed: map[string]float64{}}
+		s := servedTenant{lowest: ^uint64(0), uids: map[uint64]bool{}, guaranteed: map[string]float64{}}
 		for _, r := range m.runs {
 			if _, ok := r.applied.tenants[name]; r.ended || !ok && e == nil {
 				continue
 			}
-			m.addService(&s, r, name, e)
+			m.addRun(&s, r, name, e)
 		}
 		if s.highest > 0 && s.highest > s.lowest+1 {
 			m.fail("T2: generations %d to %d of %s are served at one time", s.lowest, s.highest, name)
@@ -40,14 +40,14 @@
 	}
 }
 
-// addService adds to s how a run serves a tenant, whose replicated state is e, and checks T1 of it.
-func (m *model) addService(s *service, r *run, name string, e *tenants.Entry) {
+// addRun adds to s how a run serves a tenant, whose replicated state is e, and checks T1 for the run.
+func (m *model) addRun(s *servedTenant, r *run, name string, e *tenants.Entry) {
 	t := r.applied.tenants[name]
 	g := t.Committed
 	if m.fault == "staged" && t.Staged != nil && r.staged[t.Staged.Digest] {
 		g = t.Staged
 	}
-	if e != nil && m.counts(r, e.Tenant) && r.ready && !e.Removing {
+	if e != nil && m.presentInScope(r, e.Tenant) && r.ready && !e.Removing {
 		s.addGeneration(t, g, e)
 	}
 	if g == nil || t.Removing {
@@ -68,8 +68,8 @@
 	}
 }
 
-// addGeneration adds that a run which must serve the tenant of e serves t by g, or not at all.
-func (s *service) addGeneration(t fleet.Tenant, g *fleet.Generation, e *tenants.Entry) {
+// addGeneration adds to s that a run, which must serve the tenant of e, serves t by g; g is nil if it does not serve.
+func (s *servedTenant) addGeneration(t fleet.Tenant, g *fleet.Generation, e *tenants.Entry) {
 	switch {
 	case g != nil && t.UID != e.UID && e.Committed != nil && !t.Removing:
 		s.uids[t.UID] = true
@@ -82,8 +82,8 @@
 	}
 }
 
-// checkQuota checks T3: guaranteed and leased parts come to no more than the quota.
-func (m *model) checkQuota(s *service, name string, e *tenants.Entry) {
+// checkQuota checks T3: the sum of the guaranteed parts and the leases is at most the quota.
+func (m *model) checkQuota(s *servedTenant, name string, e *tenants.Entry) {
 	sum := s.leased
 	for _, part := range s.guaranteed {
 		sum += part
@@ -93,16 +93,16 @@
 	}
 }
 
-// checkStaging checks T5: no generation is being staged for long.
+// checkStaging checks T5: no generation stays staged for longer than StageTimeout plus a TTL under one leader.
 func (m *model) checkStaging(name string, e *tenants.Entry) {
 	if e.Staged == nil {
 		return
 	}
 	key := fmt.Sprint(name, e.Revision)
-	if _, ok := m.staging[key]; !ok {
-		m.staging[key] = m.now
+	if _, ok := m.firstStaged[key]; !ok {
+		m.firstStaged[key] = m.now
 	}
-	if d := m.now - max(m.staging[key], m.leaderSince); d > tenants.StageTimeout+modelTTL {
+	if d := m.now - max(m.firstStaged[key], m.leaderSince); d > tenants.StageTimeout+modelTTL {
 		m.fail("T5: %s is being staged for %v", name, d)
 	}
 }
--- a/internal/fleet/tenants/simulation/model.go
+++ b/internal/fleet/tenants/simulation/model.go
@@ -1,6 +1,6 @@
-// Package simulation is a small fleet in simulated time around the core of tenants: replicas, a leader that changes, and runs of
-// nodes that hear late, are cut off, crash and are outlived, with the rules T1, T2, T3, T5 and T6 held at every step
-// (docs/fleet.md). It does no I/O and reads no clock.
+// Package simulation runs a small fleet in simulated time around package tenants: replicas, a leader that changes, and runs of
+// nodes that receive messages late, get disconnected, crash and are superseded. It checks the invariants T1, T2, T3, T5 and
+// T6 at every step (docs/fleet.md). It does no I/O and reads no clock.
 package simulation
 
 import (
@@ -15,28 +15,28 @@
 	"meadowsill/internal/fleet/tenants"
 )
 
-// model is a small fleet in one process: a replicated state, a leader that changes, and runs of nodes that hear late,
-// are cut off, crash, come back from their disks, or are outlived by an older run. Every choice is pick's. fault plants
-// one mistake in the parts around the core, or in what it is given.
+// model is a small fleet in one process: a replicated state, a leader that changes, and runs of nodes that receive messages
+// late, get disconnected, crash, restart from their disks, or start while an older run goes on. pick makes every random
+// choice. fault injects one fault into the simulated parts around package tenants, or into its input.
 type model struct {
 	pick  func(n int) int
 	fault string
 	now   fleet.Time
-	// the twin replica is given the same commands
+	// the second replica applies the same commands
 	state        *tenants.State
-	twin         *tenants.State
+	otherReplica *tenants.State
 	revision     uint64
 	controller   *tenants.Controller
 	sessions     session.State
-	renewed      map[string]fleet.Time // when the leader last renewed a session, by node
+	renewedAt    map[string]fleet.Time // by node: when the leader last renewed its session
 	runs         []*run
 	queue        []event
-	committed    map[uint64]map[uint64]string // uid, generation: digest
-	staging      map[string]fleet.Time        // tenant and revision: first seen staged under this leader
+	committed    map[uint64]map[uint64]string // digest by UID and generation
+	firstStaged  map[string]fleet.Time        // by tenant and revision: when it was first seen staged
 	leaderSince  fleet.Time
 	incarnations uint64
 	nodes        []string
-	answers      map[string]intentCopy // by node, while the revision is theirs
+	cachedIntent map[string]intentCopy // by node: cached intent, valid at its revision
 	violation    string
 }
 
@@ -45,10 +45,10 @@
 	action func()
 }
 
-// run is one process: its agent and its module.
+// run is one process of a node, together with its agent and its module.
 type run struct {
 	name         string
-	services     []string // its scope
+	services     []string // the scope of the run
 	incarnation  uint64
 	sequence     uint64
 	applied      intentCopy
@@ -57,9 +57,9 @@
 	ready        bool
 	ended        bool
 	disconnected bool
-	outlived     bool // has a successor on its machine
+	superseded   bool // a newer run of the node has started on its machine
 	rejects      bool
-	// digests ever staged, ever rejected
+	// digests that the run has ever staged, and ever rejected
 	staged       map[string]bool
 	rejected     map[string]bool
 	load         float64
@@ -82,28 +82,28 @@
 
 func newModel(pick func(int) int, fault string) *model {
 	m := &model{
-		pick:       pick,
-		fault:      fault,
-		state:      &tenants.State{},
-		twin:       &tenants.State{},
-		renewed:    map[string]fleet.Time{},
-		committed:  map[uint64]map[uint64]string{},
-		staging:    map[string]fleet.Time{},
-		answers:    map[string]intentCopy{},
-		controller: tenants.NewController(tenants.Config{Slots: modelSlots, TTL: modelTTL}),
-		nodes:      []string{"n1", "n2", "n3", "n4"},
+		pick:         pick,
+		fault:        fault,
+		state:        &tenants.State{},
+		otherReplica: &tenants.State{},
+		renewedAt:    map[string]fleet.Time{},
+		committed:    map[uint64]map[uint64]string{},
+		firstStaged:  map[string]fleet.Time{},
+		cachedIntent: map[string]intentCopy{},
+		controller:   tenants.NewController(tenants.Config{Slots: modelSlots, TTL: modelTTL}),
+		nodes:        []string{"n1", "n2", "n3", "n4"},
 	}
 	for _, n := range m.nodes {
-		m.start(n, intentCopy{})
+		m.startRun(n, intentCopy{})
 	}
 	return m
 }
 
-// start begins a run, which may have another scope than the one before. What the disk has outside of it is dropped.
-func (m *model) start(name string, disk intentCopy) {
+// startRun starts a run, whose scope may differ from that of the previous run. It drops the tenants on disk outside the scope.
+func (m *model) startRun(name string, disk intentCopy) {
 	m.incarnations++
 	services := modelScopes[m.pick(len(modelScopes))]
-	disk = disk.within(services)
+	disk = disk.inScope(services)
 	m.runs = append(m.runs, &run{
 		name:        name,
 		services:    services,
@@ -116,8 +116,8 @@
 	})
 }
 
-func (m *model) after(ticks int, do func()) {
-	m.queue = append(m.queue, event{m.now + time.Duration(ticks)*modelTick, do})
+func (m *model) after(ticks int, action func()) {
+	m.queue = append(m.queue, event{m.now + time.Duration(ticks)*modelTick, action})
 }
 
 func (m *model) fail(format string, args ...any) {
@@ -126,7 +126,7 @@
 	}
 }
 
-// apply carries a command out on both replicas, as raft would.
+// apply applies a command on both replicas, as Raft would.
 func (m *model) apply(c tenants.Command) error {
 	if e := m.state.Tenants[c.Name]; m.fault == "epoch" && e != nil && c.Operation != tenants.Divide {
 		c.Epoch, c.Scoped = m.sessions.ScopeEpoch(e.Service()), true
@@ -143,16 +143,16 @@
 			c.Division.Expired = append(c.Division.Expired, g.Run)
 		}
 	}
-	before := m.state.Phase(c.Name)
-	var was *fleet.Generation
+	phaseBefore := m.state.Phase(c.Name)
+	var stagedBefore *fleet.Generation
 	if e := m.state.Tenants[c.Name]; e != nil {
-		was = e.Staged
+		stagedBefore = e.Staged
 	}
-	at := m.revision
+	otherRevision := m.revision
 	_, err := m.state.Apply(c, m.sessions.ScopeEpoch, func() uint64 { m.revision++; return m.revision })
-	_, err2 := m.twin.Apply(c, m.sessions.ScopeEpoch, func() uint64 { at++; return at })
-	if fmt.Sprint(err) != fmt.Sprint(err2) || at != m.revision {
-		m.fail("replicas differ: %v, %v", err, err2)
+	_, otherErr := m.otherReplica.Apply(c, m.sessions.ScopeEpoch, func() uint64 { otherRevision++; return otherRevision })
+	if fmt.Sprint(err) != fmt.Sprint(otherErr) || otherRevision != m.revision {
+		m.fail("replicas differ: %v, %v", err, otherErr)
 	}
 	if err != nil {
 		return err
@@ -162,24 +162,24 @@
 		if m.committed[e.UID] == nil {
 			m.committed[e.UID] = map[uint64]string{}
 		}
-		m.committed[e.UID][was.Number] = was.Digest
+		m.committed[e.UID][stagedBefore.Number] = stagedBefore.Digest
 		for _, r := range m.runs {
-			if m.counts(r, e.Tenant) && !r.ended && !r.staged[was.Digest] {
-				m.fail("T5: %s is committed at %d, and %s has not staged it", c.Name, was.Number, r.name)
+			if m.presentInScope(r, e.Tenant) && !r.ended && !r.staged[stagedBefore.Digest] {
+				m.fail("T5: %s is committed at %d, and %s has not staged it", c.Name, stagedBefore.Number, r.name)
 			}
 		}
 	case tenants.Rollback:
-		if before != tenants.PhaseStaging || c.Node == "" || c.Reason == "" {
-			m.fail("T5: rolled back from %s by %q for %q", before, c.Node, c.Reason)
+		if phaseBefore != tenants.PhaseStaging || c.Node == "" || c.Reason == "" {
+			m.fail("T5: rolled back from %s by %q for %q", phaseBefore, c.Node, c.Reason)
 		}
-		if services := m.sessions.Services(c.Node); !fleet.Serves(services, was.Spec.Service) && !strings.Contains(c.Reason, "may still hold a share") {
-			m.fail("T5: %s, of %q, rolled back by %s, which serves %q: %s", c.Name, was.Spec.Service, c.Node, services, c.Reason)
+		if services := m.sessions.Services(c.Node); !fleet.Serves(services, stagedBefore.Spec.Service) && !strings.Contains(c.Reason, "may still hold a share") {
+			m.fail("T5: %s, of %q, rolled back by %s, which serves %q: %s", c.Name, stagedBefore.Spec.Service, c.Node, services, c.Reason)
 		}
 	}
 	return nil
 }
 
-// tick lets a tenth of a second go.
+// tick advances the simulated time by a tenth of a second.
 func (m *model) tick() {
 	m.now += modelTick
 	queue := m.queue
@@ -192,7 +192,7 @@
 		}
 	}
 	for _, n := range m.nodes {
-		if member, ok := m.sessions.Members[n]; ok && m.now-max(m.renewed[n], m.leaderSince) >= modelTTL {
+		if member, ok := m.sessions.Members[n]; ok && m.now-max(m.renewedAt[n], m.leaderSince) >= modelTTL {
 			m.sessions.Apply(session.Command{Operation: session.Expire, Member: member})
 		}
 	}
@@ -206,26 +206,26 @@
 }
 
 func (r *run) step(m *model) {
-	if r.outlived && (m.now >= r.lease && m.fault != "lease") {
+	if r.superseded && (m.now >= r.lease && m.fault != "lease") {
 		r.ended = true
 	}
 	if r.ended || r.disconnected {
 		return
 	}
-	m.after(m.pick(6), func() { // asks a replica for intent
-		c := m.intent(r.name).within(r.services)
-		m.after(m.pick(6), func() { r.hear(m, c) })
+	m.after(m.pick(6), func() { // the agent requests intent from a replica
+		c := m.intent(r.name).inScope(r.services)
+		m.after(m.pick(6), func() { r.receiveIntent(m, c) })
 	})
 	if m.now >= r.nextReportAt {
 		r.nextReportAt = m.now + 3*modelTick
 		rep, sent := r.report(m), m.now
-		m.after(m.pick(6), func() { m.reported(r, rep, sent) })
+		m.after(m.pick(6), func() { m.receiveReport(r, rep, sent) })
 	}
 }
 
-// intent is what a replica answers a node with.
+// intent returns the answer of a replica to a node that requests intent.
 func (m *model) intent(node string) intentCopy {
-	if c, ok := m.answers[node]; ok && c.revision == m.revision {
+	if c, ok := m.cachedIntent[node]; ok && c.revision == m.revision {
 		return c
 	}
 	c := intentCopy{revision: m.revision, tenants: map[string]fleet.Tenant{}}
@@ -240,11 +240,11 @@
 			c.tenants[it.Key[len("tenant/"):]] = t
 		}
 	}
-	m.answers[node] = c
+	m.cachedIntent[node] = c
 	return c
 }
 
-func (r *run) hear(m *model, c intentCopy) {
+func (r *run) receiveIntent(m *model, c intentCopy) {
 	if r.ended || r.disconnected || c.revision < r.applied.revision {
 		return
 	}
@@ -261,7 +261,7 @@
 			r.staged[t.Staged.Digest] = true
 		}
 	}
-	r.disk, r.applied = c, c // the copy is on disk before it is passed on
+	r.disk, r.applied = c, c // the agent writes the copy to disk before it passes it on to the module
 }
 
 func (r *run) report(m *model) fleet.Report {
@@ -285,16 +285,16 @@
 	return rep
 }
 
-// reported is the leader's part in sessions, as docs/fleet.md has it: a run joins, or comes back, once it has caught up.
-func (m *model) reported(r *run, rep fleet.Report, sent fleet.Time) {
+// receiveReport is the leader's handling of sessions (docs/fleet.md): a run joins, or rejoins, once it has caught up.
+func (m *model) receiveReport(r *run, rep fleet.Report, sent fleet.Time) {
 	if r.disconnected {
 		return
 	}
 	if rep.Incarnation < m.sessions.NewestRuns[r.name].Incarnation {
 		m.after(m.pick(4), func() {
-			if r.outlived {
+			if r.superseded {
 				r.ended = true
-			} else if r.incarnation == rep.Incarnation && !r.disconnected { // the process goes on as a new run
+			} else if r.incarnation == rep.Incarnation && !r.disconnected { // the process continues as a new run
 				m.incarnations++
 				r.incarnation = m.incarnations
 				r.sequence = 0
@@ -305,14 +305,14 @@
 		return
 	}
 	if !m.sessions.Present(rep.Member) {
-		share, _ := m.state.Item("share/" + r.name)
-		if (!tenants.CaughtUp(m.state, rep) || rep.Revision < share.Revision) && m.fault != "ready" {
+		quotaLease, _ := m.state.Item("share/" + r.name)
+		if (!tenants.CaughtUp(m.state, rep) || rep.Revision < quotaLease.Revision) && m.fault != "ready" {
 			m.after(m.pick(4), func() { r.ready = r.ready && (r.disconnected || r.incarnation != rep.Incarnation) })
 			return
 		}
 		m.sessions.Apply(session.Command{Operation: session.Join, Member: rep.Member, Services: rep.Services})
 	}
-	m.renewed[r.name] = m.now
+	m.renewedAt[r.name] = m.now
 	m.controller.Observe(m.now, fleet.NodeView{Member: rep.Member, ReceivedAt: m.now, Report: rep})
 	m.after(m.pick(4), func() {
 		if r.incarnation == rep.Incarnation && !r.disconnected {
