--- a/internal/fleet/tenants/bench_test.go
+++ b/internal/fleet/tenants/bench_test.go
@@ -9,10 +9,10 @@
 	"meadowsill/internal/fleet"
 )
 
-// benchNodes is how many nodes divide the quotas of a growing number of tenants.
+// benchNodes is the number of nodes among which the benchmark divides the quotas.
 const benchNodes = 100
 
-// benchDivision is a fleet of n committed tenants whose quotas are not yet divided, with a report of each node.
+// benchDivision returns a fleet of n committed tenants whose quotas are not yet divided, with a report from each node.
 func benchDivision(b *testing.B, n int) (*State, *Controller, []fleet.Member) {
 	state, rev := &State{}, uint64(0)
 	next := func() uint64 { rev++; return rev }
@@ -45,8 +45,8 @@
 	return state, controller, present
 }
 
-// BenchmarkCapacityDivision is the first division of every quota among 100 nodes: decided by the controller and applied to the
-// state. It reports the size of the leases in a snapshot.
+// BenchmarkCapacityDivision measures the first division of all quotas among 100 nodes: the decision of the controller, and
+// applying it to the state. It reports the size of the leases in a snapshot.
 func BenchmarkCapacityDivision(b *testing.B) {
 	for _, n := range []int{50, 100, 200, 400} {
 		b.Run(fmt.Sprintf("pairs=%d", benchNodes*n), func(b *testing.B) {
--- a/internal/fleet/tenants/golden_test.go
+++ b/internal/fleet/tenants/golden_test.go
@@ -7,13 +7,13 @@
 	"meadowsill/internal/golden"
 )
 
-// Commands of the replicated log, and the state as snapshots hold it.
+// TestStoredBytes checks the encoding of commands in the replicated log, and of the state in snapshots.
 func TestStoredBytes(t *testing.T) {
 	golden.JSON[tenants.Command](t, "command")
 	golden.JSON[tenants.State](t, "state")
 }
 
-// A node's line of GET /fleet/v1/tenants/NAME/status.
+// TestStatusOnTheWire checks the encoding of a node's status in GET /fleet/v1/tenants/NAME/status.
 func TestStatusOnTheWire(t *testing.T) {
 	golden.JSON[tenants.NodeStatus](t, "node-status")
 }
--- a/internal/fleet/tenants/page_test.go
+++ b/internal/fleet/tenants/page_test.go
@@ -13,32 +13,32 @@
 	"meadowsill/internal/fleet/statetable"
 )
 
-// fixture is a state with two present nodes that answer as set, and a tenant of service, which may be empty. Where it is
-// not, the two serve it, and a third node serves another service and never says anything.
+// fixture is a state with two present nodes that report as the test sets, and a tenant of service, which may be empty. If
+// service is not empty, the two nodes serve it, and a third node serves another service and never reports.
 type fixture struct {
-	s        *State
-	j        *Controller
-	rev      uint64
-	service  string
-	sessions session.State
-	answers  []fleet.Member // the nodes that answer
-	now      fleet.Time
-	seq      uint64
+	state      *State
+	controller *Controller
+	rev        uint64
+	service    string
+	sessions   session.State
+	reporting  []fleet.Member // the nodes that report
+	now        fleet.Time
+	sequence   uint64
 }
 
 func newFixture(service string) *fixture {
-	f := &fixture{s: &State{}, j: NewController(Config{Slots: 3, TTL: 6 * time.Second}), service: service,
-		answers: []fleet.Member{{Node: "n1", Zone: "z", Incarnation: 1}, {Node: "n2", Zone: "z", Incarnation: 2}}}
+	f := &fixture{state: &State{}, controller: NewController(Config{Slots: 3, TTL: 6 * time.Second}), service: service,
+		reporting: []fleet.Member{{Node: "n1", Zone: "z", Incarnation: 1}, {Node: "n2", Zone: "z", Incarnation: 2}}}
 	if service != "" {
 		f.join("n0", "other")
 	}
-	for _, m := range f.answers {
+	for _, m := range f.reporting {
 		f.session(session.Command{Operation: session.Join, Member: m, Services: f.scope()})
 	}
 	return f
 }
 
-// scope is that of the nodes that answer.
+// scope returns the scope of the nodes that report.
 func (f *fixture) scope() []string {
 	if f.service == "" {
 		return nil
@@ -52,7 +52,7 @@
 	}
 }
 
-// join has a further node join with these services.
+// join adds a present node with these services.
 func (f *fixture) join(node string, services ...string) {
 	f.session(session.Command{Operation: session.Join, Member: fleet.Member{Node: node, Zone: "z", Incarnation: 1}, Services: services})
 }
@@ -62,7 +62,7 @@
 }
 
 func (f *fixture) apply(c Command) error {
-	_, err := f.s.Apply(c, f.sessions.ScopeEpoch, func() uint64 { f.rev++; return f.rev })
+	_, err := f.state.Apply(c, f.sessions.ScopeEpoch, func() uint64 { f.rev++; return f.rev })
 	return err
 }
 
@@ -72,18 +72,18 @@
 }
 
 func (f *fixture) committed() uint64 {
-	if e := f.s.Tenants["lulu"]; e != nil && e.Committed != nil {
+	if e := f.state.Tenants["lulu"]; e != nil && e.Committed != nil {
 		return e.Committed.Number
 	}
 	return 0
 }
 
-// answer lets nodes report that they hold all that is intended, but for what change does to a node's report.
-func (f *fixture) answer(change func(node string, a *fleet.TenantAck)) {
-	f.seq++
-	for _, m := range f.answers {
-		r := fleet.Report{Member: m, Services: f.scope(), Sequence: f.seq, Revision: f.rev}
-		for name, e := range f.s.Tenants {
+// report makes the nodes report that they hold everything that is intended. change may modify a node's report.
+func (f *fixture) report(change func(node string, a *fleet.TenantAck)) {
+	f.sequence++
+	for _, m := range f.reporting {
+		r := fleet.Report{Member: m, Services: f.scope(), Sequence: f.sequence, Revision: f.rev}
+		for name, e := range f.state.Tenants {
 			a := fleet.TenantAck{Name: name, UID: e.UID}
 			if e.Committed != nil {
 				a.Committed, a.Digest = e.Committed.Number, e.Committed.Digest
@@ -96,13 +96,14 @@
 			}
 			r.Tenants = append(r.Tenants, a)
 		}
-		f.j.Observe(f.now, fleet.NodeView{Member: m, ReceivedAt: f.now, Report: r})
+		f.controller.Observe(f.now, fleet.NodeView{Member: m, ReceivedAt: f.now, Report: r})
 	}
 }
 
-// step carries out what the controller decides for the tenants, divisions only where asked; its last error.
+// step applies the commands of one step of the controller, divisions only if divide is set. It returns the joined errors of
+// the commands.
 func (f *fixture) step(divide bool) (err error) {
-	for _, c := range f.j.Step(f.now, f.s, f.present()) {
+	for _, c := range f.controller.Step(f.now, f.state, f.present()) {
 		if c.Operation != Divide || divide {
 			err = errors.Join(err, f.apply(c))
 		}
@@ -110,45 +111,46 @@
 	return err
 }
 
-// moved is a step whose commands come after change.
-func (f *fixture) moved(change func()) error {
-	f.answer(nil)
-	commands := f.j.Step(f.now, f.s, f.present())
+// stepAfterChange does a step of the controller, but applies its first command only after change.
+func (f *fixture) stepAfterChange(change func()) error {
+	f.report(nil)
+	commands := f.controller.Step(f.now, f.state, f.present())
 	change()
 	return f.apply(commands[0])
 }
 
-// to brings the tenant into a phase; with old, one that was committed before.
-func (f *fixture) to(t *testing.T, phase string, old bool) {
+// bringTo brings the tenant into a phase. If committedBefore is set, a generation was committed before.
+func (f *fixture) bringTo(t *testing.T, phase string, committedBefore bool) {
 	t.Helper()
-	do := func(err error) {
+	must := func(err error) {
 		if err != nil {
 			t.Fatal(err)
 		}
 	}
-	next := func() { f.answer(nil); do(f.step(false)) }
-	if phase != PhaseNone && (old || phase != PhaseStaging) {
-		do(f.put(100, 0))
-		next()
+	advance := func() { f.report(nil); must(f.step(false)) }
+	if phase != PhaseNone && (committedBefore || phase != PhaseStaging) {
+		must(f.put(100, 0))
+		advance()
 		if phase != PhaseApplying {
-			next()
+			advance()
 		}
 	}
 	switch phase {
 	case PhaseStaging:
-		do(f.put(50, f.committed()))
+		must(f.put(50, f.committed()))
 	case PhaseRemoving, PhaseQuotaWithdrawn:
-		do(f.apply(Command{Operation: Delete, Name: "lulu", Generation: 1}))
+		must(f.apply(Command{Operation: Delete, Name: "lulu", Generation: 1}))
 		if phase == PhaseQuotaWithdrawn {
-			next()
+			advance()
 		}
 	}
-	if got := f.s.Phase("lulu"); got != phase {
-		t.Fatalf("set up %s, want %s", got, phase)
+	if got := f.state.Phase("lulu"); got != phase {
+		t.Fatalf("set up phase %s, want %s", got, phase)
 	}
 }
 
-// events of the page, by event and condition; for put and delete an empty condition is the present generation.
+// pageEvents are the events of the page's table, by event and condition; for put and delete an empty condition means the
+// present generation.
 var pageEvents = map[string]func(f *fixture) error{
 	"put/":                              func(f *fixture) error { return f.put(60, f.committed()) },
 	"put/valid, generation 0":           func(f *fixture) error { return f.put(60, 0) },
@@ -159,7 +161,7 @@
 		spec := fleet.Spec{Name: "lulu", Service: f.service + "2", Quota: fleet.Quota{Rate: 60}}
 		err := f.apply(Command{Operation: Put, Name: "lulu", Generation: f.committed(), Spec: &spec})
 		if field := (*FieldError)(nil); !errors.As(err, &field) || field.Field != "service" {
-			return fmt.Errorf("%w, want a fault of the field service", err)
+			return fmt.Errorf("%w, want an error about the field service", err)
 		}
 		return err
 	},
@@ -172,37 +174,37 @@
 	"delete/another generation": func(f *fixture) error {
 		return f.apply(Command{Operation: Delete, Name: "lulu", Generation: 9})
 	},
-	"*/by all present nodes, same epoch":        func(f *fixture) error { f.answer(nil); return f.step(false) },
-	"drained/no present node has requests open": func(f *fixture) error { f.answer(nil); return f.step(false) },
+	"*/by all present nodes, same epoch":        func(f *fixture) error { f.report(nil); return f.step(false) },
+	"drained/no present node has requests open": func(f *fixture) error { f.report(nil); return f.step(false) },
 	"drained/a present node has requests open": func(f *fixture) error {
-		f.answer(func(n string, a *fleet.TenantAck) { a.Open = len(n) })
+		f.report(func(n string, a *fleet.TenantAck) { a.Open = len(n) })
 		return f.step(false)
 	},
 	"*/not by all present nodes": func(f *fixture) error {
-		f.answer(nil)
-		f.j.reports["n2"].Report.Revision--
+		f.report(nil)
+		f.controller.reports["n2"].Report.Revision--
 		return f.step(false)
 	},
-	"*/the epoch has changed":      func(f *fixture) error { return f.moved(func() { f.join("n3") }) },
-	"*/a join inside of the scope": func(f *fixture) error { return f.moved(func() { f.join("n3", f.scope()...) }) },
+	"*/the epoch has changed":      func(f *fixture) error { return f.stepAfterChange(func() { f.join("n3") }) },
+	"*/a join inside of the scope": func(f *fixture) error { return f.stepAfterChange(func() { f.join("n3", f.scope()...) }) },
 	"*/a join or a leave outside of the scope": func(f *fixture) error {
-		return f.moved(func() {
+		return f.stepAfterChange(func() {
 			f.join("n3", "another", "other")
 			f.session(session.Command{Operation: session.Leave, Member: f.sessions.Members["n0"]})
 		})
 	},
 	"staged/leases over the smaller quota may still be held": func(f *fixture) error {
-		f.s.Slots, f.s.Runs = 3, map[string]*Lease{"n1": {Incarnation: 1, MaxRates: map[string]float64{"lulu": 70}}}
-		f.answer(nil)
-		if cs := f.j.Step(f.now, f.s, f.present()); slices.ContainsFunc(cs, func(c Command) bool { return c.Operation == Commit }) {
-			return errors.New("the judge commits")
+		f.state.Slots, f.state.Runs = 3, map[string]*Lease{"n1": {Incarnation: 1, MaxRates: map[string]float64{"lulu": 70}}}
+		f.report(nil)
+		if cs := f.controller.Step(f.now, f.state, f.present()); slices.ContainsFunc(cs, func(c Command) bool { return c.Operation == Commit }) {
+			return errors.New("the controller commits")
 		}
-		e := f.s.Tenants["lulu"]
+		e := f.state.Tenants["lulu"]
 		return f.apply(Command{Operation: Commit, Name: "lulu", UID: e.UID, IfRevision: e.Revision, Generation: e.Staged.Number,
 			Epoch: f.sessions.ScopeEpoch(f.service), Scoped: f.service != ""})
 	},
 	"refused/by one present node": func(f *fixture) error {
-		f.answer(func(n string, a *fleet.TenantAck) {
+		f.report(func(n string, a *fleet.TenantAck) {
 			if n == "n2" {
 				a.RejectReason = "routes[0]: matches no server"
 			}
@@ -210,7 +212,7 @@
 		return f.step(false)
 	},
 	"timeout/a present node has not staged within 10 s": func(f *fixture) error {
-		f.answer(func(n string, a *fleet.TenantAck) {
+		f.report(func(n string, a *fleet.TenantAck) {
 			if n == "n2" {
 				a.Digest = "0"
 			}
@@ -220,18 +222,18 @@
 		return errors.Join(err, f.step(false))
 	},
 	"timeout/a present node has not applied within 10 s": func(f *fixture) error {
-		f.answer(func(n string, a *fleet.TenantAck) {
+		f.report(func(n string, a *fleet.TenantAck) {
 			if n == "n2" {
 				a.Committed = 0
 			}
 		})
 		err := f.step(false)
-		early := f.j.Late(f.now+ApplyTimeout-1, f.s, f.present())
+		early := f.controller.Late(f.now+ApplyTimeout-1, f.state, f.present())
 		f.now += ApplyTimeout
-		if late := f.j.Late(f.now, f.s, f.present()); len(early) > 0 || !slices.Equal(late, []LateNode{{"n2", "lulu", 1, 0}}) {
+		if late := f.controller.Late(f.now, f.state, f.present()); len(early) > 0 || !slices.Equal(late, []LateNode{{"n2", "lulu", 1, 0}}) {
 			return fmt.Errorf("late: %v, before %v", late, early)
 		}
-		if st, _ := f.j.Status(f.now, f.s, "lulu", f.present()); len(st) != 2 || st[1].Reason != reasonLate || st[0].Reason != "" {
+		if st, _ := f.controller.Status(f.now, f.state, "lulu", f.present()); len(st) != 2 || st[1].Reason != reasonLate || st[0].Reason != "" {
 			return fmt.Errorf("status: %+v", st)
 		}
 		return errors.Join(err, f.step(false))
@@ -245,36 +247,36 @@
 	}
 	for _, r := range rows {
 		t.Run(r.String(), func(t *testing.T) {
-			playRow(t, r, "retail")
+			runRow(t, r, "retail")
 			if !strings.Contains(r.Condition, "the scope") {
-				playRow(t, r, "")
+				runRow(t, r, "")
 			}
 		})
 	}
 	t.Run("every transition is in a row", func(t *testing.T) {
-		everyTransition(t, rows, "")
-		everyTransition(t, rows, "retail")
+		checkEveryTransition(t, rows, "")
+		checkEveryTransition(t, rows, "retail")
 	})
 }
 
-// playRow brings a tenant of a service into the row's state, and runs its event.
-func playRow(t *testing.T, r statetable.Row, service string) {
+// runRow brings a tenant of a service into the row's state, runs the row's event, and checks the next state and the effect.
+func runRow(t *testing.T, r statetable.Row, service string) {
 	t.Helper()
 	f := newFixture(service)
-	cond, fresh := strings.CutSuffix(r.Condition, ", never committed")
+	cond, neverCommitted := strings.CutSuffix(r.Condition, ", never committed")
 	cond, _ = strings.CutSuffix(cond, ", committed before")
-	f.to(t, r.State, !fresh)
-	do := pageEvents[r.Event+"/"+cond]
-	if do == nil {
-		do = pageEvents["*/"+cond]
+	f.bringTo(t, r.State, !neverCommitted)
+	runEvent := pageEvents[r.Event+"/"+cond]
+	if runEvent == nil {
+		runEvent = pageEvents["*/"+cond]
 	}
-	if do == nil {
-		t.Fatalf("no test plays %q with %q", r.Event, r.Condition)
+	if runEvent == nil {
+		t.Fatalf("no test event for %q with condition %q", r.Event, r.Condition)
 	}
 	before := f.rev
-	err := do(f)
-	if got := f.s.Phase("lulu"); got != r.Next {
-		t.Errorf("next %s, want %s (%v)", got, r.Next, err)
+	err := runEvent(f)
+	if got := f.state.Phase("lulu"); got != r.Next {
+		t.Errorf("next phase %s, want %s (%v)", got, r.Next, err)
 	}
 	f.effect(t, r.Effect, err, before)
 }
@@ -297,9 +299,9 @@
 			t.Errorf("error %v at revision %d, was %d; want %s", err, f.rev, before, effect)
 		}
 	}
-	e := f.s.Tenants["lulu"]
-	_, why := f.s.Tenant("lulu")
-	ok := map[string]func() bool{
+	e := f.state.Tenants["lulu"]
+	_, lookupErr := f.state.Tenant("lulu")
+	effects := map[string]func() bool{
 		"uid made":   func() bool { return e.UID == f.rev && e.Staged.Number == 1 },
 		"staged + 1": func() bool { return e.Staged.Number == e.Committed.Number+1 },
 		"no new":     func() bool { return e.Removing },
@@ -307,39 +309,39 @@
 		"rolled back, node": func() bool {
 			return e.Staged == nil && e.Committed.Number == 1 && strings.Contains(e.RolledBack, "node n2: ")
 		},
-		"rolled back, the": func() bool { return strings.Contains(why.Error(), "node n2: ") },
+		"rolled back, the": func() bool { return strings.Contains(lookupErr.Error(), "node n2: ") },
 		"quota and routes": func() bool { return e.QuotaWithdrawn },
 		"namespace": func() bool {
-			old := f.s.Tombstones[0].UID
-			return f.put(60, 0) == nil && f.s.Tenants["lulu"].UID > old && f.s.Tenants["lulu"].Committed == nil
+			old := f.state.Tombstones[0].UID
+			return f.put(60, 0) == nil && f.state.Tenants["lulu"].UID > old && f.state.Tenants["lulu"].Committed == nil
 		},
 	}
-	for prefix, holds := range ok {
+	for prefix, holds := range effects {
 		if strings.HasPrefix(effect, prefix) && !holds() {
-			t.Errorf("effect %q does not hold: %+v, %v", effect, e, why)
+			t.Errorf("effect %q does not hold: %+v, %v", effect, e, lookupErr)
 		}
 	}
 }
 
-// everyTransition returns every command to every phase: what changes the phase must be a row.
-func everyTransition(t *testing.T, rows []statetable.Row, service string) {
+// checkEveryTransition applies every command in every phase. Each change of the phase must have a row in the page's table.
+func checkEveryTransition(t *testing.T, rows []statetable.Row, service string) {
 	events := map[string][]string{Put: {"put"}, Delete: {"delete"}, Commit: {"staged"}, Rollback: {"refused", "timeout"},
 		Applied: {"applied"}, Drained: {"drained"}, QuotaWithdrawn: {"applied"}, Divide: nil}
 	for _, phase := range []string{PhaseNone, PhaseSettled, PhaseStaging, PhaseApplying, PhaseRemoving, PhaseQuotaWithdrawn} {
-		for _, old := range []bool{false, true} {
+		for _, committedBefore := range []bool{false, true} {
 			for op := range events {
 				f := newFixture(service)
-				f.to(t, phase, old)
+				f.bringTo(t, phase, committedBefore)
 				c := Command{Operation: op, Name: "lulu", Generation: f.committed(), Epoch: f.sessions.ScopeEpoch(service), Scoped: service != "",
 					Node: "n1", Reason: "r", Spec: &fleet.Spec{Name: "lulu", Service: service, Quota: fleet.Quota{Rate: 3}}, Division: &Division{Slots: 3}}
-				if e := f.s.Tenants["lulu"]; e != nil {
+				if e := f.state.Tenants["lulu"]; e != nil {
 					c.UID, c.IfRevision = e.UID, e.Revision
 					if e.Staged != nil && op != Put && op != Delete {
 						c.Generation = e.Staged.Number
 					}
 				}
 				f.apply(c)
-				next := f.s.Phase("lulu")
+				next := f.state.Phase("lulu")
 				for _, event := range events[op] {
 					if next != phase && !slices.ContainsFunc(rows, func(r statetable.Row) bool {
 						return r.State == phase && r.Event == event && r.Next == next
@@ -348,7 +350,7 @@
 					}
 				}
 				if next != phase && len(events[op]) == 0 {
-					t.Errorf("%s moves %s to %s", op, phase, next)
+					t.Errorf("%s changes phase %s to %s", op, phase, next)
 				}
 			}
 		}
--- a/internal/fleet/tenants/schema_test.go
+++ b/internal/fleet/tenants/schema_test.go
@@ -12,7 +12,7 @@
 	"meadowsill/internal/fleet"
 )
 
-const goodTOML = `name = "amouage"
+const validTOML = `name = "amouage"
 fallback = "any"
 [namespace]
 classes = ["place-order", "browse"]
@@ -29,8 +29,8 @@
 weight = 1
 `
 
-func TestTOMLAndJSONAreOneSchema(t *testing.T) {
-	a, err := ParseTOML([]byte(goodTOML))
+func TestTOMLAndJSONShareOneSchema(t *testing.T) {
+	a, err := ParseTOML([]byte(validTOML))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -56,8 +56,8 @@
 	}
 }
 
-// TestFaultsNameFieldAndLine changes one part of a good file at a time.
-func TestFaultsNameFieldAndLine(t *testing.T) {
+// TestErrorsNameFieldAndLine changes one part of a valid file at a time. The error must name the field and its line.
+func TestErrorsNameFieldAndLine(t *testing.T) {
 	for _, f := range []struct{ old, new, want string }{
 		{`name = "amouage"`, `name = "../x"`, `invalid: line 1: name: "../x" has other`},
 		{`name = "amouage"`, ``, "invalid: name: is missing"},
@@ -82,7 +82,7 @@
 		{`zone = "ghala"`, `zone = "` + strings.Repeat("z", 65) + `"`, "invalid: line 11: routes[0].zone: is longer than 64"},
 		{`name = "amouage"`, "#" + strings.Repeat("x", fleet.MaxTenantBytes), "invalid: is over 65536 bytes"},
 	} {
-		text := strings.Replace(goodTOML, f.old, f.new, 1)
+		text := strings.Replace(validTOML, f.old, f.new, 1)
 		_, err := ParseTOML([]byte(text))
 		if !errors.Is(err, fleet.ErrInvalid) || !strings.HasPrefix(err.Error(), f.want) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%q for %q:\n got %v\nwant %s", f.new, f.old, err, f.want)
@@ -109,15 +109,15 @@
 	}
 }
 
-// FuzzParseTOML and FuzzParseJSON hold that bad input is one plain error, and that what is taken is valid, goes round
-// and keeps its digest. Their corpora are the files under testdata/fuzz.
+// FuzzParseTOML and FuzzParseJSON check that invalid input gives one error on one line, and that an accepted specification is
+// valid, survives a round trip and keeps its digest. Their corpora are the files under testdata/fuzz.
 func FuzzParseTOML(f *testing.F) {
-	f.Add([]byte(goodTOML))
+	f.Add([]byte(validTOML))
 	f.Fuzz(func(t *testing.T, data []byte) { checkParsed(t, data, ParseTOML) })
 }
 
 func FuzzParseJSON(f *testing.F) {
-	s, _ := ParseTOML([]byte(goodTOML))
+	s, _ := ParseTOML([]byte(validTOML))
 	f.Add(Canonical(s))
 	f.Fuzz(func(t *testing.T, data []byte) { checkParsed(t, data, ParseJSON) })
 }
@@ -131,10 +131,10 @@
 		return
 	}
 	if err := Validate(s); err != nil {
-		t.Fatalf("took what is not valid: %v", err)
+		t.Fatalf("accepted an invalid specification: %v", err)
 	}
 	again, err := ParseJSON(Canonical(s))
 	if err != nil || Digest(again) != Digest(s) {
-		t.Fatalf("does not go round: %v", err)
+		t.Fatalf("does not survive a round trip: %v", err)
 	}
 }
--- a/internal/fleet/tenants/scope_test.go
+++ b/internal/fleet/tenants/scope_test.go
@@ -10,14 +10,15 @@
 	"meadowsill/internal/fleet"
 )
 
-// A command that does not say "scoped", as those of older logs, is rejected by the fleet's epoch, whatever the tenant's service.
+// TestCommandsWithoutScopes checks that a command without "scoped", as in older logs, is checked against the fleet's epoch,
+// whatever the tenant's service is.
 func TestCommandsWithoutScopes(t *testing.T) {
 	f := newFixture("retail")
 	f.join("n3", "other") // the fleet's epoch is now above the scope's
 	if err := f.put(100, 0); err != nil {
 		t.Fatal(err)
 	}
-	e := f.s.Tenants["lulu"]
+	e := f.state.Tenants["lulu"]
 	commit := Command{Operation: Commit, Name: "lulu", UID: e.UID, IfRevision: e.Revision, Generation: 1, Epoch: f.sessions.ScopeEpoch("retail")}
 	if err := f.apply(commit); !errors.Is(err, ErrStale) || commit.Epoch == f.sessions.Epoch {
 		t.Errorf("at the scope's epoch %d of %d: %v", commit.Epoch, f.sessions.Epoch, err)
@@ -28,7 +29,7 @@
 	}
 }
 
-// The tenants of a scope are found by it, through changes and a snapshot.
+// TestInScope checks that InScope finds the tenants of a scope, also after changes and after a snapshot is restored.
 func TestInScope(t *testing.T) {
 	s, revision := &State{}, uint64(0)
 	apply := func(c Command) {
@@ -53,7 +54,7 @@
 		}
 	}
 	check(map[string][]string{"": {"a", "b", "c", "d", "e"}, `["billing"]`: {"a", "b", "c"}, `["billing","search"]`: {"a", "b", "c", "d"}, `["none"]`: {"a"}})
-	// A first generation that is rolled back takes its tenant away; the name may come back in another service.
+	// Rolling back the first generation deletes the tenant; its name may then be used in another service.
 	e := s.Tenants["b"]
 	apply(Command{Operation: Rollback, Name: "b", UID: e.UID, IfRevision: e.Revision, Generation: 1, Node: "n", Reason: "r"})
 	check(map[string][]string{`["billing"]`: {"a", "c"}})
