--- a/internal/fleet/zones/capacity.go
+++ b/internal/fleet/zones/capacity.go
@@ -8,58 +8,58 @@
 )
 
 const (
-	bucketDuration   = 10 * 1e9 // fleet.Time
-	bucketCount      = 60       // of the 10 min for which a proved rate counts
-	demandWindow     = 3 * 1e9  // demand is the most of so long: from before a loss is seen
-	listedWindow     = 10 * 1e9 // servers that left the list of late were there when it was lost
-	fullRejectedPart = 0.05     // share of attempts rejected: the zone is full
+	bucketDuration   = 10 * 1e9 // 10 s, as fleet.Time in ns
+	bucketCount      = 60       // a proved rate counts for 10 min
+	demandWindow     = 3 * 1e9  // demand is the highest rate of this window, which reaches back before a loss is seen
+	listedWindow     = 10 * 1e9 // servers that left the list in this window count: they were listed when the zone was lost
+	fullRejectedPart = 0.05     // part of attempts rejected above which the zone is full
 )
 
-// rateSample is what a zone carried at one step.
+// rateSample is what a zone served at one call of Step.
 type rateSample struct {
 	takenAt  fleet.Time
 	answered float64 // answers/s
 	listed   int
 }
 
-// rateBucket is the most that one server gave in 10 s, and whether the zone was full.
+// rateBucket holds the highest rate of one server in a period of 10 s, and whether the zone was full then.
 type rateBucket struct {
 	number  int64
 	maxRate float64
 	wasFull bool
 }
 
-// zoneLoad is what is known of a zone's rates.
+// zoneLoad holds the recent rates of a zone.
 type zoneLoad struct {
-	history []rateSample // the newest last
+	history []rateSample // newest last
 	buckets [bucketCount]rateBucket
 }
 
-// recordLoads keeps what the zones carry now.
+// recordLoads records what each zone serves now.
 func (ctl *Controller) recordLoads(v fleetView) {
 	total := 0.0
-	for _, y := range v.zones {
-		z := ctl.loads[y]
-		if z == nil {
-			z = &zoneLoad{}
-			ctl.loads[y] = z
+	for _, zone := range v.zones {
+		load := ctl.loads[zone]
+		if load == nil {
+			load = &zoneLoad{}
+			ctl.loads[zone] = load
 		}
 		var rates, rejected []float64
 		attempts := 0
-		for _, s := range v.nodes {
-			c := s.zones[y]
+		for _, node := range v.nodes {
+			c := node.zones[zone]
 			rates = append(rates, c.rate)
 			rejected = append(rejected, float64(c.attempts-c.answered-c.lost))
 			attempts += c.attempts
 		}
-		now := rateSample{takenAt: v.now, listed: v.medianListed(y), answered: sum(clampToMedian(rates))}
-		z.history = recentSamples(append(z.history, now), v.now)
+		now := rateSample{takenAt: v.now, listed: v.medianListed(zone), answered: sum(clampToMedian(rates))}
+		load.history = recentSamples(append(load.history, now), v.now)
 		total += now.answered
-		b := &z.buckets[int64(v.now/bucketDuration)%bucketCount]
+		b := &load.buckets[int64(v.now/bucketDuration)%bucketCount]
 		if n := int64(v.now / bucketDuration); b.number != n {
 			*b = rateBucket{number: n}
 		}
-		if listed := z.maxListed(v.now); listed > 0 {
+		if listed := load.maxListed(v.now); listed > 0 {
 			b.maxRate = math.Max(b.maxRate, now.answered/float64(listed))
 		}
 		b.wasFull = b.wasFull || attempts >= 20 && sum(clampToMedian(rejected)) > fullRejectedPart*float64(attempts)
@@ -67,28 +67,28 @@
 	ctl.totalRates = recentSamples(append(ctl.totalRates, rateSample{takenAt: v.now, answered: total}), v.now)
 }
 
-func recentSamples(h []rateSample, now fleet.Time) []rateSample {
-	return slices.DeleteFunc(h, func(s rateSample) bool { return now-s.takenAt > listedWindow })
+func recentSamples(samples []rateSample, now fleet.Time) []rateSample {
+	return slices.DeleteFunc(samples, func(s rateSample) bool { return now-s.takenAt > listedWindow })
 }
 
-func sum(values []float64) (t float64) {
+func sum(values []float64) (total float64) {
 	for _, x := range values {
-		t += x
+		total += x
 	}
-	return t
+	return total
 }
 
-// maxRecentRate answers/s of the last 3 s.
-func maxRecentRate(h []rateSample, now fleet.Time) (ok float64) {
-	for _, s := range h {
+// maxRecentRate returns the highest answers/s of the last 3 s.
+func maxRecentRate(samples []rateSample, now fleet.Time) (rate float64) {
+	for _, s := range samples {
 		if now-s.takenAt <= demandWindow {
-			ok = math.Max(ok, s.answered)
+			rate = math.Max(rate, s.answered)
 		}
 	}
-	return ok
+	return rate
 }
 
-// maxListed is the most servers of the last 10 s.
+// maxListed returns the highest number of listed servers in the last 10 s.
 func (z *zoneLoad) maxListed(now fleet.Time) (n int) {
 	for _, s := range z.history {
 		if now-s.takenAt <= listedWindow {
@@ -98,7 +98,7 @@
 	return n
 }
 
-// provedRate is the most that a server gave in the last 10 min, and whether the zone was full in them.
+// provedRate returns the highest rate of one server in the last 10 min, and whether the zone was full in that time.
 func (z *zoneLoad) provedRate(now fleet.Time) (rate float64, full bool) {
 	for _, b := range z.buckets {
 		if int64(now/bucketDuration)-b.number < bucketCount {
@@ -108,96 +108,99 @@
 	return rate, full
 }
 
-// provedRate is what one of zone y's servers has given; where nothing is known, what one of the others has.
-func (ctl *Controller) provedRate(y string, now fleet.Time) (rate float64) {
-	if z := ctl.loads[y]; z != nil {
-		if rate, _ = z.provedRate(now); rate > 0 {
+// provedRate returns the highest recent rate of one server of a zone. Where none is known, it returns the lowest of the rates
+// that are known of other zones.
+func (ctl *Controller) provedRate(zone string, now fleet.Time) (rate float64) {
+	if load := ctl.loads[zone]; load != nil {
+		if rate, _ = load.provedRate(now); rate > 0 {
 			return rate
 		}
 	}
-	for _, z := range ctl.loads {
-		if r, _ := z.provedRate(now); r > 0 && (rate == 0 || r < rate) {
+	for _, load := range ctl.loads {
+		if r, _ := load.provedRate(now); r > 0 && (rate == 0 || r < rate) {
 			rate = r
 		}
 	}
 	return rate
 }
 
-// plannedDirectives is the directives as they will be with what this step decides.
+// plannedDirectives are the directives, by key, as they will be with the decisions of this Step.
 type plannedDirectives map[string]Entry
 
-// servedShare that nodes of zone x may send of zone y's ordinary attempts.
-func (p plannedDirectives) servedShare(y, x string) float64 {
-	s := 1.0
-	if e, ok := p[Key(y, "")]; ok {
-		s = e.Share
+// servedShare returns the part of a zone's ordinary attempts that the nodes of the observer zone may make.
+func (p plannedDirectives) servedShare(zone, observer string) float64 {
+	share := 1.0
+	if e, ok := p[Key(zone, "")]; ok {
+		share = e.Share
 	}
-	if e, ok := p[Key(y, x)]; ok && x != "" {
-		s = math.Min(s, e.Share)
+	if e, ok := p[Key(zone, observer)]; ok && observer != "" {
+		share = math.Min(share, e.Share)
 	}
-	return s
+	return share
 }
 
-// baseShare is what is left of zone y by one directive, whatever becomes of a recovery that is on.
-func (p plannedDirectives) baseShare(y, x string) float64 {
-	if e, ok := p[Key(y, x)]; ok {
+// baseShare returns the share of a zone that one directive serves all along, whatever the outcome of a recovery.
+func (p plannedDirectives) baseShare(zone, observer string) float64 {
+	if e, ok := p[Key(zone, observer)]; ok {
 		return e.BaseShare
 	}
 	return 1
 }
 
-// listedServers is how many servers zone y has: as it was when it was evacuated, or of late.
-func (ctl *Controller) listedServers(p plannedDirectives, y string, now fleet.Time) (n int) {
-	if z := ctl.loads[y]; z != nil {
-		n = z.maxListed(now)
+// listedServers returns the number of servers of a zone: recently or, if that is more, when the zone was evacuated.
+func (ctl *Controller) listedServers(planned plannedDirectives, zone string, now fleet.Time) (n int) {
+	if load := ctl.loads[zone]; load != nil {
+		n = load.maxListed(now)
 	}
-	if e, ok := p[Key(y, "")]; ok {
+	if e, ok := planned[Key(zone, "")]; ok {
 		n = max(n, e.ListedServers)
 	}
 	return n
 }
 
-// keepsEnoughServers reports whether, with share of zone y as nodes of x see it (x "": all), enough servers stay for everyone.
-func (ctl *Controller) keepsEnoughServers(v fleetView, p plannedDirectives, y, x string, share float64) bool {
-	observers := []string{x}
-	if x == "" {
+// keepsEnoughServers reports whether enough servers stay in use for the nodes of the observer zone ("": of every zone) when only
+// the given share of a zone is served to them.
+func (ctl *Controller) keepsEnoughServers(v fleetView, planned plannedDirectives, zone, observer string, share float64) bool {
+	observers := []string{observer}
+	if observer == "" {
 		for z := range v.presentByZone {
 			observers = append(observers, z)
 		}
 	}
 	for _, o := range observers {
-		total, stay := 0.0, 0.0
+		total, remaining := 0.0, 0.0
 		for _, z := range ctl.knownZones() {
-			n := float64(ctl.listedServers(p, z, v.now))
+			n := float64(ctl.listedServers(planned, z, v.now))
 			total += n
-			s := math.Min(p.baseShare(z, ""), p.baseShare(z, o))
-			if z == y {
-				s = math.Min(s, share)
+			kept := math.Min(planned.baseShare(z, ""), planned.baseShare(z, o))
+			if z == zone {
+				kept = math.Min(kept, share)
 			}
-			stay += n * s
+			remaining += n * kept
 		}
-		if total == 0 || stay < ctl.settings.MinServersPart*total {
+		if total == 0 || remaining < ctl.settings.MinServersPart*total {
 			return false
 		}
 	}
 	return true
 }
 
-// evacuablePart returns how much of zone y the nodes of x (x "": all) may leave: what the others can take beyond what they serve, of
-// the demand that would move. For a zone that is evacuated in part, it is what more may be left.
-func (ctl *Controller) evacuablePart(v fleetView, p plannedDirectives, y, x string) (part, demand float64) {
-	y0 := ctl.loads[y]
-	if y0 == nil {
+// evacuablePart returns how much of a zone may be evacuated for the nodes of the observer zone ("": for all nodes), as a part of
+// the demand that would move: the spare capacity of the other zones limits it. For a zone that is already evacuated in part,
+// it is the further part. demand is the demand that would move.
+func (ctl *Controller) evacuablePart(v fleetView, planned plannedDirectives, zone, observer string) (part, demand float64) {
+	load := ctl.loads[zone]
+	if load == nil {
 		return 0, 0
 	}
-	demand = maxRecentRate(y0.history, v.now)
-	now, moves := demand, demand
-	if x != "" && v.presentCount > 0 {
-		moves *= float64(v.presentByZone[x]) / float64(v.presentCount)
+	demand = maxRecentRate(load.history, v.now)
+	now, toMove := demand, demand
+	if observer != "" && v.presentCount > 0 {
+		toMove *= float64(v.presentByZone[observer]) / float64(v.presentCount)
 	}
-	if e, ok := p[Key(y, x)]; ok { // what it carried has moved already, but for its share
-		now, moves = 0, e.Demand
-		if last := y0.history[len(y0.history)-1]; last.takenAt == v.now {
+	if e, ok := planned[Key(zone, observer)]; ok { // the zone's demand has already moved, except for its share
+		now, toMove = 0, e.Demand
+		if last := load.history[len(load.history)-1]; last.takenAt == v.now {
 			now = last.answered
 		}
 	}
@@ -205,14 +208,14 @@
 	served := 0.0
 	moving := 0.0
 	for _, z := range ctl.knownZones() {
-		if z == y {
+		if z == zone {
 			continue
 		}
-		if e, left := p[Key(z, "")]; left && e.Phase == fleet.Evacuated && (e.Revision == 0 || ctl.isLoadMoving(Key(z, ""), v.now)) {
+		if e, evacuated := planned[Key(z, "")]; evacuated && e.Phase == fleet.Evacuated && (e.Revision == 0 || ctl.isLoadMoving(Key(z, ""), v.now)) {
 			moving += e.Demand * (1 - e.Share)
 		}
 		if ctl.evidence[Key(z, "")].Event == Lost {
-			continue // it bears nothing
+			continue // a lost zone has no capacity
 		}
 		served += maxRecentRate(ctl.loads[z].history, v.now)
 		rate, full := ctl.loads[z].provedRate(v.now)
@@ -222,28 +225,28 @@
 		if !full {
 			rate *= ctl.settings.CapacityFactor
 		}
-		available += rate * float64(ctl.listedServers(p, z, v.now)) * p.servedShare(z, x)
+		available += rate * float64(ctl.listedServers(planned, z, v.now)) * planned.servedShare(z, observer)
 	}
-	if moves <= 0 {
-		return 1, moves
+	if toMove <= 0 {
+		return 1, toMove
 	}
-	// Load that nodes have moved by themselves is in what the others carry, though not in the total but for y; load of
-	// zones that are lost too is the other way round. The less of the two is what they carry.
+	// Load that nodes have already moved from the zone by themselves is included in what the other zones serve, but not in the
+	// total without this zone. For load of other lost zones it is the reverse. The smaller figure is what the others carry.
 	spare := available*ctl.settings.UsableCapacityPart - math.Min(served+moving, math.Max(0, maxRecentRate(ctl.totalRates, v.now)-now))
-	return math.Max(0, math.Min(1, spare/moves)), moves
+	return math.Max(0, math.Min(1, spare/toMove)), toMove
 }
 
-// isLoadMoving reports whether a directive is so new that the load may still be moving.
+// isLoadMoving reports whether a directive is so new that the load which it moves may still be moving.
 func (ctl *Controller) isLoadMoving(key string, now fleet.Time) bool {
-	b := ctl.recoveries[key]
-	return b != nil && now-b.startedAt < demandWindow
+	r := ctl.recoveries[key]
+	return r != nil && now-r.startedAt < demandWindow
 }
 
-// knownZones zones, in order.
+// knownZones returns the names of all zones with recorded loads, sorted.
 func (ctl *Controller) knownZones() []string {
 	out := make([]string, 0, len(ctl.loads))
-	for y := range ctl.loads {
-		out = append(out, y)
+	for zone := range ctl.loads {
+		out = append(out, zone)
 	}
 	slices.Sort(out)
 	return out
--- a/internal/fleet/zones/controller.go
+++ b/internal/fleet/zones/controller.go
@@ -10,65 +10,65 @@
 )
 
 const (
-	maxStepGap         = 500 * time.Millisecond // between two steps; after a longer one findings must hold anew
-	proposalRetryDelay = 500 * time.Millisecond // a command that was not applied is given again
+	maxStepGap         = 500 * time.Millisecond // between two calls of Step; after a longer gap evidence must last anew
+	proposalRetryDelay = 500 * time.Millisecond // a command that was not applied is returned again after this
 )
 
-// Controller is the leader's soft knowledge: what nodes reported of late, evidence that must last, backoffs that run. It is
-// not safe for concurrent use. Times are the leader's monotonic clock.
+// Controller is the leader's knowledge that is not replicated: recent reports of nodes, evidence that must last before it is
+// acted on, and running backoffs. It is not safe for concurrent use. Times are of the leader's monotonic clock.
 type Controller struct {
 	settings    Settings
 	leaderSince fleet.Time
 	steppedAt   fleet.Time
-	nodes       map[string]*nodeRun
+	nodes       map[string]*nodeReports
 	loads       map[string]*zoneLoad
-	totalRates  []rateSample // of all zones
+	totalRates  []rateSample // of all zones together
 	evidence    map[string]Evidence
-	recoveries  map[string]*recovery    // by key: directives in force
-	recovered   map[string]seenRevision // by key: zones served again
-	proposed    map[string]proposal     // by key: what a change was last given on
+	recoveries  map[string]*recovery    // by key: recoveries under the directives in force
+	recovered   map[string]seenRevision // by key: zones that are served again, until their relapses are forgotten
+	proposed    map[string]proposal     // by key: what the last proposed change was decided from
 	budgetSlots int                     // what budgets are divided by now
 }
 
-// seenRevision is a revision and when it was first seen.
+// seenRevision is a revision and the time when it was first seen.
 type seenRevision struct {
 	revision uint64
 	seenAt   fleet.Time
 }
 
-// proposal is what a change was decided from, and when.
+// proposal records from which revisions a change was decided, and when.
 type proposal struct {
 	itemRevision  uint64
 	stateRevision uint64
 	proposedAt    fleet.Time
 }
 
-// Evidence is what a zone is evaluated by now, for operators.
+// Evidence is the present evidence that a zone fails, as operators see it.
 type Evidence struct {
 	Key          string     `json:"key"`
 	Event        string     `json:"event"`
 	Since        fleet.Time `json:"since"`          // by the leader's clock
-	Blocked      string     `json:"held,omitempty"` // why nothing is done about it: "hold", "panic", "room"
-	Nodes        int        `json:"nodes"`          // that see it so
+	Blocked      string     `json:"held,omitempty"` // why the evidence is not acted on: "hold", "left", "panic", "room", "share"
+	Nodes        int        `json:"nodes"`          // nodes that the evidence comes from
 	Votes        int        `json:"words"`          // nodes that have a vote on the zone
-	Lost         float64    `json:"lost"`           // share of the fleet's attempts lost
-	requiredTime fleet.Time // how long it must hold
+	Lost         float64    `json:"lost"`           // part of the fleet's attempts lost
+	requiredTime fleet.Time // how long the evidence must last
 }
 
-// NewController makes a controller whose leadership began at 0 and has seen nothing.
+// NewController returns a controller that has seen nothing and whose leadership began at time 0.
 func NewController(set Settings) *Controller {
-	j := &Controller{settings: set}
-	j.Lead(0)
-	return j
+	ctl := &Controller{settings: set}
+	ctl.Lead(0)
+	return ctl
 }
 
-// Lead forgets all: this process leads from now on, by evidence that comes from now on.
+// Lead discards all knowledge: this process leads from now on and decides by evidence that arrives from now on.
 func (ctl *Controller) Lead(now fleet.Time) {
 	*ctl = Controller{
 		settings:    ctl.settings,
 		leaderSince: now,
 		steppedAt:   now,
-		nodes:       map[string]*nodeRun{},
+		nodes:       map[string]*nodeReports{},
 		loads:       map[string]*zoneLoad{},
 		evidence:    map[string]Evidence{},
 		recoveries:  map[string]*recovery{},
@@ -77,8 +77,8 @@
 	}
 }
 
-// Observe takes a present node's newest report. One that is not newer than the last of its incarnation, or of an older
-// incarnation, changes nothing; a count that no honest node can have is dropped.
+// Observe records a present node's newest report. A report of an older incarnation, or one that is not newer than the last of
+// its incarnation, changes nothing. A count that no correct node can have is dropped.
 func (ctl *Controller) Observe(now fleet.Time, v fleet.NodeView) {
 	n, newer := ctl.recordReport(now, v)
 	if !newer || len(n.windows) == 0 {
@@ -86,17 +86,17 @@
 	}
 	w := n.windows[len(n.windows)-1]
 	if w.receivedAt != n.receivedAt {
-		return // the report had no counts
+		return // this report had no counts
 	}
-	for key, b := range ctl.recoveries {
-		if y, x, _ := ParseKey(key); w.revision >= b.revision && (x == "" || x == n.Zone) {
-			b.add(n, w.zones[y])
+	for key, r := range ctl.recoveries {
+		if zone, observer, _ := ParseKey(key); w.revision >= r.revision && (observer == "" || observer == n.Zone) {
+			r.add(n, w.zones[zone])
 		}
 	}
 }
 
-// Step evaluates, and gives the commands to apply in their order; call it each 100 ms. It changes nothing of s. A command
-// that was not applied is given again.
+// Step evaluates the zones and returns the commands to apply, in order. The caller runs it every 100 ms. Step does not change s.
+// If a command is not applied, a later call returns it again.
 func (ctl *Controller) Step(now fleet.Time, s *State, present []fleet.Member) []Command {
 	v := ctl.currentView(now, present)
 	ctl.budgetSlots = max(ctl.settings.Slots, v.presentCount)
@@ -105,19 +105,19 @@
 	ctl.evidence = ctl.findEvidence(v, s)
 	ctl.steppedAt = now
 	if !v.hasQuorum() || now-ctl.leaderSince < ctl.settings.EvidenceWindow {
-		for key, f := range ctl.evidence {
-			f.Blocked = "hold"
-			ctl.evidence[key] = f
+		for key, ev := range ctl.evidence {
+			ev.Blocked = "hold"
+			ctl.evidence[key] = ev
 		}
 		return nil
 	}
-	p := plannedDirectives(maps.Clone(s.Directives))
-	if p == nil {
-		p = plannedDirectives{}
+	planned := plannedDirectives(maps.Clone(s.Directives))
+	if planned == nil {
+		planned = plannedDirectives{}
 	}
 	var out []Command
-	if leave := ctl.evacuations(v, s, p); len(leave) > 0 {
-		out = append(out, Command{IfStateRevision: s.Revision, Items: leave})
+	if changes := ctl.evacuations(v, s, planned); len(changes) > 0 {
+		out = append(out, Command{IfStateRevision: s.Revision, Items: changes})
 	}
 	for _, key := range slices.Sorted(maps.Keys(ctl.recoveries)) {
 		if c, ok := ctl.nextRecoveryChange(v, s, key); ok && ctl.mayPropose(now, s, c) {
@@ -133,7 +133,7 @@
 	return out
 }
 
-// Evidence returns what the last Step found, by key.
+// Evidence returns the evidence that the last Step found, sorted by key.
 func (ctl *Controller) Evidence() []Evidence {
 	out := make([]Evidence, 0, len(ctl.evidence))
 	for _, key := range slices.Sorted(maps.Keys(ctl.evidence)) {
@@ -142,26 +142,29 @@
 	return out
 }
 
-// mayPropose reports whether a change is to be given now: not while the same was given a moment ago.
+// mayPropose reports whether to propose a change now, and records it if so. A change that was proposed from the same revisions
+// less than proposalRetryDelay ago is not proposed again.
 func (ctl *Controller) mayPropose(now fleet.Time, s *State, c Change) bool {
-	if g, ok := ctl.proposed[c.Key]; ok && g.itemRevision == c.IfRevision && g.stateRevision == s.Revision && now-g.proposedAt < proposalRetryDelay {
+	if last, ok := ctl.proposed[c.Key]; ok && last.itemRevision == c.IfRevision && last.stateRevision == s.Revision &&
+		now-last.proposedAt < proposalRetryDelay {
 		return false
 	}
 	ctl.proposed[c.Key] = proposal{c.IfRevision, s.Revision, now}
 	return true
 }
 
-// followDirectives notes which directives are in force, and since when this controller has seen them.
+// followDirectives records which directives are in force and which zones are served again, and when this controller first saw
+// each of them.
 func (ctl *Controller) followDirectives(now fleet.Time, s *State) {
 	maps.DeleteFunc(ctl.recoveries, func(key string, _ *recovery) bool { _, ok := s.Directives[key]; return !ok })
 	for key, e := range s.Directives {
-		b := ctl.recoveries[key]
-		if b == nil {
-			b = &recovery{}
-			ctl.recoveries[key] = b
+		r := ctl.recoveries[key]
+		if r == nil {
+			r = &recovery{}
+			ctl.recoveries[key] = r
 		}
-		if b.revision != e.Revision {
-			b.restart(now, e)
+		if r.revision != e.Revision {
+			r.restart(now, e)
 		}
 	}
 	maps.DeleteFunc(ctl.recovered, func(key string, c seenRevision) bool {
@@ -175,59 +178,59 @@
 	}
 }
 
-// evacuations returns the changes by which zones are evacuated, or left further: all in one command, as the capacity for each depends
-// on the others. What it decides goes into p.
-func (ctl *Controller) evacuations(v fleetView, s *State, p plannedDirectives) (out []Change) {
-	block := func(f Evidence, why string) {
-		f.Blocked = why
-		ctl.evidence[f.Key] = f
+// evacuations returns the changes that evacuate zones, or a further part of evacuated zones. They belong in one command, as the
+// capacity for each depends on the others. evacuations adds its decisions to planned.
+func (ctl *Controller) evacuations(v fleetView, s *State, planned plannedDirectives) (out []Change) {
+	block := func(ev Evidence, blocked string) {
+		ev.Blocked = blocked
+		ctl.evidence[ev.Key] = ev
 	}
 	lost := false
-	for _, f := range ctl.Evidence() {
-		e, had := s.Directives[f.Key]
+	for _, ev := range ctl.Evidence() {
+		e, had := s.Directives[ev.Key]
 		if had && e.Phase != fleet.Evacuated {
 			continue
 		}
-		if !f.isEstablished(v.now) {
-			block(f, "hold")
+		if !ev.isEstablished(v.now) {
+			block(ev, "hold")
 			continue
 		}
-		c, why := ctl.evacuation(v, s, p, f)
-		if why != "" {
-			block(f, why)
+		c, blocked := ctl.evacuation(v, s, planned, ev)
+		if blocked != "" {
+			block(ev, blocked)
 			continue
 		}
 		if ctl.mayPropose(v.now, s, c) {
-			p[f.Key] = c.Entry
+			planned[ev.Key] = c.Entry
 			out = append(out, c)
-			lost = lost || f.Event == Lost && !had
+			lost = lost || ev.Event == Lost && !had
 		}
 	}
 	if lost {
-		out = append(out, ctl.regionEvacuations(v, s, p)...)
+		out = append(out, ctl.regionEvacuations(v, s, planned)...)
 	}
 	return out
 }
 
-// evacuation returns what a finding that holds makes of its zone, or why nothing.
-func (ctl *Controller) evacuation(v fleetView, s *State, p plannedDirectives, f Evidence) (c Change, why string) {
-	y, x, _ := ParseKey(f.Key)
-	e, had := s.Directives[f.Key]
-	if !had && x != "" && p.servedShare(y, "") == 0 {
+// evacuation returns the change that established evidence leads to for its zone, or why there is none.
+func (ctl *Controller) evacuation(v fleetView, s *State, planned plannedDirectives, ev Evidence) (c Change, blocked string) {
+	zone, observer, _ := ParseKey(ev.Key)
+	e, had := s.Directives[ev.Key]
+	if !had && observer != "" && planned.servedShare(zone, "") == 0 {
 		return c, "left"
 	}
-	if had && ctl.isLoadMoving(f.Key, v.now) {
+	if had && ctl.isLoadMoving(ev.Key, v.now) {
 		return c, "hold" // the load is still moving
 	}
-	part, demand := ctl.evacuablePart(v, p, y, x)
+	part, demand := ctl.evacuablePart(v, planned, zone, observer)
 	share := 1 - part
 	if had {
 		share = e.Share - part
 	}
 	share = math.Max(0, math.Ceil(10*share-1e-6)/10)
-	if f.Event == Gray {
-		share = math.Max(share, grayTrafficShare(f.Lost))
-		if from := p.servedShare(y, x); math.Abs(share-from) < ctl.settings.MinShareChange-1e-6 {
+	if ev.Event == Gray {
+		share = math.Max(share, grayTrafficShare(ev.Lost))
+		if current := planned.servedShare(zone, observer); math.Abs(share-current) < ctl.settings.MinShareChange-1e-6 {
 			return c, "share"
 		}
 	} else if had && e.Share-share < ctl.settings.MinShareChange-1e-6 && !(share == 0 && e.Share > 0) {
@@ -236,25 +239,25 @@
 	if share >= 1 {
 		return c, "room"
 	}
-	if !ctl.keepsEnoughServers(v, p, y, x, share) {
+	if !ctl.keepsEnoughServers(v, planned, zone, observer, share) {
 		return c, "panic"
 	}
-	c = Change{Key: f.Key, IfRevision: e.Revision, Event: f.Event, Entry: e}
+	c = Change{Key: ev.Key, IfRevision: e.Revision, Event: ev.Event, Entry: e}
 	if !had {
-		c.Entry = Entry{ProvedRate: ctl.provedRate(y, v.now), ListedServers: ctl.listedServers(p, y, v.now), Demand: demand}
-		if past, ok := s.PastRelapses[f.Key]; ok {
+		c.Entry = Entry{ProvedRate: ctl.provedRate(zone, v.now), ListedServers: ctl.listedServers(planned, zone, v.now), Demand: demand}
+		if past, ok := s.PastRelapses[ev.Key]; ok {
 			c.IfRevision = past.Revision
 			c.Entry.Relapses = past.Relapses
-			if f.Event != Region {
-				c.Entry.Relapses = min(past.Relapses+1, ctl.settings.maxRelapse())
+			if ev.Event != Region {
+				c.Entry.Relapses = min(past.Relapses+1, ctl.settings.maxRelapses())
 			}
 		}
 	}
-	ctl.setEvacuated(&c.Entry, share, f.Event)
+	ctl.setEvacuated(&c.Entry, share, ev.Event)
 	return c, ""
 }
 
-// setEvacuated makes an entry one of a zone that is evacuated, but for share.
+// setEvacuated turns e into the entry of an evacuated zone of which only share is still served.
 func (ctl *Controller) setEvacuated(e *Entry, share float64, reason string) {
 	d := fleet.Directive{
 		Phase:     fleet.Evacuated,
@@ -265,7 +268,7 @@
 		BackoffMS: max(e.BackoffMS, ctl.settings.backoff(e.Relapses).Milliseconds()),
 		Relapses:  e.Relapses,
 	}
-	if share > 0 && (reason == Lost || reason == Region) { // its servers may come back as new processes
+	if share > 0 && (reason == Lost || reason == Region) { // its servers may come back as new processes, which need slow start
 		d.Budget, d.Slots = ctl.serverBudget(e.ProvedRate, ctl.settings.SlowStartMinCapacity, true), ctl.budgetSlots
 	}
 	e.Directive = d
@@ -273,28 +276,29 @@
 	e.TrialAnswered = false
 }
 
-// regionEvacuations returns the changes by which the rest of a region is evacuated, most of whose zones are.
-func (ctl *Controller) regionEvacuations(v fleetView, s *State, p plannedDirectives) (out []Change) {
+// regionEvacuations returns the changes that evacuate the rest of each region of which most zones are lost.
+func (ctl *Controller) regionEvacuations(v fleetView, s *State, planned plannedDirectives) (out []Change) {
 	zones := map[string][]string{}
-	for y, r := range ctl.settings.Region {
-		zones[r] = append(zones[r], y)
+	for zone, region := range ctl.settings.Region {
+		zones[region] = append(zones[region], zone)
 	}
-	for _, r := range slices.Sorted(maps.Keys(zones)) {
+	for _, region := range slices.Sorted(maps.Keys(zones)) {
 		lost := 0
-		for _, y := range zones[r] {
-			if e, ok := p[Key(y, "")]; ok && (e.Phase == fleet.Evacuated || e.Phase == fleet.Probation) && (e.Reason == Lost || e.Reason == Region) {
+		for _, zone := range zones[region] {
+			if e, ok := planned[Key(zone, "")]; ok && (e.Phase == fleet.Evacuated || e.Phase == fleet.Probation) &&
+				(e.Reason == Lost || e.Reason == Region) {
 				lost++
 			}
 		}
-		slices.Sort(zones[r])
-		for _, y := range zones[r] {
-			key := Key(y, "")
-			if _, had := p[key]; had || 2*lost <= len(zones[r]) {
+		slices.Sort(zones[region])
+		for _, zone := range zones[region] {
+			key := Key(zone, "")
+			if _, had := planned[key]; had || 2*lost <= len(zones[region]) {
 				continue
 			}
-			c, why := ctl.evacuation(v, s, p, Evidence{Key: key, Event: Region})
-			if why == "" && ctl.mayPropose(v.now, s, c) {
-				p[key] = c.Entry
+			c, blocked := ctl.evacuation(v, s, planned, Evidence{Key: key, Event: Region})
+			if blocked == "" && ctl.mayPropose(v.now, s, c) {
+				planned[key] = c.Entry
 				out = append(out, c)
 			}
 		}
@@ -302,14 +306,14 @@
 	return out
 }
 
-// serverBudget is what one server may get in a second from the whole fleet at a step of the recovery.
-func (ctl *Controller) serverBudget(proved, share float64, warming bool) float64 {
-	if proved <= 0 {
+// serverBudget returns the requests/s that the whole fleet may send to one server at a step of the recovery.
+func (ctl *Controller) serverBudget(provedRate, share float64, warming bool) float64 {
+	if provedRate <= 0 {
 		return ctl.settings.MinServerBudget
 	}
-	b := math.Max(share*proved, math.Min(ctl.settings.MinServerBudget, ctl.settings.SlowStartMinCapacity*proved))
+	budget := math.Max(share*provedRate, math.Min(ctl.settings.MinServerBudget, ctl.settings.SlowStartMinCapacity*provedRate))
 	if warming {
-		b = math.Min(b, ctl.settings.SlowStartMinCapacity*proved)
+		budget = math.Min(budget, ctl.settings.SlowStartMinCapacity*provedRate)
 	}
-	return b
+	return budget
 }
--- a/internal/fleet/zones/evidence.go
+++ b/internal/fleet/zones/evidence.go
@@ -9,14 +9,14 @@
 	"meadowsill/internal/fleet"
 )
 
-// Limits on what one report is believed to count.
+// Limits on the counts that are accepted from one node.
 const (
 	maxZones        = 256
 	maxCount        = 1 << 20
-	maxMedianFactor = 8 // a node counts for no more than so many times the median node
+	maxMedianFactor = 8 // a node counts for at most this multiple of the median node
 )
 
-// reportWindow is one report's counts. From is the intent that the node held when the window began.
+// reportWindow holds the counts of one report. Its revision is that of the intent that the node held when the window began.
 type reportWindow struct {
 	receivedAt fleet.Time
 	length     fleet.Time
@@ -24,20 +24,20 @@
 	zones      map[string]fleet.ZoneEvidence
 }
 
-// nodeRun is what is known of one node's run.
-type nodeRun struct {
+// nodeReports is what is known from the reports of one incarnation of a node.
+type nodeReports struct {
 	fleet.Member
 	sequence    uint64
 	revision    uint64
 	ready       bool
 	receivedAt  fleet.Time
-	windows     []reportWindow // the newest last
+	windows     []reportWindow // newest last
 	counts      map[string]zoneCount
-	countsUntil fleet.Time // counts hold until then, unless a window comes
+	countsUntil fleet.Time // counts are valid until then or until a new window arrives
 }
 
-// recordReport keeps a report; it reports whether it was newer than what is known.
-func (ctl *Controller) recordReport(now fleet.Time, v fleet.NodeView) (*nodeRun, bool) {
+// recordReport stores a report of a node, unless the report is stale, and reports whether it was newer than the stored ones.
+func (ctl *Controller) recordReport(now fleet.Time, v fleet.NodeView) (*nodeReports, bool) {
 	n := ctl.nodes[v.Node]
 	at := min(v.ReceivedAt, now)
 	if n != nil && (v.Incarnation < n.Incarnation || v.Incarnation == n.Incarnation && v.Report.Sequence <= n.sequence) {
@@ -47,7 +47,7 @@
 		return n, false
 	}
 	if n == nil || v.Incarnation > n.Incarnation {
-		n = &nodeRun{Member: v.Member}
+		n = &nodeReports{Member: v.Member}
 		ctl.nodes[v.Node] = n
 	}
 	w := reportWindow{receivedAt: at, length: fleet.Time(v.Report.WindowMS) * 1e6, revision: n.revision}
@@ -59,7 +59,7 @@
 	if w.length > 0 && w.length <= ctl.settings.EvidenceLifetime && len(v.Report.Zones) <= maxZones {
 		w.zones = map[string]fleet.ZoneEvidence{}
 		for _, c := range v.Report.Zones {
-			if _, twice := w.zones[c.Zone]; !twice && isPlausible(c) {
+			if _, duplicate := w.zones[c.Zone]; !duplicate && isPlausible(c) {
 				w.zones[c.Zone] = c
 			}
 		}
@@ -70,7 +70,7 @@
 	return n, true
 }
 
-// isPlausible reports whether a count could be a node's: no more of a part than of the whole.
+// isPlausible reports whether a correct node could have counted this: no part exceeds its whole, and the limits are kept.
 func isPlausible(c fleet.ZoneEvidence) bool {
 	return c.Zone != "" && len(c.Zone) <= 64 && !strings.ContainsAny(c.Zone, "@/") &&
 		c.Lost >= 0 && c.Answered >= 0 && c.Lost <= maxCount && c.Answered <= maxCount && c.Attempts <= maxCount &&
@@ -78,7 +78,7 @@
 		c.Servers <= c.Attempts && c.Listed >= 0 && c.Listed <= maxCount && c.Started >= 0 && c.Started <= maxCount
 }
 
-// vote is what a node's evidence says of a zone.
+// vote is the state of a zone by one node's evidence.
 type vote int8
 
 const (
@@ -88,16 +88,16 @@
 	voteHealthy
 )
 
-// nodeView is what one counted node saw of late, by zone.
+// nodeView is what one node with fresh reports saw recently, by zone.
 type nodeView struct {
 	fleet.Member
 	revision uint64
 	ready    bool
-	faulty   bool // it sees every zone fail that it tried: its vote is not counted
+	faulty   bool // every zone that the node tried fails for it: its vote is not counted
 	zones    map[string]zoneCount
 }
 
-// zoneCount is a node's evidence on a zone over the newest windows of EvidenceWindow.
+// zoneCount sums up a node's evidence on a zone, over its newest windows back over EvidenceWindow.
 type zoneCount struct {
 	attempts       int
 	lost           int
@@ -106,19 +106,19 @@
 	listed         int
 	rate           float64 // answers/s
 	vote           vote
-	newestAnswered bool // the newest of its windows with attempts had an answer
+	newestAnswered bool // the newest of the windows with attempts had an answer
 }
 
-// fleetView is what the leader sees now: the present nodes with fresh reports, by name.
+// fleetView is what the leader sees now. Its nodes are the present ones with fresh reports, sorted by name.
 type fleetView struct {
 	now           fleet.Time
 	nodes         []nodeView
-	presentByZone map[string]int // nodes by zone
-	presentCount  int            // present
-	zones         []string       // that anyone counted, in order
+	presentByZone map[string]int // present nodes by zone, with or without fresh reports
+	presentCount  int            // present nodes, with or without fresh reports
+	zones         []string       // zones that any node has counted, sorted
 }
 
-// hasQuorum reports whether enough of the present nodes are heard to evaluate at all.
+// hasQuorum reports whether enough of the present nodes have fresh reports for an evaluation.
 func (v fleetView) hasQuorum() bool { return v.presentCount > 0 && 2*len(v.nodes) >= v.presentCount }
 
 func (ctl *Controller) currentView(now fleet.Time, present []fleet.Member) fleetView {
@@ -139,7 +139,7 @@
 		}
 		v.nodes = append(v.nodes, nodeView{Member: m, revision: n.revision, ready: n.ready, zones: n.counts, faulty: isFaultyNode(n.counts)})
 	}
-	maps.DeleteFunc(ctl.nodes, func(name string, n *nodeRun) bool {
+	maps.DeleteFunc(ctl.nodes, func(name string, n *nodeReports) bool {
 		return !names[name] && now-n.receivedAt > ctl.settings.EvidenceLifetime
 	})
 	slices.SortFunc(v.nodes, func(a, b nodeView) int { return cmp.Compare(a.Node, b.Node) })
@@ -147,30 +147,30 @@
 	return v
 }
 
-// sumWindows counts all that the windows have which are not stale.
-func (n *nodeRun) sumWindows(now fleet.Time, set *Settings) {
-	n.counts, n.countsUntil = map[string]zoneCount{}, now+set.EvidenceLifetime
+// sumWindows sums up, by zone, the windows that are not stale.
+func (n *nodeReports) sumWindows(now fleet.Time, settings *Settings) {
+	n.counts, n.countsUntil = map[string]zoneCount{}, now+settings.EvidenceLifetime
 	for _, w := range n.windows {
-		if now-w.receivedAt > set.EvidenceLifetime {
+		if now-w.receivedAt > settings.EvidenceLifetime {
 			continue
 		}
-		n.countsUntil = min(n.countsUntil, w.receivedAt+set.EvidenceLifetime)
-		for z := range w.zones {
-			if _, ok := n.counts[z]; !ok {
-				n.counts[z] = set.countWindows(now, n, z, 0)
+		n.countsUntil = min(n.countsUntil, w.receivedAt+settings.EvidenceLifetime)
+		for zone := range w.zones {
+			if _, ok := n.counts[zone]; !ok {
+				n.counts[zone] = settings.countWindows(now, n, zone, 0)
 			}
 		}
 	}
 }
 
-// countWindows adds up a node's newest windows on a zone, back over EvidenceWindow, of those that began at revision from or later.
-// The vote is of the newest of them that are enough for one.
-func (s *Settings) countWindows(now fleet.Time, n *nodeRun, zone string, from uint64) (c zoneCount) {
+// countWindows sums up a node's newest windows on a zone, back over EvidenceWindow. It counts only windows that began when the
+// node held minRevision or a later revision. The vote is decided by the newest windows that together suffice for one.
+func (s *Settings) countWindows(now fleet.Time, n *nodeReports, zone string, minRevision uint64) (c zoneCount) {
 	var length fleet.Time
 	servers, maxServers := 0, 0
 	for i := len(n.windows) - 1; i >= 0 && length < s.EvidenceWindow; i-- {
 		w := n.windows[i]
-		if now-w.receivedAt > s.EvidenceLifetime || w.revision < from {
+		if now-w.receivedAt > s.EvidenceLifetime || w.revision < minRevision {
 			break
 		}
 		length += w.length
@@ -203,40 +203,40 @@
 	return c
 }
 
-// isFaultyNode reports whether every zone that a node tried fails: then the node is the fault.
+// isFaultyNode reports whether every zone that a node tried fails for it: the cause is then the node itself.
 func isFaultyNode(zones map[string]zoneCount) bool {
-	fail, ok := 0, 0
+	failingZones, answers := 0, 0
 	for _, c := range zones {
 		switch {
 		case c.vote == voteFailing:
-			fail++
+			failingZones++
 		default:
-			ok += c.answered
+			answers += c.answered
 		}
 	}
-	return fail > 0 && ok == 0
+	return failingZones > 0 && answers == 0
 }
 
-// clampToMedian returns what each value counts for: no more than a few times the median of those above 0.
+// clampToMedian returns the values, each limited to maxMedianFactor times the median of those above 0.
 func clampToMedian(values []float64) []float64 {
-	above := slices.DeleteFunc(slices.Clone(values), func(x float64) bool { return x <= 0 })
-	if len(above) == 0 {
+	positive := slices.DeleteFunc(slices.Clone(values), func(x float64) bool { return x <= 0 })
+	if len(positive) == 0 {
 		return values
 	}
-	slices.Sort(above)
-	maximum := maxMedianFactor * above[(len(above)-1)/2]
+	slices.Sort(positive)
+	limit := maxMedianFactor * positive[(len(positive)-1)/2]
 	out := slices.Clone(values)
 	for i, x := range out {
-		out[i] = min(x, maximum)
+		out[i] = min(x, limit)
 	}
 	return out
 }
 
-// median of what counted nodes say is listed of a zone; 0 where nobody lists any.
+// medianListed returns the median of the numbers of servers that nodes list for a zone; 0 where no node lists any.
 func (v fleetView) medianListed(zone string) int {
 	var all []int
-	for _, s := range v.nodes {
-		if n := s.zones[zone].listed; n > 0 {
+	for _, node := range v.nodes {
+		if n := node.zones[zone].listed; n > 0 {
 			all = append(all, n)
 		}
 	}
--- a/internal/fleet/zones/recovery.go
+++ b/internal/fleet/zones/recovery.go
@@ -7,109 +7,110 @@
 	"meadowsill/internal/fleet"
 )
 
-// recovery is what the controller knows of the recovery of a zone: of the directive of a revision, since it saw it.
+// recovery is what the controller knows of the recovery of a zone under its present directive, since it first saw that directive.
 type recovery struct {
-	revision   uint64
-	startedAt  fleet.Time
-	evidenceAt fleet.Time // or, where a zone is evacuated, since evidence last said that it fails
-	byNode     map[string]*nodeEvidence
-	warming    bool
-	answeredAt fleet.Time // first answers of this return, where warming
-	lastTrial  []string   // nodes of the last trial, until it is over
-	trials     int        // trials so far
+	revision    uint64
+	startedAt   fleet.Time
+	evidenceAt  fleet.Time // when the directive was first seen or, for an evacuated zone, when evidence last said that the zone fails
+	byNode      map[string]*nodeEvidence
+	hasAnswered bool
+	answeredAt  fleet.Time // time of the first answers of this recovery; valid if hasAnswered
+	lastTrial   []string   // nodes of the last trial; the next change waits until the trial is over on all of them
+	trials      int        // trials so far
 }
 
-// nodeEvidence is a node's evidence under one directive: of windows that began when it held it.
+// nodeEvidence sums up a node's evidence under one directive, over windows that began when the node held that directive.
 type nodeEvidence struct {
 	zone     string
 	lost     int
 	answered int
 	attempts int
-	// servers that answered, and tried, added up over windows
+	// servers that answered and servers that were tried, summed over the windows
 	serversAnswered int
 	serversTried    int
 }
 
-func (b *recovery) restart(now fleet.Time, e Entry) {
-	b.revision = e.Revision
-	b.startedAt = now
-	b.evidenceAt = now
-	b.byNode = nil
+func (r *recovery) restart(now fleet.Time, e Entry) {
+	r.revision = e.Revision
+	r.startedAt = now
+	r.evidenceAt = now
+	r.byNode = nil
 	if len(e.TrialNodes) > 0 {
-		b.lastTrial = slices.Clone(e.TrialNodes)
-		b.trials++
+		r.lastTrial = slices.Clone(e.TrialNodes)
+		r.trials++
 	}
 	if e.Phase == fleet.Evacuated {
-		b.warming = false
+		r.hasAnswered = false
 	}
 }
 
-func (b *recovery) add(n *nodeRun, c fleet.ZoneEvidence) {
+func (r *recovery) add(n *nodeReports, c fleet.ZoneEvidence) {
 	if c.Attempts == 0 {
 		return
 	}
-	if b.byNode == nil {
-		b.byNode = map[string]*nodeEvidence{}
+	if r.byNode == nil {
+		r.byNode = map[string]*nodeEvidence{}
 	}
-	t := b.byNode[n.Node]
-	if t == nil {
-		t = &nodeEvidence{zone: n.Zone}
-		b.byNode[n.Node] = t
+	evidence := r.byNode[n.Node]
+	if evidence == nil {
+		evidence = &nodeEvidence{zone: n.Zone}
+		r.byNode[n.Node] = evidence
 	}
-	t.lost += c.Lost
-	t.answered += c.Answered
-	t.attempts += c.Attempts
-	t.serversAnswered, t.serversTried = t.serversAnswered+c.Servers-c.LostServers, t.serversTried+c.Servers
-	if c.Answered > 0 && !b.warming {
-		b.warming, b.answeredAt = true, n.receivedAt
+	evidence.lost += c.Lost
+	evidence.answered += c.Answered
+	evidence.attempts += c.Attempts
+	evidence.serversAnswered, evidence.serversTried = evidence.serversAnswered+c.Servers-c.LostServers, evidence.serversTried+c.Servers
+	if c.Answered > 0 && !r.hasAnswered {
+		r.hasAnswered, r.answeredAt = true, n.receivedAt
 	}
 }
 
-// hasEnoughAnswers reports whether there are so many answers of counted nodes, of two of them at least where two may try, with
-// less than MaxStepLoss lost and most attempts answered, from enough of the zone's servers.
-func (b *recovery) hasEnoughAnswers(set *Settings, v fleetView, need, may, listed int) bool {
-	var ok, lost, attempts []float64
+// hasEnoughAnswers reports whether nodes that are not faulty have at least minAnswers answers, with less than MaxStepLoss lost,
+// most attempts answered, and answers from enough of the zone's servers. Where more than one node may send, the answers must
+// come from two nodes or more, and a quarter of minAnswers from others than the node with the most.
+func (r *recovery) hasEnoughAnswers(settings *Settings, v fleetView, minAnswers, maxNodes, listed int) bool {
+	var answers, lost, attempts []float64
 	nodes, servers := 0, 0
-	for _, s := range v.nodes {
-		if t := b.byNode[s.Node]; t != nil && !s.faulty {
-			ok = append(ok, float64(t.answered))
-			lost = append(lost, float64(t.lost))
-			attempts = append(attempts, float64(t.attempts))
-			servers += t.serversAnswered
-			if t.answered > 0 {
+	for _, node := range v.nodes {
+		if evidence := r.byNode[node.Node]; evidence != nil && !node.faulty {
+			answers = append(answers, float64(evidence.answered))
+			lost = append(lost, float64(evidence.lost))
+			attempts = append(attempts, float64(evidence.attempts))
+			servers += evidence.serversAnswered
+			if evidence.answered > 0 {
 				nodes++
 			}
 		}
 	}
-	total, best := 0.0, 0.0
-	for i, x := range clampToMedian(ok) {
-		if ok[i] > 0 {
-			lost[i], attempts[i] = lost[i]*x/ok[i], attempts[i]*x/ok[i]
+	total, largest := 0.0, 0.0
+	for i, clamped := range clampToMedian(answers) {
+		if answers[i] > 0 {
+			lost[i], attempts[i] = lost[i]*clamped/answers[i], attempts[i]*clamped/answers[i]
 		}
-		total, best = total+x, math.Max(best, x)
+		total, largest = total+clamped, math.Max(largest, clamped)
 	}
-	if may > 1 && (nodes < 2 || total-best < float64(need)/4) {
+	if maxNodes > 1 && (nodes < 2 || total-largest < float64(minAnswers)/4) {
 		return false
 	}
-	l := sum(lost)
-	return total >= float64(need) && l < set.MaxStepLoss*(total+l) && 2*total > sum(attempts) &&
+	totalLost := sum(lost)
+	return total >= float64(minAnswers) && totalLost < settings.MaxStepLoss*(total+totalLost) && 2*total > sum(attempts) &&
 		float64(servers) >= 0.6*float64(listed)
 }
 
-// recoveryCase is what the next change of one directive is decided from.
+// recoveryCase holds what the next change of one directive is decided from.
 type recoveryCase struct {
 	*recovery
 	view          fleetView
 	entry         Entry
-	change        Change     // as far as it is the same for every step
-	zone          string     // of the directive
-	observer      string     // the zone that it is for; "": every node
-	elapsed       fleet.Time // since the directive was first seen, or since evidence last said that the zone fails
-	maxNodes      int        // that may send to the zone
+	change        Change     // the part of the next change that is the same for every step
+	zone          string     // zone that the directive is on
+	observer      string     // zone whose nodes the directive is for; "": every node
+	elapsed       fleet.Time // since the directive was first seen or, for an evacuated zone, since evidence last said that the zone fails
+	maxNodes      int        // nodes that may send to the zone
 	listedServers int        // servers of the zone
 }
 
-// nextRecoveryChange returns the next change of a zone that is evacuated or recovers, if it is time for one.
+// nextRecoveryChange returns the next change of a zone that is evacuated, in probation or recovering, if one is due.
 func (ctl *Controller) nextRecoveryChange(v fleetView, s *State, key string) (Change, bool) {
 	r := ctl.newRecoveryCase(v, s, key)
 	evidence, failing := ctl.evidence[key]
@@ -151,12 +152,12 @@
 	return r
 }
 
-// hasStepAnswers reports whether a step of the recovery has its answers.
+// hasStepAnswers reports whether the present step of the recovery has enough answers.
 func (r recoveryCase) hasStepAnswers(settings *Settings) bool {
 	return r.hasEnoughAnswers(settings, r.view, settings.MinStepAnswers, r.maxNodes, r.listedServers)
 }
 
-// afterEvacuation begins a trial once the backoff is over, or a recovery where a part was served all along.
+// afterEvacuation starts a trial once the backoff is over, or the recovery where a part of the zone was served all along.
 func (ctl *Controller) afterEvacuation(r recoveryCase, failing bool) (Change, bool) {
 	switch {
 	case failing:
@@ -172,7 +173,7 @@
 	return r.change, false
 }
 
-// afterProbation follows a trial: its answers, its loss or its time; then the first step, or another trial.
+// afterProbation ends a trial by its answers, its loss or its timeout, and then starts the first step or another trial.
 func (ctl *Controller) afterProbation(r recoveryCase) (Change, bool) {
 	trialNodes := len(r.entry.TrialNodes)
 	if ctl.isTrialLost(r.recovery, r.view, r.entry) {
@@ -190,7 +191,7 @@
 	return ctl.trial(r.change, r.recovery, r.view, r.zone, r.observer)
 }
 
-// afterTrial ends a trial that has its answers, or whose time is over.
+// afterTrial returns the change that ends a trial which has enough answers or whose time is over.
 func (ctl *Controller) afterTrial(r recoveryCase, trialNodes int) (Change, bool) {
 	change := r.change
 	switch {
@@ -207,8 +208,8 @@
 	return change, false
 }
 
-// afterStep follows a step of the recovery: back where the zone fails, on where the step has its answers. established:
-// evidence that the zone fails has lasted long enough.
+// afterStep returns the change that follows a step of the recovery: back where the zone fails, forward where the step has
+// enough answers. established says that evidence of the zone's failure has lasted long enough to act on it.
 func (ctl *Controller) afterStep(r recoveryCase, established bool) (Change, bool) {
 	e, settings := r.entry, &ctl.settings
 	switch {
@@ -230,24 +231,24 @@
 	return ctl.recoveryStep(r.change, r.recovery, r.view, Answered, e.Step+1), true
 }
 
-// afterLostStep ends the recovery where its first step is lost, and else goes one step back.
+// afterLostStep goes one step back. It ends the recovery where there is no earlier step that serves more than the base share.
 func (ctl *Controller) afterLostStep(r recoveryCase) Change {
 	e, settings := r.entry, &ctl.settings
 	if e.Step == 1 || settings.Steps[e.Step-2] <= e.BaseShare {
 		return ctl.endRecovery(r.change)
 	}
 	change := r.change
-	change.Entry.Relapses = min(e.Relapses+1, settings.maxRelapse())
+	change.Entry.Relapses = min(e.Relapses+1, settings.maxRelapses())
 	change.Entry.BackoffMS = max(e.BackoffMS, settings.backoff(change.Entry.Relapses).Milliseconds())
 	return ctl.recoveryStep(change, r.recovery, r.view, Lost, e.Step-1)
 }
 
-// isWarming reports whether the zone's servers may still have to warm up.
-func (b *recovery) isWarming(settings *Settings, now fleet.Time) bool {
-	return !b.warming || now-b.answeredAt < settings.SlowStartWindow
+// isWarming reports whether servers of the zone may still be warming up.
+func (r *recovery) isWarming(settings *Settings, now fleet.Time) bool {
+	return !r.hasAnswered || now-r.answeredAt < settings.SlowStartWindow
 }
 
-// nextStep is the first step whose share is above share.
+// nextStep returns the first step, counted from 1, whose share is above the given share.
 func nextStep(steps []float64, share float64) int {
 	for i, x := range steps {
 		if x > share {
@@ -257,16 +258,16 @@
 	return len(steps)
 }
 
-// endRecovery makes the change by which a recovery ends: the zone is evacuated anew, for longer.
+// endRecovery returns the change that ends a recovery: the zone is evacuated again, with one more relapse and a longer backoff.
 func (ctl *Controller) endRecovery(c Change) Change {
 	c.Event = Lost
-	c.Entry.Relapses = min(c.Entry.Relapses+1, ctl.settings.maxRelapse())
+	c.Entry.Relapses = min(c.Entry.Relapses+1, ctl.settings.maxRelapses())
 	ctl.setEvacuated(&c.Entry, c.Entry.BaseShare, Lost)
 	return c
 }
 
-// recoveryStep makes the change to a step of the recovery.
-func (ctl *Controller) recoveryStep(c Change, b *recovery, v fleetView, event string, step int) Change {
+// recoveryStep returns the change to a step of the recovery.
+func (ctl *Controller) recoveryStep(c Change, r *recovery, v fleetView, event string, step int) Change {
 	e := &c.Entry
 	budgeted := e.Budget > 0
 	share := ctl.settings.Steps[step-1]
@@ -286,46 +287,48 @@
 		Relapses:  e.Relapses,
 	}
 	if budgeted {
-		warming := b.isWarming(&ctl.settings, v.now)
+		warming := r.isWarming(&ctl.settings, v.now)
 		e.Budget, e.Slots = ctl.serverBudget(e.ProvedRate, share, warming), ctl.budgetSlots
 	}
 	c.Event = event
 	return c
 }
 
-// trial makes the change to a trial by other nodes than the last: of different zones, ready, none of them with a
-// directive of its own against the zone. There is none where no node can.
-func (ctl *Controller) trial(c Change, b *recovery, v fleetView, y, x string) (Change, bool) {
+// trial returns the change that starts a trial by other nodes than those of the last trial. The nodes are ready and spread over
+// zones; nodes whose own zone has a directive on the target take no part in a trial for all nodes. trial returns false where
+// no node can take part.
+func (ctl *Controller) trial(c Change, r *recovery, v fleetView, target, observer string) (Change, bool) {
 	byZone := map[string][]string{}
 	var zones []string
-	for _, s := range v.nodes {
-		if _, own := ctl.recoveries[Key(y, s.Zone)]; s.faulty || !s.ready || x != "" && s.Zone != x || x == "" && own {
+	for _, node := range v.nodes {
+		if _, hasOwn := ctl.recoveries[Key(target, node.Zone)]; node.faulty || !node.ready ||
+			observer != "" && node.Zone != observer || observer == "" && hasOwn {
 			continue
 		}
-		if byZone[s.Zone] == nil {
-			zones = append(zones, s.Zone)
+		if byZone[node.Zone] == nil {
+			zones = append(zones, node.Zone)
 		}
-		byZone[s.Zone] = append(byZone[s.Zone], s.Node)
+		byZone[node.Zone] = append(byZone[node.Zone], node.Node)
 	}
 	slices.Sort(zones)
-	var line []string // one node of each zone, then the second of each
-	for i := 0; len(line) < len(v.nodes); i++ {
-		n := len(line)
+	var candidates []string // the first node of each zone, then the second of each, so that a trial spans zones
+	for i := 0; len(candidates) < len(v.nodes); i++ {
+		n := len(candidates)
 		for _, z := range zones {
 			if i < len(byZone[z]) {
-				line = append(line, byZone[z][i])
+				candidates = append(candidates, byZone[z][i])
 			}
 		}
-		if n == len(line) {
+		if n == len(candidates) {
 			break
 		}
 	}
-	if len(line) == 0 {
+	if len(candidates) == 0 {
 		return c, false
 	}
 	var trial []string
-	for i := range min(ctl.settings.TrialNodes, len(line)) {
-		trial = append(trial, line[(b.trials*ctl.settings.TrialNodes+i)%len(line)])
+	for i := range min(ctl.settings.TrialNodes, len(candidates)) {
+		trial = append(trial, candidates[(r.trials*ctl.settings.TrialNodes+i)%len(candidates)])
 	}
 	e := &c.Entry
 	c.Event = TimeElapsed
@@ -342,31 +345,31 @@
 	return c, true
 }
 
-// isSuperseded reports whether what held before this directive holds nowhere any more: every one of the nodes (nil: every
-// present one) reports that it holds this one, or it has been outlived, by clocks whose rates differ.
-func (b *recovery) isSuperseded(set *Settings, v fleetView, nodes []string) bool {
-	if v.now-b.startedAt >= set.DirectiveLifetime*21/20 {
+// isSuperseded reports whether no node applies the directive before this one any more: each of the given nodes (nil: every
+// present one) reports that it holds this directive, or the former one has expired, with a margin for clocks whose rates differ.
+func (r *recovery) isSuperseded(settings *Settings, v fleetView, nodes []string) bool {
+	if v.now-r.startedAt >= settings.DirectiveLifetime*21/20 {
 		return true
 	}
-	heard := 0
-	for _, s := range v.nodes {
-		if s.revision >= b.revision && (nodes == nil || slices.Contains(nodes, s.Node)) {
-			heard++
+	confirmed := 0
+	for _, node := range v.nodes {
+		if node.revision >= r.revision && (nodes == nil || slices.Contains(nodes, node.Node)) {
+			confirmed++
 		}
 	}
 	if nodes == nil {
-		return heard == v.presentCount
+		return confirmed == v.presentCount
 	}
-	return heard == len(nodes)
+	return confirmed == len(nodes)
 }
 
-// isTrialLost reports whether most of the trial's nodes that tried, two at least where two may, lost most of it.
-func (ctl *Controller) isTrialLost(b *recovery, v fleetView, e Entry) bool {
+// isTrialLost reports whether most of the trial's nodes with attempts lost most of them: at least two nodes, or its only node.
+func (ctl *Controller) isTrialLost(r *recovery, v fleetView, e Entry) bool {
 	tried, lost := 0, 0
-	for _, s := range v.nodes {
-		if t := b.byNode[s.Node]; t != nil && !s.faulty && slices.Contains(e.TrialNodes, s.Node) && t.lost+t.answered > 0 {
+	for _, node := range v.nodes {
+		if ev := r.byNode[node.Node]; ev != nil && !node.faulty && slices.Contains(e.TrialNodes, node.Node) && ev.lost+ev.answered > 0 {
 			tried++
-			if t.lost > t.answered {
+			if ev.lost > ev.answered {
 				lost++
 			}
 		}
@@ -374,24 +377,24 @@
 	return 2*lost > tried && (lost >= 2 || len(e.TrialNodes) == 1 && lost == 1)
 }
 
-// isStepLost reports whether the attempts of this step are lost: RelapseLoss of the newest, by no one node's or zone's vote.
-func (ctl *Controller) isStepLost(v fleetView, y, x string, rev uint64) bool {
-	var all []nodeAttempts
-	zones := 0
+// isStepLost reports whether RelapseLoss of the step's newest attempts is lost, even without any one node or any one zone.
+func (ctl *Controller) isStepLost(v fleetView, target, observer string, minRevision uint64) bool {
+	var perNode []nodeAttempts
+	observerZones := 0
 	for range v.presentByZone {
-		zones++
+		observerZones++
 	}
-	if x != "" {
-		zones = 1
+	if observer != "" {
+		observerZones = 1
 	}
-	for _, s := range v.nodes {
-		if x != "" && s.Zone != x || s.faulty {
+	for _, node := range v.nodes {
+		if observer != "" && node.Zone != observer || node.faulty {
 			continue
 		}
-		if c := ctl.settings.countWindows(v.now, ctl.nodes[s.Node], y, rev); c.lost+c.answered > 0 {
-			all = append(all, nodeAttempts{zone: s.Zone, attempts: float64(c.lost + c.answered), lost: float64(c.lost)})
+		if c := ctl.settings.countWindows(v.now, ctl.nodes[node.Node], target, minRevision); c.lost+c.answered > 0 {
+			perNode = append(perNode, nodeAttempts{zone: node.Zone, attempts: float64(c.lost + c.answered), lost: float64(c.lost)})
 		}
 	}
-	p, attempts, nodes := robustLossPart(all, zones)
+	p, attempts, nodes := robustLossPart(perNode, observerZones)
 	return p >= ctl.settings.RelapseLoss && attempts >= 8 && nodes >= min(3, v.presentCount)
 }
--- a/internal/fleet/zones/state.go
+++ b/internal/fleet/zones/state.go
@@ -11,84 +11,85 @@
 	"meadowsill/internal/fleet"
 )
 
-// Errors of Apply. Each leaves the state as it was.
+// Errors of Apply. The state is unchanged after either of them.
 var (
-	ErrChanged           = errors.New("zone changed since the decision") // the compare of a compare-and-set failed
-	ErrIllegalTransition = errors.New("no such transition")              // wraps what is wrong with it
+	ErrChanged           = errors.New("zone changed since the decision") // the comparison of a compare-and-set failed
+	ErrIllegalTransition = errors.New("no such transition")              // the error that wraps it says what is wrong
 )
 
-// State is the replicated part: the directives in force, and the relapses of zones that are served again. It knows no
-// time. Its JSON is its snapshot. The zero State is empty and ready for use.
+// State is the replicated part: the directives in force, and the relapses of zones that are served again. It holds no
+// times. Its JSON form is its snapshot. The zero State is empty and ready for use.
 type State struct {
-	Revision     uint64                 `json:"rev"`                  // of its last change, 0: none yet
+	Revision     uint64                 `json:"rev"`                  // of the last change; 0: none yet
 	Directives   map[string]Entry       `json:"directives,omitempty"` // by key: "zone/Y" or "zone/Y@X"
-	PastRelapses map[string]PastRelapse `json:"past,omitempty"`       // by key: served again, backoffs not yet forgotten
+	PastRelapses map[string]PastRelapse `json:"past,omitempty"`       // by key: zones that are served again, relapses not yet forgotten
 }
 
-// Entry is a directive in force and what its recovery needs to know of the zone as it was when it was evacuated.
+// Entry is a directive in force, with what the recovery needs to know about the zone at the time of its evacuation.
 type Entry struct {
 	Revision uint64 `json:"rev"`
 	fleet.Directive
-	ProvedRate    float64 `json:"proved"` // answers/s that one of its servers had given; 0: not known
-	ListedServers int     `json:"listed"` // its servers
-	Demand        float64 `json:"demand"` // answers/s of all of it, for the observers that left it
-	BaseShare     float64 `json:"base"`   // share served all along
-	TrialAnswered bool    `json:"tried"`  // a trial has had its answers: the recovery begins once it is over
+	ProvedRate    float64 `json:"proved"` // highest answers/s of one of the zone's servers; 0: not known
+	ListedServers int     `json:"listed"` // servers of the zone
+	Demand        float64 `json:"demand"` // answers/s that the directive's observers got from the whole zone
+	BaseShare     float64 `json:"base"`   // share that is served all along
+	TrialAnswered bool    `json:"tried"`  // a trial had enough answers: the recovery begins once the trial is over
 }
 
-// PastRelapse is what is kept of a zone that is served again. Revision is the revision of its last change.
+// PastRelapse is what is kept of a zone that is served again. Revision is that of the zone's last change.
 type PastRelapse struct {
 	Revision uint64 `json:"rev"`
 	Relapses int    `json:"relapse"`
 }
 
-// Command is one change, applied completely or not at all. IfStateRevision is the State's Revision that it was decided from; it is compared
-// where a zone without a directive gets one, as the capacity for it depends on all the others.
+// Command is a list of changes that are applied completely or not at all. IfStateRevision is the State's Revision that the
+// command was decided from. It is compared for zones without a directive, as the capacity for a new directive depends on all
+// the others.
 type Command struct {
 	IfStateRevision uint64   `json:"if_state"`
 	Items           []Change `json:"items"`
 }
 
-// Change is the change of one item: Entry becomes its new content (Revision is given by Apply), or goes.
+// Change is the change of one item: Entry becomes its new content (Apply sets the Revision), or the item is removed.
 type Change struct {
 	Key        string `json:"key"`
-	IfRevision uint64 `json:"if_rev"` // revision of the entry, or of the past, that it was decided from; 0: there was none
+	IfRevision uint64 `json:"if_rev"` // revision of the entry or past relapse that the change was decided from; 0: there was none
 	Event      string `json:"event"`
-	Removed    bool   `json:"gone,omitempty"` // the zone is served as ever; with quiet: a relapse is forgotten
+	Removed    bool   `json:"gone,omitempty"` // the zone is served in full again; without a directive: a relapse is forgotten
 	Entry      Entry  `json:"entry"`
 }
 
-// Key is the item's key for zone y as the nodes of zone x are to see it; x "" is every node.
-func Key(y, x string) string {
-	if x == "" {
-		return "zone/" + y
+// Key returns the key of the item on a zone for the nodes of the observer zone, or for every node where observer is "".
+func Key(zone, observer string) string {
+	if observer == "" {
+		return "zone/" + zone
 	}
-	return "zone/" + y + "@" + x
+	return "zone/" + zone + "@" + observer
 }
 
-// ParseKey undoes Key.
-func ParseKey(key string) (y, x string, ok bool) {
+// ParseKey splits a key into the arguments of Key that give it. ok is false for a text that Key does not return.
+func ParseKey(key string) (zone, observer string, ok bool) {
 	rest, ok := strings.CutPrefix(key, "zone/")
-	y, x, at := strings.Cut(rest, "@")
-	return y, x, ok && y != "" && (!at || x != "") && !strings.Contains(x, "@")
+	zone, observer, at := strings.Cut(rest, "@")
+	return zone, observer, ok && zone != "" && (!at || observer != "") && !strings.Contains(observer, "@")
 }
 
-// Apply makes the command's change under one new revision, which rev is called for once, only if it is made. It gives
-// the keys whose items changed, in order: a key that is then not among Items has been removed; none changed where only relapses
-// were forgotten. A command decided from another revision gives ErrChanged, one that the state table does not have
-// ErrIllegalTransition.
-func (s *State) Apply(c Command, rev func() uint64) (changed []string, err error) {
+// Apply makes the changes of a command under one new revision. It calls nextRevision once, and only if it makes the changes.
+// It returns the sorted keys of the items that changed: a key that is not among Items afterwards has been removed, and a change
+// that only forgets a relapse returns no key. Apply returns ErrChanged for a command that was decided from another revision,
+// and ErrIllegalTransition for a transition that the state table does not have.
+func (s *State) Apply(c Command, nextRevision func() uint64) (changed []string, err error) {
 	if len(c.Items) == 0 {
 		return nil, fmt.Errorf("%w: an empty command", ErrIllegalTransition)
 	}
 	seen := map[string]bool{}
-	for _, ch := range c.Items {
-		if seen[ch.Key] {
-			return nil, fmt.Errorf("%w: %s: twice in one command", ErrIllegalTransition, ch.Key)
+	for _, change := range c.Items {
+		if seen[change.Key] {
+			return nil, fmt.Errorf("%w: %s: twice in one command", ErrIllegalTransition, change.Key)
 		}
-		seen[ch.Key] = true
-		if err := s.check(c, ch); err != nil {
-			return nil, fmt.Errorf("%s: %w", ch.Key, err)
+		seen[change.Key] = true
+		if err := s.check(c, change); err != nil {
+			return nil, fmt.Errorf("%s: %w", change.Key, err)
 		}
 	}
 	if s.Directives == nil {
@@ -97,79 +98,80 @@
 	if s.PastRelapses == nil {
 		s.PastRelapses = map[string]PastRelapse{}
 	}
-	s.Revision = rev()
-	for _, ch := range c.Items {
-		old, had := s.Directives[ch.Key]
+	s.Revision = nextRevision()
+	for _, change := range c.Items {
+		old, had := s.Directives[change.Key]
 		switch {
-		case had && ch.Removed:
-			delete(s.Directives, ch.Key)
-			s.PastRelapses[ch.Key] = PastRelapse{Revision: s.Revision, Relapses: old.Relapses}
-		case ch.Removed:
-			if p := s.PastRelapses[ch.Key]; p.Relapses > 0 {
-				s.PastRelapses[ch.Key] = PastRelapse{Revision: s.Revision, Relapses: p.Relapses - 1}
+		case had && change.Removed:
+			delete(s.Directives, change.Key)
+			s.PastRelapses[change.Key] = PastRelapse{Revision: s.Revision, Relapses: old.Relapses}
+		case change.Removed:
+			if p := s.PastRelapses[change.Key]; p.Relapses > 0 {
+				s.PastRelapses[change.Key] = PastRelapse{Revision: s.Revision, Relapses: p.Relapses - 1}
 			} else {
-				delete(s.PastRelapses, ch.Key)
+				delete(s.PastRelapses, change.Key)
 			}
 			continue
 		default:
-			delete(s.PastRelapses, ch.Key)
-			ch.Entry.Revision = s.Revision
-			ch.Entry.TrialNodes = slices.Clone(ch.Entry.TrialNodes)
-			s.Directives[ch.Key] = ch.Entry
+			delete(s.PastRelapses, change.Key)
+			change.Entry.Revision = s.Revision
+			change.Entry.TrialNodes = slices.Clone(change.Entry.TrialNodes)
+			s.Directives[change.Key] = change.Entry
 		}
-		changed = append(changed, ch.Key)
+		changed = append(changed, change.Key)
 	}
 	slices.Sort(changed)
 	return changed, nil
 }
 
-// check tells what is wrong with a change.
-func (s *State) check(c Command, ch Change) error {
-	if _, _, ok := ParseKey(ch.Key); !ok {
+// check returns an error that says what is wrong with a change.
+func (s *State) check(c Command, change Change) error {
+	if _, _, ok := ParseKey(change.Key); !ok {
 		return fmt.Errorf("%w: not a zone's key", ErrIllegalTransition)
 	}
-	old, had := s.Directives[ch.Key]
-	past, returned := s.PastRelapses[ch.Key]
-	if had && ch.IfRevision != old.Revision || !had && ch.IfRevision != past.Revision || !had && c.IfStateRevision != s.Revision {
+	old, had := s.Directives[change.Key]
+	past, servedAgain := s.PastRelapses[change.Key]
+	if had && change.IfRevision != old.Revision || !had && change.IfRevision != past.Revision || !had && c.IfStateRevision != s.Revision {
 		return ErrChanged
 	}
-	from := fleet.Serving
-	to := ch.Entry.Phase
-	e := ch.Entry
+	source := fleet.Serving
+	target := change.Entry.Phase
+	e := change.Entry
 	if had {
-		from = old.Phase
+		source = old.Phase
 	}
-	if ch.Removed {
-		to = fleet.Serving
+	if change.Removed {
+		target = fleet.Serving
 	}
-	back := !ch.Removed && (had && e.Relapses > old.Relapses || !had && returned && e.Relapses > past.Relapses)
-	at := func(why string) error {
-		return fmt.Errorf("%w: %s, %s -> %s: %s", ErrIllegalTransition, from, ch.Event, to, why)
+	countsRelapse := !change.Removed && (had && e.Relapses > old.Relapses || !had && servedAgain && e.Relapses > past.Relapses)
+	illegal := func(reason string) error {
+		return fmt.Errorf("%w: %s, %s -> %s: %s", ErrIllegalTransition, source, change.Event, target, reason)
 	}
-	// Where the most relapses are counted already, one more changes nothing.
-	if !isLegal(from, ch.Event, to, back) && !(to != fleet.Serving && !back && isLegal(from, ch.Event, to, true)) {
-		return at("not in the table")
+	// At the maximum the number of relapses does not rise any more, so a row that counts a relapse applies too.
+	if !isLegal(source, change.Event, target, countsRelapse) &&
+		!(target != fleet.Serving && !countsRelapse && isLegal(source, change.Event, target, true)) {
+		return illegal("not in the table")
 	}
-	if ch.Removed {
-		if had && (old.Step < 1 || old.Share != 1) || !had && !returned {
-			return at("not after the last step")
+	if change.Removed {
+		if had && (old.Step < 1 || old.Share != 1) || !had && !servedAgain {
+			return illegal("not after the last step")
 		}
 		return nil
 	}
-	if to == fleet.Serving {
-		return at("serving has no directive")
+	if target == fleet.Serving {
+		return illegal("serving has no directive")
 	}
-	if why := entryFlaw(e); why != "" {
-		return at(why)
+	if reason := invalidEntryReason(e); reason != "" {
+		return illegal(reason)
 	}
-	if why := sequenceFlaw(old, had, ch); why != "" {
-		return at(why)
+	if reason := invalidSequenceReason(old, had, change); reason != "" {
+		return illegal(reason)
 	}
 	return nil
 }
 
-// entryFlaw tells what no directive may be.
-func entryFlaw(e Entry) string {
+// invalidEntryReason returns why no directive may have this entry, or "".
+func invalidEntryReason(e Entry) string {
 	switch {
 	case !(e.Floor >= 0) || !(e.Share <= 1) || !(e.Floor <= e.Share):
 		return "floor and share are not 0 <= floor <= share <= 1"
@@ -187,9 +189,9 @@
 	return ""
 }
 
-// sequenceFlaw tells what may not follow on the old entry.
-func sequenceFlaw(old Entry, had bool, ch Change) string {
-	e := ch.Entry
+// invalidSequenceReason returns why the change may not follow the old entry, or "".
+func invalidSequenceReason(old Entry, had bool, change Change) string {
+	e := change.Entry
 	if !had {
 		if e.Share >= 1 {
 			return "nothing is left"
@@ -203,7 +205,7 @@
 		return "what was known of the zone has changed"
 	case old.Phase == fleet.Evacuated && e.Phase == fleet.Evacuated && e.Share == old.Share:
 		return "nothing changes"
-	case old.Phase == fleet.Evacuated && e.Phase == fleet.Evacuated && ch.Event != Gray && e.Share > old.Share:
+	case old.Phase == fleet.Evacuated && e.Phase == fleet.Evacuated && change.Event != Gray && e.Share > old.Share:
 		return "a lost zone gets more"
 	case old.Phase == fleet.Evacuated && e.Phase == fleet.Probation && old.Share != 0:
 		return "a part is served: it needs no probation"
@@ -213,11 +215,12 @@
 		return "a trial before the former one is over"
 	case old.Phase == fleet.Probation && e.Phase == fleet.Recovering && (e.Step != 1 || !old.TrialAnswered || len(old.TrialNodes) > 0):
 		return "the first step is 1, once a trial with its answers is over"
-	case old.Phase == fleet.Probation && e.Phase == fleet.Probation && (old.TrialAnswered || e.TrialAnswered != (ch.Event == Answered) || e.TrialAnswered && len(old.TrialNodes) == 0):
+	case old.Phase == fleet.Probation && e.Phase == fleet.Probation && (old.TrialAnswered ||
+		e.TrialAnswered != (change.Event == Answered) || e.TrialAnswered && len(old.TrialNodes) == 0):
 		return "a trial that had its answers, or none that has"
-	case old.Phase == fleet.Recovering && e.Phase == fleet.Recovering && ch.Event == Answered && (e.Step != old.Step+1 || e.Share <= old.Share):
+	case old.Phase == fleet.Recovering && e.Phase == fleet.Recovering && change.Event == Answered && (e.Step != old.Step+1 || e.Share <= old.Share):
 		return "not the next step"
-	case old.Phase == fleet.Recovering && e.Phase == fleet.Recovering && ch.Event == Lost && (e.Step != old.Step-1 || e.Share >= old.Share):
+	case old.Phase == fleet.Recovering && e.Phase == fleet.Recovering && change.Event == Lost && (e.Step != old.Step-1 || e.Share >= old.Share):
 		return "not the step before"
 	case e.Phase == fleet.Recovering && e.Step == 1 && e.Floor > e.BaseShare:
 		return "a floor before a step is proved"
@@ -225,7 +228,7 @@
 	return ""
 }
 
-// Items returns the directives as items of intent, by key.
+// Items returns the directives as items of intent, sorted by key.
 func (s *State) Items() []fleet.Item {
 	out := make([]fleet.Item, 0, len(s.Directives))
 	for _, key := range slices.Sorted(maps.Keys(s.Directives)) {
@@ -235,15 +238,15 @@
 	return out
 }
 
-// Item returns the item of a key, if there is one.
+// Item returns the item with the given key, if there is one.
 func (s *State) Item(key string) (fleet.Item, bool) {
 	e, ok := s.Directives[key]
 	if !ok {
 		return fleet.Item{}, false
 	}
-	body, _ := json.Marshal(e.Directive) // numbers are finite: Apply has checked them
+	body, _ := json.Marshal(e.Directive) // can't fail: Apply has checked that the numbers are finite
 	return fleet.Item{Key: key, Revision: e.Revision, Body: body}, true
 }
 
-// backoff is the backoff of a directive.
+// backoff returns the time before the probation of the zone.
 func (e Entry) backoff() fleet.Time { return fleet.Time(e.BackoffMS) * 1e6 }
--- a/internal/fleet/zones/transitions.go
+++ b/internal/fleet/zones/transitions.go
@@ -8,15 +8,15 @@
 
 // Events of a zone.
 const (
-	Lost        = "lost"    // a quorum of nodes and of zones sees it fail; in a recovery: the step's attempts are lost
-	CutOff      = "cut-off" // the nodes of one zone see it fail, the others see it well
-	Gray        = "gray"    // a share of the fleet's attempts is lost, spread over its servers
-	Region      = "region"  // most of its region's zones are lost
+	Lost        = "lost"    // a quorum of nodes and of zones sees the zone fail; in a recovery: the attempts of the step are lost
+	CutOff      = "cut-off" // the nodes of one zone see the zone fail, the others see it healthy
+	Gray        = "gray"    // a part of the fleet's attempts is lost, spread over the zone's servers
+	Region      = "region"  // most zones of the zone's region are lost
 	TimeElapsed = "quiet"   // time has passed
-	Answered    = "answers" // fresh answers, enough of them
+	Answered    = "answers" // there are enough fresh answers
 )
 
-// Transition is a row of the state table: the core makes no other. CountsRelapse says that the row counts a relapse.
+// Transition is a row of the state table. The core makes no other transition. CountsRelapse says that it counts a relapse.
 type Transition struct {
 	Source        string
 	Event         string
@@ -55,12 +55,12 @@
 	{fleet.Recovering, TimeElapsed, "10 s without answers enough", fleet.Recovering, false},
 }
 
-// Table returns every transition that State.Apply takes, in the page's order.
+// Table returns every transition that State.Apply accepts, in the order of the page's state table.
 func Table() []Transition { return slices.Clone(table) }
 
-// isLegal reports whether some row goes so.
-func isLegal(from, event, to string, back bool) bool {
+// isLegal reports whether the state table has a row for a transition.
+func isLegal(source, event, target string, countsRelapse bool) bool {
 	return slices.ContainsFunc(table, func(t Transition) bool {
-		return t.Source == from && t.Event == event && t.Target == to && t.CountsRelapse == back
+		return t.Source == source && t.Event == event && t.Target == target && t.CountsRelapse == countsRelapse
 	})
 }
--- a/internal/fleet/zones/votes.go
+++ b/internal/fleet/zones/votes.go
@@ -6,79 +6,80 @@
 	"meadowsill/internal/fleet"
 )
 
-// lostZonePart is the share of the fleet's attempts lost from which a zone is lost, though its nodes have but one server of it
-// in use and so no vote on it. It holds without any one node's and any one zone's attempts, and for most nodes.
+// lostZonePart is the part of the fleet's attempts lost from which a zone is lost even though each node uses only one of
+// its servers and so has no vote on it. The part must be reached without the attempts of any one node and of any one zone,
+// and most nodes must have made attempts.
 const lostZonePart = 0.9
 
-// voteCount are how many nodes have a vote on a zone, and which.
+// voteCount is how many nodes have a vote on a zone, and how they vote.
 type voteCount struct {
 	failing int
 	healthy int
 	cast    int
 }
 
-// countVotes returns the votes on zone y by the zone of the nodes, and of all.
-func (v fleetView) countVotes(y string) (by map[string]voteCount, all voteCount) {
-	by = make(map[string]voteCount, len(v.presentByZone))
+// countVotes returns the votes on a zone, by the zone of the voting nodes and in total.
+func (v fleetView) countVotes(zone string) (byZone map[string]voteCount, total voteCount) {
+	byZone = make(map[string]voteCount, len(v.presentByZone))
 	for i := range v.nodes {
-		s := &v.nodes[i]
-		c := s.zones[y]
-		w := c.vote
-		if w == noVote && c.newestAnswered { // too little for a vote against the zone, and none that it fails
-			w = voteHealthy
+		node := &v.nodes[i]
+		c := node.zones[zone]
+		nodeVote := c.vote
+		if nodeVote == noVote && c.newestAnswered { // too little evidence for a vote, and no sign that the zone fails
+			nodeVote = voteHealthy
 		}
-		if w == noVote || s.faulty {
+		if nodeVote == noVote || node.faulty {
 			continue
 		}
-		t := by[s.Zone]
-		t.cast++
-		all.cast++
-		switch w {
+		count := byZone[node.Zone]
+		count.cast++
+		total.cast++
+		switch nodeVote {
 		case voteFailing:
-			t.failing++
-			all.failing++
+			count.failing++
+			total.failing++
 		case voteHealthy:
-			t.healthy++
-			all.healthy++
+			count.healthy++
+			total.healthy++
 		}
-		by[s.Zone] = t
+		byZone[node.Zone] = count
 	}
-	return by, all
+	return byZone, total
 }
 
-// isLost reports whether a quorum of nodes and of zones sees zone y fail.
-func (s *Settings) isLost(v fleetView, y string, by map[string]voteCount, all voteCount) bool {
-	others := 0 // zones with nodes that could vote
-	for x := range v.presentByZone {
-		if x != y && s.countsForQuorum(x) {
-			others++
+// isLost reports whether a quorum of nodes and a quorum of zones see the zone fail.
+func (s *Settings) isLost(v fleetView, zone string, byZone map[string]voteCount, total voteCount) bool {
+	observers := 0 // other zones with nodes, which could vote
+	for observer := range v.presentByZone {
+		if observer != zone && s.countsForQuorum(observer) {
+			observers++
 		}
 	}
-	heard, agree := 0, 0
-	for x, t := range by {
-		if x != y && s.countsForQuorum(x) {
-			heard++
-			if 2*t.failing > t.cast {
-				agree++
+	voting, agreeing := 0, 0
+	for observer, count := range byZone {
+		if observer != zone && s.countsForQuorum(observer) {
+			voting++
+			if 2*count.failing > count.cast {
+				agreeing++
 			}
 		}
 	}
-	return 2*all.failing > all.cast && all.failing >= 2 && (heard == 0 || 2*agree > heard) && (others < 2 || agree >= 2)
+	return 2*total.failing > total.cast && total.failing >= 2 && (voting == 0 || 2*agreeing > voting) && (observers < 2 || agreeing >= 2)
 }
 
-// countsForQuorum reports whether zone x counts for the quorum of zones.
-func (s *Settings) countsForQuorum(x string) bool {
-	return len(s.Region) == 0 || s.Region[x] != ""
+// countsForQuorum reports whether a zone counts for the quorum of zones: where regions are set, only a zone with a region does.
+func (s *Settings) countsForQuorum(zone string) bool {
+	return len(s.Region) == 0 || s.Region[zone] != ""
 }
 
-// isCutOff reports whether zone x's nodes see a zone fail while the others see it well.
-func isCutOff(v fleetView, x string, by map[string]voteCount, all voteCount) bool {
-	own := by[x]
-	return 2*own.failing > own.cast && (own.failing >= 2 || own.failing == 1 && v.presentByZone[x] == 1) &&
-		2*(all.healthy-own.healthy) > all.cast-own.cast
+// isCutOff reports whether the nodes of the observing zone see a zone fail while the nodes of the other zones see it healthy.
+func isCutOff(v fleetView, observer string, byZone map[string]voteCount, total voteCount) bool {
+	own := byZone[observer]
+	return 2*own.failing > own.cast && (own.failing >= 2 || own.failing == 1 && v.presentByZone[observer] == 1) &&
+		2*(total.healthy-own.healthy) > total.cast-own.cast
 }
 
-// nodeAttempts are a node's attempts at a zone, for shares of the fleet's.
+// nodeAttempts are one node's attempts at a zone. The fleet's loss is computed from those of all nodes.
 type nodeAttempts struct {
 	zone        string
 	attempts    float64
@@ -86,38 +87,39 @@
 	lostServers float64
 }
 
-// robustLossPart returns the share of the attempts lost that holds without any one node's vote and without any one zone's; and
-// how many attempts of how many nodes it is of. Where two zones could speak and only one does, it is 0.
-func robustLossPart(all []nodeAttempts, zones int) (p float64, attempts float64, nodes int) {
-	n := make([]float64, len(all))
-	for i, t := range all {
-		n[i] = t.attempts
+// robustLossPart returns the part of the attempts that is lost, and the numbers of attempts and of nodes that it is computed
+// from. The part is the smallest result with all attempts, without those of any one node, and without those of any one zone.
+// It is 0 where several zones have nodes but only one zone's nodes made attempts. robustLossPart clamps the counts in perNode.
+func robustLossPart(perNode []nodeAttempts, observerZones int) (p float64, attempts float64, nodes int) {
+	counts := make([]float64, len(perNode))
+	for i, t := range perNode {
+		counts[i] = t.attempts
 	}
 	byZone := map[string]nodeAttempts{}
 	var sum nodeAttempts
-	for i, c := range clampToMedian(n) {
-		if n[i] <= 0 {
+	for i, c := range clampToMedian(counts) {
+		if counts[i] <= 0 {
 			continue
 		}
-		f := c / n[i]
-		all[i] = nodeAttempts{all[i].zone, c, all[i].lost * f, all[i].lostServers * f}
-		t := byZone[all[i].zone]
-		byZone[all[i].zone] = nodeAttempts{all[i].zone, t.attempts + c, t.lost + all[i].lost, 0}
+		scale := c / counts[i]
+		perNode[i] = nodeAttempts{perNode[i].zone, c, perNode[i].lost * scale, perNode[i].lostServers * scale}
+		t := byZone[perNode[i].zone]
+		byZone[perNode[i].zone] = nodeAttempts{perNode[i].zone, t.attempts + c, t.lost + perNode[i].lost, 0}
 		sum.attempts += c
-		sum.lost += all[i].lost
+		sum.lost += perNode[i].lost
 		nodes += 1
 	}
-	if nodes == 0 || len(byZone) == 1 && zones > 1 {
+	if nodes == 0 || len(byZone) == 1 && observerZones > 1 {
 		return 0, sum.attempts, nodes
 	}
-	share := func(without nodeAttempts) float64 {
-		if sum.attempts-without.attempts <= 0 {
+	share := func(excluded nodeAttempts) float64 {
+		if sum.attempts-excluded.attempts <= 0 {
 			return 0
 		}
-		return math.Max(0, (sum.lost-without.lost)/(sum.attempts-without.attempts))
+		return math.Max(0, (sum.lost-excluded.lost)/(sum.attempts-excluded.attempts))
 	}
 	p = share(nodeAttempts{})
-	for _, t := range all {
+	for _, t := range perNode {
 		p = math.Min(p, share(t))
 	}
 	if len(byZone) > 1 {
@@ -128,21 +130,21 @@
 	return p, sum.attempts, nodes
 }
 
-// grayLoss returns the share of the fleet's attempts at y that is lost, 0 where there is no such evidence, and how long it must
-// hold: longer where most was lost at servers that gave no answer at all in their windows, as those may be bad servers,
-// which nodes avoid by themselves, and no bad zone.
-func (s *Settings) grayLoss(v fleetView, y string) (p float64, nodes int, delay fleet.Time) {
-	var all []nodeAttempts
+// grayLoss returns the part of the fleet's attempts at a zone that is lost (0 where the evidence is too weak), the number of
+// nodes that made attempts, and how long the evidence must last. The delay is longer where most was lost at servers that
+// gave no answer at all in their windows: those may be bad servers in a good zone, which nodes avoid by themselves.
+func (s *Settings) grayLoss(v fleetView, zone string) (p float64, nodes int, delay fleet.Time) {
+	var perNode []nodeAttempts
 	lost, lostServers := 0, 0
 	for _, s := range v.nodes {
-		c := s.zones[y]
+		c := s.zones[zone]
 		if s.faulty || c.attempts == 0 {
 			continue
 		}
-		all = append(all, nodeAttempts{s.Zone, float64(c.attempts), float64(c.lost), float64(c.lostServers)})
+		perNode = append(perNode, nodeAttempts{s.Zone, float64(c.attempts), float64(c.lost), float64(c.lostServers)})
 		lost, lostServers = lost+c.lost, lostServers+c.lostServers
 	}
-	p, attempts, nodes := robustLossPart(all, len(v.presentByZone))
+	p, attempts, nodes := robustLossPart(perNode, len(v.presentByZone))
 	if p < s.MinGrayLoss || attempts < float64(s.MinGrayAttempts) || nodes < 3 {
 		return 0, nodes, 0
 	}
@@ -152,42 +154,42 @@
 	return p, nodes, s.GrayDelay
 }
 
-// grayTrafficShare is what is served of a zone that loses share p.
+// grayTrafficShare returns the share, in tenths, that is still served of a zone that loses part p of its attempts.
 func grayTrafficShare(p float64) float64 { return math.Round(10*(1-p)) / 10 }
 
-// findEvidence returns the evidence of now, by key. The delay of each runs from when it was first found without a gap.
+// findEvidence returns the present evidence by key. The delay of each runs since the evidence was first found without a gap.
 func (ctl *Controller) findEvidence(v fleetView, s *State) map[string]Evidence {
 	out := map[string]Evidence{}
 	add := func(key, event string, nodes, votes int, p float64, delay fleet.Time) {
 		out[key] = Evidence{Key: key, Event: event, Nodes: nodes, Votes: votes, Lost: p, requiredTime: delay}
 	}
-	for _, y := range v.zones {
-		by, all := v.countVotes(y)
-		if ctl.settings.isLost(v, y, by, all) {
-			add(Key(y, ""), Lost, all.failing, all.cast, 1, ctl.settings.LostDelay)
+	for _, zone := range v.zones {
+		byZone, total := v.countVotes(zone)
+		if ctl.settings.isLost(v, zone, byZone, total) {
+			add(Key(zone, ""), Lost, total.failing, total.cast, 1, ctl.settings.LostDelay)
 			continue
 		}
-		if p, nodes, delay := ctl.settings.grayLoss(v, y); p >= lostZonePart && 2*nodes > len(v.nodes) {
-			add(Key(y, ""), Lost, nodes, nodes, p, ctl.settings.LostDelay)
+		if p, nodes, delay := ctl.settings.grayLoss(v, zone); p >= lostZonePart && 2*nodes > len(v.nodes) {
+			add(Key(zone, ""), Lost, nodes, nodes, p, ctl.settings.LostDelay)
 			continue
 		} else if p > 0 {
-			add(Key(y, ""), Gray, nodes, nodes, p, delay)
+			add(Key(zone, ""), Gray, nodes, nodes, p, delay)
 		}
-		for x := range v.presentByZone {
-			if isCutOff(v, x, by, all) {
-				add(Key(y, x), CutOff, by[x].failing, by[x].cast, 1, ctl.settings.CutOffDelay)
+		for observer := range v.presentByZone {
+			if isCutOff(v, observer, byZone, total) {
+				add(Key(zone, observer), CutOff, byZone[observer].failing, byZone[observer].cast, 1, ctl.settings.CutOffDelay)
 			}
 		}
 	}
-	for key, f := range out {
-		f.Since = v.now
-		if old, ok := ctl.evidence[key]; ok && old.Event == f.Event && v.now-ctl.steppedAt <= maxStepGap {
-			f.Since = old.Since
+	for key, ev := range out {
+		ev.Since = v.now
+		if old, ok := ctl.evidence[key]; ok && old.Event == ev.Event && v.now-ctl.steppedAt <= maxStepGap {
+			ev.Since = old.Since
 		}
-		out[key] = f
+		out[key] = ev
 	}
 	return out
 }
 
-// isEstablished reports whether evidence has lasted long enough to act on.
-func (f Evidence) isEstablished(now fleet.Time) bool { return now-f.Since >= f.requiredTime }
+// isEstablished reports whether the evidence has lasted long enough to act on it.
+func (e Evidence) isEstablished(now fleet.Time) bool { return now-e.Since >= e.requiredTime }
