--- a/internal/fleet/zones/simulation/controller_test.go
+++ b/internal/fleet/zones/simulation/controller_test.go
@@ -9,11 +9,11 @@
 	. "meadowsill/internal/fleet/zones"
 )
 
-// TestHardCases runs the cases that docs/fleet.md names; each is evaluated by what is left and for whom.
+// TestHardCases runs the hard cases that docs/fleet.md names, and checks which zones are evacuated and for which nodes.
 func TestHardCases(t *testing.T) {
 	for name, scenario := range map[string]func(*testing.T){
 		"two zones lost within a second, room for one": func(t *testing.T) {
-			w := started(t)
+			w := newCalmWorld(t)
 			w.kill("a")
 			w.run(600*time.Millisecond, nil)
 			w.kill("a", "b")
@@ -24,9 +24,9 @@
 			}
 		},
 		"a zone that flaps every 3 s": func(t *testing.T) {
-			w := started(t)
-			w.lossAt = func(_ *simNode, y string) float64 {
-				if y == "a" && w.now/(3*sec)%2 == 0 {
+			w := newCalmWorld(t)
+			w.lossAt = func(_ *simNode, zone string) float64 {
+				if zone == "a" && w.now/(3*sec)%2 == 0 {
 					return 1
 				}
 				return 0
@@ -39,11 +39,11 @@
 				}
 			}
 			if n < 2 || n > 10 || w.state.Directives["zone/a"].BackoffMS < 16000 {
-				t.Errorf("left %d times in 40 losses, hold-off now %d ms", n, w.state.Directives["zone/a"].BackoffMS)
+				t.Errorf("evacuated %d times in 40 losses, backoff now %d ms", n, w.state.Directives["zone/a"].BackoffMS)
 			}
 		},
 		"lost while a third of the nodes restart": func(t *testing.T) {
-			w := started(t)
+			w := newCalmWorld(t)
 			for i, n := range w.nodes {
 				n.down = i%3 == 0
 			}
@@ -63,9 +63,9 @@
 			}
 		},
 		"cut off from half of the others": func(t *testing.T) {
-			w := started(t, "a", "b", "c", "d", "e")
-			w.lossAt = func(n *simNode, y string) float64 {
-				if y == "a" && (n.Zone == "b" || n.Zone == "c") {
+			w := newCalmWorld(t, "a", "b", "c", "d", "e")
+			w.lossAt = func(n *simNode, zone string) float64 {
+				if zone == "a" && (n.Zone == "b" || n.Zone == "c") {
 					return 1
 				}
 				return 0
@@ -76,22 +76,22 @@
 			}
 		},
 		"back with fewer servers": func(t *testing.T) {
-			w := gone(t)
+			w := evacuatedWorld(t)
 			w.listed["a"] = 1
 			w.run(4*sec, nil)
 			w.heal()
 			w.untilPhase(fleet.Serving)
 			for _, s := range w.steps {
 				if s.after.Budget > s.after.ProvedRate {
-					t.Errorf("%v: a server gets %g, it gave %g", s, s.after.Budget, s.after.ProvedRate)
+					t.Errorf("%v: budget of %g for a server whose proved rate is %g", s, s.after.Budget, s.after.ProvedRate)
 				}
 			}
 		},
 		"a node whose zone nobody else has": func(t *testing.T) {
-			w := started(t)
+			w := newCalmWorld(t)
 			odd := w.add("odd", "nowhere")
-			w.lossAt = func(n *simNode, y string) float64 {
-				if n == odd && y != "c" {
+			w.lossAt = func(n *simNode, zone string) float64 {
+				if n == odd && zone != "c" {
 					return 1
 				}
 				return 0
@@ -99,21 +99,21 @@
 			w.run(10*sec, nil)
 			for key := range w.state.Directives {
 				if !strings.HasSuffix(key, "@nowhere") {
-					t.Errorf("%s left by its vote", key)
+					t.Errorf("%s evacuated by that node's vote", key)
 				}
 			}
 		},
 		"a new leader in the middle of a return": func(t *testing.T) {
-			w := back(t, 2)
+			w := recoveringWorld(t, 2)
 			w.controller.Lead(w.now)
 			n := len(w.steps)
 			w.untilPhase(fleet.Serving)
 			if got := w.steps[n]; got.time-w.steps[n-1].time < w.settings.SlowStartWindow {
-				t.Errorf("it went on before the cold time, which it does not know, was over: %v", w.steps)
+				t.Errorf("the new leader, which can't know the time of the first answers, advanced before the slow start was over: %v", w.steps)
 			}
 		},
 		"a command twice and after its successor": func(t *testing.T) {
-			w := started(t)
+			w := newCalmWorld(t)
 			var old []Command
 			w.apply = func(c Command) Command {
 				if old = append(old, c); len(old) > 0 {
@@ -126,7 +126,7 @@
 			w.heal()
 			w.untilPhase(fleet.Serving)
 			if w.run(5*sec, nil); len(w.state.Directives) > 0 {
-				t.Errorf("an old command was taken: %v", w.state.Directives)
+				t.Errorf("an old command was applied: %v", w.state.Directives)
 			}
 		},
 	} {
@@ -134,18 +134,18 @@
 	}
 }
 
-// TestPart: a node's portion of a directive, and of two on one zone.
-func TestPart(t *testing.T) {
+// TestNodeShare checks what one directive, and two merged directives on one zone, allow a node.
+func TestNodeShare(t *testing.T) {
 	probation := fleet.Directive{Phase: fleet.Probation, Budget: 6, Slots: 3, TrialNodes: []string{"x", "y", "z"}}
 	if got := NodeShareOf(probation, "x", false); got != (NodeShare{Rate: 2, Trial: true}) {
 		t.Errorf("trial: %+v", got)
 	}
 	if NodeShareOf(probation, "other", false).Trial || NodeShareOf(probation, "x", true).Trial {
-		t.Error("others try, or past the validity")
+		t.Error("trial requests by a node outside the trial, or after the directive expired")
 	}
 	d := fleet.Directive{Phase: fleet.Recovering, Share: 0.5, Floor: 0.1, Budget: 50, Slots: 10, Step: 3}
 	if p := NodeShareOf(d, "x", true); p.Share != 0.1 || p.Rate != 1 {
-		t.Errorf("past its validity: %+v", p)
+		t.Errorf("expired directive: %+v", p)
 	}
 	if got := MergeShares(NodeShare{Share: 0, Rate: 2, Trial: true}, NodeShare{Share: 1}); got != (NodeShare{Rate: 2, Trial: true}) {
 		t.Errorf("merged: %+v", got)
--- a/internal/fleet/zones/simulation/page_test.go
+++ b/internal/fleet/zones/simulation/page_test.go
@@ -14,41 +14,41 @@
 
 const sec = time.Second
 
-// TestPage runs every row of the page's state table against the core, and finds the core's table in the page's rows.
+// TestPage runs every row of the page's state table against the core, and checks that the core's table has the same rows.
 func TestPage(t *testing.T) {
 	rows, err := statetable.Table("../../../../docs/fleet.md", "Zones")
 	if err != nil {
 		t.Fatal(err)
 	}
-	var said []Transition
+	var page []Transition
 	for _, r := range rows {
-		said = append(said, Transition{Source: r.State, Event: r.Event, Condition: r.Condition, Target: r.Next, CountsRelapse: strings.Contains(r.Effect, "relapse + 1")})
+		page = append(page, Transition{Source: r.State, Event: r.Event, Condition: r.Condition, Target: r.Next, CountsRelapse: strings.Contains(r.Effect, "relapse + 1")})
 		t.Run(r.String(), func(t *testing.T) {
-			run, ok := scenes[r.State+" "+r.Event+" "+r.Condition]
+			run, ok := scenarios[r.State+" "+r.Event+" "+r.Condition]
 			if !ok {
 				t.Fatal("no scenario covers this row")
 			}
 			w, key, from := run(t)
-			if from < 0 { // nothing may have happened
+			if from < 0 { // the row changes nothing
 				if got := w.phase(key); got != r.Next || got != r.State {
 					t.Fatalf("%s: %s, want it to stay %s: %v", key, got, r.Next, w.steps)
 				}
 				return
 			}
 			got := w.steps[from]
-			back := got.after.Relapses > got.before.Relapses
-			if got.key != key || got.source != r.State || got.event != r.Event || got.target != r.Next || back != said[len(said)-1].CountsRelapse {
+			relapsed := got.after.Relapses > got.before.Relapses
+			if got.key != key || got.source != r.State || got.event != r.Event || got.target != r.Next || relapsed != page[len(page)-1].CountsRelapse {
 				t.Fatalf("got %v, want %s", got, r)
 			}
 		})
 	}
-	if !slices.Equal(said, Table()) {
-		t.Errorf("the page's rows and the core's differ:\n%v\n%v", said, Table())
+	if !slices.Equal(page, Table()) {
+		t.Errorf("the page's rows and the core's differ:\n%v\n%v", page, Table())
 	}
 }
 
-// TestOnlyTheTable: Apply takes no transition that no row has.
-func TestOnlyTheTable(t *testing.T) {
+// TestApplyRejectsOtherTransitions checks that Apply accepts no transition without a row in the table.
+func TestApplyRejectsOtherTransitions(t *testing.T) {
 	phases := []string{fleet.Serving, fleet.Evacuated, fleet.Probation, fleet.Recovering}
 	entry := map[string]Entry{}
 	for _, p := range phases[1:] {
@@ -82,18 +82,18 @@
 	}
 }
 
-// scene runs one row and gives the world, the key and which step is the row's; -1: none, it stays as it is.
-type scene func(t *testing.T) (w *world, key string, step int)
+// scenario runs one row and returns the world, the key and the index of the row's step; -1: the row changes nothing.
+type scenario func(t *testing.T) (w *world, key string, step int)
 
-// started is a calm fleet of three zones with proved rates.
-func started(t *testing.T, zones ...string) *world {
+// newCalmWorld returns a fleet with proved rates that has seen no fault. It has three zones unless others are given.
+func newCalmWorld(t *testing.T, zones ...string) *world {
 	if len(zones) == 0 {
 		zones = []string{"a", "b", "c"}
 	}
 	w := newWorld(t, 7, 6, zones...)
 	w.run(5*sec, nil)
 	if len(w.steps) > 0 {
-		t.Fatalf("calm: %v", w.steps)
+		t.Fatalf("steps without a fault: %v", w.steps)
 	}
 	return w
 }
@@ -106,53 +106,53 @@
 	w.until("step", 90*sec, func() bool { return w.state.Directives["zone/a"].Step == n })
 }
 
-// last returns the scene's end at the newest step.
+// last returns the result of a scenario whose row is the newest step.
 func (w *world) last() (*world, string, int) {
 	return w, w.steps[len(w.steps)-1].key, len(w.steps) - 1
 }
 
-// removed is a fleet that has left zone a; back one in which a answers again.
-func gone(t *testing.T) *world {
-	w := started(t)
+// evacuatedWorld returns a fleet that has evacuated zone a; recoveringWorld one in which a answers again.
+func evacuatedWorld(t *testing.T) *world {
+	w := newCalmWorld(t)
 	w.kill("a")
 	w.untilPhase(fleet.Evacuated)
 	return w
 }
 
-func back(t *testing.T, step int) *world {
-	w := gone(t)
+func recoveringWorld(t *testing.T, step int) *world {
+	w := evacuatedWorld(t)
 	w.heal()
 	w.untilStep(step)
 	return w
 }
 
-func loses(zone string, p float64, observer string) func(*simNode, string) float64 {
-	return func(n *simNode, y string) float64 {
-		if y == zone && (observer == "" || n.Zone == observer) {
+func lossOf(zone string, p float64, observer string) func(*simNode, string) float64 {
+	return func(n *simNode, target string) float64 {
+		if target == zone && (observer == "" || n.Zone == observer) {
 			return p
 		}
 		return 0
 	}
 }
 
-func again(t *testing.T, p float64, observer string) (*world, string, int) {
-	w := started(t)
+func evacuateAgain(t *testing.T, p float64, observer string) (*world, string, int) {
+	w := newCalmWorld(t)
 	key := Key("a", observer)
-	w.lossAt = loses("a", p, observer)
+	w.lossAt = lossOf("a", p, observer)
 	w.until("left", 5*sec, func() bool { return w.phase(key) == fleet.Evacuated })
 	w.heal()
 	w.until("return", 90*sec, func() bool { return w.phase(key) == fleet.Serving })
-	w.lossAt = loses("a", p, observer)
+	w.lossAt = lossOf("a", p, observer)
 	w.until("left", 5*sec, func() bool { return w.phase(key) == fleet.Evacuated })
 	return w.last()
 }
 
-var scenes map[string]scene // by state, event and condition
+var scenarios map[string]scenario // by state, event and condition
 
 func init() {
-	scenes = map[string]scene{
+	scenarios = map[string]scenario{
 		"serving lost room for all of it": func(t *testing.T) (*world, string, int) {
-			w := gone(t)
+			w := evacuatedWorld(t)
 			if e := w.state.Directives["zone/a"]; e.Share != 0 || e.Floor != 0 || e.Reason != Lost {
 				t.Errorf("%+v", e)
 			}
@@ -161,10 +161,10 @@
 		"serving lost room for a part": func(t *testing.T) (*world, string, int) {
 			w := newWorld(t, 7, 6, "a", "b", "c")
 			w.rate = 24
-			w.rejecting["b"], w.rejecting["c"] = true, true // they have no more to give: the half that they reject shows it
+			w.rejecting["b"], w.rejecting["c"] = true, true // b and c reject half of the attempts, which shows that they are full
 			w.run(5*sec, nil)
 			w.rate /= 4
-			w.run(4*sec, nil) // a lull: each gives a quarter of what it can
+			w.run(4*sec, nil) // low load: each server serves a quarter of its capacity
 			w.rate *= 2.4
 			w.run(4*sec, nil)
 			w.kill("a")
@@ -174,9 +174,9 @@
 			}
 			return w.last()
 		},
-		"serving lost returned in the last 60 s": func(t *testing.T) (*world, string, int) { return again(t, 1, "") },
+		"serving lost returned in the last 60 s": func(t *testing.T) (*world, string, int) { return evacuateAgain(t, 1, "") },
 		"serving lost below the panic threshold": func(t *testing.T) (*world, string, int) {
-			w := started(t)
+			w := newCalmWorld(t)
 			w.listed["a"] = 4 * serversPerZone // of 6 * serversPerZone
 			w.rate /= 8
 			w.run(12*sec, nil)
@@ -188,25 +188,25 @@
 			return w, "zone/a", -1
 		},
 		"serving cut-off of observers X": func(t *testing.T) (*world, string, int) {
-			w := started(t)
-			w.lossAt = loses("a", 1, "b")
+			w := newCalmWorld(t)
+			w.lossAt = lossOf("a", 1, "b")
 			w.until("left", 5*sec, func() bool { return w.phase("zone/a@b") == fleet.Evacuated })
 			if w.phase("zone/a") != fleet.Serving || w.nodeShare(w.nodes[0], "a").Share != 1 {
-				t.Error("others than b's nodes left too")
+				t.Error("nodes of other zones than b no longer send to a")
 			}
 			return w, "zone/a@b", len(w.steps) - 1
 		},
-		"serving cut-off returned in the last 60 s": func(t *testing.T) (*world, string, int) { return again(t, 1, "b") },
+		"serving cut-off returned in the last 60 s": func(t *testing.T) (*world, string, int) { return evacuateAgain(t, 1, "b") },
 		"serving gray share p lost": func(t *testing.T) (*world, string, int) {
-			w := started(t)
-			w.lossAt = loses("a", 0.3, "")
+			w := newCalmWorld(t)
+			w.lossAt = lossOf("a", 0.3, "")
 			w.untilPhase(fleet.Evacuated)
 			if e := w.state.Directives["zone/a"]; e.Share < 0.5 || e.Share > 0.8 || e.Floor != e.Share {
 				t.Errorf("%+v", e)
 			}
 			return w.last()
 		},
-		"serving gray returned in the last 60 s": func(t *testing.T) (*world, string, int) { return again(t, 0.4, "") },
+		"serving gray returned in the last 60 s": func(t *testing.T) (*world, string, int) { return evacuateAgain(t, 0.4, "") },
 		"serving region most of its region's zones are lost": func(t *testing.T) (*world, string, int) {
 			w := newWorld(t, 7, 4, "a", "b", "c", "d", "e", "f", "g")
 			w.settings.Region = map[string]string{"a": "1", "b": "1", "c": "1", "d": "2", "e": "2", "f": "2", "g": "2"}
@@ -216,12 +216,12 @@
 			w.until("left", 5*sec, func() bool { return w.phase("zone/c") == fleet.Evacuated })
 			n := len(w.steps) - 1
 			if w.steps[n].time != w.steps[n-1].time || w.steps[n-1].event != Lost || w.state.Directives["zone/c"].Share != 0 {
-				t.Errorf("not one command: %v", w.steps)
+				t.Errorf("the region was not evacuated by one command: %v", w.steps)
 			}
 			return w, "zone/c", n
 		},
 		"serving quiet 60 s without a relapse": func(t *testing.T) (*world, string, int) {
-			w, _, _ := again(t, 1, "")
+			w, _, _ := evacuateAgain(t, 1, "")
 			w.heal()
 			w.untilPhase(fleet.Serving)
 			n := len(w.steps)
@@ -232,7 +232,7 @@
 			return w, "zone/a", n
 		},
 		"left lost no more room": func(t *testing.T) (*world, string, int) {
-			w := gone(t) // nodes that cannot hear go on: the backoff does not begin while they say so
+			w := evacuatedWorld(t) // nodes that get no intent still send and report losses: the backoff does not begin
 			w.intentDelay = func(*simNode) (fleet.Time, bool) { return 0, false }
 			for _, n := range w.nodes {
 				n.directives = map[string]heldDirective{}
@@ -241,9 +241,9 @@
 			return w, "zone/a", -1
 		},
 		"left lost more room for what is still served": func(t *testing.T) (*world, string, int) {
-			w, _, n := scenes["serving lost room for a part"](t)
+			w, _, n := scenarios["serving lost room for a part"](t)
 			w.rejecting = map[string]bool{}
-			w.rate *= 2 // the others prove more, then carry less
+			w.rate *= 2 // the other zones prove a higher rate, then serve less
 			w.run(3*sec, nil)
 			w.rate /= 4
 			w.until("less", 20*sec, func() bool { return len(w.steps) > n+1 })
@@ -259,10 +259,10 @@
 			w.run(5*sec, nil)
 			w.rate *= 0.9
 			w.run(4*sec, nil)
-			w.lossAt = loses("a", 1, "b")
+			w.lossAt = lossOf("a", 1, "b")
 			w.until("left", 5*sec, func() bool { return w.phase("zone/a@b") == fleet.Evacuated })
 			n := len(w.steps)
-			w.rate /= 4 // the others carry less
+			w.rate /= 4 // the other zones serve less
 			w.until("less", 20*sec, func() bool { return len(w.steps) > n })
 			if got := w.steps[n]; got.before.Share <= 0 || got.after.Share >= got.before.Share {
 				t.Errorf("%v", w.steps)
@@ -270,18 +270,18 @@
 			return w, "zone/a@b", n
 		},
 		"left gray p changed by 0.2 or more": func(t *testing.T) (*world, string, int) {
-			w, _, n := scenes["serving gray share p lost"](t)
-			w.lossAt = loses("a", 0.5, "")
+			w, _, n := scenarios["serving gray share p lost"](t)
+			w.lossAt = lossOf("a", 0.5, "")
 			w.until("less", 20*sec, func() bool { return len(w.steps) > n+1 })
 			return w, "zone/a", n + 1
 		},
 		"left quiet the hold-off is not over": func(t *testing.T) (*world, string, int) {
-			w := gone(t)
+			w := evacuatedWorld(t)
 			w.run(1900*time.Millisecond, nil)
 			return w, "zone/a", -1
 		},
 		"left quiet the hold-off is over": func(t *testing.T) (*world, string, int) {
-			w := gone(t)
+			w := evacuatedWorld(t)
 			w.untilPhase(fleet.Probation)
 			e := w.state.Directives["zone/a"]
 			zones := map[byte]bool{}
@@ -294,7 +294,7 @@
 			return w.last()
 		},
 		"left answers a part was still served, the hold-off is over, enough": func(t *testing.T) (*world, string, int) {
-			w, _, _ := scenes["serving gray share p lost"](t)
+			w, _, _ := scenarios["serving gray share p lost"](t)
 			w.heal()
 			at := w.now
 			w.untilPhase(fleet.Recovering)
@@ -304,19 +304,19 @@
 			return w.last()
 		},
 		"probation answers enough, under 0.1 lost": func(t *testing.T) (*world, string, int) {
-			w := back(t, 0)
+			w := recoveringWorld(t, 0)
 			w.until("answers", 20*sec, func() bool { return w.state.Directives["zone/a"].TrialAnswered })
 			return w.last()
 		},
 		"probation quiet the trial that had its answers is over": func(t *testing.T) (*world, string, int) {
-			w := back(t, 1)
+			w := recoveringWorld(t, 1)
 			if e := w.state.Directives["zone/a"]; e.Share != 0.1 || e.Floor != 0 || e.TrialNodes != nil {
 				t.Errorf("%+v", e)
 			}
 			return w.last()
 		},
 		"probation lost ": func(t *testing.T) (*world, string, int) {
-			w := gone(t)
+			w := evacuatedWorld(t)
 			w.untilPhase(fleet.Probation)
 			w.untilPhase(fleet.Evacuated)
 			if e := w.state.Directives["zone/a"]; e.BackoffMS != 4000 {
@@ -325,11 +325,11 @@
 			return w.last()
 		},
 		"probation quiet 3 s without answers enough": func(t *testing.T) (*world, string, int) {
-			w := gone(t)
+			w := evacuatedWorld(t)
 			w.heal()
 			w.untilPhase(fleet.Probation)
 			n, trial := len(w.steps), w.state.Directives["zone/a"].TrialNodes
-			w.intentDelay = func(x *simNode) (fleet.Time, bool) { return 0, !slices.Contains(trial, x.Node) } // they never are notified of it
+			w.intentDelay = func(x *simNode) (fleet.Time, bool) { return 0, !slices.Contains(trial, x.Node) } // the trial nodes never get the directive
 			for _, x := range w.nodes {
 				delete(x.directives, "zone/a")
 				x.directives["zone/a"] = heldDirective{entry: Entry{Directive: fleet.Directive{Phase: fleet.Evacuated, ValidMS: 1e6}}, confirmedAt: w.now}
@@ -338,18 +338,18 @@
 			return w, "zone/a", n
 		},
 		"probation quiet the former trial is over, without answers enough": func(t *testing.T) (*world, string, int) {
-			w, _, n := scenes["probation quiet 3 s without answers enough"](t)
+			w, _, n := scenarios["probation quiet 3 s without answers enough"](t)
 			end := w.now
 			w.until("other trial", 10*sec, func() bool { return len(w.steps) > n+1 })
 			if got := w.steps[n+1]; w.now-end < w.settings.DirectiveLifetime || slices.ContainsFunc(got.after.TrialNodes, func(x string) bool {
 				return slices.Contains(w.steps[n].before.TrialNodes, x)
 			}) {
-				t.Errorf("%v after: %+v", w.now-end, got.after.Directive)
+				t.Errorf("next trial after %v: %+v", w.now-end, got.after.Directive)
 			}
 			return w, "zone/a", n + 1
 		},
 		"returning answers enough of this step, not the last": func(t *testing.T) (*world, string, int) {
-			w := back(t, 2)
+			w := recoveringWorld(t, 2)
 			n := len(w.steps)
 			if w.steps[n-1].time-w.steps[n-2].time < sec || w.state.Directives["zone/a"].Floor != 0.1 {
 				t.Errorf("%v", w.steps)
@@ -357,12 +357,12 @@
 			return w.last()
 		},
 		"returning answers enough of the last step": func(t *testing.T) (*world, string, int) {
-			w := back(t, 4)
+			w := recoveringWorld(t, 4)
 			w.untilPhase(fleet.Serving)
 			return w.last()
 		},
 		"returning lost step 1, or a quorum sees it fail": func(t *testing.T) (*world, string, int) {
-			w := back(t, 1)
+			w := recoveringWorld(t, 1)
 			w.kill("a")
 			w.untilPhase(fleet.Evacuated)
 			n := len(w.steps) - 1
@@ -374,8 +374,8 @@
 			return w, "zone/a", n
 		},
 		"returning lost a later step, in part": func(t *testing.T) (*world, string, int) {
-			w := back(t, 3)
-			w.lossAt = loses("a", 0.5, "")
+			w := recoveringWorld(t, 3)
+			w.lossAt = lossOf("a", 0.5, "")
 			n := len(w.steps)
 			w.until("step back", 5*sec, func() bool { return len(w.steps) > n })
 			if e := w.steps[n].after; e.Step != 2 || e.Floor != 0 || e.Relapses != 1 {
@@ -384,7 +384,7 @@
 			return w, "zone/a", n
 		},
 		"returning quiet 10 s without answers enough": func(t *testing.T) (*world, string, int) {
-			w := back(t, 2)
+			w := recoveringWorld(t, 2)
 			w.rate = 0.01
 			for _, n := range w.nodes {
 				n.pendingAttempts = map[string]float64{}
--- a/internal/fleet/zones/simulation/property_test.go
+++ b/internal/fleet/zones/simulation/property_test.go
@@ -12,7 +12,7 @@
 	. "meadowsill/internal/fleet/zones"
 )
 
-var schedules = rapid.Custom(func(t *rapid.T) Schedule {
+var randomSchedules = rapid.Custom(func(t *rapid.T) Schedule {
 	s := Schedule{Seed: rapid.Uint64().Draw(t, "seed"), Zones: rapid.IntRange(2, 4).Draw(t, "zones"),
 		PerZone: rapid.IntRange(2, 5).Draw(t, "per zone"), BaseLoss: rapid.Float64Range(0, 0.05).Draw(t, "loss"), LyingNode: -1}
 	if rapid.Bool().Draw(t, "a liar") {
@@ -28,21 +28,21 @@
 	return s
 })
 
-// TestRules runs random schedules of drops, delays, liars, restarts and new leaders under Z1 to Z5.
-// The same ones every time, unless -rapid.seed names others.
+// TestRules checks Z1 to Z5 in random schedules of losses, delays, false reports, restarts and new leaders. The schedules are
+// the same in every run, unless -rapid.seed selects others.
 func TestRules(t *testing.T) {
 	if f := flag.Lookup("rapid.seed"); f.Value.String() == "0" {
 		f.Value.Set("12")
 	}
 	rapid.Check(t, func(t *rapid.T) {
-		s := schedules.Draw(t, "schedule")
+		s := randomSchedules.Draw(t, "schedule")
 		if broken := runSchedule(s, nil); broken != "" {
 			t.Fatal(broken)
 		}
 	})
 }
 
-// TestMutants: each planted fault is found by the rule that it breaks.
+// TestMutants checks that each deliberate fault of the core is detected by the rule that it breaks.
 func TestMutants(t *testing.T) {
 	set := func(f func(*Settings)) func(*world) {
 		return func(w *world) { f(&w.settings); w.controller = NewController(w.settings) }
@@ -61,28 +61,28 @@
 	for _, m := range []struct {
 		name   string
 		rule   string
-		from   int // the schedule to begin with, to save time
+		from   int // seed of the first schedule to run, to save time
 		mutate func(*world)
 	}{
-		{"one node's vote counts for all", "Z1", 13, func(w *world) {
-			twist := w.falsify
+		{"a node's vote counts for every node", "Z1", 13, func(w *world) {
+			inner := w.falsify
 			w.falsify = func(n *simNode, v *fleet.NodeView) {
-				twist(n, v)
-				for _, x := range w.nodes {
+				inner(n, v)
+				for _, node := range w.nodes {
 					copied := *v
-					copied.Member, copied.Report.Sequence = x.Member, 1e6*uint64(w.now/tick)+uint64(n.nextServer)
+					copied.Member, copied.Report.Sequence = node.Member, 1e6*uint64(w.now/tick)+uint64(n.nextServer)
 					w.controller.Observe(w.now, copied)
 				}
 			}
 		}},
-		{"one zone's vote is enough", "Z1", 51, func(w *world) {
-			w.settings.Region = map[string]string{"a": "r"} // the others are no observers
+		{"the votes of one zone are enough", "Z1", 51, func(w *world) {
+			w.settings.Region = map[string]string{"a": "r"} // the other zones have no region and so no say in the quorum
 			w.settings.FailingServersPart = 0.01
 			w.controller = NewController(w.settings)
 		}},
-		{"no panic threshold, and room for anything", "Z2", 32, set(func(s *Settings) { s.MinServersPart, s.CapacityFactor = 0, 1000 })},
-		{"a part is a half of the budget", "Z3", 0, change(func(c *Change) { c.Entry.Slots = min(c.Entry.Slots, 2) })},
-		{"no hold-off", "Z4", 0, set(func(s *Settings) { s.InitialBackoff = 100 * time.Millisecond })},
+		{"no panic threshold, and capacity for any load", "Z2", 32, set(func(s *Settings) { s.MinServersPart, s.CapacityFactor = 0, 1000 })},
+		{"each node gets half of the budget", "Z3", 0, change(func(c *Change) { c.Entry.Slots = min(c.Entry.Slots, 2) })},
+		{"backoff of 100 ms", "Z4", 0, set(func(s *Settings) { s.InitialBackoff = 100 * time.Millisecond })},
 		{"steps without waiting", "Z4", 0, set(func(s *Settings) { s.MinStepTime, s.MinStepAnswers, s.SlowStartWindow = 0, 0, 0 })},
 		{"the floor is the newest share", "Z5", 68, change(func(c *Change) {
 			if c.Entry.Step > 1 {
@@ -92,14 +92,14 @@
 	} {
 		t.Run(m.name, func(t *testing.T) {
 			for seed := m.from; seed < m.from+200; seed++ {
-				if broken := runSchedule(schedules.Example(seed), m.mutate); len(broken) > 2 && broken[:2] == m.rule {
+				if broken := runSchedule(randomSchedules.Example(seed), m.mutate); len(broken) > 2 && broken[:2] == m.rule {
 					t.Logf("schedule %d: %s", seed, broken)
 					return
 				} else if broken != "" {
-					t.Logf("schedule %d, another rule: %s", seed, broken)
+					t.Logf("schedule %d broke another rule: %s", seed, broken)
 				}
 			}
-			t.Errorf("not found by %s", m.rule)
+			t.Errorf("not detected by %s", m.rule)
 		})
 	}
 }
--- a/internal/fleet/zones/simulation/schedule.go
+++ b/internal/fleet/zones/simulation/schedule.go
@@ -13,91 +13,94 @@
 	"meadowsill/internal/fleet/zones"
 )
 
-// Schedule is a random course of faults over a random fleet.
+// Schedule is a random sequence of faults in a fleet of random size.
 type Schedule struct {
 	Seed      uint64
 	Zones     int
 	PerZone   int
-	BaseLoss  float64 // loss everywhere
-	LyingNode int     // a node that lies; -1: none
-	LyingZone bool    // all of its zone do
+	BaseLoss  float64 // part of the attempts that is lost in every zone
+	LyingNode int     // index of a node that reports false counts; -1: none
+	LyingZone bool    // all nodes of LyingNode's zone report false counts
 	LieKind   int
 	Faults    []Fault
 }
 
-// Fault is one thing that happens.
+// Fault is one fault of a schedule.
 type Fault struct {
 	StartMS    int
 	DurationMS int
 	Kind       string
 	Zone       int
-	From       int // a zone that the fault concerns the nodes of
+	From       int // zone whose nodes a faultCutOff concerns
 	Node       int
 	Loss       float64
 }
 
 // Kinds of faults.
 const (
-	faultKill      = "kill"       // every attempt at the zone is lost
-	faultGray      = "gray"       // a part of them is
-	faultCut       = "cut"        // every attempt of one zone's nodes at it is
-	faultDeaf      = "deaf"       // a node gets no intent
-	faultSlow      = "slow"       // half of the nodes get it late
-	faultRestart   = "restart"    // a node is down, and comes back as a new incarnation
-	faultNewLeader = "new leader" // another replica leads, from a snapshot
-	faultMute      = "mute"       // a node's reports are lost
-	faultReplay    = "replay"     // old reports come again
-	faultFewer     = "fewer"      // the zone lists fewer servers
-	faultTwice     = "twice"      // commands are applied twice
+	faultKill            = "kill"       // every attempt at the zone is lost
+	faultGray            = "gray"       // a part of the attempts at the zone is lost
+	faultCutOff          = "cut"        // every attempt at the zone by the nodes of one zone is lost
+	faultIntentLost      = "deaf"       // no intent reaches a node
+	faultIntentLate      = "slow"       // intent reaches half of the nodes late
+	faultRestart         = "restart"    // a node is down and comes back as a new incarnation
+	faultNewLeader       = "new leader" // another replica becomes leader, from a snapshot
+	faultReportsLost     = "mute"       // a node's reports are lost
+	faultReportsReplayed = "replay"     // old reports arrive again
+	faultFewerServers    = "fewer"      // the zone lists fewer servers
+	faultCommandsTwice   = "twice"      // commands are applied twice
 )
 
-// kinds are those that Draw draws from: a kill is the likeliest.
-var kinds = []string{faultKill, faultKill, faultGray, faultCut, faultDeaf, faultSlow, faultRestart, faultNewLeader, faultMute, faultReplay, faultFewer, faultTwice}
+// kinds are the kinds that Draw chooses from. A kill is the most likely.
+var kinds = []string{faultKill, faultKill, faultGray, faultCutOff, faultIntentLost, faultIntentLate, faultRestart,
+	faultNewLeader, faultReportsLost, faultReportsReplayed, faultFewerServers, faultCommandsTwice}
 
-// Kinds of false reports.
+// Kinds of false reports, the values of Schedule.LieKind.
 const (
-	lieZoneLost     = iota // the first zone lost every attempt
-	lieAllLost             // every zone did
-	lieManyAttempts        // the first zone lost a million
-	lieServedLoad          // every zone answered a million
-	lieInvalid             // figures that can't be
+	lieZoneLost     = iota // every attempt at the first zone was lost
+	lieAllLost             // every attempt at every zone was lost
+	lieManyAttempts        // a million attempts at the first zone were lost
+	lieServedLoad          // every zone answered a million attempts
+	lieInvalid             // counts that are impossible
 )
 
-// runFor is how long a schedule runs, of the fleet's time.
+// runFor is the simulated time that a schedule runs for.
 const runFor = 45 * time.Second
 
-// maxReplayable is how many old reports are kept for replays.
+// maxReplayable is the maximum number of old reports that are kept for replays.
 const maxReplayable = 200
 
-// fewerServers is how many servers a zone lists that lists fewer.
+// fewerServers is the number of servers that a zone lists during a faultFewerServers.
 const fewerServers = 2
 
-// violation ends a run that broke a rule.
+// violation is the panic value that ends a run which broke a rule.
 type violation string
 
-// breaker ends a run by a panic, where a test would fail.
-type breaker struct{}
+// panicReporter ends a run by a panic, in place of the test that would fail.
+type panicReporter struct{}
 
-// Fatalf ends the run.
-func (breaker) Fatalf(format string, args ...any) { panic(violation(fmt.Sprintf(format, args...))) }
+// Fatalf ends the run with a violation.
+func (panicReporter) Fatalf(format string, args ...any) {
+	panic(violation(fmt.Sprintf(format, args...)))
+}
 
-// scheduledRun is a schedule that runs in a world.
+// scheduledRun is the run of a schedule in a world.
 type scheduledRun struct {
 	Schedule
 	world   *world
 	zones   []string
-	reports []fleet.NodeView // old ones, for replays
+	reports []fleet.NodeView // old reports, for replays
 }
 
-// runSchedule runs a schedule under the rules, with the core as mutate leaves it, and returns the first breach.
+// runSchedule runs a schedule and checks the rules, after mutate has changed the world, and returns the first violation, or "".
 func runSchedule(s Schedule, mutate func(*world)) (broken string) {
 	defer func() {
-		if b, ok := recover().(violation); ok {
-			broken = string(b)
+		if v, ok := recover().(violation); ok {
+			broken = string(v)
 		}
 	}()
 	names := []string{"a", "b", "c", "d"}[:s.Zones]
-	w := newWorld(breaker{}, s.Seed, s.PerZone, names...)
+	w := newWorld(panicReporter{}, s.Seed, s.PerZone, names...)
 	run := &scheduledRun{Schedule: s, world: w, zones: names}
 	observer := newRules(w, s)
 	w.lossAt = run.loss
@@ -116,21 +119,21 @@
 	return ""
 }
 
-// active reports whether a fault lasts now.
+// active reports whether a fault is active now.
 func (r *scheduledRun) active(f Fault) bool {
 	at := r.world.now.Milliseconds()
 	return int64(f.StartMS) <= at && at < int64(f.StartMS+f.DurationMS)
 }
 
-// loss is the part of a node's attempts at a zone that is lost now.
-func (r *scheduledRun) loss(n *simNode, y string) float64 {
+// loss returns the part of a node's attempts at a zone that is lost now.
+func (r *scheduledRun) loss(n *simNode, zone string) float64 {
 	loss := r.BaseLoss
 	for _, f := range r.Faults {
-		if !r.active(f) || r.zones[f.Zone] != y {
+		if !r.active(f) || r.zones[f.Zone] != zone {
 			continue
 		}
 		switch {
-		case f.Kind == faultKill, f.Kind == faultCut && r.zones[f.From] == n.Zone:
+		case f.Kind == faultKill, f.Kind == faultCutOff && r.zones[f.From] == n.Zone:
 			loss = 1
 		case f.Kind == faultGray:
 			loss = math.Max(loss, f.Loss)
@@ -139,17 +142,17 @@
 	return loss
 }
 
-// intentDelay is how late intent reaches a node now; ok is false where it doesn't.
+// intentDelay returns the delay with which intent reaches a node now. ok is false where no intent reaches it.
 func (r *scheduledRun) intentDelay(n *simNode) (delay fleet.Time, ok bool) {
 	ok = true
 	for _, f := range r.Faults {
 		if !r.active(f) {
 			continue
 		}
-		if f.Kind == faultDeaf && r.world.nodes[f.Node] == n {
+		if f.Kind == faultIntentLost && r.world.nodes[f.Node] == n {
 			ok = false
 		}
-		if f.Kind == faultSlow && int(n.Node[len(n.Node)-1])%2 == f.Node%2 { // half of the nodes
+		if f.Kind == faultIntentLate && int(n.Node[len(n.Node)-1])%2 == f.Node%2 { // half of the nodes
 			delay = time.Duration(f.DurationMS/4) * time.Millisecond
 		}
 	}
@@ -159,15 +162,15 @@
 // dropsReport reports whether a node's report is lost now.
 func (r *scheduledRun) dropsReport(n *simNode) bool {
 	return slices.ContainsFunc(r.Faults, func(f Fault) bool {
-		return r.active(f) && f.Kind == faultMute && r.world.nodes[f.Node] == n
+		return r.active(f) && f.Kind == faultReportsLost && r.world.nodes[f.Node] == n
 	})
 }
 
-// falsify replays old reports before a node's report v, and makes v false if the node lies.
+// falsify replays old reports before a node's report v, and falsifies v if the node is one that reports false counts.
 func (r *scheduledRun) falsify(n *simNode, v *fleet.NodeView) {
 	w := r.world
 	for _, f := range r.Faults {
-		if r.active(f) && f.Kind == faultReplay && len(r.reports) > 0 { // late, out of order, and twice
+		if r.active(f) && f.Kind == faultReportsReplayed && len(r.reports) > 0 { // late, out of order and repeatedly
 			w.controller.Observe(w.now, r.reports[w.random.IntN(len(r.reports))])
 		}
 	}
@@ -178,37 +181,37 @@
 	if r.LyingNode < 0 {
 		return
 	}
-	liar := w.nodes[r.LyingNode]
-	if liar == n || r.LyingZone && liar.Zone == n.Zone {
-		lie(r.LieKind, v)
+	lyingNode := w.nodes[r.LyingNode]
+	if lyingNode == n || r.LyingZone && lyingNode.Zone == n.Zone {
+		falsifyCounts(r.LieKind, v)
 	}
 }
 
-// apply applies a command once more for each fault that doubles commands, before it is applied.
+// apply applies a command once for each active faultCommandsTwice, and returns it to be applied again.
 func (r *scheduledRun) apply(c zones.Command) zones.Command {
 	w := r.world
 	for _, f := range r.Faults {
-		if r.active(f) && f.Kind == faultTwice {
+		if r.active(f) && f.Kind == faultCommandsTwice {
 			w.state.Apply(c, func() uint64 { w.revision++; return w.revision })
 		}
 	}
 	return c
 }
 
-// applyFaults carries out the faults that change nodes, the leader or the list of servers.
+// applyFaults applies the faults that change nodes, the leader or the list of servers.
 func (r *scheduledRun) applyFaults() {
 	w := r.world
 	for _, f := range r.Faults {
-		n := w.nodes[f.Node]
+		node := w.nodes[f.Node]
 		active := r.active(f)
 		switch f.Kind {
 		case faultRestart:
-			r.restart(n, active)
+			r.restart(node, active)
 		case faultNewLeader:
 			if active && w.now.Milliseconds()-int64(f.StartMS) < tick.Milliseconds() {
 				r.changeLeader(time.Duration(f.DurationMS%7) * time.Second)
 			}
-		case faultFewer:
+		case faultFewerServers:
 			w.listed[r.zones[f.Zone]] = serversPerZone
 			if active {
 				w.listed[r.zones[f.Zone]] = fewerServers
@@ -217,7 +220,7 @@
 	}
 }
 
-// restart takes a node down, or has it come back as a new incarnation.
+// restart takes a node down, or brings it back as a new incarnation.
 func (r *scheduledRun) restart(n *simNode, down bool) {
 	if n.down == down {
 		return
@@ -232,7 +235,7 @@
 	n.clear()
 }
 
-// changeLeader has another replica lead, from a snapshot and with a clock of its own.
+// changeLeader makes another replica the leader, from a snapshot and with a clock that is ahead.
 func (r *scheduledRun) changeLeader(clockAhead time.Duration) {
 	w := r.world
 	raw, err := json.Marshal(w.state)
@@ -247,8 +250,8 @@
 	w.controller.Lead(w.now)
 }
 
-// lie makes a report false.
-func lie(kind int, v *fleet.NodeView) {
+// falsifyCounts replaces the counts of a report by false ones.
+func falsifyCounts(kind int, v *fleet.NodeView) {
 	for i := range v.Report.Zones {
 		c := &v.Report.Zones[i]
 		switch {
@@ -266,7 +269,7 @@
 	}
 }
 
-// Draw makes a schedule of a seed, of the same ranges as the core's tests draw from.
+// Draw returns the schedule of a seed, with values from the same ranges as the random tests of this package.
 func Draw(seed uint64) Schedule {
 	rng := rand.New(rand.NewPCG(seed, 2))
 	s := Schedule{Seed: rng.Uint64(), Zones: 2 + rng.IntN(3), PerZone: 2 + rng.IntN(4), BaseLoss: 0.05 * rng.Float64(), LyingNode: -1}
@@ -288,7 +291,7 @@
 	return s
 }
 
-// Run runs a schedule for 45 s of the fleet's time; the error names the first rule of Z1 to Z5 that was broken.
+// Run runs a schedule for 45 s of simulated time. The error names the first rule of Z1 to Z5 that was broken.
 func Run(s Schedule) error {
 	if broken := runSchedule(s, nil); broken != "" {
 		return errors.New(broken)
--- a/internal/fleet/zones/simulation/world.go
+++ b/internal/fleet/zones/simulation/world.go
@@ -1,6 +1,6 @@
-// Package simulation is a fleet in simulated time around the core that leaves zones and comes back to them: nodes that keep
-// to what they heard and report what they saw, a seeded schedule of faults and liars, and the rules Z1 to Z5 as an
-// observer sees them who knows the world's truth (docs/fleet.md). It does no I/O and reads no clock.
+// Package simulation runs a fleet in simulated time around the core that evacuates zones and returns to them. It consists of
+// nodes that apply the directives they received and report what they saw, seeded schedules of faults and false reports, and
+// checks of the rules Z1 to Z5 against the true state of the fleet (docs/fleet.md). It does no I/O and reads no clock.
 package simulation
 
 import (
@@ -17,10 +17,10 @@
 
 const (
 	tick           = 50 * time.Millisecond
-	serversPerZone = 4 // servers of a zone
+	serversPerZone = 4 // servers that a zone lists, unless a fault or a test changes it
 )
 
-// world is a fleet of nodes that keep to what they heard and report what they saw, before one controller.
+// world is a simulated fleet with one controller. Its nodes apply the directives that they received and report what they saw.
 type world struct {
 	testing    interface{ Fatalf(string, ...any) }
 	settings   zones.Settings
@@ -32,20 +32,20 @@
 	nodes      []*simNode
 	zones      []string
 
-	rate          float64                               // attempts/s of a node to one server of an ordinary zone
-	lossAt        func(n *simNode, zone string) float64 // chance that an attempt is lost
-	rejecting     map[string]bool                       // zones that reject half
+	rate          float64                               // attempts/s of a node to one server of a zone without a directive
+	lossAt        func(n *simNode, zone string) float64 // probability that an attempt is lost
+	rejecting     map[string]bool                       // zones that reject half of the attempts
 	listed        map[string]int
 	silentServers map[string]int                      // servers of a zone that never answer
-	intentDelay   func(n *simNode) (fleet.Time, bool) // delay of intent, and whether it is heard at all
-	falsify       func(n *simNode, v *fleet.NodeView) // what a liar makes of a report
-	dropsReport   func(n *simNode) bool               // reports lost
+	intentDelay   func(n *simNode) (fleet.Time, bool) // delay of intent at a node, and whether it arrives at all
+	falsify       func(n *simNode, v *fleet.NodeView) // changes a report before the controller gets it
+	dropsReport   func(n *simNode) bool               // whether a report of the node is lost
 	steps         []step
-	apply         func(zones.Command) zones.Command // what becomes of a command on its way; nil items: lost
+	apply         func(zones.Command) zones.Command // returns the command that reaches the state; nil items: the command is lost
 	check         func()
 }
 
-// step is a transition that was applied.
+// step is a transition that was applied to the state.
 type step struct {
 	time    fleet.Time
 	key     string
@@ -66,15 +66,15 @@
 	revision        uint64
 	pendingAttempts map[string]float64
 	zones           map[string]*fleet.ZoneEvidence
-	servers         map[string]map[int][2]int // attempts, lost
+	servers         map[string]map[int][2]int // by zone and server: attempts, and how many of them were lost
 	lastReportAt    fleet.Time
 	nextServer      int
-	answers         map[string]int // by zone, ever
+	answers         map[string]int // by zone, since the start
 }
 
 type heldDirective struct {
 	entry       zones.Entry
-	confirmedAt fleet.Time // when last confirmed
+	confirmedAt fleet.Time // when a replica last confirmed the directive
 }
 
 func newWorld(t interface{ Fatalf(string, ...any) }, seed uint64, perZone int, names ...string) *world {
@@ -126,19 +126,19 @@
 	return out
 }
 
-// nodeShare is what a node may do at a zone by what it holds.
-func (w *world) nodeShare(n *simNode, y string) zones.NodeShare {
-	p := zones.NodeShare{Share: 1}
-	for _, key := range []string{zones.Key(y, ""), zones.Key(y, n.Zone)} {
-		if h, ok := n.directives[key]; ok {
-			past := w.now-h.confirmedAt > fleet.Time(h.entry.ValidMS)*time.Millisecond
-			p = zones.MergeShares(zones.NodeShareOf(h.entry.Directive, n.Node, past), p)
+// nodeShare returns what the directives that a node holds allow it at a zone.
+func (w *world) nodeShare(n *simNode, zone string) zones.NodeShare {
+	share := zones.NodeShare{Share: 1}
+	for _, key := range []string{zones.Key(zone, ""), zones.Key(zone, n.Zone)} {
+		if held, ok := n.directives[key]; ok {
+			expired := w.now-held.confirmedAt > fleet.Time(held.entry.ValidMS)*time.Millisecond
+			share = zones.MergeShares(zones.NodeShareOf(held.entry.Directive, n.Node, expired), share)
 		}
 	}
-	return p
+	return share
 }
 
-// run lets the world go on for d, or until done.
+// run advances the world by d, or until done returns true, and reports whether it did.
 func (w *world) run(d fleet.Time, done func() bool) bool {
 	for end := w.now + d; w.now < end; {
 		w.now += tick
@@ -173,9 +173,9 @@
 	}
 	old := map[string]zones.Entry{}
 	past := map[string]bool{}
-	for _, ch := range c.Items {
-		old[ch.Key] = w.state.Directives[ch.Key]
-		_, past[ch.Key] = w.state.PastRelapses[ch.Key]
+	for _, change := range c.Items {
+		old[change.Key] = w.state.Directives[change.Key]
+		_, past[change.Key] = w.state.PastRelapses[change.Key]
 	}
 	if _, err := w.state.Apply(c, func() uint64 { w.revision++; return w.revision }); err != nil {
 		if !errors.Is(err, zones.ErrChanged) {
@@ -183,24 +183,24 @@
 		}
 		return
 	}
-	for _, ch := range c.Items {
-		st := step{
+	for _, change := range c.Items {
+		applied := step{
 			time:    w.now,
-			key:     ch.Key,
-			event:   ch.Event,
+			key:     change.Key,
+			event:   change.Event,
 			source:  fleet.Serving,
-			target:  ch.Entry.Phase,
-			before:  old[ch.Key],
-			after:   w.state.Directives[ch.Key],
-			hadPast: past[ch.Key],
+			target:  change.Entry.Phase,
+			before:  old[change.Key],
+			after:   w.state.Directives[change.Key],
+			hadPast: past[change.Key],
 		}
-		if st.before.Phase != "" {
-			st.source = st.before.Phase
+		if applied.before.Phase != "" {
+			applied.source = applied.before.Phase
 		}
-		if ch.Removed {
-			st.target = fleet.Serving
+		if change.Removed {
+			applied.target = fleet.Serving
 		}
-		w.steps = append(w.steps, st)
+		w.steps = append(w.steps, applied)
 	}
 }
 
@@ -214,7 +214,7 @@
 		delay = d
 	}
 	if delay > 0 && len(w.steps) > 0 && w.now-w.steps[len(w.steps)-1].time < delay {
-		return // hears the newest later, and goes on with what it holds
+		return // the newest intent arrives later; until then the node applies what it holds
 	}
 	for key := range n.directives {
 		if _, ok := w.state.Directives[key]; !ok {
@@ -228,46 +228,46 @@
 }
 
 func (w *world) send(n *simNode) {
-	all, open := 0.0, 0.0 // what is left goes to the others
-	for _, y := range w.zones {
-		all, open = all+float64(w.listed[y]), open+float64(w.listed[y])*w.nodeShare(n, y).Share
+	all, open := 0.0, 0.0 // attempts that directives keep from a zone go to the other zones
+	for _, zone := range w.zones {
+		all, open = all+float64(w.listed[zone]), open+float64(w.listed[zone])*w.nodeShare(n, zone).Share
 	}
-	for _, y := range w.zones {
-		p := w.nodeShare(n, y)
-		c := n.zones[y]
-		if c == nil {
-			c = &fleet.ZoneEvidence{Zone: y}
-			n.zones[y] = c
-			n.servers[y] = map[int][2]int{}
+	for _, zone := range w.zones {
+		allowed := w.nodeShare(n, zone)
+		evidence := n.zones[zone]
+		if evidence == nil {
+			evidence = &fleet.ZoneEvidence{Zone: zone}
+			n.zones[zone] = evidence
+			n.servers[zone] = map[int][2]int{}
 		}
-		c.Listed = w.listed[y]
-		rate := w.rate * p.Share * all / math.Max(open, all/4)
-		if p.Trial {
-			rate = math.Min(w.rate, p.Rate)
-		} else if p.Rate > 0 {
-			rate = math.Min(rate, p.Rate)
+		evidence.Listed = w.listed[zone]
+		rate := w.rate * allowed.Share * all / math.Max(open, all/4)
+		if allowed.Trial {
+			rate = math.Min(w.rate, allowed.Rate)
+		} else if allowed.Rate > 0 {
+			rate = math.Min(rate, allowed.Rate)
 		}
-		n.pendingAttempts[y] += rate * float64(w.listed[y]) * tick.Seconds()
-		for ; n.pendingAttempts[y] >= 1; n.pendingAttempts[y]-- {
+		n.pendingAttempts[zone] += rate * float64(w.listed[zone]) * tick.Seconds()
+		for ; n.pendingAttempts[zone] >= 1; n.pendingAttempts[zone]-- {
 			n.nextServer++
-			id := n.nextServer % max(1, w.listed[y])
-			if n.pendingAttempts[y] >= 1 && w.random.IntN(4) == 0 {
+			id := n.nextServer % max(1, w.listed[zone])
+			if n.pendingAttempts[zone] >= 1 && w.random.IntN(4) == 0 {
 				n.nextServer++
 			}
-			sv := n.servers[y][id]
-			sv[0]++
-			c.Started++
-			c.Attempts++
+			counts := n.servers[zone][id]
+			counts[0]++
+			evidence.Started++
+			evidence.Attempts++
 			switch {
-			case id < w.silentServers[y] || w.random.Float64() < w.lossAt(n, y):
-				c.Lost++
-				sv[1]++
-			case w.rejecting[y] && w.random.IntN(2) == 0: // rejected: neither lost nor an answer
+			case id < w.silentServers[zone] || w.random.Float64() < w.lossAt(n, zone):
+				evidence.Lost++
+				counts[1]++
+			case w.rejecting[zone] && w.random.IntN(2) == 0: // rejected: neither lost nor an answer
 			default:
-				c.Answered++
-				n.answers[y]++
+				evidence.Answered++
+				n.answers[zone]++
 			}
-			n.servers[y][id] = sv
+			n.servers[zone][id] = counts
 		}
 	}
 }
@@ -279,15 +279,15 @@
 	n.nextReportAt = w.now + 250*time.Millisecond
 	n.sequence++
 	r := fleet.Report{Member: n.Member, Sequence: n.sequence, Revision: n.revision, Ready: true, WindowMS: (w.now - n.lastReportAt).Milliseconds()}
-	for _, y := range w.zones {
-		c := n.zones[y]
-		for _, sv := range n.servers[y] {
-			c.Servers++
-			if sv[0] == sv[1] {
-				c.LostServers++
+	for _, zone := range w.zones {
+		evidence := n.zones[zone]
+		for _, counts := range n.servers[zone] {
+			evidence.Servers++
+			if counts[0] == counts[1] {
+				evidence.LostServers++
 			}
 		}
-		r.Zones = append(r.Zones, *c)
+		r.Zones = append(r.Zones, *evidence)
 	}
 	n.clear()
 	n.lastReportAt = w.now
@@ -301,10 +301,10 @@
 	w.controller.Observe(w.now, v)
 }
 
-// kill takes a zone away: its attempts are lost, and its nodes see all others fail if they are cut off with it.
+// kill makes the named zones fail: every attempt of any node at them is lost, and no attempt at other zones.
 func (w *world) kill(names ...string) {
-	w.lossAt = func(_ *simNode, y string) float64 {
-		if slices.Contains(names, y) {
+	w.lossAt = func(_ *simNode, zone string) float64 {
+		if slices.Contains(names, zone) {
 			return 1
 		}
 		return 0
@@ -313,13 +313,14 @@
 
 func (w *world) heal() { w.lossAt = func(*simNode, string) float64 { return 0 } }
 
-// until runs until the condition, and fails the test where it does not come.
-func (w *world) until(what string, d fleet.Time, done func() bool) {
+// until runs the world until done returns true, and fails the test where that does not happen within d. condition is the name
+// of the awaited condition.
+func (w *world) until(condition string, d fleet.Time, done func() bool) {
 	if t, ok := w.testing.(interface{ Helper() }); ok {
 		t.Helper()
 	}
 	if !w.run(d, done) {
-		w.testing.Fatalf("%v: no %s; steps %v; findings %+v", w.now, what, w.steps, w.controller.Evidence())
+		w.testing.Fatalf("%v: timed out waiting for %s; steps %v; evidence %+v", w.now, condition, w.steps, w.controller.Evidence())
 	}
 }
 
