--- a/internal/fleet/zones/golden_test.go
+++ b/internal/fleet/zones/golden_test.go
@@ -7,13 +7,13 @@
 	"meadowsill/internal/golden"
 )
 
-// Commands of the replicated log, and the state as snapshots hold it.
+// TestStoredBytes guards the encoding of commands in the replicated log and of the state in snapshots.
 func TestStoredBytes(t *testing.T) {
 	golden.JSON[zones.Command](t, "command")
 	golden.JSON[zones.State](t, "state")
 }
 
-// The evidence that GET /fleet/v1/zones shows.
-func TestFindingOnTheWire(t *testing.T) {
+// TestEvidenceWireFormat guards the encoding of the evidence that GET /fleet/v1/zones returns.
+func TestEvidenceWireFormat(t *testing.T) {
 	golden.JSON[zones.Evidence](t, "finding")
 }
