--- a/internal/fleet/control/controller.go
+++ b/internal/fleet/control/controller.go
@@ -12,35 +12,36 @@
 	"meadowsill/internal/fleet/zones"
 )
 
-// Settings are the fleet's, from the file that discovery serve --fleet names.
+// Settings are the settings of the fleet, read from the file that discovery serve --fleet names.
 type Settings struct {
-	Slots int           // nodes at most
-	TTL   time.Duration // of a session's lease
+	Slots int           // maximum number of nodes
+	TTL   time.Duration // lifetime of a session's lease
 	Zones zones.Settings
 }
 
-// Controller is the soft part of a leader: leases, and what the cores' controllers observed. It is not safe for concurrent
-// use. Times are the leader's monotonic clock.
+// Controller is the part of a leader's state that is not replicated: the session leases, and what the controllers of zones,
+// tenants and drift have observed. It is not safe for concurrent use. Times are readings of the leader's monotonic clock.
 type Controller struct {
 	settings        Settings
 	leases          *session.Leases
 	zones           *zones.Controller
 	tenants         *tenants.Controller
 	drift           *drift.Detector
-	newestReports   map[string]reportID // the newest report taken, by node
-	caughtUp        map[string]uint64   // incarnations that were found to be caught up since they joined, by node
-	rolloutBlockers map[string]uint64   // incarnations whose leases are not renewed, as they hold up a rollout, by node
+	newestReports   map[string]reportID // newest report accepted from each node
+	caughtUp        map[string]uint64   // incarnation that was found to be caught up since it joined, by node
+	rolloutBlockers map[string]uint64   // incarnation whose lease is not renewed because it holds up a rollout, by node
 }
 
+// reportID identifies a report within the reports of one node.
 type reportID struct {
 	incarnation uint64
 	sequence    uint64
 }
 
-// NewController makes the controller of a leader whose leadership begins at now. It is called once the leader has applied all that was
-// committed before it.
+// NewController returns the controller of a leader whose leadership begins at now. It must be called only after the leader has
+// applied all commands that were committed before its leadership.
 func NewController(set Settings, now fleet.Time, s *State) *Controller {
-	j := &Controller{
+	ctl := &Controller{
 		settings:        set,
 		leases:          session.NewLeases(now, set.TTL),
 		zones:           zones.NewController(set.Zones),
@@ -51,23 +52,23 @@
 		rolloutBlockers: map[string]uint64{},
 	}
 	for node, m := range s.Session.Members {
-		j.caughtUp[node] = m.Incarnation // a former leader has seen to it, or the run has served since
+		ctl.caughtUp[node] = m.Incarnation // a former leader found it caught up, or the run has served since
 	}
-	j.zones.Lead(now)
-	j.tenants.Lead(now)
-	j.drift.Lead(now, &s.Drift)
-	return j
+	ctl.zones.Lead(now)
+	ctl.tenants.Lead(now)
+	ctl.drift.Lead(now, &s.Drift)
+	return ctl
 }
 
-// Errors of a report that can't be answered as it is.
+// Errors of a report that can't be answered.
 var (
-	ErrPending = session.ErrPending // the session's end is on its way: ask again
+	ErrPending = session.ErrPending // the session's expiry is proposed and its outcome unknown: the report is to be repeated
 	ErrOlder   = errors.New("older report")
 )
 
-// Admit looks at a report as it comes, before it is known whether this process still leads. It gives the command that must be
-// applied first (a join, a leave), or out where the run is not present and can't be yet.
-func (ctl *Controller) Admit(s *State, r fleet.Report) (c *Command, out bool, err error) {
+// Admit checks a report on arrival, before this process has verified that it still leads. It returns the command that must be
+// applied before the report is answered (a join or a leave). notReady is set where the run is not present and must not join yet.
+func (ctl *Controller) Admit(s *State, r fleet.Report) (c *Command, notReady bool, err error) {
 	if err := s.Session.Check(r.Member); err != nil {
 		return nil, false, err
 	}
@@ -89,8 +90,8 @@
 	return &Command{Session: join, ScopeDigest: s.ScopeDigest(r.Node, r.Services)}, false, nil
 }
 
-// blocksRollout reports that a run is not to be present, as it held up a rollout, was taken out of the load balancer for it, and has not
-// followed since.
+// blocksRollout reports whether a run must not be present because it held up a rollout, was taken out of the load balancer for
+// that, and has not yet applied what is committed.
 func (ctl *Controller) blocksRollout(s *State, r fleet.Report) bool {
 	if inc, ok := ctl.rolloutBlockers[r.Node]; ok && (inc != r.Incarnation || tenants.HasFollowed(&s.Tenants, r)) {
 		delete(ctl.rolloutBlockers, r.Node)
@@ -99,17 +100,18 @@
 	return ok
 }
 
-// NotReadyAnswer is the answer to a run that is not present.
+// NotReadyAnswer returns the answer to a report of a run that is not present.
 func NotReadyAnswer(s *State) fleet.ReportAnswer {
 	return fleet.ReportAnswer{Revision: s.Revision, NotReady: true}
 }
 
-// Report takes a report of a present run that came at at, and renews its lease at now. It is called after a VerifyLeader that
-// began after the report came. A report again (a lost answer) renews and is not counted twice.
-func (ctl *Controller) Report(now, at fleet.Time, s *State, r fleet.Report) (fleet.ReportAnswer, error) {
-	v := fleet.NodeView{Member: r.Member, ReceivedAt: at, Report: r}
+// Report processes a report that was received at receivedAt and returns the answer to it. It renews the lease of a present run
+// at now. The caller must have completed a VerifyLeader that began after the report was received. A report that is repeated
+// because its answer was lost renews the lease again, but is not counted twice.
+func (ctl *Controller) Report(now, receivedAt fleet.Time, s *State, r fleet.Report) (fleet.ReportAnswer, error) {
+	v := fleet.NodeView{Member: r.Member, ReceivedAt: receivedAt, Report: r}
 	if !s.Session.Present(r.Member) {
-		ctl.drift.Observe(now, v) // of a run that is too far behind, or leaves, too; what came before changes nothing
+		ctl.drift.Observe(now, v) // also observes runs that are too far behind or leaving; an older report changes nothing
 		ans := NotReadyAnswer(s)
 		_, ans.WantedKeys, _, _ = ctl.drift.Answer(r.Node)
 		return ans, nil
@@ -131,7 +133,7 @@
 		ctl.newestReports[r.Node] = reportID{r.Incarnation, r.Sequence}
 		ctl.zones.Observe(now, v)
 		ctl.tenants.Observe(now, v)
-		ctl.drift.Observe(now, v) // rejects only what is rejected above
+		ctl.drift.Observe(now, v) // its error is ignored: it rejects only reports that are rejected above
 	}
 	ans := fleet.ReportAnswer{LeaseTTLMS: ctl.settings.TTL.Milliseconds(), Revision: s.Revision}
 	ans.Resend, ans.WantedKeys, ans.Restart, ans.NotReady = ctl.drift.Answer(r.Node)
@@ -148,8 +150,9 @@
 	return ans, nil
 }
 
-// Step returns the commands that the state is ready for, in their order; call it each 100 ms. servers is the list of app
-// servers under the same revisions, nil where there is none. Resolved must be given the outcome of each.
+// Step returns the commands that the present state calls for, in the order in which they are to be proposed. It is called every
+// 100 ms. servers is the list of app servers, which has the same revisions as the state; nil where there is no list. Resolved
+// must be called with each command once its outcome is known.
 func (ctl *Controller) Step(now fleet.Time, s *State, servers []drift.ListedServer) []Command {
 	var out []Command
 	for _, m := range ctl.leases.Expired(now, &s.Session) {
@@ -184,7 +187,7 @@
 	return out
 }
 
-// lateNodes is what present nodes hold up past its bound, as drift names it.
+// lateNodes returns the rollout steps that present nodes hold up past the time limit, by node, in the form that package drift uses.
 func (ctl *Controller) lateNodes(now fleet.Time, s *State) map[string][]drift.Difference {
 	out := map[string][]drift.Difference{}
 	for _, l := range ctl.tenants.Late(now, &s.Tenants, s.present()) {
@@ -194,30 +197,30 @@
 	return out
 }
 
-// Resolved notes that a command's outcome is known: it was applied, rejected, or will surely never be.
+// Resolved records that a command's outcome is known: it was applied or rejected, or can no longer be applied.
 func (ctl *Controller) Resolved(c Command) {
 	if c.Session != nil && c.Session.Operation == session.Expire {
 		ctl.leases.Resolved(c.Session.Member)
 	}
 }
 
-// ZoneEvidence is what zones are evaluated by now.
+// ZoneEvidence returns the evidence by which zones are evaluated now.
 func (ctl *Controller) ZoneEvidence() []zones.Evidence { return ctl.zones.Evidence() }
 
-// TenantStatus is how far each node present in a tenant's scope is with it.
+// TenantStatus returns the progress that each node present in a tenant's scope has made with the tenant.
 func (ctl *Controller) TenantStatus(now fleet.Time, s *State, name string) ([]tenants.NodeStatus, error) {
 	return ctl.tenants.Status(now, &s.Tenants, name, s.present())
 }
 
-// Verdicts is what is thought of each node. wallMS is the wall clock at now, for people.
+// Verdicts returns the drift verdict on each node. wallMS is the wall clock at now, for the times that people read.
 func (ctl *Controller) Verdicts(now fleet.Time, wallMS int64, s *State) []drift.Verdict {
 	return ctl.drift.Verdicts(now, wallMS, &s.Drift)
 }
 
-// DriftSummary is the fleet's drift at a glance.
+// DriftSummary returns a summary of the fleet's drift.
 func (ctl *Controller) DriftSummary(now fleet.Time, s *State) drift.Summary {
 	return ctl.drift.Summary(now, &s.Drift)
 }
 
-// Repairs is the log of the repairs after an entry's number.
+// Repairs returns the entries of the repair log whose numbers are above after.
 func (ctl *Controller) Repairs(after uint64) []drift.LogEntry { return ctl.drift.Log(after) }
--- a/internal/fleet/control/scope_digest.go
+++ b/internal/fleet/control/scope_digest.go
@@ -10,14 +10,15 @@
 	"meadowsill/internal/fleet/tenants"
 )
 
-// present is who is present, with their scopes.
+// present returns the present members with their scopes.
 func (s *State) present() tenants.Present {
 	return tenants.Present{Epoch: s.Session.ScopeEpoch, Members: s.Session.List(), Services: s.Session.ServicesByNode()}
 }
 
-// ScopeDigest is a digest of all that a run of these services must hold before it may be present: the committed generations of its
-// scope, and its node's quota lease. A join names it, so that it is rejected where any of it has changed since the run was looked
-// at. It costs what the scope holds. Without services it is the digest that joins named before there were scopes.
+// ScopeDigest returns a digest of everything that a run with these services must hold before it may be present: the committed
+// generations of its scope, and its node's quota lease. A join carries the digest, so that the join is rejected if any of this has
+// changed since the run was checked. The cost is proportional to the size of the scope. Without services it is the digest that
+// joins carried before there were scopes.
 func (s *State) ScopeDigest(node string, services []string) uint64 {
 	var names []string
 	for name := range s.Tenants.InScope(services) {
@@ -34,7 +35,7 @@
 	return digest.Sum64()
 }
 
-// appendTenantDigest appends a tenant's line of the guard: name, uid, generation, and how far its removal is.
+// appendTenantDigest appends a tenant's line of the digest: name, UID, generation, and how far its removal has come.
 func appendTenantDigest(line []byte, name string, e *tenants.Entry) []byte {
 	generation := uint64(0)
 	if e.Committed != nil {
@@ -48,15 +49,15 @@
 	return append(line, '\n')
 }
 
-// MayJoin reports whether a run that reports so may be present: one that holds nothing yet, so that it is counted before it
-// is notified of any quota, or one that has caught up.
+// MayJoin reports whether a run with this report may be present: either it holds nothing yet, so that it is counted before it
+// learns of any quota, or it has caught up.
 func (s *State) MayJoin(r fleet.Report) bool {
 	acked := slices.ContainsFunc(r.Tenants, func(a fleet.TenantAck) bool { return a.UID != 0 })
 	return r.Revision == 0 && !acked || s.CaughtUp(r)
 }
 
-// CaughtUp reports whether a run that reports so may begin to serve: it holds what is committed in its scope and nothing outside
-// of it, and its node's quota lease as it is now, so that a lease renewed never wakes an older share.
+// CaughtUp reports whether a run with this report may begin to serve: it holds what is committed in its scope, nothing outside of
+// it, and the present version of its node's quota lease, so that renewing the session never makes an older quota lease valid again.
 func (s *State) CaughtUp(r fleet.Report) bool {
 	if r.Revision < s.Floor || r.Revision < s.leaseRevision(r.Node) {
 		return false
--- a/internal/fleet/control/settings.go
+++ b/internal/fleet/control/settings.go
@@ -20,7 +20,7 @@
 	maxTTLMS = 60_000
 )
 
-// settingsFile is the settings file as docs/fleet.md gives it.
+// settingsFile is the settings file as docs/fleet.md describes it.
 type settingsFile struct {
 	Slots   int                 `toml:"slots"`
 	TTLMS   *int64              `toml:"ttl_ms"`
@@ -31,9 +31,10 @@
 	} `toml:"cold"`
 }
 
-// ParseSettings reads the settings file. The error of a bad one names the field or the line; an unknown key is one.
+// ParseSettings parses the contents of the settings file. The error of an invalid file names the field or the line; an unknown key
+// is an error.
 func ParseSettings(data string) (Settings, error) {
-	bad := func(field, format string, args ...any) (Settings, error) {
+	invalid := func(field, format string, args ...any) (Settings, error) {
 		return Settings{}, fmt.Errorf("%w: %s: %s", fleet.ErrInvalid, field, fmt.Sprintf(format, args...))
 	}
 	var f settingsFile
@@ -42,26 +43,26 @@
 		return Settings{}, fmt.Errorf("%w: %w", fleet.ErrInvalid, err)
 	}
 	if unknown := meta.Undecoded(); len(unknown) > 0 {
-		return bad(unknown[0].String(), "unknown key")
+		return invalid(unknown[0].String(), "unknown key")
 	}
 	if f.Slots < 1 || f.Slots > maxSlots {
-		return bad("slots", "%d, must be 1 to %d", f.Slots, maxSlots)
+		return invalid("slots", "%d, must be 1 to %d", f.Slots, maxSlots)
 	}
 	set := Settings{Slots: f.Slots, TTL: 6 * time.Second, Zones: zones.Default(f.Slots)}
 	if f.TTLMS != nil {
 		if *f.TTLMS < minTTLMS || *f.TTLMS > maxTTLMS {
-			return bad("ttl_ms", "%d, must be %d to %d", *f.TTLMS, minTTLMS, maxTTLMS)
+			return invalid("ttl_ms", "%d, must be %d to %d", *f.TTLMS, minTTLMS, maxTTLMS)
 		}
 		set.TTL = time.Duration(*f.TTLMS) * time.Millisecond
 	}
 	set.Zones.Region = map[string]string{}
-	for region, members := range f.Regions {
-		for _, z := range members {
-			if old, ok := set.Zones.Region[z]; ok {
-				return bad("regions."+region, "zone %q is in %s already", z, old)
+	for region, zoneNames := range f.Regions {
+		for _, z := range zoneNames {
+			if otherRegion, ok := set.Zones.Region[z]; ok {
+				return invalid("regions."+region, "zone %q is in %s already", z, otherRegion)
 			}
 			if z == "" || len(z) > session.MaxNameBytes || strings.Contains(z, "@") {
-				return bad("regions."+region, "%q is no zone's name", z)
+				return invalid("regions."+region, "%q is no zone's name", z)
 			}
 			set.Zones.Region[z] = region
 		}
@@ -71,7 +72,7 @@
 	}
 	if c := f.Cold.TimeMS; c != nil {
 		if !(*c >= 0 && *c <= math.MaxInt32) {
-			return bad("cold.time_ms", "%g, must be 0 to %d", *c, math.MaxInt32)
+			return invalid("cold.time_ms", "%g, must be 0 to %d", *c, math.MaxInt32)
 		}
 		set.Zones.SlowStartWindow = time.Duration(*c * float64(time.Millisecond))
 	}
--- a/internal/fleet/control/state.go
+++ b/internal/fleet/control/state.go
@@ -1,6 +1,6 @@
-// Package control composes the fleet's cores (docs/fleet.md): session, zones, tenants and drift. State is one state
-// machine for raft's log, under one revision that it shares with the list of app servers; Controller is the leader's soft
-// part. It does no I/O, reads no clock and starts no goroutine.
+// Package control composes the cores of the fleet's control plane (docs/fleet.md): session, zones, tenants and drift. State is
+// the state machine for raft's log; it shares one sequence of revisions with the list of app servers. Controller is the part of
+// the leader's state that is not replicated. The package does no I/O, reads no clock and starts no goroutine.
 package control
 
 import (
@@ -17,55 +17,55 @@
 	"meadowsill/internal/registry/index"
 )
 
-// ErrStale rejects a command that was decided from what has changed since. It is decided anew.
+// ErrStale rejects a command that was decided from state that has changed since. The controller decides again.
 var ErrStale = errors.New("decided from an older state")
 
-// maxTombstones is how many items that are removed are remembered; a watch from before them gets every item.
+// maxTombstones is the number of removed items that are remembered; a watch from a revision before them gets every item.
 const maxTombstones = 1000
 
-// Command is one change of State, as it stands in raft's log (registry.Command.Fleet): one of the cores' commands.
+// Command is one change of State, as it is stored in raft's log (registry.Command.Fleet): a command of one of the cores.
 type Command struct {
 	Session     *session.Command `json:"session,omitempty"`
-	ScopeDigest uint64           `json:"guard,omitempty"` // with a join: State.ScopeDigest when the run was found to be caught up
+	ScopeDigest uint64           `json:"guard,omitempty"` // of a join: State.ScopeDigest at the time at which the run was found to be caught up
 	Zones       *zones.Command   `json:"zones,omitempty"`
 	Tenants     *tenants.Command `json:"tenants,omitempty"`
 	Drift       *drift.Command   `json:"drift,omitempty"`
 }
 
-// Change is what a command changed: the revision it took (0: none), and whether items of the intent, or verdicts of
-// drift, are among it.
+// Change is what a command changed: the revision that it was assigned (0: none), whether it changed items of the intent, and
+// whether it changed drift verdicts.
 type Change struct {
 	Revision uint64
 	Items    bool
 	Drift    bool
-	Scopes   []index.Scope // that the items are in, each once
+	Scopes   []index.Scope // scopes that contain the changed items, without duplicates
 }
 
-// State is the replicated part of the whole fleet. Its JSON is its snapshot. New makes one, Restore reads one back.
+// State is the replicated state of the whole fleet. Its JSON is its snapshot. New returns an empty State, Restore reads a snapshot.
 type State struct {
-	Revision   uint64        `json:"rev"`   // that last changed an item of the intent
-	Floor      uint64        `json:"floor"` // changes up to here can no longer be listed
+	Revision   uint64        `json:"rev"`   // the last revision that changed an item of the intent
+	Floor      uint64        `json:"floor"` // changes up to this revision can no longer be listed
 	Tombstones []Tombstone   `json:"tombs,omitempty"`
 	Session    session.State `json:"session"`
 	Zones      zones.State   `json:"zones"`
 	Tenants    tenants.State `json:"tenants"`
 	Drift      drift.State   `json:"drift"`
 
-	items items // and the tombstones by scope; made from the above
+	items items // items and tombstones by scope; derived from the fields above
 }
 
 // New returns an empty state.
 func New() *State { return &State{items: newItems()} }
 
-// IsEmpty reports that no command has changed anything yet.
+// IsEmpty reports whether no command has changed anything yet.
 func (s *State) IsEmpty() bool {
 	return s.Revision == 0 && s.Session.Epoch == 0 && s.Drift.Revision == 0
 }
 
-// Snapshot is the state as bytes.
+// Snapshot returns the state as JSON.
 func (s *State) Snapshot() ([]byte, error) { return json.Marshal(s) }
 
-// Restore reads a snapshot. An error gives no state.
+// Restore reads a snapshot. On an error it returns no state.
 func Restore(raw []byte) (*State, error) {
 	s := New()
 	if err := json.Unmarshal(raw, s); err != nil {
@@ -75,11 +75,11 @@
 	return s, nil
 }
 
-// Apply carries out one command. next gives the next revision; it is called once, and only where something changes. An error
-// changes nothing; it wraps one of package fleet's, or says that the command was decided from an older state.
+// Apply applies one command. next returns the next revision; it is called once, and only where something changes. If Apply returns
+// an error, nothing has changed; the error wraps one of package fleet's, or says that the command was decided from an older state.
 func (s *State) Apply(c Command, next func() uint64) (Change, error) {
 	var ch Change
-	take := func() uint64 { ch.Revision = next(); return ch.Revision }
+	assignRevision := func() uint64 { ch.Revision = next(); return ch.Revision }
 	var keys []string
 	var err error
 	switch {
@@ -89,18 +89,18 @@
 		}
 		var changed bool
 		if changed, err = s.Session.Apply(*c.Session); changed {
-			take()
+			assignRevision()
 		}
 	case c.Zones != nil:
-		keys, err = s.Zones.Apply(*c.Zones, take)
+		keys, err = s.Zones.Apply(*c.Zones, assignRevision)
 	case c.Tenants != nil:
-		// A division ends the leases of runs that had lapsed: not those that have come back since.
+		// A division ends the quota leases of runs that had lapsed. It must not end those of runs that have joined again since.
 		if c.Tenants.Operation == tenants.Divide && c.Tenants.Epoch != s.Session.Epoch {
 			return ch, fmt.Errorf("%w: division at epoch %d, it is %d", ErrStale, c.Tenants.Epoch, s.Session.Epoch)
 		}
-		keys, err = s.Tenants.Apply(*c.Tenants, s.Session.ScopeEpoch, take)
-	case c.Drift != nil: // parts that came too late change nothing, and the others stand
-		if err = s.Drift.Apply(*c.Drift, take); ch.Revision != 0 {
+		keys, err = s.Tenants.Apply(*c.Tenants, s.Session.ScopeEpoch, assignRevision)
+	case c.Drift != nil: // parts that are out of date change nothing; the other parts are applied
+		if err = s.Drift.Apply(*c.Drift, assignRevision); ch.Revision != 0 {
 			ch.Drift, err = true, nil
 		}
 	default:
--- a/internal/fleet/session/scope.go
+++ b/internal/fleet/session/scope.go
@@ -7,19 +7,19 @@
 	"meadowsill/internal/fleet"
 )
 
-// maxServiceEpochs bounds the services whose epochs are remembered one by one.
+// maxServiceEpochs is the maximum number of services whose epochs are remembered one by one.
 const maxServiceEpochs = 4096
 
-// Scopes is what the state keeps once a run with a scope has joined. Without one there is none, and the epoch of every
-// scope is the fleet's.
+// Scopes is what the state keeps about scopes once a run with a scope has joined. Until then State has no Scopes, and the epoch of
+// every scope is the fleet's.
 type Scopes struct {
 	Services map[string][]string `json:"services,omitempty"` // of the present members that have a scope, by node
-	Epochs   map[string]uint64   `json:"epochs,omitempty"`   // by service: the last change of a member whose scope names it
-	Unscoped uint64              `json:"everyone,omitempty"` // the last change of a member without a scope, which serves every service
+	Epochs   map[string]uint64   `json:"epochs,omitempty"`   // by service: the epoch of the last change of a member whose scope names the service
+	Unscoped uint64              `json:"everyone,omitempty"` // the epoch of the last change of a member without a scope, which serves every service
 }
 
-// ScopeEpoch is the epoch of a service's scope: the fleet's at the last join, leave or lapse of a member that serves it. The
-// scope of no service is the whole fleet.
+// ScopeEpoch returns the epoch of a service's scope: the fleet's epoch at the last join, leave or lapse of a member that serves
+// the service. For the service "" it returns the epoch of the whole fleet.
 func (s *State) ScopeEpoch(service string) uint64 {
 	if service == "" || s.Scopes == nil {
 		return s.Epoch
@@ -27,10 +27,10 @@
 	return max(s.Scopes.Unscoped, s.Scopes.Epochs[service])
 }
 
-// Services are those of a present member's scope; none: it serves every service.
+// Services returns the services of a present member's scope; none: it serves every service.
 func (s *State) Services(node string) []string { return s.ServicesByNode()[node] }
 
-// ServicesByNode are the scopes of the present members that have one. They are not to be changed.
+// ServicesByNode returns the scopes of the present members that have one. The caller must not change them.
 func (s *State) ServicesByNode() map[string][]string {
 	if s.Scopes == nil {
 		return nil
@@ -38,8 +38,8 @@
 	return s.Scopes.Services
 }
 
-// CheckScope reports whether services may be the scope of m: valid, and where this very run is present, the scope that it
-// joined with. The error is fleet.ErrInvalid.
+// CheckScope reports whether services may be the scope of m: they must be valid, and if exactly this run is present, they must be
+// the scope that it joined with. The error wraps fleet.ErrInvalid.
 func (s *State) CheckScope(m fleet.Member, services []string) error {
 	if err := fleet.ValidScope(services); err != nil {
 		return err
@@ -50,7 +50,7 @@
 	return nil
 }
 
-// advanceEpochs notes that the present epoch began with a change of members with these scopes.
+// advanceEpochs records that the present epoch began with a change of members that have these scopes.
 func (s *State) advanceEpochs(changed ...[]string) {
 	for _, services := range changed {
 		if len(services) > 0 && s.Scopes == nil {
@@ -71,13 +71,14 @@
 			s.Scopes.Epochs[service] = s.Epoch
 		}
 	}
-	if len(s.Scopes.Epochs) > maxServiceEpochs { // an epoch only moves forward: at worst a command is decided anew
+	if len(s.Scopes.Epochs) > maxServiceEpochs { // this only moves epochs forward: at worst a command is rejected as stale and decided again
 		s.Scopes.Epochs, s.Scopes.Unscoped = nil, s.Epoch
 	}
 }
 
-// rememberServices keeps the scope of a member that has joined; of one without, and of one that is no longer present, nothing is kept.
-func (s *State) rememberServices(node string, services []string) {
+// setServices stores the scope of a member that has joined. For a member without a scope, or one that is no longer present, it
+// removes what is stored.
+func (s *State) setServices(node string, services []string) {
 	switch {
 	case s.Scopes == nil:
 	case len(services) == 0:
--- a/internal/fleet/session/session.go
+++ b/internal/fleet/session/session.go
@@ -1,8 +1,8 @@
-// Package session is the core of the fleet's sessions (docs/fleet.md, "Sessions"): which run of which node is
-// present, and the arithmetic by which a node counts itself out before the control plane can count it out. It does
-// no I/O, reads no clock and starts no goroutine: readings of the caller's own monotonic clock are passed in.
+// Package session is the core of the fleet's sessions (docs/fleet.md, "Sessions"): it determines which run of which node is
+// present, and it computes the leases such that an agent regards its node's session as over before the control plane can expire
+// it. The package does no I/O, reads no clock and starts no goroutine: readings of the caller's own monotonic clock are passed in.
 //
-// State is replicated and time-free. Leases are the leader's, in memory. AgentLease is the agent's.
+// State is replicated and contains no times. The leader keeps Leases, in memory. The agent keeps an AgentLease.
 package session
 
 import (
@@ -13,50 +13,50 @@
 	"meadowsill/internal/fleet"
 )
 
-// Errors of a join, besides fleet.ErrFenced. They change nothing.
+// Errors of a join or a renewal, besides fleet.ErrFenced. A rejected one changes nothing.
 var (
-	ErrNoSlot  = errors.New("no slot is free")       // as many nodes are present as the settings' slots
-	ErrPending = errors.New("the session is ending") // its lapse is proposed: ask again
+	ErrNoSlot  = errors.New("no slot is free")       // as many nodes are present as the settings have slots
+	ErrPending = errors.New("the session is ending") // its expiry is proposed: the report is to be repeated
 )
 
-// MaxRememberedNames bounds the names that are remembered; a join under a further one is rejected.
+// MaxRememberedNames is the maximum number of node names that are remembered; a join under a further name is rejected.
 const MaxRememberedNames = 4096
 
-// MaxNameBytes bounds the length of a node's and a zone's name, in bytes.
+// MaxNameBytes is the maximum length of the name of a node or a zone, in bytes.
 const MaxNameBytes = 128
 
-// NewestRun is the newest run that was present under a name.
+// NewestRun is the newest run that was present under a node's name. Older runs may not join again.
 type NewestRun struct {
 	Incarnation uint64 `json:"incarnation"`
-	Ended       bool   `json:"left,omitempty"` // it left, or a larger one came: it may not come back
+	Ended       bool   `json:"left,omitempty"` // it left and may not join again
 }
 
-// State is the replicated part: who is present. The zero State is empty and ready.
+// State is the replicated state: which runs are present. The zero State is empty and ready for use.
 type State struct {
-	Epoch      uint64                  `json:"epoch"`             // of the set of present members; rises by one with each change of it
-	Members    map[string]fleet.Member `json:"members,omitempty"` // present, by node
+	Epoch      uint64                  `json:"epoch"`             // of the set of present members; increases by one with each change of the set
+	Members    map[string]fleet.Member `json:"members,omitempty"` // present members, by node
 	NewestRuns map[string]NewestRun    `json:"highest,omitempty"` // by node
-	Scopes     *Scopes                 `json:"scopes,omitempty"`  // nil: no run with a scope ever joined
+	Scopes     *Scopes                 `json:"scopes,omitempty"`  // nil: no run with a scope has ever joined
 }
 
-// Ops of a command.
+// Operations of a command.
 const (
 	Join   = "join"  // a run reports for the first time, or again after its lease lapsed
-	Leave  = "leave" // it left
-	Expire = "lapse" // its lease is over by the leader's clock
+	Leave  = "leave" // a run leaves
+	Expire = "lapse" // a run's lease is over by the leader's clock
 )
 
-// Command is one change of who is present. Slots is the most nodes that may be, from the leader's settings, so that
-// every replica decides alike; 0 means no bound.
+// Command is one change of the set of present members. Slots is the maximum number of present nodes. It comes from the leader's
+// settings, so that every replica decides alike; 0 means no limit.
 type Command struct {
 	Operation string       `json:"op"`
 	Member    fleet.Member `json:"member"`
-	Services  []string     `json:"services,omitempty"` // join: the run's scope; none: every service
+	Services  []string     `json:"services,omitempty"` // of a join: the run's scope; empty: every service
 	Slots     int          `json:"slots,omitempty"`
 }
 
-// Check reports whether m may be present: nil where it is present or may join, fleet.ErrFenced for an older run,
-// fleet.ErrInvalid for a name that can't be.
+// Check reports whether m may be present: it returns nil where m is present or may join, fleet.ErrFenced for an older run or one
+// that left, and fleet.ErrInvalid for an invalid name, incarnation or zone.
 func (s *State) Check(m fleet.Member) error {
 	if m.Node == "" || len(m.Node) > MaxNameBytes || m.Zone == "" || len(m.Zone) > MaxNameBytes {
 		return fmt.Errorf("%w: node and zone: names of 1 to %d bytes", fleet.ErrInvalid, MaxNameBytes)
@@ -64,9 +64,9 @@
 	if m.Incarnation == 0 {
 		return fmt.Errorf("%w: incarnation: above 0", fleet.ErrInvalid)
 	}
-	h, known := s.NewestRuns[m.Node]
-	if known && (m.Incarnation < h.Incarnation || m.Incarnation == h.Incarnation && h.Ended) {
-		return fmt.Errorf("%w: %s: %d, seen %d", fleet.ErrFenced, m.Node, m.Incarnation, h.Incarnation)
+	newest, known := s.NewestRuns[m.Node]
+	if known && (m.Incarnation < newest.Incarnation || m.Incarnation == newest.Incarnation && newest.Ended) {
+		return fmt.Errorf("%w: %s: %d, seen %d", fleet.ErrFenced, m.Node, m.Incarnation, newest.Incarnation)
 	}
 	if p, ok := s.Members[m.Node]; ok && p.Incarnation == m.Incarnation && p.Zone != m.Zone {
 		return fmt.Errorf("%w: zone: %s is present in %s", fleet.ErrInvalid, m.Node, p.Zone)
@@ -74,13 +74,13 @@
 	return nil
 }
 
-// Present reports whether this very run is present.
+// Present reports whether exactly this run is present.
 func (s *State) Present(m fleet.Member) bool {
 	p, ok := s.Members[m.Node]
 	return ok && p.Incarnation == m.Incarnation
 }
 
-// Apply carries out one command and reports whether it changed who is present. An error changes nothing.
+// Apply applies one command and reports whether it changed the set of present members. If it returns an error, nothing has changed.
 func (s *State) Apply(c Command) (bool, error) {
 	switch c.Operation {
 	case Join:
@@ -97,7 +97,7 @@
 		return true, nil
 	case Expire:
 		if !s.Present(c.Member) {
-			return false, nil // it is no longer present, or a new run is
+			return false, nil // the run is no longer present, or a newer run has replaced it
 		}
 		s.removeMember(c.Member)
 		return true, nil
@@ -116,9 +116,9 @@
 	if s.Present(m) {
 		return false, nil
 	}
-	_, again := s.Members[m.Node]
+	_, replaces := s.Members[m.Node]
 	_, known := s.NewestRuns[m.Node]
-	if !again && c.Slots > 0 && len(s.Members) >= c.Slots || !known && len(s.NewestRuns) >= MaxRememberedNames {
+	if !replaces && c.Slots > 0 && len(s.Members) >= c.Slots || !known && len(s.NewestRuns) >= MaxRememberedNames {
 		return false, fmt.Errorf("%w for %s: %d are present", ErrNoSlot, m.Node, len(s.Members))
 	}
 	if s.Members == nil {
@@ -128,25 +128,25 @@
 		s.NewestRuns = map[string]NewestRun{}
 	}
 	s.Epoch++
-	if again { // a former run ends
+	if replaces { // the node's former run ends
 		s.advanceEpochs(s.Services(m.Node), c.Services)
 	} else {
 		s.advanceEpochs(c.Services)
 	}
 	s.Members[m.Node], s.NewestRuns[m.Node] = m, NewestRun{Incarnation: m.Incarnation}
-	s.rememberServices(m.Node, c.Services)
+	s.setServices(m.Node, c.Services)
 	return true, nil
 }
 
-// removeMember takes a present member away.
+// removeMember removes a present member and its scope.
 func (s *State) removeMember(m fleet.Member) {
 	s.Epoch++
 	s.advanceEpochs(s.Services(m.Node))
 	delete(s.Members, m.Node)
-	s.rememberServices(m.Node, nil)
+	s.setServices(m.Node, nil)
 }
 
-// List is the present members, by node.
+// List returns the present members, by node.
 func (s *State) List() []fleet.Member {
 	out := make([]fleet.Member, 0, len(s.Members))
 	for _, m := range s.Members {
--- a/internal/fleet/statetable/statetable.go
+++ b/internal/fleet/statetable/statetable.go
@@ -1,5 +1,5 @@
 // Package statetable reads the state tables of the design pages, so that tests can run every row against the core that
-// it describes: page and code cannot part.
+// it describes and fail where page and code differ.
 package statetable
 
 import (
@@ -15,7 +15,7 @@
 	"github.com/yuin/goldmark/text"
 )
 
-// Header is what a state table's head says, in order.
+// Header is the header row of a state table, in order.
 var Header = []string{"state", "event", "condition", "next", "effect"}
 
 // Row is one row of a state table, as plain text without markup. Line is its line in the page, from 1.
@@ -28,14 +28,14 @@
 	Line      int
 }
 
-// String is the row as a test names it.
+// String returns the row as tests print it.
 func (r Row) String() string {
 	return fmt.Sprintf("line %d: %s | %s | %s -> %s", r.Line, r.State, r.Event, r.Condition, r.Next)
 }
 
 // Table reads the rows of the state table in the named section of the markdown file at path: the first table whose
-// head is Header, below the heading with exactly that text and before the next one of its level or above. A file,
-// section or table that is not there, or a row that is incomplete, is an error.
+// header row is Header, below the heading with exactly that text and before the next heading of the same or a higher level.
+// A missing file, section or table and an incomplete row are errors.
 func Table(path, section string) ([]Row, error) {
 	src, err := os.ReadFile(path)
 	if err != nil {
@@ -50,13 +50,13 @@
 
 func parse(src []byte, section string) ([]Row, error) {
 	doc := goldmark.New(goldmark.WithExtensions(extension.Table)).Parser().Parse(text.NewReader(src))
-	level := 0 // of the section's heading, once it is found
+	level := 0 // level of the section's heading, 0 until it is found
 	for n := doc.FirstChild(); n != nil; n = n.NextSibling() {
 		if h, ok := n.(*ast.Heading); ok {
 			if level > 0 && h.Level <= level {
 				break
 			}
-			if level == 0 && plain(h, src) == section {
+			if level == 0 && plainText(h, src) == section {
 				level = h.Level
 			}
 		}
@@ -88,13 +88,13 @@
 func cells(row ast.Node, src []byte) []string {
 	var out []string
 	for c := row.FirstChild(); c != nil; c = c.NextSibling() {
-		out = append(out, plain(c, src))
+		out = append(out, plainText(c, src))
 	}
 	return out
 }
 
-// plain is a node's text without markup, trimmed.
-func plain(n ast.Node, src []byte) string {
+// plainText returns the text of a node without markup, trimmed.
+func plainText(n ast.Node, src []byte) string {
 	var b strings.Builder
 	ast.Walk(n, func(n ast.Node, entering bool) (ast.WalkStatus, error) {
 		if t, ok := n.(*ast.Text); ok && entering {
@@ -108,7 +108,7 @@
 	return strings.TrimSpace(b.String())
 }
 
-// lineOf is the line of the first text below n.
+// lineOf returns the line of the first text below n.
 func lineOf(n ast.Node, src []byte) (line int) {
 	ast.Walk(n, func(n ast.Node, entering bool) (ast.WalkStatus, error) {
 		if t, ok := n.(*ast.Text); ok && line == 0 {
--- a/internal/fleet/statetable/statetable_test.go
+++ b/internal/fleet/statetable/statetable_test.go
@@ -38,9 +38,9 @@
 	if len(got) != 2 || got[0] != want[0] || got[1] != want[1] {
 		t.Fatalf("got %+v, want %+v", got, want)
 	}
-	for section, says := range map[string]string{"Two": "line 20", "Three": "no table", "Four": "no section"} {
-		if _, err := parse([]byte(sample), section); err == nil || !strings.Contains(err.Error(), says) {
-			t.Errorf("section %s: %v, want %q", section, err, says)
+	for section, wantErr := range map[string]string{"Two": "line 20", "Three": "no table", "Four": "no section"} {
+		if _, err := parse([]byte(sample), section); err == nil || !strings.Contains(err.Error(), wantErr) {
+			t.Errorf("section %s: %v, want %q", section, err, wantErr)
 		}
 	}
 	for _, section := range []string{"Sessions", "Zones", "Tenants"} {
