--- a/internal/fleet/control/bench_test.go
+++ b/internal/fleet/control/bench_test.go
@@ -8,10 +8,10 @@
 	"meadowsill/internal/fleet/tenants"
 )
 
-// benchmarkSizes are numbers of tenants.
+// benchmarkSizes are the numbers of tenants that the benchmarks of Read use.
 var benchmarkSizes = []int{1_000, 5_000, 20_000}
 
-// populated returns a state of n tenants, each at its first staged generation, spread over services "service-0" on.
+// populated returns a state with n tenants, each with its first generation staged, spread over the services "service-0" and up.
 func populated(tb testing.TB, n, services int) *State {
 	tb.Helper()
 	s := New()
@@ -26,7 +26,7 @@
 	return s
 }
 
-// BenchmarkReadChange is what each watcher of the intent costs at a change: the read of one changed tenant.
+// BenchmarkReadChange measures the cost of one change for each watcher of the intent: the read of one changed tenant.
 func BenchmarkReadChange(b *testing.B) {
 	for _, n := range benchmarkSizes {
 		s := populated(b, n, 10)
@@ -41,7 +41,7 @@
 	}
 }
 
-// BenchmarkReadComplete is the read of a watcher that holds nothing.
+// BenchmarkReadComplete measures the read of a watcher that holds nothing.
 func BenchmarkReadComplete(b *testing.B) {
 	for _, n := range benchmarkSizes {
 		s := populated(b, n, 10)
--- a/internal/fleet/control/capacity_bench_test.go
+++ b/internal/fleet/control/capacity_bench_test.go
@@ -11,16 +11,16 @@
 	"meadowsill/internal/fleet/tenants"
 )
 
-// The sizes are steps towards the plan of docs/CAPACITY.md, 170,000 tenants.
+// benchSizes are numbers of tenants, in steps towards the plan of docs/CAPACITY.md, 170,000 tenants.
 var benchSizes = []int{1000, 5000, 10_000, 20_000}
 
-// benchSpec is a small tenant: one route, a quota.
+// benchSpec returns the specification of a small tenant: one route and a quota.
 func benchSpec(i int) fleet.Spec {
 	return fleet.Spec{Name: fmt.Sprintf("tenant-%06d", i), Quota: fleet.Quota{Rate: 10, Burst: 20},
 		Routes: []fleet.Route{{Kind: fmt.Sprintf("svc-%03d", i%550), Weight: 1}}, Fallback: "refuse"}
 }
 
-// benchState holds n tenants, each committed and applied.
+// benchState returns a state with n tenants, each committed and applied.
 func benchState(b *testing.B, n int) *State {
 	state, rev := New(), uint64(0)
 	next := func() uint64 { rev++; return rev }
@@ -46,7 +46,7 @@
 	}
 }
 
-// benchReport acknowledges every tenant of state.
+// benchReport returns a report that acknowledges every tenant of state.
 func benchReport(state *State) fleet.Report {
 	report := fleet.Report{Member: fleet.Member{Node: "n1", Zone: "za", Incarnation: 1}, Sequence: 1, Revision: state.Revision, Ready: true}
 	for name, entry := range state.Tenants.Tenants {
@@ -56,7 +56,7 @@
 	return report
 }
 
-// BenchmarkCapacityReadOneChange is the answer to a watch that lacks the newest change of the intent.
+// BenchmarkCapacityReadOneChange measures the answer to a watch that lacks only the newest change of the intent.
 func BenchmarkCapacityReadOneChange(b *testing.B) {
 	benchEach(b, func(b *testing.B, state *State) {
 		for b.Loop() {
@@ -65,7 +65,7 @@
 	})
 }
 
-// BenchmarkCapacityReadComplete is a read of the complete intent.
+// BenchmarkCapacityReadComplete measures a read of the complete intent.
 func BenchmarkCapacityReadComplete(b *testing.B) {
 	benchEach(b, func(b *testing.B, state *State) {
 		for b.Loop() {
@@ -74,7 +74,7 @@
 	})
 }
 
-// BenchmarkCapacityGuard is the digest that a join names.
+// BenchmarkCapacityGuard measures State.ScopeDigest, the digest that a join carries.
 func BenchmarkCapacityGuard(b *testing.B) {
 	benchEach(b, func(b *testing.B, state *State) {
 		for b.Loop() {
@@ -83,7 +83,7 @@
 	})
 }
 
-// BenchmarkCapacityMayJoin is the check of a run that reports every tenant and is caught up.
+// BenchmarkCapacityMayJoin measures the check of a run that reports every tenant and is caught up.
 func BenchmarkCapacityMayJoin(b *testing.B) {
 	benchEach(b, func(b *testing.B, state *State) {
 		report := benchReport(state)
@@ -95,7 +95,7 @@
 	})
 }
 
-// BenchmarkCapacitySnapshot is the fleet's snapshot, whose size it reports.
+// BenchmarkCapacitySnapshot measures the encoding of the fleet's snapshot, and reports the snapshot's size.
 func BenchmarkCapacitySnapshot(b *testing.B) {
 	benchEach(b, func(b *testing.B, state *State) {
 		size := 0
@@ -110,7 +110,7 @@
 	})
 }
 
-// benchController is a leader's controller of up to 2,200 nodes.
+// benchController returns a leader's controller for up to 2,200 nodes.
 func benchController(b *testing.B, state *State) *Controller {
 	set, err := ParseSettings("slots = 2200")
 	if err != nil {
@@ -119,8 +119,8 @@
 	return NewController(set, 0, state)
 }
 
-// BenchmarkCapacityControllerStep is a step of the leader while no session is present and no tenant changes. The first step of a leader,
-// which looks at every item anew, is BenchmarkCapacityControllerFirstStep.
+// BenchmarkCapacityControllerStep measures a step of the leader while no session is present and no tenant changes. The first step of
+// a leader, which evaluates every item anew, is measured by BenchmarkCapacityControllerFirstStep.
 func BenchmarkCapacityControllerStep(b *testing.B) {
 	benchEach(b, func(b *testing.B, state *State) {
 		controller := benchController(b, state)
@@ -136,7 +136,7 @@
 	})
 }
 
-// BenchmarkCapacityControllerFirstStep is the first step of a leader.
+// BenchmarkCapacityControllerFirstStep measures the first step of a leader.
 func BenchmarkCapacityControllerFirstStep(b *testing.B) {
 	benchEach(b, func(b *testing.B, state *State) {
 		for b.Loop() {
@@ -145,7 +145,7 @@
 	})
 }
 
-// BenchmarkCapacityControllerReport is the leader's work on one report that acknowledges every tenant.
+// BenchmarkCapacityControllerReport measures how the leader processes one report that acknowledges every tenant.
 func BenchmarkCapacityControllerReport(b *testing.B) {
 	benchEach(b, func(b *testing.B, state *State) {
 		report := benchReport(state)
@@ -164,7 +164,7 @@
 	})
 }
 
-// BenchmarkCapacityHeap reports the live heap that a state with all its items takes. Its time is that of building it.
+// BenchmarkCapacityHeap reports the live heap that a state with all its items takes. Its time is the time of building the state.
 func BenchmarkCapacityHeap(b *testing.B) {
 	for _, n := range benchSizes {
 		b.Run(fmt.Sprintf("tenants=%d", n), func(b *testing.B) {
@@ -180,7 +180,8 @@
 	}
 }
 
-// liveHeap is what the heap holds after a collection. Two make sure that what the first found dead is swept.
+// liveHeap returns the size of the live heap after garbage collection, in bytes. The second collection makes sure that what the
+// first one found unreachable has been swept.
 func liveHeap() float64 {
 	var stats runtime.MemStats
 	runtime.GC()
--- a/internal/fleet/control/capacity_scope_bench_test.go
+++ b/internal/fleet/control/capacity_scope_bench_test.go
@@ -7,15 +7,15 @@
 	"meadowsill/internal/fleet"
 )
 
-// capacityTotal is the tenants of the fleet, while those of the node's scope are varied.
-const capacityTotal = 16_000
+// benchTotalTenants is the number of tenants of the fleet, while the number of those in the node's scope varies.
+const benchTotalTenants = 16_000
 
-// scopeSizes are tenants of a node's scope, around that of docs/CAPACITY.md, 1,236.
+// scopeSizes are the numbers of tenants of a node's scope, around that of docs/CAPACITY.md, 1,236.
 var scopeSizes = []int{400, 800, 1600, 3200}
 
 func benchScopes(b *testing.B, run func(b *testing.B, state *State, report fleet.Report)) {
 	for _, n := range scopeSizes {
-		state := settledTenants(b, capacityTotal, benchNodeServices*capacityTotal/n)
+		state := settledTenants(b, benchTotalTenants, benchNodeServices*benchTotalTenants/n)
 		report := scopedReport(state)
 		if len(report.Tenants) != n {
 			b.Fatalf("%d tenants in the scope, want %d", len(report.Tenants), n)
@@ -24,7 +24,7 @@
 	}
 }
 
-// BenchmarkCapacityGuardInScope is the digest that a join of a node with four services names.
+// BenchmarkCapacityGuardInScope measures State.ScopeDigest, which a join carries, for a node with four services.
 func BenchmarkCapacityGuardInScope(b *testing.B) {
 	benchScopes(b, func(b *testing.B, state *State, report fleet.Report) {
 		for b.Loop() {
@@ -33,7 +33,7 @@
 	})
 }
 
-// BenchmarkCapacityMayJoinInScope is the check of a run with four services that has caught up.
+// BenchmarkCapacityMayJoinInScope measures the check of a run with four services that has caught up.
 func BenchmarkCapacityMayJoinInScope(b *testing.B) {
 	benchScopes(b, func(b *testing.B, state *State, report fleet.Report) {
 		for b.Loop() {
@@ -44,7 +44,7 @@
 	})
 }
 
-// BenchmarkCapacityReadScope is a complete read of the tenants of four services.
+// BenchmarkCapacityReadScope measures a complete read of the tenants of four services.
 func BenchmarkCapacityReadScope(b *testing.B) {
 	benchScopes(b, func(b *testing.B, state *State, report fleet.Report) {
 		for b.Loop() {
--- a/internal/fleet/control/cost_test.go
+++ b/internal/fleet/control/cost_test.go
@@ -10,11 +10,11 @@
 	"meadowsill/internal/fleet/tenants"
 )
 
-// costSizes are the numbers of tenants between which the cost of a read may not grow.
+// costSizes are the two numbers of tenants between which the cost of a read must not grow.
 var costSizes = [2]int{1_000, 26_000}
 
-// changeOf commits the first generation of one tenant of a populated state.
-func changeOf(tb testing.TB, s *State, i int) {
+// commitTenant commits the first generation of one tenant of a populated state.
+func commitTenant(tb testing.TB, s *State, i int) {
 	tb.Helper()
 	name := fmt.Sprintf("tenant-%06d", i)
 	e := s.Tenants.Tenants[name]
@@ -24,25 +24,25 @@
 	}
 }
 
-// changed is a view of n tenants in ten services right after a change of one, which counts what is looked at.
-type changed struct {
+// changedView is a view of a state right after a change of one tenant; it counts the items that are visited.
+type changedView struct {
 	view   *View
-	since  uint64 // before the change
+	since  uint64 // revision before the change
 	visits atomic.Int64
 }
 
-func newChanged(tb testing.TB, n int) *changed {
+func newChangedView(tb testing.TB, n int) *changedView {
 	tb.Helper()
-	s, c := populated(tb, n, 10), &changed{}
+	s, c := populated(tb, n, 10), &changedView{}
 	s.items.index.CountVisits(&c.visits)
 	c.since = s.Revision
-	changeOf(tb, s, 0)
+	commitTenant(tb, s, 0)
 	c.view = s.View()
 	return c
 }
 
-// visitsOf counts the items that a read looks at for the change.
-func (c *changed) visitsOf(tb testing.TB, read func(v *View, since uint64) []fleet.Item) int64 {
+// countVisits returns the number of items that a read of the change visits.
+func (c *changedView) countVisits(tb testing.TB, read func(v *View, since uint64) []fleet.Item) int64 {
 	tb.Helper()
 	c.visits.Store(0)
 	if items := read(c.view, c.since); len(items) != 1 {
@@ -51,11 +51,12 @@
 	return c.visits.Load()
 }
 
-// A watcher's read costs what changed in its scope, whatever there is; a read that scans is found out.
+// TestReadCostsWhatChanged checks that the cost of a watcher's read depends on what changed in its scope and not on the number of
+// tenants, and that the check detects a read that scans.
 func TestReadCostsWhatChanged(t *testing.T) {
-	small, large := newChanged(t, costSizes[0]), newChanged(t, costSizes[1])
+	small, large := newChangedView(t, costSizes[0]), newChangedView(t, costSizes[1])
 	growth := func(read func(v *View, since uint64) []fleet.Item) string {
-		minimum, maximum := small.visitsOf(t, read), large.visitsOf(t, read)
+		minimum, maximum := small.countVisits(t, read), large.countVisits(t, read)
 		if minimum == 0 || maximum > minimum {
 			return fmt.Sprintf("%d items visited at %d tenants, %d at %d", minimum, costSizes[0], maximum, costSizes[1])
 		}
@@ -77,18 +78,18 @@
 		return out
 	}
 	if growth(scan) == "" {
-		t.Error("a planted scan is not found out")
+		t.Error("a read that scans is not detected")
 	}
 }
 
-// What changes outside of a reader's scope costs it nothing.
+// TestChangesOutsideTheScopeCostNothing checks that changes outside of a reader's scope make its reads no more expensive.
 func TestChangesOutsideTheScopeCostNothing(t *testing.T) {
 	s := populated(t, 1_000, 10)
 	since := s.Revision
 	var visits atomic.Int64
 	s.items.index.CountVisits(&visits)
 	for i := range 100 {
-		changeOf(t, s, i*10) // of service-0
+		commitTenant(t, s, i*10) // of service-0
 	}
 	if in := s.Read(since, "node", "service-1"); in.Full || len(in.Items) > 0 || in.Revision != s.Revision || s.View().HasChanges(since, "node", "service-1") {
 		t.Errorf("a reader of service-1: %+v", in)
@@ -98,7 +99,8 @@
 	}
 }
 
-// Readers of views run while the intent changes; each sees one whole state. The race detector watches.
+// TestReadersWhileTheIntentChanges checks that concurrent readers of views see one consistent state each while the intent changes. It
+// is to be run with the race detector.
 func TestReadersWhileTheIntentChanges(t *testing.T) {
 	const size, readers = 400, 4
 	s := populated(t, size, 10)
@@ -117,7 +119,7 @@
 		})
 	}
 	for i := range size {
-		changeOf(t, s, i)
+		commitTenant(t, s, i)
 		views <- s.View()
 	}
 	close(views)
--- a/internal/fleet/control/fixture_test.go
+++ b/internal/fleet/control/fixture_test.go
@@ -13,14 +13,14 @@
 	"meadowsill/internal/fleet/tenants"
 )
 
-// testFleet is a fleet in one process: nodes that hold what they last read, one leader, and a clock of its own.
+// testFleet simulates a fleet in one process: nodes that hold what they last read, one leader, and its own clock.
 type testFleet struct {
-	set   Settings
-	state *State
-	judge *Controller
-	now   fleet.Time
-	rev   uint64
-	nodes []*node
+	set        Settings
+	state      *State
+	controller *Controller
+	now        fleet.Time
+	rev        uint64
+	nodes      []*node
 }
 
 type node struct {
@@ -29,26 +29,26 @@
 	seq      uint64
 	revision uint64
 	held     map[string]fleet.Item
-	serves   map[string]uint64 // committed generation by tenant
+	serves   map[string]uint64 // committed generations that it serves, by tenant
 }
 
 func newTestFleet(t interface{ Fatal(...any) }, n int) *testFleet {
-	set, err := ParseSettings(fileText)
+	set, err := ParseSettings(settingsText)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &testFleet{set: set, state: New()}
-	r.judge = NewController(set, 0, r.state)
+	f := &testFleet{set: set, state: New()}
+	f.controller = NewController(set, 0, f.state)
 	for i := range n {
-		r.nodes = append(r.nodes, &node{})
-		r.boot(i)
+		f.nodes = append(f.nodes, &node{})
+		f.startRun(i)
 	}
-	return r
+	return f
 }
 
-// boot starts a run of a node, with these services for its scope.
-func (f *testFleet) boot(i int, services ...string) {
-	f.rev++ // incarnations only have to rise
+// startRun starts a new run of a node, with these services as its scope.
+func (f *testFleet) startRun(i int, services ...string) {
+	f.rev++ // incarnations only have to increase
 	*f.nodes[i] = node{Member: fleet.Member{Node: fmt.Sprint("n", i), Zone: "z" + string(rune('a'+i%3)), Incarnation: f.rev}, services: services,
 		held: map[string]fleet.Item{}, serves: map[string]uint64{}}
 }
@@ -67,7 +67,7 @@
 		Spec: &fleet.Spec{Name: name, Service: service, Quota: fleet.Quota{Rate: rate, Burst: 1}}}})
 }
 
-// read has a node take the newest intent.
+// read makes the node read the newest intent.
 func (n *node) read(s *State) {
 	in := s.Read(n.revision, n.Node, n.services...)
 	if in.Full {
@@ -89,8 +89,8 @@
 	}
 }
 
-// keeps reports whether an item is in the node's scope.
-func (n *node) keeps(it fleet.Item) bool {
+// inScope reports whether an item is in the node's scope.
+func (n *node) inScope(it fleet.Item) bool {
 	t, ok := n.tenant(it.Key, it)
 	return !ok || fleet.Serves(n.services, t.Service())
 }
@@ -120,9 +120,9 @@
 	return rep
 }
 
-// hear brings a report to the leader.
-func (f *testFleet) hear(rep fleet.Report) (fleet.ReportAnswer, error) {
-	c, _, err := f.judge.Admit(f.state, rep)
+// deliver delivers a report to the leader, applies the command that the leader requires first, and returns the answer.
+func (f *testFleet) deliver(rep fleet.Report) (fleet.ReportAnswer, error) {
+	c, _, err := f.controller.Admit(f.state, rep)
 	if err != nil {
 		return fleet.ReportAnswer{}, err
 	}
@@ -131,63 +131,63 @@
 			return fleet.ReportAnswer{}, err
 		}
 	}
-	return f.judge.Report(f.now, f.now, f.state, rep)
+	return f.controller.Report(f.now, f.now, f.state, rep)
 }
 
-// step has the leader decide, and its commands applied.
+// step advances the clock, runs a step of the controller and applies its commands.
 func (f *testFleet) step(d time.Duration) {
 	f.now += d
-	for _, c := range f.judge.Step(f.now, f.state, nil) {
+	for _, c := range f.controller.Step(f.now, f.state, nil) {
 		f.apply(c)
-		f.judge.Resolved(c)
+		f.controller.Resolved(c)
 	}
 }
 
-// testStep is the time between two looks of the controller in these tests.
+// testStep is the time between two steps of the controller in these tests.
 const testStep = 100 * time.Millisecond
 
-// newScopedFleet has a node present for each scope, in order.
+// newScopedFleet returns a fleet with one present node for each scope, in order.
 func newScopedFleet(t *testing.T, scopes ...[]string) *testFleet {
 	t.Helper()
 	f := newTestFleet(t, len(scopes))
 	for i, services := range scopes {
-		f.boot(i, services...)
+		f.startRun(i, services...)
 	}
-	f.turn(t, f.nodes...)
+	f.runRound(t, f.nodes...)
 	return f
 }
 
-// evaluated has nodes read and report, and returns the controller's commands without applying them.
-func (f *testFleet) judged(t *testing.T, nodes ...*node) []Command {
+// decisions makes nodes read and report, runs a step of the controller and returns its commands without applying them.
+func (f *testFleet) decisions(t *testing.T, nodes ...*node) []Command {
 	t.Helper()
 	for _, n := range nodes {
 		n.read(f.state)
-		if _, err := f.hear(n.report()); err != nil {
+		if _, err := f.deliver(n.report()); err != nil {
 			t.Fatalf("%s: %v", n.Node, err)
 		}
 	}
 	f.now += testStep
-	return f.judge.Step(f.now, f.state, nil)
+	return f.controller.Step(f.now, f.state, nil)
 }
 
-// turn has nodes read and report, and the controller's commands applied.
-func (f *testFleet) turn(t *testing.T, nodes ...*node) {
+// runRound makes nodes read and report, runs a step of the controller and applies its commands.
+func (f *testFleet) runRound(t *testing.T, nodes ...*node) {
 	t.Helper()
-	for _, c := range f.judged(t, nodes...) {
+	for _, c := range f.decisions(t, nodes...) {
 		f.apply(c)
-		f.judge.Resolved(c)
+		f.controller.Resolved(c)
 	}
 }
 
-// until takes turns until done, and gives how long that took; it fails after a minute.
-func (f *testFleet) until(t *testing.T, what string, done func() bool, nodes ...*node) time.Duration {
+// runUntil runs rounds until done returns true, and returns the time that this took; it fails the test after a minute.
+func (f *testFleet) runUntil(t *testing.T, what string, done func() bool, nodes ...*node) time.Duration {
 	t.Helper()
-	for began := f.now; ; f.turn(t, nodes...) {
+	for began := f.now; ; f.runRound(t, nodes...) {
 		if done() {
 			return f.now - began
 		}
 		if f.now-began > time.Minute {
-			t.Fatalf("after a minute not %s", what)
+			t.Fatalf("not %s after a minute", what)
 		}
 	}
 }
@@ -196,7 +196,7 @@
 	return func() bool { return f.state.Tenants.Phase(name) == tenants.PhaseSettled }
 }
 
-// mustPut proposes the next generation of a tenant of a service.
+// mustPut proposes the next generation of a tenant in a service.
 func (f *testFleet) mustPut(t *testing.T, service, name string, rate float64) {
 	t.Helper()
 	generation := uint64(0)
@@ -216,23 +216,23 @@
 	}
 }
 
-// untilDecided takes turns until the controller gives an op of a tenant, and gives that command, which is not applied.
-func (f *testFleet) untilDecided(t *testing.T, op string, nodes ...*node) Command {
+// runUntilDecided runs rounds until the controller decides an operation on a tenant, and returns that command without applying it.
+func (f *testFleet) runUntilDecided(t *testing.T, op string, nodes ...*node) Command {
 	t.Helper()
 	for range 100 {
-		for _, c := range f.judged(t, nodes...) {
+		for _, c := range f.decisions(t, nodes...) {
 			if c.Tenants != nil && c.Tenants.Operation == op {
 				return c
 			}
 			f.apply(c)
-			f.judge.Resolved(c)
+			f.controller.Resolved(c)
 		}
 	}
-	t.Fatalf("no %s is decided", op)
+	t.Fatalf("the controller has not decided a %s command", op)
 	return Command{}
 }
 
-// leased is what a node's run is leased of a tenant.
+// leased returns the rate that a node's run is leased of a tenant's quota.
 func (f *testFleet) leased(node, tenant string) float64 {
 	if lease := f.state.Tenants.Runs[node]; lease != nil {
 		return lease.Rates[tenant]
--- a/internal/fleet/control/items_test.go
+++ b/internal/fleet/control/items_test.go
@@ -18,11 +18,11 @@
 	"meadowsill/internal/fleet/zones"
 )
 
-// intentLog applies commands to a state under its own revisions, as raft's log does.
+// intentLog applies commands to a state and numbers the revisions, as raft's log does.
 type intentLog struct {
 	state    *State
 	revision uint64
-	changed  Change // by the newest command
+	changed  Change // result of the newest command
 }
 
 func (l *intentLog) apply(c Command) (err error) {
@@ -49,7 +49,7 @@
 		Spec: &fleet.Spec{Name: name, Service: service, Quota: fleet.Quota{Rate: 10, Burst: 1}}})
 }
 
-// advance takes a tenant one step on in its rollout or removal; a settled one begins its removal.
+// advance takes a tenant one step forward in its rollout or removal; it begins the removal of a settled tenant.
 func (l *intentLog) advance(name string) error {
 	e := l.state.Tenants.Tenants[name]
 	switch l.state.Tenants.Phase(name) {
@@ -67,7 +67,7 @@
 	return nil
 }
 
-// rollback ends a rollout that is being staged; a tenant without a former generation is removed by it.
+// rollback rolls back a rollout that is being staged; this removes a tenant that has no earlier generation.
 func (l *intentLog) rollback(name string) error {
 	e := l.state.Tenants.Tenants[name]
 	if e == nil || e.Staged == nil {
@@ -76,8 +76,8 @@
 	return l.tenant(tenants.Command{Operation: tenants.Rollback, Name: name, Generation: e.Staged.Number, Node: "n1", Reason: "refused"})
 }
 
-// rename removes a tenant that is being staged, and names it again in another service.
-func (l *intentLog) rename(t testing.TB, name, service string) {
+// recreate removes a tenant that is being staged, and creates one of the same name in another service.
+func (l *intentLog) recreate(t testing.TB, name, service string) {
 	t.Helper()
 	if err := l.rollback(name); err != nil {
 		t.Fatal(err)
@@ -87,7 +87,7 @@
 	}
 }
 
-// lease returns a run of a node a share; end takes it away.
+// lease grants a quota lease to a run of a node, or ends that lease if end is set.
 func (l *intentLog) lease(node string, end bool) error {
 	run := tenants.Run{Node: node, Incarnation: 1}
 	d := &tenants.Division{Slots: 8, Grants: []tenants.Grant{{Run: run}}}
@@ -97,20 +97,20 @@
 	return l.tenant(tenants.Command{Operation: tenants.Divide, IfRevision: l.state.Tenants.DividedRevision, Epoch: l.state.Session.Epoch, Division: d})
 }
 
-// leave has nodes leave a zone, once.
-func (l *intentLog) leave(zone string) error {
+// evacuate applies one command that makes nodes evacuate a zone.
+func (l *intentLog) evacuate(zone string) error {
 	d := fleet.Directive{Phase: fleet.Evacuated, ValidMS: 5000, Reason: "lost", BackoffMS: 1000}
 	change := zones.Change{Key: "zone/" + zone, Event: zones.Lost, Entry: zones.Entry{Directive: d, ListedServers: 1}}
 	return l.apply(Command{Zones: &zones.Command{IfStateRevision: l.state.Zones.Revision, Items: []zones.Change{change}}})
 }
 
-// scanRead is the reference for Read: a scan of the cores' items and the tombstones.
+// scanRead is the reference implementation of Read: a scan of the items of the cores and the tombstones.
 func scanRead(s *State, since uint64, node string, services ...string) fleet.Intent {
 	out := fleet.Intent{Revision: s.Revision, Full: since == 0 || since < s.Floor || since > s.Revision, Items: []fleet.Item{}}
 	newest := map[string]fleet.Item{}
 	add := func(it fleet.Item, service string) {
-		of, share := strings.CutPrefix(it.Key, leasePrefix)
-		outside := share && node != "" && of != node || !fleet.Serves(services, service)
+		leaseNode, isLease := strings.CutPrefix(it.Key, leasePrefix)
+		outside := isLease && node != "" && leaseNode != node || !fleet.Serves(services, service)
 		if !outside && newest[it.Key].Revision <= it.Revision && (out.Full && !it.Removed || !out.Full && it.Revision > since) {
 			newest[it.Key] = it
 		}
@@ -133,7 +133,7 @@
 	return out
 }
 
-// reader is one that holds what it has read, by changes where it can.
+// reader is a reader of the intent that holds what it has read; it reads only changes where it can.
 type reader struct {
 	node     string
 	services []string
@@ -141,7 +141,7 @@
 	held     map[string]fleet.Item
 }
 
-func (r *reader) take(s *State) {
+func (r *reader) read(s *State) {
 	in := s.Read(r.revision, r.node, r.services...)
 	if in.Full || r.held == nil {
 		r.held = map[string]fleet.Item{}
@@ -156,16 +156,17 @@
 	r.revision = in.Revision
 }
 
-// readers are every kind of scope.
+// readers returns readers of every kind of scope.
 func readers() []*reader {
 	return []*reader{{}, {node: "n1"}, {node: "n1", services: []string{"x"}}, {node: "n2", services: []string{"y"}},
 		{node: "n2", services: []string{"x", "y"}}, {services: []string{"z"}}, {node: "n3", services: []string{"x", "y", "z"}}}
 }
 
-// Over random schedules a read gives what a scan gives, in every scope and from every revision, restored or not; HasChanges
-// says truly whether there is anything; whoever reads changes holds what a complete read gives; and a view stays as it was.
+// TestReadAgainstScan checks over random schedules that a read returns what a scan returns, in every scope and from every revision,
+// before and after a restore; that HasChanges is right; that a reader of changes holds what a complete read returns; and that a
+// view never changes.
 func TestReadAgainstScan(t *testing.T) {
-	renames, checks := 0, 0
+	recreations, checks := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
 		l := &intentLog{state: New()}
 		names := rapid.SampledFrom([]string{"a", "b", "c"})
@@ -185,13 +186,13 @@
 				name := names.Draw(t, "name")
 				must(l.rollback(name))
 				must(l.put(name, services.Draw(t, "service")))
-				renames++
+				recreations++
 			},
 			"lease": func(t *rapid.T) {
 				must(l.lease(rapid.SampledFrom([]string{"n1", "n2"}).Draw(t, "node"), rapid.Bool().Draw(t, "end")))
 			},
-			"zone":   func(t *rapid.T) { must(l.leave(rapid.SampledFrom([]string{"za", "zb"}).Draw(t, "zone"))) },
-			"read":   func(t *rapid.T) { all[rapid.IntRange(0, len(all)-1).Draw(t, "reader")].take(l.state) },
+			"zone":   func(t *rapid.T) { must(l.evacuate(rapid.SampledFrom([]string{"za", "zb"}).Draw(t, "zone"))) },
+			"read":   func(t *rapid.T) { all[rapid.IntRange(0, len(all)-1).Draw(t, "reader")].read(l.state) },
 			"others": func(t *rapid.T) { l.revision += uint64(rapid.IntRange(1, 3).Draw(t, "revisions")) },
 			"hold":   func(*rapid.T) { held, heldWant = l.state.View(), scanRead(l.state, 0, "n1") },
 			"restore": func(t *rapid.T) {
@@ -206,16 +207,16 @@
 			"": func(t *rapid.T) {
 				checks++
 				for i, r := range readers() {
-					if i%2 != checks%2 { // half of them in turn: the schedules are many
+					if i%2 != checks%2 { // check each half of the readers in turn, as there are many schedules
 						continue
 					}
 					checkReads(t, l.state, r, all[i].revision)
 					complete, changes := *r, *all[i]
-					complete.take(l.state)
+					complete.read(l.state)
 					changes.held = maps.Clone(changes.held)
-					changes.take(l.state)
+					changes.read(l.state)
 					if !reflect.DeepEqual(complete.held, changes.held) {
-						t.Fatalf("%q of %q, reading changes since %d, holds %v, not %v", r.node, r.services, all[i].revision, changes.held, complete.held)
+						t.Fatalf("%q of %q, which reads changes since %d, holds %v, want %v", r.node, r.services, all[i].revision, changes.held, complete.held)
 					}
 				}
 				if now := held.Read(0, "n1"); !reflect.DeepEqual(heldWant, now) {
@@ -223,22 +224,22 @@
 				}
 				items := l.state.All()
 				if !slices.IsSortedFunc(items, func(a, b fleet.Item) int { return strings.Compare(a.Key, b.Key) }) {
-					t.Fatal("the items are not in order")
+					t.Fatal("the items are not sorted by key")
 				}
 				for i, it := range items {
 					if got, ok := l.state.Item(it.Key); !ok || !reflect.DeepEqual(it, got) || i > 0 && items[i-1].Key == it.Key {
-						t.Fatalf("%+v, by its key %+v", it, got)
+						t.Fatalf("State.All has %+v, State.Item returns %+v", it, got)
 					}
 				}
 			},
 		})
 	})
-	if renames == 0 {
-		t.Error("no name was used again: too little to prove anything")
+	if recreations == 0 {
+		t.Error("no name was used again: the schedules cover too little")
 	}
 }
 
-// checkReads holds a reader's answers against the scan's, from the revisions that matter and from since.
+// checkReads compares the answers to a reader with those of a scan, from the revisions at the bounds of a read and from since.
 func checkReads(t interface{ Fatalf(string, ...any) }, s *State, r *reader, since uint64) {
 	for _, since := range []uint64{0, 1, s.Floor, s.Floor + 1, s.Revision - min(s.Revision, 3), s.Revision, s.Revision + 1, since} {
 		want, got := scanRead(s, since, r.node, r.services...), s.Read(since, r.node, r.services...)
@@ -252,11 +253,12 @@
 	}
 }
 
-// Tombstones are forgotten, the oldest first, from the most kept on; who read before the last forgotten gets everything.
+// TestTombstonesAreBounded checks that beyond maxTombstones the oldest tombstones are dropped first, and that a reader from before
+// the last dropped tombstone gets every item.
 func TestTombstonesAreBounded(t *testing.T) {
-	l := renamed(t) // whose first tombstone is forgotten while the name is used in another service
+	l := recreatedTenant(t) // its first tombstone is dropped while the name is used in another service
 	for i := range maxTombstones + maxTombstones/2 {
-		name := fmt.Sprint("t", i%(maxTombstones+maxTombstones/4)) // the first ones come and go again
+		name := fmt.Sprint("t", i%(maxTombstones+maxTombstones/4)) // the first names are put and removed twice
 		if err := l.put(name, []string{"", "x", "y"}[i%3]); err != nil {
 			t.Fatal(err)
 		}
@@ -277,9 +279,9 @@
 		t.Errorf("%d entries are indexed for %d tombstones", n, maxTombstones)
 	}
 	if _, there := keysOf(l.state.Read(0, "n1"))["tenant/a"]; !there {
-		t.Error("the name that is used again went with its former tombstone")
+		t.Error("the tenant whose name is used again was removed together with the former tombstone")
 	}
 	if in := l.state.Read(l.state.Floor-1, "n1", "x"); !in.Full {
-		t.Error("a reader from before the floor does not get everything")
+		t.Error("a reader from before the floor does not get every item")
 	}
 }
--- a/internal/fleet/control/late_test.go
+++ b/internal/fleet/control/late_test.go
@@ -10,62 +10,63 @@
 	"meadowsill/internal/fleet/tenants"
 )
 
-// A node that reports and never follows a commit, as it is deaf or as it goes on by the old generation, is named after 10 s, sent what it lacks
-// again, taken out of the load balancer and then not renewed: the rollout goes on without it, it is not back before it has followed, and
-// nothing else happens to the others.
-func TestLateNodeIsPassed(t *testing.T) {
-	for name, deaf := range map[string]bool{"deaf": true, "goes on by the old one": false} {
+// TestLateNodeIsLeftOutOfRollout covers a node that reports but never applies a commit, because it stops reading the intent or keeps
+// serving the old generation. The status must name it after 10 s; it is sent the missing items again, is taken out of the load
+// balancer, and then its lease is not renewed. The rollout goes on without it, it is not present again before it has applied the
+// commit, and the other nodes are not affected.
+func TestLateNodeIsLeftOutOfRollout(t *testing.T) {
+	for name, stopsReading := range map[string]bool{"deaf": true, "keeps serving the old generation": false} {
 		t.Run(name, func(t *testing.T) {
-			r := newTestFleet(t, 12)
-			r.set.Slots = 30
-			r.judge = NewController(r.set, 0, r.state)
-			late, stays := r.nodes[11], false
-			said := false
+			f := newTestFleet(t, 12)
+			f.set.Slots = 30
+			f.controller = NewController(f.set, 0, f.state)
+			lateNode, faulty := f.nodes[11], false
+			reasonReported := false
 			run := func(d time.Duration) {
-				for end := r.now + d; r.now < end; r.step(100 * time.Millisecond) {
-					for _, n := range r.nodes {
-						if n != late || !stays || !deaf {
-							n.read(r.state)
+				for end := f.now + d; f.now < end; f.step(100 * time.Millisecond) {
+					for _, n := range f.nodes {
+						if n != lateNode || !faulty || !stopsReading {
+							n.read(f.state)
 						}
 						rep := n.report()
 						facts, _ := drift.Expect(drift.Intended{Revision: n.revision, Items: slices.Collect(maps.Values(n.held))}, n.Member)
-						if drift.FillReport(&rep, facts, nil); n == late && stays && !deaf && len(rep.Tenants) > 0 {
+						if drift.FillReport(&rep, facts, nil); n == lateNode && faulty && !stopsReading && len(rep.Tenants) > 0 {
 							rep.Tenants[0].Committed = 1
 						}
-						if a, err := r.hear(rep); err == nil && n != late && a.LeaseTTLMS == 0 {
-							t.Fatalf("%s loses its lease at %v", n.Node, r.now)
+						if a, err := f.deliver(rep); err == nil && n != lateNode && a.LeaseTTLMS == 0 {
+							t.Fatalf("%s lost its lease at %v", n.Node, f.now)
 						}
 					}
-					st, _ := r.judge.TenantStatus(r.now, r.state, "a")
-					said = said || slices.ContainsFunc(st, func(s tenants.NodeStatus) bool { return s.Node == late.Node && s.Reason != "" })
+					st, _ := f.controller.TenantStatus(f.now, f.state, "a")
+					reasonReported = reasonReported || slices.ContainsFunc(st, func(s tenants.NodeStatus) bool { return s.Node == lateNode.Node && s.Reason != "" })
 				}
 			}
 			run(time.Second)
-			r.put("a", 0, 10)
-			run(8 * time.Second) // settled, and past the first division
-			r.put("a", 1, 20)
-			for r.state.Tenants.Phase("a") != tenants.PhaseApplying {
+			f.put("a", 0, 10)
+			run(8 * time.Second) // the rollout settles, and the first division is made
+			f.put("a", 1, 20)
+			for f.state.Tenants.Phase("a") != tenants.PhaseApplying {
 				run(100 * time.Millisecond)
 			}
-			stays = true
+			faulty = true
 			run(20 * time.Second)
-			v := r.judge.Verdicts(r.now, 0, r.state)
-			i := slices.IndexFunc(v, func(v drift.Verdict) bool { return v.Node == late.Node })
-			if r.state.Tenants.Phase("a") != tenants.PhaseApplying || !said || v[i].State != drift.Stuck {
-				t.Fatalf("after 20 s: %s, named %v, %+v", r.state.Tenants.Phase("a"), said, v[i])
+			v := f.controller.Verdicts(f.now, 0, f.state)
+			i := slices.IndexFunc(v, func(v drift.Verdict) bool { return v.Node == lateNode.Node })
+			if f.state.Tenants.Phase("a") != tenants.PhaseApplying || !reasonReported || v[i].State != drift.Stuck {
+				t.Fatalf("after 20 s: phase %s, reason reported %v, verdict %+v", f.state.Tenants.Phase("a"), reasonReported, v[i])
 			}
 			run(40 * time.Second)
-			if r.state.Tenants.Phase("a") != tenants.PhaseSettled || r.state.Session.Present(late.Member) {
-				t.Fatalf("after a minute: %s, present %v", r.state.Tenants.Phase("a"), r.state.Session.Present(late.Member))
+			if f.state.Tenants.Phase("a") != tenants.PhaseSettled || f.state.Session.Present(lateNode.Member) {
+				t.Fatalf("after a minute: phase %s, present %v", f.state.Tenants.Phase("a"), f.state.Session.Present(lateNode.Member))
 			}
-			r.put("a", 2, 30)
+			f.put("a", 2, 30)
 			run(5 * time.Second)
-			if e := r.state.Tenants.Tenants["a"]; r.state.Tenants.Phase("a") != tenants.PhaseSettled || e.Committed.Number != 3 {
+			if e := f.state.Tenants.Tenants["a"]; f.state.Tenants.Phase("a") != tenants.PhaseSettled || e.Committed.Number != 3 {
 				t.Fatalf("the next rollout: %+v", e)
 			}
-			stays = false
-			if run(time.Second); !r.state.Session.Present(late.Member) {
-				t.Error("it has followed, and is not present")
+			faulty = false
+			if run(time.Second); !f.state.Session.Present(lateNode.Member) {
+				t.Error("the node has applied the commit but is not present")
 			}
 		})
 	}
--- a/internal/fleet/control/scope_digest_bench_test.go
+++ b/internal/fleet/control/scope_digest_bench_test.go
@@ -8,16 +8,16 @@
 	"meadowsill/internal/fleet/tenants"
 )
 
-// The planned number of services, and those of the benchmark's node.
+// The planned number of services, and the number of services of the benchmark's node.
 const (
 	benchServices     = 550
 	benchNodeServices = 4
 )
 
-// serviceName names the i-th service of a benchmark's fleet.
+// serviceName returns the name of the i-th service of a benchmark's fleet.
 func serviceName(i int) string { return fmt.Sprintf("service-%03d", i) }
 
-// settledTenants is a state with so many committed tenants, spread evenly over the services.
+// settledTenants returns a state with count committed and applied tenants, spread evenly over the services.
 func settledTenants(tb testing.TB, count, services int) *State {
 	tb.Helper()
 	state, revision := New(), uint64(0)
@@ -37,7 +37,7 @@
 	return state
 }
 
-// scopedReport is the report of a run that serves the first services and holds all their tenants.
+// scopedReport returns the report of a run that serves the first benchNodeServices services and holds all their tenants.
 func scopedReport(state *State) fleet.Report {
 	r := fleet.Report{Member: fleet.Member{Node: "n0", Zone: "za", Incarnation: 1}, Sequence: 1, Revision: state.Revision}
 	for i := range benchNodeServices {
@@ -51,7 +51,8 @@
 	return r
 }
 
-// BenchmarkGuard is the digest that a join names: of a node with four services out of 550, and of one without a scope.
+// BenchmarkGuard measures State.ScopeDigest, which a join carries: for a node with four services out of 550, and for one without a
+// scope.
 func BenchmarkGuard(b *testing.B) {
 	for _, count := range []int{1000, 5000, 20000} {
 		state := settledTenants(b, count, benchServices)
@@ -69,7 +70,7 @@
 	}
 }
 
-// BenchmarkMayJoin is whether a node with four services out of 550, which holds all their tenants, may join.
+// BenchmarkMayJoin measures the check whether a node with four services out of 550, which holds all their tenants, may join.
 func BenchmarkMayJoin(b *testing.B) {
 	for _, count := range []int{1000, 5000, 20000} {
 		state := settledTenants(b, count, benchServices)
--- a/internal/fleet/control/scope_test.go
+++ b/internal/fleet/control/scope_test.go
@@ -12,9 +12,10 @@
 	"meadowsill/internal/fleet/tenants"
 )
 
-// A node that joins, leaves or lapses between the controller's count and the state's decision rejects it where it serves the tenant,
-// and does not where it serves another service: at the commit, when all have applied it, and at both steps of the removal.
-func TestJoinInTheMiddleOfTheCount(t *testing.T) {
+// TestMemberChangeRejectsDecidedCommand checks that a join, leave or lapse between the controller's count of the nodes and the
+// application of its command rejects the command if the node serves the tenant, and doesn't if it serves another service. It covers
+// the commit, the step after which all nodes have applied the generation, and both steps of the removal.
+func TestMemberChangeRejectsDecidedCommand(t *testing.T) {
 	changes := map[string]func(*testFleet, *node) session.Command{
 		"join": func(_ *testFleet, n *node) session.Command {
 			return session.Command{Operation: session.Join, Member: n.Member, Services: n.services}
@@ -34,7 +35,7 @@
 					counted, third := f.nodes[:2], f.nodes[2]
 					if name == "join" {
 						f.state.Session.Apply(session.Command{Operation: session.Leave, Member: third.Member})
-						f.boot(2, service)
+						f.startRun(2, service)
 					}
 					f.mustPut(t, "billing", "a", 10)
 					nodes := f.nodes
@@ -42,12 +43,12 @@
 						nodes = counted
 					}
 					if op == tenants.Drained || op == tenants.QuotaWithdrawn {
-						f.until(t, "settled", f.settled("a"), nodes...)
+						f.runUntil(t, "settled", f.settled("a"), nodes...)
 						f.mustDelete(t, "a")
 					}
-					decided := f.untilDecided(t, op, nodes...)
-					moved := change(f, third)
-					if changed, err := f.state.Session.Apply(moved); !changed || err != nil {
+					decided := f.runUntilDecided(t, op, nodes...)
+					memberChange := change(f, third)
+					if changed, err := f.state.Session.Apply(memberChange); !changed || err != nil {
 						t.Fatalf("%s: changed %v, %v", name, changed, err)
 					}
 					err := f.apply(decided)
@@ -60,14 +61,15 @@
 	}
 }
 
-// A leader may go at each step of a scoped rollout and removal, with the command lost or applied: the next one continues from the
-// replicated state, commits only what all present nodes of the scope have staged, and waits for no node outside of it.
-func TestLeaderLostAtEachStepOfAScopedRollout(t *testing.T) {
+// TestLeaderLostAtEachStepOfScopedRollout loses the leader at each step of a scoped rollout and removal, with its last command lost
+// or applied. The next leader has to continue from the replicated state, commit only what all present nodes of the scope have staged,
+// and wait for no node outside of the scope.
+func TestLeaderLostAtEachStepOfScopedRollout(t *testing.T) {
 	for _, applied := range []bool{false, true} {
 		for step := 0; ; step++ {
-			if !playRolloutWithLeaderGone(t, step, applied) {
+			if !runRolloutWithLeaderLoss(t, step, applied) {
 				if step < 6 {
-					t.Fatalf("only %d steps", step)
+					t.Fatalf("the rollout and removal took only %d steps", step)
 				}
 				break
 			}
@@ -75,35 +77,36 @@
 	}
 }
 
-// playRolloutWithLeaderGone runs two generations and a removal; the leader ends at the numbered command, if there are as many.
-func playRolloutWithLeaderGone(t *testing.T, at int, applied bool) (removed bool) {
+// runRolloutWithLeaderLoss rolls out two generations and removes the tenant; the leader is lost at command number lossAt. It reports
+// whether there were that many commands.
+func runRolloutWithLeaderLoss(t *testing.T, lossAt int, applied bool) (lost bool) {
 	f := newScopedFleet(t, []string{"billing"}, []string{"billing", "mail"}, []string{"search"})
 	serving := f.nodes[:2]
 	began := f.now
-	commands := 0 // the third is silent from here on
+	commands := 0 // the third node is silent from here on
 	run := func(done func() bool) {
 		for !done() {
-			if f.now-began > f.set.TTL { // the silent node has not lapsed before
-				t.Fatalf("leader gone at %d, applied %v: not done after %v", at, applied, f.now-began)
+			if f.now-began > f.set.TTL { // the silent node's lease does not lapse within this time
+				t.Fatalf("leader lost at command %d, applied %v: not done after %v", lossAt, applied, f.now-began)
 			}
-			for _, c := range f.judged(t, serving...) {
-				goes := commands == at && c.Tenants != nil
+			for _, c := range f.decisions(t, serving...) {
+				losesLeader := commands == lossAt && c.Tenants != nil
 				if c.Tenants != nil {
 					commands++
 				}
-				if !goes || applied {
+				if !losesLeader || applied {
 					checkCommit(t, f, c, serving)
 					f.apply(c)
-					f.judge.Resolved(c)
+					f.controller.Resolved(c)
 				}
-				if goes {
+				if losesLeader {
 					raw, _ := f.state.Snapshot()
 					state, err := Restore(raw)
 					if err != nil {
 						t.Fatal(err)
 					}
-					f.state, removed = state, true
-					f.judge = NewController(f.set, f.now, f.state)
+					f.state, lost = state, true
+					f.controller = NewController(f.set, f.now, f.state)
 					break
 				}
 			}
@@ -114,14 +117,14 @@
 	f.mustPut(t, "billing", "a", 20)
 	run(f.settled("a"))
 	if e := f.state.Tenants.Tenants["a"]; e.Committed.Number != 2 {
-		t.Fatalf("leader gone at %d, applied %v: generation %d", at, applied, e.Committed.Number)
+		t.Fatalf("leader lost at command %d, applied %v: generation %d", lossAt, applied, e.Committed.Number)
 	}
 	f.mustDelete(t, "a")
 	run(func() bool { return f.state.Tenants.Phase("a") == tenants.PhaseNone })
-	return removed
+	return lost
 }
 
-// checkCommit holds T5: what is committed all of these nodes have staged.
+// checkCommit checks T5: a generation that is committed is staged on all of these nodes.
 func checkCommit(t *testing.T, f *testFleet, c Command, nodes []*node) {
 	t.Helper()
 	if c.Tenants == nil || c.Tenants.Operation != tenants.Commit {
@@ -130,53 +133,55 @@
 	for _, n := range nodes {
 		body, _ := n.tenant("tenant/"+c.Tenants.Name, n.held["tenant/"+c.Tenants.Name])
 		if body.Staged == nil || body.Staged.Number != c.Tenants.Generation {
-			t.Errorf("T5: generation %d is committed, and %s has not staged it", c.Tenants.Generation, n.Node)
+			t.Errorf("T5: generation %d is committed, but %s has not staged it", c.Tenants.Generation, n.Node)
 		}
 	}
 }
 
-// A tenant is removed and named again in another service while a node of the first is away: it is not present again before it
-// has dropped the old one, has nothing to say on the new one, and what it was leased goes.
-func TestNameReusedOutsideOfSight(t *testing.T) {
+// TestNameReusedWhileNodeIsAway removes a tenant and creates it again in another service while a node of the first service is away.
+// That node must not be present again before it has dropped the old tenant, must have no part in the new one, and must lose its
+// quota lease.
+func TestNameReusedWhileNodeIsAway(t *testing.T) {
 	f := newScopedFleet(t, []string{"billing"}, []string{"billing"}, []string{"search"})
 	away, rest := f.nodes[0], f.nodes[1:]
 	f.mustPut(t, "billing", "a", 10)
-	f.until(t, "leased", func() bool { return f.leased("n0", "a") > 0 && f.settled("a")() }, f.nodes...)
-	f.until(t, "lapsed", func() bool { return !f.state.Session.Present(away.Member) }, rest...)
+	f.runUntil(t, "leased", func() bool { return f.leased("n0", "a") > 0 && f.settled("a")() }, f.nodes...)
+	f.runUntil(t, "lapsed", func() bool { return !f.state.Session.Present(away.Member) }, rest...)
 	old := f.state.Tenants.Tenants["a"].UID
 	f.mustDelete(t, "a")
-	f.until(t, "removed", func() bool { return f.state.Tenants.Phase("a") == tenants.PhaseNone }, rest...)
+	f.runUntil(t, "removed", func() bool { return f.state.Tenants.Phase("a") == tenants.PhaseNone }, rest...)
 	f.mustPut(t, "search", "a", 30)
-	if a, err := f.hear(away.report()); err != nil || !a.NotReady || f.state.Session.Present(away.Member) {
-		t.Errorf("with the old tenant while the new one is staged: %+v, %v", a, err)
+	if a, err := f.deliver(away.report()); err != nil || !a.NotReady || f.state.Session.Present(away.Member) {
+		t.Errorf("a run with the old tenant, while the new one is staged: %+v, %v", a, err)
 	}
-	f.until(t, "settled", f.settled("a"), rest...)
+	f.runUntil(t, "settled", f.settled("a"), rest...)
 	if e := f.state.Tenants.Tenants["a"]; e.UID <= old || e.Service() != "search" {
-		t.Errorf("%+v is no new tenant", e)
+		t.Errorf("%+v is not a new tenant", e)
 	}
-	if a, err := f.hear(away.report()); err != nil || !a.NotReady || f.state.Session.Present(away.Member) {
-		t.Errorf("with the old tenant: %+v, %v", a, err)
+	if a, err := f.deliver(away.report()); err != nil || !a.NotReady || f.state.Session.Present(away.Member) {
+		t.Errorf("a run with the old tenant: %+v, %v", a, err)
 	}
 	away.read(f.state)
-	if a, err := f.hear(away.report()); err != nil || a.NotReady || !f.state.Session.Present(away.Member) || len(away.serves) > 0 {
-		t.Errorf("after it has dropped it: %+v, %v, serves %v", a, err, away.serves)
+	if a, err := f.deliver(away.report()); err != nil || a.NotReady || !f.state.Session.Present(away.Member) || len(away.serves) > 0 {
+		t.Errorf("a run that has dropped the old tenant: %+v, %v, serves %v", a, err, away.serves)
 	}
-	f.until(t, "leased to its service alone", func() bool {
+	f.runUntil(t, "leased to its service alone", func() bool {
 		return f.leased("n0", "a") == 0 && f.leased("n1", "a") == 0 && f.leased("n2", "a") > 20
 	}, f.nodes...)
-	status, err := f.judge.TenantStatus(f.now, f.state, "a")
+	status, err := f.controller.TenantStatus(f.now, f.state, "a")
 	if err != nil || len(status) != 1 || status[0].Node != "n2" {
 		t.Errorf("status %+v, %v", status, err)
 	}
 }
 
-// A present node that says nothing delays a rollout where it serves the tenant, by its lease at most, and not where it does not.
-func TestSilentNodeAndTheScope(t *testing.T) {
+// TestSilentNodeDelaysOnlyItsScope checks that a present node that doesn't report delays a rollout by its lease at most if it serves
+// the tenant, and not at all if it doesn't.
+func TestSilentNodeDelaysOnlyItsScope(t *testing.T) {
 	for service, want := range map[string][2]time.Duration{"search": {0, time.Second}, "billing": {time.Second, 8 * time.Second}} {
 		t.Run(service, func(t *testing.T) {
 			f := newScopedFleet(t, []string{"billing"}, []string{"billing"}, []string{service})
 			f.mustPut(t, "billing", "a", 10)
-			took := f.until(t, "settled", f.settled("a"), f.nodes[:2]...)
+			took := f.runUntil(t, "settled", f.settled("a"), f.nodes[:2]...)
 			if took < want[0] || took > want[1] {
 				t.Errorf("settled after %v, want %v to %v", took, want[0], want[1])
 			}
@@ -187,65 +192,65 @@
 	}
 }
 
-// Nodes whose interests differ: each rollout counts those that serve its tenant, a node without a scope among them; a quota is
-// leased to these alone, and its guaranteed parts and leases stay within it.
-func TestInterestsThatDiffer(t *testing.T) {
+// TestNodesWithDifferentScopes checks that each rollout counts only the nodes that serve its tenant, including a node without a
+// scope; that a quota is leased to these nodes alone; and that its guaranteed parts and leases stay within the quota.
+func TestNodesWithDifferentScopes(t *testing.T) {
 	f := newScopedFleet(t, []string{"billing"}, []string{"search"}, nil, []string{"billing", "search"})
 	holders := map[string][]string{"b": {"n0", "n2", "n3"}, "s": {"n1", "n2", "n3"}, "u": {"n0", "n1", "n2", "n3"}}
 	for name, service := range map[string]string{"b": "billing", "s": "search", "u": ""} {
 		f.mustPut(t, service, name, 100)
 	}
 	for name := range holders {
-		f.until(t, name+" settled", f.settled(name), f.nodes...)
+		f.runUntil(t, name+" settled", f.settled(name), f.nodes...)
 	}
 	for range 30 {
-		f.turn(t, f.nodes...)
+		f.runRound(t, f.nodes...)
 	}
 	for name, want := range holders {
-		var serve, leased, listed []string
+		var serving, leased, listed []string
 		sum := 0.0
 		for _, n := range f.nodes {
 			if n.serves[name] == 1 {
-				serve = append(serve, n.Node)
+				serving = append(serving, n.Node)
 			}
 			if rate := f.leased(n.Node, name); rate > 0 {
 				leased = append(leased, n.Node)
 				sum += rate
 			}
 		}
-		status, _ := f.judge.TenantStatus(f.now, f.state, name)
+		status, _ := f.controller.TenantStatus(f.now, f.state, name)
 		for _, s := range status {
 			listed = append(listed, s.Node)
 			if s.Phase != tenants.NodeApplied {
 				t.Errorf("%s: %+v", name, s)
 			}
 		}
-		if !slices.Equal(serve, want) || !slices.Equal(leased, want) || !slices.Equal(listed, want) {
-			t.Errorf("%s is served by %v, leased to %v and shown of %v, want %v", name, serve, leased, listed, want)
+		if !slices.Equal(serving, want) || !slices.Equal(leased, want) || !slices.Equal(listed, want) {
+			t.Errorf("%s is served by %v, leased to %v and has a status of %v, want %v", name, serving, leased, listed, want)
 		}
-		if floors := fleet.GuaranteedPart * 100; sum < 0.95*(100-floors) || sum > 100-floors+1e-6 {
-			t.Errorf("%g of %s leased, of 100 with floors of %g", sum, name, floors)
+		if guaranteed := fleet.GuaranteedPart * 100; sum < 0.95*(100-guaranteed) || sum > 100-guaranteed+1e-6 {
+			t.Errorf("%g of %s leased, of a quota of 100 with guaranteed parts of %g", sum, name, guaranteed)
 		}
 	}
 }
 
-// A scope without a present node waits for nobody, as a fleet without one: what is put there is committed at once, and what is
-// removed is removed. A node that joins the scope later holds it before it is ready.
+// TestScopeWithoutNodes checks that a rollout or removal in a scope without a present node waits for no node, as in a fleet without
+// nodes: it is committed or removed at once. A node that joins the scope later holds its tenants before it is ready.
 func TestScopeWithoutNodes(t *testing.T) {
 	f := newScopedFleet(t, []string{"search"})
 	f.mustPut(t, "billing", "a", 10)
-	if took := f.until(t, "settled", f.settled("a"), f.nodes...); took > time.Second {
+	if took := f.runUntil(t, "settled", f.settled("a"), f.nodes...); took > time.Second {
 		t.Errorf("settled after %v", took)
 	}
 	f.nodes = append(f.nodes, &node{})
-	f.boot(1, "billing")
-	if a, err := f.hear(f.nodes[1].report()); err != nil || !a.NotReady {
+	f.startRun(1, "billing")
+	if a, err := f.deliver(f.nodes[1].report()); err != nil || !a.NotReady {
 		t.Errorf("a node that holds nothing: %+v, %v", a, err)
 	}
 	f.nodes[1].read(f.state)
-	if a, err := f.hear(f.nodes[1].report()); err != nil || a.NotReady || f.nodes[1].serves["a"] != 1 {
+	if a, err := f.deliver(f.nodes[1].report()); err != nil || a.NotReady || f.nodes[1].serves["a"] != 1 {
 		t.Errorf("a node that holds its scope: %+v, %v", a, err)
 	}
 	f.mustDelete(t, "a")
-	f.until(t, "removed", func() bool { return f.state.Tenants.Phase("a") == tenants.PhaseNone }, f.nodes...)
+	f.runUntil(t, "removed", func() bool { return f.state.Tenants.Phase("a") == tenants.PhaseNone }, f.nodes...)
 }
--- a/internal/fleet/control/services_test.go
+++ b/internal/fleet/control/services_test.go
@@ -13,7 +13,7 @@
 	"meadowsill/internal/registry/index"
 )
 
-// keysOf returns what an answer says of each key: its revision, negative where it is removed.
+// keysOf returns the revision of each key in an answer, negative where the item is removed.
 func keysOf(in fleet.Intent) map[string]int {
 	out := map[string]int{}
 	for _, it := range in.Items {
@@ -25,19 +25,19 @@
 	return out
 }
 
-// renamed is a tenant of service x at revision 1, removed at 2 and named again in service y at 3.
-func renamed(t testing.TB) *intentLog {
+// recreatedTenant returns a log with a tenant of service x at revision 1, removed at 2 and created again in service y at 3.
+func recreatedTenant(t testing.TB) *intentLog {
 	l := &intentLog{state: New()}
 	if err := l.put("a", "x"); err != nil {
 		t.Fatal(err)
 	}
-	l.rename(t, "a", "y")
+	l.recreate(t, "a", "y")
 	return l
 }
 
-// A name that is removed and named again in another service is removed for the nodes of the first, and there for those of
-// the second and of both, at whatever revision each reads.
-func TestNameAgainInAnotherService(t *testing.T) {
+// TestNameReusedInAnotherService checks that a tenant that is removed and created again in another service is removed for the
+// nodes of the first service and exists for those of the second and of both, from whatever revision each of them reads.
+func TestNameReusedInAnotherService(t *testing.T) {
 	const created, removed, again = 1, 2, 3
 	gone := map[string]int{"tenant/a": -removed}
 	there := map[string]int{"tenant/a": again}
@@ -58,7 +58,7 @@
 		{"every service, from the removal", nil, removed, there},
 		{"another service", []string{"z"}, created, nothing},
 	}
-	l := renamed(t)
+	l := recreatedTenant(t)
 	raw, err := l.state.Snapshot()
 	if err != nil {
 		t.Fatal(err)
@@ -77,8 +77,9 @@
 	}
 }
 
-// The old service is notified of the removal also where the name comes back to it, goes on to a third, and in any order of reads.
-func TestNameWandersOverServices(t *testing.T) {
+// TestNameReusedInManyServices checks that readers of the old service learn of the removal also where the name returns to that
+// service or moves on to a third one, and in any order of reads.
+func TestNameReusedInManyServices(t *testing.T) {
 	l := &intentLog{state: New()}
 	if err := l.put("a", "x"); err != nil {
 		t.Fatal(err)
@@ -86,24 +87,25 @@
 	all := readers()
 	for step, service := range []string{"y", "x", "", "z", "", "y", "y", "x"} {
 		for i, r := range all {
-			if (step+i)%3 == 0 { // some read at each step, others later
-				r.take(l.state)
+			if (step+i)%3 == 0 { // a third of the readers reads at each step, the others later
+				r.read(l.state)
 			}
 		}
-		l.rename(t, "a", service)
+		l.recreate(t, "a", service)
 		for _, r := range all {
 			late := *r
 			late.held = maps.Clone(r.held)
-			late.take(l.state)
+			late.read(l.state)
 			if _, holds := late.held["tenant/a"]; holds != fleet.Serves(r.services, service) {
-				t.Errorf("named again in %q: a reader of %q since %d holds it: %v", service, r.services, r.revision, holds)
+				t.Errorf("created again in %q: a reader of %q since %d holds the tenant: %v", service, r.services, r.revision, holds)
 			}
 		}
 	}
 }
 
-// Tombstones of a build before services have none, and count for every scope, also once the name is used again in one.
-func TestTombstoneWithoutServiceCountsForAll(t *testing.T) {
+// TestTombstoneWithoutServiceAppliesToAllScopes checks that tombstones from a build that knew no services, which name none, apply to
+// every scope, also once the name is used again in one service.
+func TestTombstoneWithoutServiceAppliesToAllScopes(t *testing.T) {
 	s, err := Restore([]byte(`{"rev":5,"floor":0,"tombs":[{"key":"tenant/a","rev":5},{"key":"share/n1","rev":4}],"session":{"epoch":0},"zones":{"rev":0},"tenants":{},"drift":{}}`))
 	if err != nil {
 		t.Fatal(err)
@@ -114,7 +116,7 @@
 			t.Errorf("%q: %s", services, d)
 		}
 		if d := gocmp.Diff(map[string]int{"tenant/a": -5}, keysOf(s.Read(3, "n2", services...))); d != "" {
-			t.Errorf("another node's share, %q: %s", services, d)
+			t.Errorf("quota lease of another node, %q: %s", services, d)
 		}
 	}
 	if err := l.put("a", "y"); err != nil {
@@ -122,12 +124,12 @@
 	}
 	for service, want := range map[string]int{"x": -5, "y": 6} {
 		if d := gocmp.Diff(map[string]int{"tenant/a": want}, keysOf(s.Read(4, "n2", service))); d != "" {
-			t.Errorf("named again in y, reader of %q: %s", service, d)
+			t.Errorf("created again in y, reader of %q: %s", service, d)
 		}
 	}
 }
 
-// A tenant's service can't change by a rollout; nothing changes by the attempt.
+// TestServiceCantChange checks that a rollout can't change a tenant's service, and that the attempt changes nothing.
 func TestServiceCantChange(t *testing.T) {
 	l := &intentLog{state: New()}
 	for _, err := range []error{l.put("a", "x"), l.advance("a"), l.advance("a"), l.put("b", "")} {
@@ -151,24 +153,24 @@
 	}
 }
 
-// A change names the scopes that it is in: those whose readers are to be woken.
+// TestChangeNamesItsScopes checks that a Change names the scopes whose readers have to be woken.
 func TestChangeNamesItsScopes(t *testing.T) {
 	l := &intentLog{state: New()}
-	if err := l.leave("zb"); err != nil {
+	if err := l.evacuate("zb"); err != nil {
 		t.Fatal(err)
 	}
 	everyone := []int{0, 1, 2, 3, 4, 5, 6}
 	for _, c := range []struct {
 		name  string
 		do    func() error
-		wakes []int // of readers()
+		wakes []int // indexes into readers()
 	}{
 		{"a tenant of x", func() error { return l.put("a", "x") }, []int{0, 1, 2, 4, 6}},
 		{"a tenant of every service", func() error { return l.put("b", "") }, everyone},
-		{"a zone", func() error { return l.leave("za") }, everyone},
-		{"a share of n2", func() error { return l.lease("n2", false) }, []int{0, 3, 4, 5}},
-		{"the tenant of x gone", func() error { return l.rollback("a") }, []int{0, 1, 2, 4, 6}},
-		{"named again in y", func() error { return l.put("a", "y") }, []int{0, 1, 3, 4, 6}},
+		{"a zone", func() error { return l.evacuate("za") }, everyone},
+		{"a quota lease of n2", func() error { return l.lease("n2", false) }, []int{0, 3, 4, 5}},
+		{"the tenant of x removed", func() error { return l.rollback("a") }, []int{0, 1, 2, 4, 6}},
+		{"created again in y", func() error { return l.put("a", "y") }, []int{0, 1, 3, 4, 6}},
 	} {
 		before := l.state.Revision
 		if err := c.do(); err != nil {
--- a/internal/fleet/control/lastbuild_test.go
+++ b/internal/fleet/control/snapshot_v2_test.go
@@ -11,9 +11,9 @@
 	"meadowsill/internal/fleet"
 )
 
-// A snapshot of the last build, which knew no services, restores: its reads (testdata/v2-reads.jsonl, as that build gave
-// them) are the same, and the state is written as it was.
-func TestSnapshotOfTheLastBuildRestores(t *testing.T) {
+// TestSnapshotWithoutServicesRestores checks that a snapshot of a build that knew no services restores: reads return what that build
+// returned (testdata/v2-reads.jsonl), and the state is encoded as it was.
+func TestSnapshotWithoutServicesRestores(t *testing.T) {
 	raw, err := os.ReadFile("testdata/v2-snapshot.json")
 	if err != nil {
 		t.Fatal(err)
@@ -42,9 +42,9 @@
 		if d := cmp.Diff(want.Intent, s.Read(want.Since, want.Node)); d != "" {
 			t.Errorf("%q since %d: %s", want.Node, want.Since, d)
 		}
-		// Its tenants have no service, so that a node of any scope holds them.
+		// The tenants of the snapshot have no service, so a node of any scope holds them.
 		if d := cmp.Diff(want.Intent, s.Read(want.Since, want.Node, "x", "y")); d != "" {
-			t.Errorf("%q of a scope, since %d: %s", want.Node, want.Since, d)
+			t.Errorf("%q with a scope, since %d: %s", want.Node, want.Since, d)
 		}
 	}
 }
--- a/internal/fleet/session/golden_test.go
+++ b/internal/fleet/session/golden_test.go
@@ -7,7 +7,7 @@
 	"meadowsill/internal/golden"
 )
 
-// Commands of the replicated log, and the state as snapshots hold it.
+// TestStoredBytes checks the encoding of the commands in the replicated log and of the state in snapshots.
 func TestStoredBytes(t *testing.T) {
 	golden.JSON[session.Command](t, "command")
 	golden.JSON[session.State](t, "state")
--- a/internal/fleet/session/scope_test.go
+++ b/internal/fleet/session/scope_test.go
@@ -26,7 +26,8 @@
 	}
 }
 
-// A scope's epoch moves with the members that serve it, those without a scope among them, and with no others.
+// TestScopeEpoch checks that a scope's epoch moves with changes of the members that serve the scope, including those without a scope,
+// and with no others.
 func TestScopeEpoch(t *testing.T) {
 	var s State
 	steps := []struct {
@@ -39,7 +40,7 @@
 		{Command{Operation: Join, Member: member("c", 1), Services: []string{"search"}}, 2, 3},
 		{Command{Operation: Leave, Member: member("c", 1)}, 2, 4},
 		{Command{Operation: Join, Member: member("d", 1), Services: []string{"billing", "search"}}, 5, 5},
-		{Command{Operation: Join, Member: member("b", 2), Services: []string{"search"}}, 6, 6}, // it leaves one scope and joins another
+		{Command{Operation: Join, Member: member("b", 2), Services: []string{"search"}}, 6, 6}, // the node leaves one scope and joins another
 		{Command{Operation: Expire, Member: member("b", 2)}, 6, 7},
 		{Command{Operation: Expire, Member: member("a", 1)}, 8, 8},
 		{Command{Operation: Join, Member: member("e", 1), Services: []string{"mail"}}, 8, 8},
@@ -56,8 +57,9 @@
 	}
 }
 
-// The epoch of every scope is what counting the changes of its members anew gives, over random sequences of commands and
-// snapshots; it never goes back, and moves whenever the present members of the scope do.
+// TestScopeEpochOverRandomChanges checks over random sequences of commands and snapshots that the epoch of every scope equals a
+// reference that is kept from the changes of its members: it never goes back, and moves whenever the present members of the scope
+// change.
 func TestScopeEpochOverRandomChanges(t *testing.T) {
 	names := []string{"billing", "mail", "search"}
 	rapid.Check(t, func(t *rapid.T) {
@@ -107,7 +109,8 @@
 	})
 }
 
-// A run keeps the scope that it joined with; a bad scope is rejected. Both change nothing.
+// TestScopesThatAreRejected checks that a present run can't change the scope that it joined with, that an invalid scope is rejected,
+// and that neither attempt changes the state.
 func TestScopesThatAreRejected(t *testing.T) {
 	var s State
 	mustApply(t, &s, Command{Operation: Join, Member: member("a", 1), Services: []string{"billing"}})
@@ -129,15 +132,16 @@
 		}
 	}
 	if after, _ := json.Marshal(s); string(after) != string(before) {
-		t.Errorf("refusals changed the state from %s to %s", before, after)
+		t.Errorf("rejected commands changed the state from %s to %s", before, after)
 	}
 	if changed, err := s.Apply(Command{Operation: Join, Member: member("a", 1), Services: []string{"billing"}}); changed || err != nil {
 		t.Errorf("the same run again: changed %v, %v", changed, err)
 	}
-	mustApply(t, &s, Command{Operation: Join, Member: member("a", 2), Services: []string{"search"}}) // a newer run may have another
+	mustApply(t, &s, Command{Operation: Join, Member: member("a", 2), Services: []string{"search"}}) // a newer run may have another scope
 }
 
-// Without a scope the state has the bytes that it had before there were scopes, and one from then restores.
+// TestStateWithoutScopes checks that a state without scopes is encoded as it was before there were scopes, and that a state from that
+// time restores.
 func TestStateWithoutScopes(t *testing.T) {
 	const old = `{"epoch":3,"members":{"a":{"node":"a","zone":"z","incarnation":1}},"highest":{"a":{"incarnation":1},"b":{"incarnation":1}}}`
 	var s State
@@ -155,7 +159,8 @@
 	}
 }
 
-// However many services are ever named, the epochs kept are bounded, and none goes back.
+// TestScopeEpochsAreBounded checks that the number of epochs kept is bounded however many services are ever named, and that no epoch
+// goes back.
 func TestScopeEpochsAreBounded(t *testing.T) {
 	var s State
 	mustApply(t, &s, Command{Operation: Join, Member: member("a", 1), Services: []string{"billing"}})
@@ -167,7 +172,7 @@
 		}
 		mustApply(t, &s, Command{Operation: Join, Member: member("b", uint64(i+1)), Services: services})
 		if epoch := s.ScopeEpoch("billing"); epoch < last {
-			t.Fatalf("billing goes back from %d to %d", last, epoch)
+			t.Fatalf("the epoch of billing goes back from %d to %d", last, epoch)
 		} else {
 			last = epoch
 		}
--- a/internal/fleet/session/session_test.go
+++ b/internal/fleet/session/session_test.go
@@ -13,11 +13,11 @@
 
 const ttl = 6 * time.Second
 
-// clock reads a process's own clock at a moment of real time: its rate is off by up to 1 %, its zero is anywhere.
-type clock struct{ rate, zero float64 }
+// clock converts real time to the reading of a process's own clock: its rate is off by up to 1 %, its offset is arbitrary.
+type clock struct{ rate, offset float64 }
 
 func (c clock) at(real time.Duration) fleet.Time {
-	return fleet.Time(c.zero + c.rate*float64(real))
+	return fleet.Time(c.offset + c.rate*float64(real))
 }
 
 func drawClock(t *rapid.T, name string) clock {
@@ -25,22 +25,24 @@
 	return clock{rate, rapid.Float64Range(0, 1e12).Draw(t, name+" zero")}
 }
 
-type flight struct {
-	t0   fleet.Time // by the agent's clock, before the sending
-	term int        // that verified it; -1: not yet
-	left int        // 0 on its way to a leader, 1 verified, 2 answered and on its way back
+// reportExchange is a report on its way to a leader, or the answer on its way back.
+type reportExchange struct {
+	t0   fleet.Time // by the agent's clock, read before the report is sent
+	term int        // index of the leader that was verified for the report; -1: none yet
+	left int        // 0: on its way to a leader, 1: leader verified, 2: answer on its way back, 3: ended without a renewing answer
 }
 
-// Whatever the clocks' rates within 1 %, the stalls between any two steps, lost, late and reordered messages, and
-// failovers with and without what the old leader had proposed: while an agent's count says held, its node is present.
-func TestHolderIsOutFirst(t *testing.T) {
+// TestAgentLeaseEndsFirst checks that a node is present while its AgentLease is held, for clocks whose rates are off by up to 1 %,
+// stalls between any two steps, lost, late and reordered messages, and failovers with and without the commands that the old leader
+// had proposed.
+func TestAgentLeaseEndsFirst(t *testing.T) {
 	lapses := 0
 	renewals := 0
 	failovers := 0
 	rapid.Check(t, func(t *rapid.T) {
 		m := fleet.Member{Node: "n", Zone: "z", Incarnation: 7}
-		agent := drawClock(t, "agent")
-		var holder AgentLease
+		agentClock := drawClock(t, "agent")
+		var agentLease AgentLease
 		var state State
 		var real time.Duration
 		type leader struct {
@@ -48,18 +50,18 @@
 			leases *Leases
 		}
 		leaders := []leader{}
-		var proposed []fleet.Member // lapses of the present leader, in the log and not yet applied
+		var proposed []fleet.Member // expiries that the present leader proposed, in the log and not yet applied
 		newLeader := func() {
 			c := drawClock(t, "leader")
 			leaders = append(leaders, leader{c, NewLeases(c.at(real), ttl)})
 		}
 		newLeader()
-		var air []*flight
-		tick := func() {
+		var exchanges []*reportExchange
+		proposeExpired := func() {
 			l := leaders[len(leaders)-1]
 			proposed = append(proposed, l.leases.Expired(l.clock.at(real), &state)...)
 		}
-		settle := func(apply bool) {
+		resolveProposed := func(apply bool) {
 			for _, p := range proposed {
 				if apply {
 					if ok, _ := state.Apply(Command{Operation: Expire, Member: p}); ok {
@@ -72,29 +74,31 @@
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"stall": func(t *rapid.T) { real += time.Duration(rapid.IntRange(0, 2000).Draw(t, "per mille")) * ttl / 1000 },
-			"send":  func(t *rapid.T) { air = append(air, &flight{t0: agent.at(real), term: -1}) },
-			"verify": func(t *rapid.T) { // the leader has it, joins it where absent, and is confirmed as the leader
-				for _, f := range air {
-					if f.left == 0 && rapid.Bool().Draw(t, "this") {
+			"send": func(t *rapid.T) {
+				exchanges = append(exchanges, &reportExchange{t0: agentClock.at(real), term: -1})
+			},
+			"verify": func(t *rapid.T) { // the leader receives the report, joins the run if it is absent, and is confirmed as the leader
+				for _, e := range exchanges {
+					if e.left == 0 && rapid.Bool().Draw(t, "this") {
 						state.Apply(Command{Operation: Join, Member: m})
-						f.left, f.term = 1, len(leaders)-1
+						e.left, e.term = 1, len(leaders)-1
 					}
 				}
 			},
-			"answer": func(t *rapid.T) { // perhaps long after, perhaps no longer the leader
-				for _, f := range air {
-					if l := leaders[max(f.term, 0)]; f.left == 1 && rapid.Bool().Draw(t, "this") {
-						f.left = 3
-						if (f.term < len(leaders)-1 || state.Present(m)) && l.leases.Renew(l.clock.at(real), m) == nil {
-							f.left = 2
+			"answer": func(t *rapid.T) { // the leader may answer much later, and may not be the leader any more
+				for _, e := range exchanges {
+					if l := leaders[max(e.term, 0)]; e.left == 1 && rapid.Bool().Draw(t, "this") {
+						e.left = 3
+						if (e.term < len(leaders)-1 || state.Present(m)) && l.leases.Renew(l.clock.at(real), m) == nil {
+							e.left = 2
 						}
 					}
 				}
 			},
 			"hear": func(t *rapid.T) {
-				for _, f := range air {
-					if f.left == 2 && rapid.Bool().Draw(t, "this") {
-						holder.Renew(f.t0, ttl)
+				for _, e := range exchanges {
+					if e.left == 2 && rapid.Bool().Draw(t, "this") {
+						agentLease.Renew(e.t0, ttl)
 						renewals++
 					}
 				}
@@ -102,41 +106,42 @@
 			"renewed at once": func(t *rapid.T) {
 				l := leaders[len(leaders)-1]
 				state.Apply(Command{Operation: Join, Member: m})
-				if t0 := agent.at(real); l.leases.Renew(l.clock.at(real), m) == nil {
-					holder.Renew(t0, ttl)
+				if t0 := agentClock.at(real); l.leases.Renew(l.clock.at(real), m) == nil {
+					agentLease.Renew(t0, ttl)
 					renewals++
 				}
 			},
-			"tick":   func(t *rapid.T) { tick() },
-			"commit": func(t *rapid.T) { settle(true) },
+			"tick":   func(t *rapid.T) { proposeExpired() },
+			"commit": func(t *rapid.T) { resolveProposed(true) },
 			"lapse at the soonest": func(t *rapid.T) {
 				for range 1010 {
-					if tick(); len(proposed) > 0 {
+					if proposeExpired(); len(proposed) > 0 {
 						break
 					}
 					real += ttl / 500
 				}
-				settle(true)
+				resolveProposed(true)
 			},
 			"failover": func(t *rapid.T) {
-				settle(rapid.Bool().Draw(t, "its proposals were committed"))
+				resolveProposed(rapid.Bool().Draw(t, "its proposals were committed"))
 				failovers++
 				newLeader()
 			},
 			"": func(t *rapid.T) {
-				if left := holder.Remaining(agent.at(real)); left > 0 && !state.Present(m) {
-					t.Fatalf("at %v the agent counts %v more and the node is not present", real, left)
+				if left := agentLease.Remaining(agentClock.at(real)); left > 0 && !state.Present(m) {
+					t.Fatalf("at %v the agent's lease has %v left, but the node is not present", real, left)
 				}
 			},
 		})
 	})
 	if lapses < 50 || renewals < 50 || failovers < 50 {
-		t.Errorf("%d lapses, %d renewals, %d failovers: too few to prove anything", lapses, renewals, failovers)
+		t.Errorf("%d lapses, %d renewals, %d failovers: the schedules cover too few", lapses, renewals, failovers)
 	}
 }
 
-// The page's arithmetic: the slowest agent is out before the fastest leader can say so, with 0.02 of ttl to spare.
-func TestHoldPart(t *testing.T) {
+// TestAgentLeasePart checks the calculation of the page: with the slowest agent clock and the fastest leader clock, the agent's lease
+// ends before the leader's, with 0.02 of the TTL to spare.
+func TestAgentLeasePart(t *testing.T) {
 	if spare := 1/1.01 - AgentLeasePart/0.99; spare < 0.02 || math.IsNaN(spare) {
 		t.Errorf("%.4f of ttl to spare", spare)
 	}
@@ -165,6 +170,6 @@
 		}
 	}
 	if s.Epoch != 2 || len(s.Members) != 2 {
-		t.Errorf("refusals changed the state: %+v", s)
+		t.Errorf("rejected joins changed the state: %+v", s)
 	}
 }
--- a/internal/fleet/session/table_test.go
+++ b/internal/fleet/session/table_test.go
@@ -9,20 +9,20 @@
 	"meadowsill/internal/fleet/statetable"
 )
 
-// event is what can come to one name: a report of a run, or its lapse.
+// event is an event at one node's name: a report of a run, or the lapse of a run.
 type event struct {
 	lapse       bool
 	leaving     bool
 	full        bool
-	otherScope  bool // it names services, and the run that is present named none
+	otherScope  bool // the report names services, and the run that is present named none
 	incarnation uint64
 }
 
-// name returns the event and condition as the page's table has them, from the state before it.
+// name returns the event and condition as the page's table names them, given the state before the event.
 func (e event) name(s *State) (event, condition string) {
 	_, present := s.Members["n"]
-	h, known := s.NewestRuns["n"]
-	switch older := known && e.incarnation < h.Incarnation; {
+	newest, known := s.NewestRuns["n"]
+	switch older := known && e.incarnation < newest.Incarnation; {
 	case e.lapse && older:
 		return "lapse", "of an incarnation that has a successor"
 	case e.lapse:
@@ -31,32 +31,32 @@
 		return "report", "smaller incarnation"
 	case older:
 		return "report", "incarnation below the highest seen"
-	case h.Ended && e.incarnation == h.Incarnation:
+	case newest.Ended && e.incarnation == newest.Incarnation:
 		return "report", "the highest seen, which left"
-	case present && e.incarnation > h.Incarnation && e.leaving:
+	case present && e.incarnation > newest.Incarnation && e.leaving:
 		return "report", "larger incarnation, leaving"
 	case e.leaving:
 		return "report", "leaving"
-	case present && e.incarnation == h.Incarnation && e.otherScope:
+	case present && e.incarnation == newest.Incarnation && e.otherScope:
 		return "report", "same incarnation, another scope"
-	case present && e.incarnation == h.Incarnation:
+	case present && e.incarnation == newest.Incarnation:
 		return "report", "same incarnation"
 	case present:
 		return "report", "larger incarnation"
 	case e.full:
 		return "report", "every slot is taken"
-	case known && e.incarnation == h.Incarnation:
+	case known && e.incarnation == newest.Incarnation:
 		return "report", "the highest seen, which lapsed"
 	}
 	return "report", "incarnation above the highest seen"
 }
 
-// apply runs the event as the control plane does and gives the effect as the page names it.
+// apply applies the event as the control plane does and returns the effect as the page names it.
 func (e event) apply(t *testing.T, s *State) string {
 	m := fleet.Member{Node: "n", Zone: "z", Incarnation: e.incarnation}
 	c := Command{Operation: Join, Member: m, Slots: 3}
 	if e.full {
-		c.Slots = 1 // "other" holds it
+		c.Slots = 1 // the node "other" holds the only slot
 	}
 	if e.otherScope {
 		c.Services = []string{"billing"}
@@ -67,7 +67,7 @@
 	if e.lapse {
 		c.Operation = Expire
 	}
-	epoch, was, wasPresent := s.Epoch, s.Members["n"], s.Present(m)
+	epoch, previous, wasPresent := s.Epoch, s.Members["n"], s.Present(m)
 	changed, err := s.Apply(c)
 	switch {
 	case errors.Is(err, fleet.ErrFenced):
@@ -80,7 +80,7 @@
 		t.Fatal(err)
 	case changed && s.Epoch != epoch+1:
 		t.Fatalf("epoch %d after %d", s.Epoch, epoch)
-	case changed && c.Operation == Join && was.Incarnation != 0:
+	case changed && c.Operation == Join && previous.Incarnation != 0:
 		return "the old one ends, the new one joins; epoch + 1"
 	case changed && c.Operation == Join:
 		return "join; epoch + 1"
@@ -92,13 +92,14 @@
 	return ""
 }
 
-// Every event in every state is a row of the page with that next state and effect, and every row is met.
+// TestSessionsTable checks that every event in every state has a row in the page's table with the same next state and effect, and that
+// every row is covered.
 func TestSessionsTable(t *testing.T) {
 	rows, err := statetable.Table("../../../docs/fleet.md", "Sessions")
 	if err != nil {
 		t.Fatal(err)
 	}
-	met := map[int]bool{}
+	covered := map[int]bool{}
 	other := Command{Operation: Join, Member: fleet.Member{Node: "other", Zone: "z", Incarnation: 1}}
 	run := func(inc uint64, op string) Command {
 		return Command{Operation: op, Member: fleet.Member{Node: "n", Zone: "z", Incarnation: inc}}
@@ -114,7 +115,7 @@
 					}
 				}
 				if e.lapse && (e.leaving || e.full || s.Members["n"].Incarnation < inc) {
-					continue // no lease of that run is held
+					continue // the leader holds no lease of that run
 				}
 				state := func() string {
 					if _, ok := s.Members["n"]; ok {
@@ -128,9 +129,9 @@
 				found := false
 				for _, r := range rows {
 					if r.State == from && r.Event == ev && r.Condition == cond {
-						found, met[r.Line] = true, true
+						found, covered[r.Line] = true, true
 						if r.Next != state() || strings.ReplaceAll(r.Effect, "`", "") != effect {
-							t.Errorf("%s: the core gives %s, %q; the page has %q", r, state(), effect, r.Effect)
+							t.Errorf("%s: the core goes to %s with effect %q; the page has %q", r, state(), effect, r.Effect)
 						}
 					}
 				}
@@ -141,8 +142,8 @@
 		}
 	}
 	for _, r := range rows {
-		if !met[r.Line] {
-			t.Errorf("nothing leads through the row at %s", r)
+		if !covered[r.Line] {
+			t.Errorf("no event covers the row %s", r)
 		}
 	}
 }
