--- a/internal/registry/agent/agent.go
+++ b/internal/registry/agent/agent.go
@@ -1,7 +1,7 @@
-// Package agent is the node-side agent of PROTOCOL's "Discovery": it watches discovery's replicas, fails over
-// between them with backoff and jitter, resumes from its last revision, and serves the node on loopback with
-// what it has. A failed, stale or bad answer never empties or rolls back its list: the answer is dropped, the
-// list kept, and X-List-Age-Ms tells how long since a replica last answered well.
+// Package agent is the node-side agent of PROTOCOL's "Discovery". It watches discovery's replicas, fails over between them
+// with backoff and jitter, resumes from its last revision, and serves its copy of the list to the node on loopback. A
+// failed, stale or invalid answer never empties the list or rolls it back: the agent drops the answer, keeps the list, and
+// reports the time since the last valid answer of a replica in X-List-Age-Ms.
 package agent
 
 import (
@@ -20,32 +20,33 @@
 	"meadowsill/internal/registry"
 )
 
-// A watch waits so long at a replica, and is given so much more to answer in: a replica that falls silent is left after
-// both. Every answer says that the list is the newest, so a short wait also keeps its age true.
+// Timeouts of a watch. A replica holds a watch for watchTimeout at most, and the agent fails over after watchTimeout +
+// watchAnswerSlack without an answer. Each answer confirms that the list is current, so a short wait also keeps the list's
+// age accurate.
 const (
 	watchTimeout     = 3 * time.Second
 	watchAnswerSlack = 2 * time.Second
 )
 
-// Agent holds the list as last received.
+// Agent watches the replicas and holds the list as last received.
 type Agent struct {
 	replicas       []string
 	log            *slog.Logger
 	client         http.Client
 	mu             sync.Mutex // guards the fields down to confirmedAt
 	version        uint64
-	floor          uint64 // watches from before it get the complete list
+	floor          uint64 // a watch from an older revision gets the complete list
 	entries        map[string]registry.Entry
 	changed        map[string]uint64
 	listChanged    chan struct{}
 	confirmedAt    time.Time
-	AnswersDropped int // answers dropped as failed, stale or bad
-	// Addresses gives, by id, the address this machine reaches a server at where it is not the listed one (a
-	// relay or a translation); set before serving.
+	AnswersDropped int // number of answers dropped because they were failed, stale or invalid
+	// Addresses maps a server's id to the address at which this machine reaches the server, where that is not the listed
+	// address (a relay or an address translation). It must be set before the agent serves requests.
 	Addresses map[string]string
 }
 
-// New makes an agent for the replicas' HTTP addresses.
+// New returns an agent that watches the replicas at the given HTTP addresses.
 func New(replicas []string, log *slog.Logger) *Agent {
 	return &Agent{
 		replicas:    replicas,
@@ -57,12 +58,12 @@
 	}
 }
 
-// Dial sets how the replicas are reached; before Watch.
+// Dial sets the function that connects to the replicas. It must be called before Watch.
 func (a *Agent) Dial(dial func(ctx context.Context, network, addr string) (net.Conn, error)) {
 	a.client.Transport = &http.Transport{DialContext: dial, IdleConnTimeout: time.Minute}
 }
 
-// Watch follows the replicas until ctx ends.
+// Watch polls the replicas until ctx is done. After a failed or invalid answer it backs off and goes on with the next replica.
 func (a *Agent) Watch(ctx context.Context) {
 	rnd := rand.New(rand.NewPCG(uint64(time.Now().UnixNano()), 0xa6e7))
 	backoff, i := 50*time.Millisecond, rnd.IntN(len(a.replicas))
@@ -86,7 +87,7 @@
 	}
 }
 
-// poll makes one watch call and takes its answer, or says why not.
+// poll sends one watch request to a replica and applies its answer.
 func (a *Agent) poll(ctx context.Context, replica string) error {
 	a.mu.Lock()
 	since := a.version
@@ -111,17 +112,17 @@
 	return a.apply(ans)
 }
 
-// apply applies an answer unless it would roll the list back or holds a bad entry.
+// apply updates the list from an answer. It rejects an answer that would roll the list back or that has an invalid entry.
 func (a *Agent) apply(ans registry.Answer) error {
 	for _, e := range ans.Servers {
 		if e.ID == "" || (e.State != "ready" && e.State != "draining" && e.State != "gone") || (ans.Full && e.State == "gone") {
-			return fmt.Errorf("bad entry %+v", e)
+			return fmt.Errorf("invalid entry %+v", e)
 		}
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if ans.Version < a.version || (ans.Version == a.version && len(ans.Servers) > 0 && !ans.Full) {
-		return fmt.Errorf("revision %d is behind the agent's %d", ans.Version, a.version)
+		return fmt.Errorf("revision %d is older than the agent's revision %d", ans.Version, a.version)
 	}
 	a.confirmedAt = time.Now()
 	if ans.Version == a.version && !ans.Full {
@@ -150,7 +151,8 @@
 	return nil
 }
 
-// ServeHTTP answers the node as PROTOCOL's agent does, at once from what it has; a watch waits for a change.
+// ServeHTTP serves the node's reads and watches by PROTOCOL. A read is answered at once from the agent's list; a watch waits
+// for a change.
 func (a *Agent) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path != "/registry/instances" || r.Method != http.MethodGet {
 		http.NotFound(w, r)
--- a/internal/registry/leases.go
+++ b/internal/registry/leases.go
@@ -6,16 +6,16 @@
 	"github.com/google/btree"
 )
 
-// treeDegree is the least number of children of an inner node of the tree of leases.
+// treeDegree is the minimum number of children of an inner node of the lease tree.
 const treeDegree = 32
 
-// lease is the time, Unix ms, at which the lease on an id lapses.
+// lease is the lease of one id and its expiry, in Unix ms.
 type lease struct {
 	expiresMS int64
 	id        string
 }
 
-// leaseTree is every lease held, by expiry. The soonest is found without looking at the others.
+// leaseTree holds every active lease, ordered by expiry, so that the next lease to lapse is found without a scan.
 type leaseTree struct {
 	byExpiry *btree.BTreeG[lease]
 }
@@ -35,7 +35,7 @@
 	l.byExpiry.Delete(lease{expiresMS: expiresMS, id: id})
 }
 
-// expired returns the ids whose leases lapse at or before now, Unix ms, by expiry.
+// expired returns the ids whose leases lapse at or before nowMS (Unix ms), ordered by expiry.
 func (l *leaseTree) expired(nowMS int64) []string {
 	var ids []string
 	l.byExpiry.Ascend(func(next lease) bool {
@@ -48,11 +48,11 @@
 	return ids
 }
 
-// next is the soonest expiry, Unix ms, or 0 where no lease is held.
+// next returns the earliest expiry in Unix ms, or 0 if there is no lease.
 func (l *leaseTree) next() int64 {
 	soonest, _ := l.byExpiry.Min()
 	return soonest.expiresMS
 }
 
-// NextExpiry is the soonest time a lease lapses, Unix ms, or 0 where none is held.
+// NextExpiry returns the earliest time at which a lease lapses, in Unix ms, or 0 if there is no lease.
 func (s *State) NextExpiry() int64 { return s.leases.next() }
--- a/internal/registry/linearizability/linearizability.go
+++ b/internal/registry/linearizability/linearizability.go
@@ -1,7 +1,7 @@
-// Package linearizability checks recorded histories of discovery's clients for linearizability with porcupine: registrations
-// and consistent reads (GET /registry/instances?consistent=1) must look as if each took effect at one instant
-// between its call and its recovery. The list is checked id by id: a registration sets an id, a read reports whether
-// it held it.
+// Package linearizability checks recorded histories of discovery's clients for linearizability with porcupine. Each
+// registration and each consistent read (GET /registry/instances?consistent=1) must appear to take effect at one instant
+// between its call and its return. Each id is checked separately: a registration adds the id, and a read reports whether
+// the list has it.
 package linearizability
 
 import (
@@ -11,15 +11,15 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// Operation is one client call as recorded. Times are Unix ns.
+// Operation is one recorded client call. Times are in Unix ns.
 type Operation struct {
 	Client  int
-	Write   bool     // a registration of ID; otherwise a read that answered IDs
-	ID      string   // of a write
-	IDs     []string // of a read
+	Write   bool     // the call is a registration of ID; otherwise it is a read that returned IDs
+	ID      string   // registered id, for a write
+	IDs     []string // ids in the answer, for a read
 	Call    int64
 	Return  int64
-	Unknown bool // a write whose outcome is not known (timed out, not committed): it may take effect at any later time
+	Unknown bool // the outcome of the write is unknown (timed out, not committed): it may take effect at any later time
 }
 
 type input struct {
@@ -39,14 +39,14 @@
 	Equal: func(a, b any) bool { return a == b },
 }
 
-// Result is the check's verdict over every id.
+// Result is the outcome of a check over all ids.
 type Result struct {
 	IDs        int
 	Violations []string // ids whose history is not linearizable
 	Unknown    []string // ids whose check ran out of time
 }
 
-// Check checks each id's projection of the history, within timeout for each.
+// Check checks the projection of the history on each id, with a time limit of timeout for each id.
 func Check(history []Operation, timeout time.Duration) Result {
 	ids := map[string]bool{}
 	for _, o := range history {
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -1,7 +1,7 @@
-// Package registry is the core of discovery, the project's discovery service: the list of app servers under one
-// revision, leases that lapse, and the answers to PROTOCOL's reads and watches. It does no I/O and reads no
-// clock: every command carries the time it is applied at, chosen once by the leader, so that every replica that
-// applies the same log holds the same list. It is the state machine that package raft replicates.
+// Package registry is the core of discovery, the project's discovery service. It keeps the list of app servers under one
+// revision, expires their leases, and answers PROTOCOL's reads and watches. It does no I/O and reads no clock: every
+// command carries the time at which it is applied, chosen once by the leader, so that every replica that applies the
+// same log holds the same list. Package replica replicates this state machine by raft.
 package registry
 
 import (
@@ -16,48 +16,49 @@
 	"meadowsill/internal/registry/index"
 )
 
-// Entry is one app server as PROTOCOL's "Discovery" gives it.
+// Entry is one app server in the form that PROTOCOL's "Discovery" specifies.
 type Entry struct {
 	ID        string  `json:"id"`
 	Addr      string  `json:"addr"`
 	Zone      string  `json:"zone"`
 	Kind      string  `json:"kind"`
 	Cell      int     `json:"cell"`
-	State     string  `json:"state"` // ready, draining, removed
+	State     string  `json:"state"` // ready, draining or gone
 	Weight    float64 `json:"weight"`
 	StartedMS int64   `json:"started_ms"`
 }
 
-// Op is what a command does.
+// Op is the operation that a command carries out.
 type Op string
 
 const (
-	Register     Op = "register"   // puts an entry under a new lease, or renews and changes it
+	Register     Op = "register"   // adds an entry with a new lease, or renews the lease and updates the entry
 	Renew        Op = "renew"      // extends a lease
-	Drain        Op = "drain"      // its owner says: finish what you have, nothing new
-	Deregister   Op = "deregister" // removed at once
-	Expire       Op = "expire"     // the leader's sweep: every lease lapsed at Now is removed
-	FleetCommand Op = "fleet"      // a command on the fleet's state, which this package does not read
+	Drain        Op = "drain"      // the registrant's request to drain: the server finishes its requests and gets no new ones
+	Deregister   Op = "deregister" // removes an entry at once
+	Expire       Op = "expire"     // proposed by the leader's sweep: removes every entry whose lease has lapsed at NowMS
+	FleetCommand Op = "fleet"      // a command for the fleet's state; this package does not decode it
 )
 
-// Command is one entry of the replicated log. NowMS is the leader's clock when it proposed it, Unix ms.
+// Command is one entry of the replicated log. NowMS is the leader's clock when it proposed the command, in Unix ms.
 type Command struct {
 	Op    Op     `json:"op"`
 	Entry Entry  `json:"entry,omitzero"`
 	ID    string `json:"id,omitempty"`
 	TTLMS int64  `json:"ttl_ms,omitempty"`
 	NowMS int64  `json:"now_ms"`
-	// Fleet is the command of package fleet/control that Op Fleet carries. The list only lends its revision (Bump).
+	// Fleet is the command of package fleet/control, set where Op is FleetCommand. The fleet's state and the list share one
+	// revision counter (State.NextRevision).
 	Fleet json.RawMessage `json:"fleet,omitempty"`
 }
 
-// Errors a command can meet. They change nothing.
+// Errors of a rejected command. A command that fails changes nothing.
 var (
 	ErrUnknown = errors.New("no such registration")
 	ErrInvalid = errors.New("invalid registration")
 )
 
-// Limits on leases, in ms: a TTL outside them is taken as the nearest.
+// Limits on a lease's TTL, in ms. A TTL outside them is clamped to the nearer limit.
 const (
 	MinTTLMS = 500
 	MaxTTLMS = 60_000
@@ -65,42 +66,42 @@
 
 type record struct {
 	Entry            Entry  `json:"entry"`
-	ExpiresMS        int64  `json:"expires_ms"` // 0 once removed
-	Revision         uint64 `json:"rev"`        // of its last change
-	RequestedStartMS int64  `json:"asked_ms"`   // started_ms as the registrant gave it, before it was bounded
+	ExpiresMS        int64  `json:"expires_ms"` // when the lease lapses, Unix ms; 0 once the entry is removed
+	Revision         uint64 `json:"rev"`        // revision of the entry's last change
+	RequestedStartMS int64  `json:"asked_ms"`   // started_ms as the registrant sent it, before it was limited to the leader's clock
 }
 
-// State is the complete list. The zero State is not ready: use New. Rev is the revision of all that is replicated: the list
-// shares it with the fleet's intent (docs/fleet.md). Last is that of the list's own last change, and the version
-// that reads and watches of the list show: without a fleet the two are one.
+// State is the complete list. The zero State is not usable; New returns a usable one. Revision counts every replicated
+// change: the list shares it with the fleet's intent (docs/fleet.md). ListRevision is the revision of the list's own last
+// change and the version in the answers to reads and watches of the list. Without a fleet the two are equal.
 type State struct {
 	Revision      uint64             `json:"rev"`
-	ListRevision  uint64             `json:"last,omitempty"` // in a snapshot only where it is not Rev
-	Floor         uint64             `json:"floor"`          // changes at or below it are compacted: older watches get the complete list
+	ListRevision  uint64             `json:"last,omitempty"` // in a snapshot only where it differs from Revision
+	Floor         uint64             `json:"floor"`          // changes up to this revision are compacted: watches from before it get the complete list
 	Records       map[string]*record `json:"records"`
 	keepRevisions int
 
-	// Made from the records, so that nothing below scans them.
+	// The fields below are indexes built from Records, so that no operation scans the records.
 	entries    *index.Index[Entry] // by id and revision, for readers
 	leases     *leaseTree          // by expiry
 	tombstones []tombstone         // by revision
-	view       *View               // of the entries; nil: they have changed since the last
+	view       *View               // cached view of the entries; nil after a change
 }
 
-// tombstone is an entry that is removed and may be compacted. It is void where the entry has changed since.
+// tombstone is a removed entry that is due for compaction. It is ignored where the entry has changed since the removal.
 type tombstone struct {
 	id       string
 	revision uint64
 }
 
-// New returns an empty list at revision 0 that keeps removed entries for keep revisions before compaction.
+// New returns an empty list at revision 0. The list keeps a removed entry for keep revisions before it compacts it.
 func New(keep int) *State {
 	s := &State{Records: map[string]*record{}, keepRevisions: max(keep, 1)}
 	s.reindex()
 	return s
 }
 
-// reindex makes the indexes anew from the records.
+// reindex rebuilds the indexes from the records.
 func (s *State) reindex() {
 	s.entries = index.New[Entry]()
 	s.leases = newLeaseTree()
@@ -117,8 +118,8 @@
 	slices.SortFunc(s.tombstones, func(a, b tombstone) int { return cmp.Compare(a.revision, b.revision) })
 }
 
-// Apply carries out one command and reports whether it changed the list (and so made a new revision). Gone entries
-// older than keep revisions are compacted at each sweep and every keep revisions.
+// Apply carries out one command and reports whether it changed the list (and so created a new revision). Removed entries
+// that are at least keepRevisions revisions old are compacted at each sweep and every keepRevisions revisions.
 func (s *State) Apply(c Command) (bool, error) {
 	before := s.ListRevision
 	changed, err := s.apply(c)
@@ -131,7 +132,8 @@
 	return changed, err
 }
 
-// NextRevision takes the next revision for a change of what is replicated together with the list. The list stays at its version.
+// NextRevision increments the revision for a change of other replicated state (the fleet's) and returns it. The list's own
+// version stays the same.
 func (s *State) NextRevision() uint64 {
 	s.Revision++
 	return s.Revision
@@ -148,8 +150,9 @@
 		if e.State == "" || e.State == "gone" {
 			e.State = "ready"
 		}
-		// A registrant whose clock is fast can't start a server in the future: nodes would take it for
-		// warming up until then. Its renewals keep the bounded start. Leases are counted on the leader's clock alone.
+		// Limit the start time to the leader's clock: a registrant with a fast clock would otherwise report a start in
+		// the future, and nodes would treat the server as warming up until then. Renewals keep the limited start time.
+		// Leases depend on the leader's clock alone.
 		r := s.Records[e.ID]
 		requested := e.StartedMS
 		if r != nil && r.RequestedStartMS == requested {
@@ -157,7 +160,7 @@
 		}
 		e.StartedMS = min(e.StartedMS, c.NowMS)
 		if r != nil && r.ExpiresMS != 0 && r.Entry == e {
-			s.extend(r, c.NowMS+ttl) // a renewal by registering again is no change
+			s.extend(r, c.NowMS+ttl) // registering an unchanged entry again only renews its lease
 			return false, nil
 		}
 		s.put(&record{Entry: e, ExpiresMS: c.NowMS + ttl, RequestedStartMS: requested})
@@ -192,7 +195,7 @@
 	return false, fmt.Errorf("unknown op %q", c.Op)
 }
 
-// put takes in a record at the next revision, in place of the one under its id.
+// put stores a record at the next revision and replaces the record with the same id, if there is one.
 func (s *State) put(r *record) {
 	id := r.Entry.ID
 	if old := s.Records[id]; old != nil && old.ExpiresMS != 0 {
@@ -210,7 +213,7 @@
 	s.view = nil
 }
 
-// extend moves the expiry of a record's lease, which is no change of the list.
+// extend moves the expiry of a record's lease. This does not change the list's revision.
 func (s *State) extend(r *record, expiresMS int64) {
 	s.leases.remove(r.Entry.ID, r.ExpiresMS)
 	s.leases.add(r.Entry.ID, expiresMS)
@@ -226,7 +229,8 @@
 	s.put(&next)
 }
 
-// compact forgets removed entries older than keep revisions; watches from before them get the complete list.
+// compact deletes removed entries that are at least keepRevisions revisions old. A watch from before their removal gets
+// the complete list.
 func (s *State) compact() {
 	for len(s.tombstones) > 0 && s.tombstones[0].revision+uint64(s.keepRevisions) <= s.Revision {
 		oldest := s.tombstones[0]
@@ -255,8 +259,8 @@
 	return nil
 }
 
-// snapshotWithFleet is the version of a snapshot that has the fleet's state next to the list. One without has no version in it: builds
-// before the fleet wrote it so.
+// snapshotWithFleet is the version of a snapshot that holds the fleet's state next to the list. A snapshot of the list alone
+// has no version field, as builds without fleet support wrote it.
 const snapshotWithFleet = 2
 
 type snapshot struct {
@@ -265,8 +269,8 @@
 	Fleet   json.RawMessage `json:"fleet,omitempty"`
 }
 
-// Snapshot is the state as bytes, for raft's snapshots, with the fleet's state next to it (nil: there is none, and the bytes
-// are as they were before there was a fleet).
+// Snapshot encodes the state for raft's snapshots, with the fleet's state next to it. Where fleet is nil, the bytes are the
+// same as those that builds without fleet support wrote.
 func (s *State) Snapshot(fleet json.RawMessage) ([]byte, error) {
 	out := snapshot{State: *s, Fleet: fleet}
 	if s.ListRevision == s.Revision {
@@ -278,8 +282,8 @@
 	return json.Marshal(out)
 }
 
-// Restore replaces the state with a snapshot's and gives the fleet's state that was stored with it, or nil. A snapshot of a newer
-// version than this build knows is an error; an error changes nothing.
+// Restore replaces the state with a snapshot and returns the fleet's state that was stored with it, or nil. A snapshot of a
+// newer version than this build supports is an error. An error changes nothing.
 func (s *State) Restore(raw []byte) (fleet json.RawMessage, err error) {
 	in := snapshot{State: State{keepRevisions: s.keepRevisions}}
 	if err := json.Unmarshal(raw, &in); err != nil {
@@ -300,7 +304,7 @@
 	return in.Fleet, nil
 }
 
-// TTL is a lease's length as a duration, within the limits.
+// TTL returns the length of a lease of ms milliseconds, clamped to MinTTLMS and MaxTTLMS.
 func TTL(ms int64) time.Duration {
 	return time.Duration(min(max(ms, MinTTLMS), MaxTTLMS)) * time.Millisecond
 }
--- a/internal/registry/replica/fleetapi.go
+++ b/internal/registry/replica/fleetapi.go
@@ -16,7 +16,7 @@
 	"meadowsill/internal/fleet/zones"
 )
 
-// rejectStale answers 503 where this replica can't vouch for what it has.
+// rejectStale answers 503 and returns true if this replica's state may be stale. It sets X-Last-Contact-Ms in any case.
 func (l *leadership) rejectStale(w http.ResponseWriter) bool {
 	age, ok := l.replica.staleness()
 	w.Header().Set("X-Last-Contact-Ms", strconv.FormatInt(age.Milliseconds(), 10))
@@ -31,8 +31,9 @@
 	json.NewEncoder(w).Encode(v)
 }
 
-// whileLeading runs f with the controller and the state, or answers that this replica does not lead.
-func (l *leadership) whileLeading(w http.ResponseWriter, f func(j *control.Controller, s *control.State)) bool {
+// whileLeading calls f with the controller and the fleet's state while both are locked. If this replica is not the leader,
+// it answers 503 and returns false.
+func (l *leadership) whileLeading(w http.ResponseWriter, f func(ctl *control.Controller, s *control.State)) bool {
 	if l.replica.raft.State() != raft.Leader {
 		l.replica.notLeader(w)
 		return false
@@ -49,7 +50,7 @@
 	return true
 }
 
-// zoneStatus is one zone's directive, if there is one, with the evidence it was last evaluated by.
+// zoneStatus is one zone's directive, if there is one, and the evidence from the zone's last evaluation.
 type zoneStatus struct {
 	Key       string          `json:"key"`
 	Rev       uint64          `json:"rev,omitempty"`
@@ -63,7 +64,7 @@
 		Present  []fleet.Member `json:"present"`
 		Zones    []zoneStatus   `json:"zones"`
 	}
-	ok := l.whileLeading(w, func(j *control.Controller, s *control.State) {
+	ok := l.whileLeading(w, func(ctl *control.Controller, s *control.State) {
 		out.Revision = s.Revision
 		out.Present = s.Session.List()
 		out.Zones = []zoneStatus{}
@@ -72,7 +73,7 @@
 			at[it.Key] = len(out.Zones)
 			out.Zones = append(out.Zones, zoneStatus{Key: it.Key, Rev: it.Revision, Directive: it.Body})
 		}
-		for _, f := range j.ZoneEvidence() {
+		for _, f := range ctl.ZoneEvidence() {
 			i, ok := at[f.Key]
 			if !ok {
 				i = len(out.Zones)
@@ -86,7 +87,7 @@
 	}
 }
 
-// tenants lists every tenant, by name.
+// tenants answers GET /fleet/v1/tenants with all tenants, keyed by name.
 func (l *leadership) tenants(w http.ResponseWriter, _ *http.Request) {
 	out := struct {
 		Revision uint64                  `json:"revision"`
@@ -117,7 +118,7 @@
 	writeJSON(w, t)
 }
 
-// putTenant proposes a tenant's next generation.
+// putTenant answers PUT /fleet/v1/tenants/{name}: it proposes the tenant's next generation.
 func (l *leadership) putTenant(w http.ResponseWriter, r *http.Request) {
 	raw, ok := l.readBody(w, r, "tenant", fleet.MaxTenantBytes)
 	if !ok {
@@ -135,7 +136,7 @@
 	l.applyOperatorCommand(w, r, tenants.Command{Operation: tenants.Put, Name: name, Generation: g, Spec: &spec}, g+1)
 }
 
-// deleteTenant begins a tenant's removal at the generation that the operator read.
+// deleteTenant answers DELETE /fleet/v1/tenants/{name}: it begins the tenant's removal at the generation that the operator read.
 func (l *leadership) deleteTenant(w http.ResponseWriter, r *http.Request) {
 	g, err := strconv.ParseUint(r.URL.Query().Get("generation"), 10, 64)
 	if err != nil {
@@ -145,7 +146,7 @@
 	l.applyOperatorCommand(w, r, tenants.Command{Operation: tenants.Delete, Name: r.PathValue("name"), Generation: g}, g)
 }
 
-// applyOperatorCommand commits an operator's command and answers with the generation that it is about.
+// applyOperatorCommand commits an operator's command and answers with the generation that the command concerns.
 func (l *leadership) applyOperatorCommand(w http.ResponseWriter, _ *http.Request, c tenants.Command, generation uint64) {
 	if l.replica.raft.State() != raft.Leader {
 		l.replica.notLeader(w)
@@ -167,7 +168,7 @@
 	}
 }
 
-// tenantStatus says how far each present node is with a tenant.
+// tenantStatus answers GET /fleet/v1/tenants/{name}/status: the tenant's phase and its progress on each present node.
 func (l *leadership) tenantStatus(w http.ResponseWriter, r *http.Request) {
 	name := r.PathValue("name")
 	var out struct {
@@ -177,12 +178,12 @@
 		Nodes      []tenants.NodeStatus `json:"nodes"`
 	}
 	var err error
-	ok := l.whileLeading(w, func(j *control.Controller, s *control.State) {
+	ok := l.whileLeading(w, func(ctl *control.Controller, s *control.State) {
 		out.Name, out.Phase = name, s.Tenants.Phase(name)
 		if e := s.Tenants.Tenants[name]; e != nil {
 			out.RolledBack = e.RolledBack
 		}
-		out.Nodes, err = j.TenantStatus(l.now(), s, name)
+		out.Nodes, err = ctl.TenantStatus(l.now(), s, name)
 	})
 	if !ok {
 		return
--- a/internal/registry/replica/fleetdelta.go
+++ b/internal/registry/replica/fleetdelta.go
@@ -9,8 +9,8 @@
 	"meadowsill/internal/fleet/reportdelta"
 )
 
-// reportDelta takes a node's report as what changed since one that this leader acknowledged. Where the complete report can't be made
-// of it, nothing changes, and the answer is the wish for the complete one.
+// reportDelta receives a node's report as a delta to an earlier report that this leader acknowledged. If the complete report
+// can't be restored from the delta, nothing changes, and the answer asks for the complete report.
 func (l *leadership) reportDelta(w http.ResponseWriter, r *http.Request) {
 	if l.replica.raft.State() != raft.Leader {
 		l.replica.notLeader(w)
@@ -37,7 +37,8 @@
 	l.serveReport(w, rep, d.BaseSequence)
 }
 
-// completeReport makes the complete report again. Bases are never changed in place, so the work is done without the lock.
+// completeReport restores the complete report from a delta. It applies the delta without the lock, because a base report is
+// never changed in place.
 func (l *leadership) completeReport(d reportdelta.Delta) (fleet.Report, error) {
 	l.mu.Lock()
 	base, err := l.bases.Find(&d)
--- a/internal/registry/replica/fleetdrift.go
+++ b/internal/registry/replica/fleetdrift.go
@@ -11,11 +11,11 @@
 	"meadowsill/internal/registry"
 )
 
-// maxLogEntries is how many of the newest entries of the log of repairs an answer has.
+// maxLogEntries is the largest number of entries of the repair log in an answer; the newest entries are kept.
 const maxLogEntries = 50
 
-// drift answers GET /fleet/v1/drift: the verdicts, of one node or in one state where asked, and as a watch those changed after
-// since (docs/drift.md).
+// drift answers GET /fleet/v1/drift (docs/drift.md) with the verdicts, filtered by node or state where the query names them.
+// A watch gets the verdicts that changed after since.
 func (l *leadership) drift(w http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
 	watch, err := registry.ParseWatchQuery(q)
@@ -42,9 +42,9 @@
 		Verdicts []drift.Verdict  `json:"verdicts"`
 		Log      []drift.LogEntry `json:"log"`
 	}{Verdicts: []drift.Verdict{}, Log: []drift.LogEntry{}}
-	ok := l.whileLeading(w, func(j *control.Controller, s *control.State) {
-		out.Revision, out.Summary = s.Drift.Revision, j.DriftSummary(l.now(), s)
-		for _, v := range j.Verdicts(l.now(), time.Now().UnixMilli(), s) {
+	ok := l.whileLeading(w, func(ctl *control.Controller, s *control.State) {
+		out.Revision, out.Summary = s.Drift.Revision, ctl.DriftSummary(l.now(), s)
+		for _, v := range ctl.Verdicts(l.now(), time.Now().UnixMilli(), s) {
 			if node := q.Get("node"); node != "" && node != v.Node {
 				continue
 			}
@@ -53,7 +53,7 @@
 			}
 			out.Verdicts = append(out.Verdicts, v)
 		}
-		if log := j.Repairs(0); len(log) > 0 {
+		if log := ctl.Repairs(0); len(log) > 0 {
 			out.Log = log[max(len(log)-maxLogEntries, 0):]
 		}
 	})
--- a/internal/registry/replica/fleetmetrics.go
+++ b/internal/registry/replica/fleetmetrics.go
@@ -12,7 +12,7 @@
 	"meadowsill/internal/fleet/drift"
 )
 
-// fleetMetrics are what GET /metrics of a replica with a fleet shows.
+// fleetMetrics are the metrics that a replica with a fleet serves at GET /metrics.
 type fleetMetrics struct {
 	handler          http.Handler
 	leading          prometheus.Gauge
@@ -66,7 +66,7 @@
 	return m
 }
 
-// countVerdicts counts what a command of drift found and ended.
+// countVerdicts counts the differences that a drift command found, and observes the duration of the verdicts that it ended.
 func (m *fleetMetrics) countVerdicts(all []drift.VerdictCounts) {
 	for _, t := range all {
 		for kind, n := range t.NewDifferences {
@@ -78,7 +78,7 @@
 	}
 }
 
-// itemKind keeps the label within the kinds that there are, whatever a node names.
+// itemKind returns kind if it is a known kind of item, and "other" otherwise, so that a node's report can't create metric labels.
 func itemKind(kind string) string {
 	if slices.Contains([]string{"zone", "tenant", "share", "server", "*"}, kind) {
 		return kind
@@ -86,23 +86,23 @@
 	return "other"
 }
 
-// logLimiter lets one line a second through and counts the rest.
+// logLimiter allows one log line a second and counts the lines that it suppresses.
 type logLimiter struct {
 	mu      sync.Mutex // guards the fields below
 	last    time.Time
 	skipped int
 }
 
-// allow reports whether a line may be logged now, and how many were not since the last.
-func (q *logLimiter) allow() (skipped int, ok bool) {
-	q.mu.Lock()
-	defer q.mu.Unlock()
-	if now := time.Now(); now.Sub(q.last) >= time.Second {
-		skipped = q.skipped
-		q.skipped = 0
-		q.last = now
+// allow reports whether a line may be logged now, and how many lines were suppressed since the last one.
+func (l *logLimiter) allow() (skipped int, ok bool) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if now := time.Now(); now.Sub(l.last) >= time.Second {
+		skipped = l.skipped
+		l.skipped = 0
+		l.last = now
 		return skipped, true
 	}
-	q.skipped++
+	l.skipped++
 	return 0, false
 }
--- a/internal/registry/replica/fleetreport.go
+++ b/internal/registry/replica/fleetreport.go
@@ -17,11 +17,11 @@
 	"meadowsill/internal/fleet/zones"
 )
 
-// readBody reads a request's body up to limit. A longer one is rejected in full, counted, and said at a bounded rate.
+// readBody reads a request's body of at most limit bytes. A longer body is rejected, counted, and logged at a limited rate.
 func (l *leadership) readBody(w http.ResponseWriter, r *http.Request, path string, limit int64) ([]byte, bool) {
 	raw, err := io.ReadAll(io.LimitReader(r.Body, limit+1))
 	if err != nil {
-		return nil, false // the caller has gone
+		return nil, false // the client has closed the connection
 	}
 	if int64(len(raw)) > limit {
 		l.rejectBody(w, path, fmt.Errorf("%w: body over %d bytes", fleet.ErrInvalid, limit))
@@ -30,16 +30,16 @@
 	return raw, true
 }
 
-// rejectBody answers a bad body.
+// rejectBody answers 400 to an invalid body, counts it, and logs it at a limited rate.
 func (l *leadership) rejectBody(w http.ResponseWriter, path string, err error) {
 	l.metrics.badBodies.WithLabelValues(path).Inc()
-	if skipped, ok := l.badBodyLog.allow(); ok {
+	if skipped, ok := l.rejectionLog.allow(); ok {
 		l.replica.cfg.Log.Warn("bad body rejected", "path", path, "err", err, "more", skipped)
 	}
 	http.Error(w, err.Error(), http.StatusBadRequest)
 }
 
-// statusCode is the status of a state's error.
+// statusCode returns the HTTP status for an error of the fleet's state.
 func statusCode(err error) int {
 	switch {
 	case errors.Is(err, fleet.ErrInvalid), errors.Is(err, control.ErrOlder):
@@ -53,7 +53,7 @@
 	return http.StatusServiceUnavailable
 }
 
-// report takes a node's complete report.
+// report answers POST /fleet/v1/report: it receives a node's complete report.
 func (l *leadership) report(w http.ResponseWriter, r *http.Request) {
 	if l.replica.raft.State() != raft.Leader {
 		l.replica.notLeader(w)
@@ -72,9 +72,9 @@
 	l.serveReport(w, reportdelta.Normalize(rep), 0)
 }
 
-// serveReport answers a report, which followed the report baseSeq (0: it came complete): it joins the run where it is not present
-// and may be, and answers only once this replica was confirmed as the leader after the report came, as the answer renews a
-// lease (docs/fleet.md, "Sessions").
+// serveReport answers a report. baseSeq is the sequence number of the report that its delta was based on, 0 for a report that
+// was sent complete. A run without a session joins if it may. The answer renews the session's lease, so it is sent only after
+// this replica has been confirmed as the leader since the report arrived (docs/fleet.md, "Sessions").
 func (l *leadership) serveReport(w http.ResponseWriter, rep fleet.Report, baseSeq uint64) {
 	at := l.now()
 	cmd, err := l.admitReport(rep)
@@ -86,10 +86,10 @@
 			return
 		}
 		if errors.Is(a.err, session.ErrNoSlot) {
-			if skipped, ok := l.badBodyLog.allow(); ok {
+			if skipped, ok := l.rejectionLog.allow(); ok {
 				l.replica.cfg.Log.Error("no slot is free", "node", rep.Node, "zone", rep.Zone, "slots", l.settings.Slots, "more", skipped)
 			}
-		} else if !errors.Is(a.err, control.ErrStale) { // not caught up any more: it is out until its next report
+		} else if !errors.Is(a.err, control.ErrStale) { // ErrStale: the run is no longer caught up, and stays without a session until its next report
 			err = a.err
 		}
 	}
@@ -120,7 +120,7 @@
 
 var errNotLeader = errors.New("this replica does not lead yet")
 
-// admitReport says what must be committed before the report can be answered.
+// admitReport returns the command that must be committed before the report can be answered, or nil.
 func (l *leadership) admitReport(rep fleet.Report) (*control.Command, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -133,8 +133,8 @@
 	return c, err
 }
 
-// answerReport returns the answer to a report that came at at, for which this replica has been confirmed as the leader since.
-// The report of a present run is kept as a base of differences to come.
+// answerReport returns the answer to a report that arrived at at. The caller has confirmed since then that this replica is the
+// leader. The report of a present run is kept as a base for later deltas.
 func (l *leadership) answerReport(at fleet.Time, rep fleet.Report, baseSeq uint64) (fleet.ReportAnswer, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/registry/replica/fsm.go
+++ b/internal/registry/replica/fsm.go
@@ -15,23 +15,23 @@
 	"meadowsill/internal/registry"
 )
 
-// fsm is the state machine that raft feeds: the list and the fleet, under the list's revision. Every replica applies the
-// fleet's commands, whether or not it was started with the fleet's settings. Raft calls Apply, Snapshot and Restore one at a
-// time. Readers of the list and the intent take what was published and need no lock.
+// fsm is the state machine that raft replicates: the list and the fleet's state, which share one revision counter. Every
+// replica applies the fleet's commands, whether or not it was started with the fleet's settings. Raft calls Apply, Snapshot
+// and Restore one at a time. Readers of the list and the intent load the published views and need no lock.
 type fsm struct {
 	mu            sync.Mutex // guards the fields down to driftListView
 	state         *registry.State
 	fleet         *control.State
-	driftChanged  chan struct{}        // closed at each change of a verdict
-	driftList     []drift.ListedServer // the list as drift compares it
-	driftListView *registry.View       // that listed was made from
+	driftChanged  chan struct{}        // closed and replaced when a verdict changes
+	driftList     []drift.ListedServer // the list in the form that drift compares; nil until servers builds it
+	driftListView *registry.View       // view that driftList was built from
 
 	list     atomic.Pointer[publishedList]
 	intent   atomic.Pointer[control.View]
-	watchers *watcherSet // of the intent
+	watchers *watcherSet // watchers of the intent
 }
 
-// publishedList is the list for readers, and the channel that is closed at its next change.
+// publishedList is a view of the list for readers, and the channel that is closed at the list's next change.
 type publishedList struct {
 	view    *registry.View
 	changed chan struct{}
@@ -46,7 +46,7 @@
 
 type applyResult struct {
 	changed  bool
-	revision uint64 // that a change of the fleet took
+	revision uint64 // revision of a change of the fleet's state
 	err      error
 }
 
@@ -87,8 +87,8 @@
 	return applyResult{changed: ch.Revision != 0, revision: ch.Revision, err: err}
 }
 
-// publishList puts a view before the list's readers, and wakes its watchers where it has changed for them; compaction alone
-// wakes none.
+// publishList makes a view available to the list's readers, and wakes the list's watchers if changed is true. Compaction alone
+// creates a new view but wakes no watcher.
 func (f *fsm) publishList(view *registry.View, changed bool) {
 	old := f.list.Load()
 	if view == old.view {
@@ -102,8 +102,8 @@
 	close(old.changed)
 }
 
-// servers is the list as drift compares it, or nil where nothing has ever registered: then the nodes have theirs from elsewhere.
-// It is made anew only where the list has changed, and must not be changed. The caller holds mu.
+// servers returns the list in the form that drift compares, or nil if no server has ever registered: then the nodes get their
+// servers from another source. It is rebuilt only after a change of the list. The caller holds mu and must not modify it.
 func (f *fsm) servers() []drift.ListedServer {
 	view := f.state.View()
 	if view.Len() == 0 && view.Floor == 0 {
@@ -124,7 +124,7 @@
 	return out
 }
 
-// renewChannel closes a channel that watchers wait on and puts a new one in its place.
+// renewChannel closes a channel that watchers wait on and replaces it with a new one.
 func renewChannel(c *chan struct{}) {
 	close(*c)
 	*c = make(chan struct{})
@@ -166,7 +166,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	list := registry.New(0)
-	*list = *f.state // keeps its bounds
+	*list = *f.state // keeps keepRevisions
 	rest, err := list.Restore(raw)
 	if err != nil {
 		return err
--- a/internal/registry/replica/intent.go
+++ b/internal/registry/replica/intent.go
@@ -13,14 +13,14 @@
 	"meadowsill/internal/registry"
 )
 
-// intentWatch is the query of GET /fleet/v1/intent: a watch, and the scope that it hears.
+// intentWatch is the query of GET /fleet/v1/intent: a watch and its scope.
 type intentWatch struct {
 	registry.WatchQuery
-	node     string   // whose share; "": every node's
-	services []string // sorted; none: every service
+	node     string   // node whose share is included; "": the shares of all nodes
+	services []string // sorted; empty: every service
 }
 
-// parseIntentWatch reads ?since=R&timeout_ms=T&node=N&service=S, the last as often as the node serves services.
+// parseIntentWatch parses ?since=R&timeout_ms=T&node=N&service=S. service is repeated for each service that the node serves.
 func parseIntentWatch(q url.Values) (intentWatch, error) {
 	watch, err := registry.ParseWatchQuery(q)
 	if err != nil {
@@ -30,8 +30,9 @@
 	return intentWatch{WatchQuery: watch, node: q.Get("node"), services: services}, fleet.ValidScope(services)
 }
 
-// intent answers a watch of the intent, from any replica that has heard from a leader within the bound. X-Waited-Ms says how
-// long it waited before it read what it answers, X-Last-Contact-Ms how long since it had heard from the leader.
+// intent answers a watch of the intent. Any replica answers that has heard from a leader within the staleness limit.
+// X-Waited-Ms is the time that the request waited before the intent was read, X-Last-Contact-Ms the time since the replica's
+// last contact with the leader.
 func (l *leadership) intent(w http.ResponseWriter, r *http.Request) {
 	start := time.Now()
 	watch, err := parseIntentWatch(r.URL.Query())
@@ -48,28 +49,28 @@
 	writeJSON(w, view.Read(watch.Since, watch.node, watch.services...))
 }
 
-// awaitIntent waits until something has changed in the watch's scope, its time is over or ctx ends, and gives the intent as it is
-// then. It takes no lock of the state machine.
+// awaitIntent waits for a change in the watch's scope, the watch's timeout or the end of ctx, and returns the current intent. It
+// takes no lock of the state machine.
 func (f *fsm) awaitIntent(ctx context.Context, watch intentWatch) *control.View {
-	ctx, end := context.WithTimeout(ctx, watch.Timeout)
-	defer end()
+	ctx, cancel := context.WithTimeout(ctx, watch.Timeout)
+	defer cancel()
 	for watch.IsWatch && !f.hasChanges(watch) && ctx.Err() == nil {
 		f.awaitScopes(ctx, watch)
 	}
 	return f.intent.Load()
 }
 
-// hasChanges reports whether the published intent has anything for a watch.
+// hasChanges reports whether the published intent has changes for a watch.
 func (f *fsm) hasChanges(watch intentWatch) bool {
 	return f.intent.Load().HasChanges(watch.Since, watch.node, watch.services...)
 }
 
-// awaitScopes waits until one of the watch's scopes changes or ctx ends. It may return early: a wake-up may be for a change
-// that the watcher has read already.
+// awaitScopes waits until one of the watch's scopes changes or ctx ends. It may return without a new change, because a wake-up
+// may be for a change that the watcher has already read.
 func (f *fsm) awaitScopes(ctx context.Context, watch intentWatch) {
 	waiting := f.watchers.add(control.ReaderScopes(watch.node, watch.services...))
 	defer f.watchers.remove(waiting)
-	if f.hasChanges(watch) { // what was published before add wakes nobody
+	if f.hasChanges(watch) { // a change published before add does not wake this watcher
 		return
 	}
 	select {
--- a/internal/registry/replica/leadership.go
+++ b/internal/registry/replica/leadership.go
@@ -16,22 +16,23 @@
 	"meadowsill/internal/registry"
 )
 
-// stepInterval is how often the leader evaluates.
+// stepInterval is the interval between two steps of the controller.
 const stepInterval = 100 * time.Millisecond
 
-// leadership is a replica's fleet half (discovery serve --fleet): while it leads, a controller that decides, and the fleet's paths.
+// leadership is a replica's part in the fleet (discovery serve --fleet). It serves the fleet's HTTP paths, and it runs the
+// fleet's controller while the replica is the leader.
 type leadership struct {
-	replica    *Replica
-	settings   control.Settings
-	metrics    *fleetMetrics
-	clockStart time.Time  // of the leader's clock
-	badBodyLog logLimiter // of complaints on bad bodies
+	replica      *Replica
+	settings     control.Settings
+	metrics      *fleetMetrics
+	clockStart   time.Time  // start of the clock that now reads
+	rejectionLog logLimiter // limits the log lines about rejected bodies, rejected commands and missing slots
 
-	mu         sync.Mutex          // taken before the fsm's
-	controller *control.Controller // nil: this replica does not lead
-	term       uint64              // that the controller is of
-	bases      reportdelta.Bases   // of differences; forgotten with the controller
-	// of drift's log of repairs: the last entry that was logged; and when nodes were last counted
+	mu         sync.Mutex          // guards the fields down to driftCountedAt; locked before the fsm's mu
+	controller *control.Controller // nil while this replica is not the leader
+	term       uint64              // raft term of the controller
+	bases      reportdelta.Bases   // base reports for deltas; discarded with the controller
+	// The sequence number of the last logged entry of drift's repair log, and the time when the nodes were last counted by verdict.
 	loggedRepairs  uint64
 	driftCountedAt fleet.Time
 
@@ -44,7 +45,7 @@
 	return l
 }
 
-// routes puts the fleet's paths on mux.
+// routes registers the handlers of the fleet's paths on mux.
 func (l *leadership) routes(mux *http.ServeMux) {
 	mux.HandleFunc("GET /fleet/v1/intent", l.intent)
 	mux.HandleFunc("POST /fleet/v1/report", l.report)
@@ -59,10 +60,10 @@
 	mux.Handle("GET /metrics", l.metrics.handler)
 }
 
-// now reads the leader's monotonic clock.
+// now returns the time on the leader's monotonic clock.
 func (l *leadership) now() fleet.Time { return time.Since(l.clockStart) }
 
-// run evaluates while this replica leads.
+// run steps the controller every stepInterval while this replica is the leader, until the replica is closed.
 func (l *leadership) run() {
 	t := time.NewTicker(stepInterval)
 	defer t.Stop()
@@ -78,8 +79,8 @@
 	}
 }
 
-// lead reports whether this replica leads. Where it has just been elected it begins with a new controller, once all that was committed
-// before is applied.
+// lead reports whether this replica leads with a controller of the current term. A newly elected leader starts a new controller
+// once it has applied all that was committed before.
 func (l *leadership) lead() bool {
 	r := l.replica.raft
 	term := r.CurrentTerm()
@@ -88,13 +89,13 @@
 		return false
 	}
 	l.mu.Lock()
-	in := l.controller != nil && l.term == term
+	alreadyLeading := l.controller != nil && l.term == term
 	l.mu.Unlock()
-	if in {
+	if alreadyLeading {
 		return true
 	}
 	if err := r.Barrier(5 * time.Second).Error(); err != nil || r.CurrentTerm() != term {
-		l.resign("lost the lead before it began to judge")
+		l.resign("lost the leadership before the controller started")
 		return false
 	}
 	l.mu.Lock()
@@ -110,18 +111,18 @@
 	return true
 }
 
-// resign returns the leadership up: what the controller knew is forgotten.
-func (l *leadership) resign(why string) {
+// resign ends the leadership and discards the controller and its state.
+func (l *leadership) resign(reason string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.controller != nil {
 		l.controller, l.bases = nil, reportdelta.Bases{}
 		l.metrics.leading.Set(0)
-		l.replica.cfg.Log.Info("leadership ends", "term", l.term, "reason", why)
+		l.replica.cfg.Log.Info("leadership ends", "term", l.term, "reason", reason)
 	}
 }
 
-// step evaluates once and sees its commands through.
+// step runs the controller once, commits its commands and records their outcomes.
 func (l *leadership) step() {
 	start := time.Now()
 	l.mu.Lock()
@@ -133,11 +134,11 @@
 	l.replica.fsm.mu.Lock()
 	now := l.now()
 	cmds := controller.Step(now, l.replica.fsm.fleet, l.replica.fsm.servers())
-	tallies := make([][]drift.VerdictCounts, len(cmds))
+	verdictCounts := make([][]drift.VerdictCounts, len(cmds))
 	for i, c := range cmds {
 		if c.Drift != nil {
 			c.Drift.AtMS = time.Now().UnixMilli()
-			tallies[i] = c.Drift.VerdictCounts(&l.replica.fsm.fleet.Drift)
+			verdictCounts[i] = c.Drift.VerdictCounts(&l.replica.fsm.fleet.Drift)
 		}
 	}
 	l.recordDrift(controller, now)
@@ -155,8 +156,9 @@
 	lost := false
 	for i, c := range cmds {
 		if err := futures[i].Error(); err != nil {
-			// What becomes of it is not known: it may yet be committed. The controller, which holds back the sessions
-			// that it may end, goes with it; the next one comes after all that is committed is applied.
+			// The command's outcome is unknown: it may still be committed. The controller holds back the sessions that
+			// the command may end, so it is discarded; the next controller starts after all committed commands are
+			// applied.
 			lost = true
 			l.metrics.commands.WithLabelValues(coreName(c), "lost").Inc()
 			continue
@@ -164,18 +166,19 @@
 		a := futures[i].Response().(applyResult)
 		l.recordOutcome(c, a)
 		if a.err == nil && a.changed {
-			l.metrics.countVerdicts(tallies[i])
+			l.metrics.countVerdicts(verdictCounts[i])
 		}
 		l.mu.Lock()
 		controller.Resolved(c)
 		l.mu.Unlock()
 	}
 	if lost {
-		l.resign("a command's outcome is not known")
+		l.resign("the outcome of a command is unknown")
 	}
 }
 
-// recordDrift logs the repairs that were begun, and counts what drifts once a second. The caller holds both locks.
+// recordDrift logs the repairs that have begun since the last call, and once a second counts the nodes by drift verdict. The
+// caller holds both locks.
 func (l *leadership) recordDrift(controller *control.Controller, now fleet.Time) {
 	for _, e := range controller.Repairs(l.loggedRepairs) {
 		l.loggedRepairs = e.Sequence
@@ -194,12 +197,12 @@
 	l.metrics.selfSuspecting.Set(map[bool]float64{true: 1}[sum.SelfSuspecting])
 }
 
-// recordOutcome counts and logs what a command of the controller came to.
+// recordOutcome counts and logs the outcome of a fleet command.
 func (l *leadership) recordOutcome(c control.Command, a applyResult) {
 	log, result := l.replica.cfg.Log, "applied"
 	if a.err != nil {
 		result = "refused"
-		if skipped, ok := l.badBodyLog.allow(); ok && errors.Is(a.err, fleet.ErrInvalid) {
+		if skipped, ok := l.rejectionLog.allow(); ok && errors.Is(a.err, fleet.ErrInvalid) {
 			log.Warn("controller command rejected", "core", coreName(c), "err", a.err, "more", skipped)
 		}
 		log.Debug("command rejected", "core", coreName(c), "err", a.err)
@@ -220,7 +223,7 @@
 	}
 }
 
-// coreName names the core that a command is for.
+// coreName returns the name of the core that a command is for.
 func coreName(c control.Command) string {
 	switch {
 	case c.Session != nil:
@@ -235,14 +238,15 @@
 	return "none"
 }
 
-// fleetCommand is a command of the fleet as raft's log has it.
+// fleetCommand encodes a command of the fleet as an entry of raft's log.
 func fleetCommand(c control.Command) []byte {
 	inner, _ := json.Marshal(c)
 	raw, _ := json.Marshal(registry.Command{Op: registry.FleetCommand, Fleet: inner})
 	return raw
 }
 
-// proposeFleet has a command committed and applied; the error is raft's, the applied one the state's.
+// proposeFleet proposes a command to raft and waits until it is committed and applied. The returned error is raft's; the
+// error of the fleet's state is in the applyResult.
 func (l *leadership) proposeFleet(c control.Command) (applyResult, error) {
 	fut := l.replica.raft.Apply(fleetCommand(c), 5*time.Second)
 	if err := fut.Error(); err != nil {
@@ -253,17 +257,17 @@
 	return a, nil
 }
 
-// batchedCheck answers many askers by one check that begins after all of them asked.
+// batchedCheck shares one check among many concurrent callers. The check begins after all of their calls.
 type batchedCheck struct {
 	check   func() error
 	mu      sync.Mutex // guards waiting
 	waiting []chan error
 }
 
-// batchDelay is how long a batch gathers askers.
+// batchDelay is how long a batch collects callers before its check begins.
 const batchDelay = 50 * time.Millisecond
 
-// wait waits for the outcome of a check that began after the call.
+// wait returns the outcome of a check that began after the call to wait.
 func (b *batchedCheck) wait() error {
 	c := make(chan error, 1)
 	b.mu.Lock()
--- a/internal/registry/replica/list.go
+++ b/internal/registry/replica/list.go
@@ -14,14 +14,14 @@
 	"meadowsill/internal/registry"
 )
 
-// staleness says how long since this replica heard from a leader, and whether that is within the bound and the
-// replica has caught up with its own log.
+// staleness returns the time since this replica's last contact with the leader. The bool is true if that is within the
+// staleness limit and the replica has applied its own log.
 func (rep *Replica) staleness() (time.Duration, bool) {
 	if rep.raft.AppliedIndex() < rep.startIndex {
-		return time.Since(rep.raft.LastContact()), false // still replaying what it had before a restart
+		return time.Since(rep.raft.LastContact()), false // still replaying the log from before a restart
 	}
 	if rep.raft.State() == raft.Leader {
-		return 0, true // raft steps a leader down once its lease lapses
+		return 0, true // raft makes a leader step down when its lease lapses
 	}
 	if _, id := rep.raft.LeaderWithID(); id == "" {
 		return time.Since(rep.raft.LastContact()), false
@@ -37,7 +37,7 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	if q.Has("consistent") { // linearizable: the leader confirms it still leads and has applied all it committed
+	if q.Has("consistent") { // linearizable: the leader confirms that it still leads and that it has applied all committed entries
 		if rep.raft.State() != raft.Leader {
 			rep.notLeader(w)
 			return
@@ -114,8 +114,8 @@
 	fmt.Fprintf(w, `{"committed":true,"revision":%d}`+"\n", rev)
 }
 
-// notCommitted answers a raft error: that this replica does not lead, and nothing came of the call, or that the outcome
-// is not known.
+// notCommitted answers a raft error: either this replica is not the leader and the request had no effect, or the outcome of the
+// request is unknown.
 func (rep *Replica) notCommitted(w http.ResponseWriter, err error) {
 	if errors.Is(err, raft.ErrNotLeader) {
 		rep.notLeader(w)
@@ -125,10 +125,10 @@
 	http.Error(w, "not committed: "+err.Error(), http.StatusServiceUnavailable)
 }
 
-// NotLeader begins the answer of a replica that does not lead: nothing came of the call.
+// NotLeader begins the answer of a replica that is not the leader. The request had no effect.
 const NotLeader = "not the leader"
 
-// notLeader answers 503 with the leader's HTTP address where it is known.
+// notLeader answers 503, with the leader's HTTP address in X-Leader if it is known.
 func (rep *Replica) notLeader(w http.ResponseWriter) {
 	rep.nameLeader(w)
 	http.Error(w, NotLeader, http.StatusServiceUnavailable)
--- a/internal/registry/replica/peers.go
+++ b/internal/registry/replica/peers.go
@@ -15,7 +15,7 @@
 	HTTP string
 }
 
-// ParsePeer reads "ID=RAFT_ADDR=HTTP_ADDR".
+// ParsePeer parses "ID=RAFT_ADDR=HTTP_ADDR".
 func ParsePeer(s string) (Peer, error) {
 	parts := strings.Split(s, "=")
 	if len(parts) != 3 || parts[0] == "" {
@@ -31,14 +31,14 @@
 
 type peerAddresses map[raft.ServerID]raft.ServerAddress
 
-func (r peerAddresses) ServerAddr(id raft.ServerID) (raft.ServerAddress, error) {
-	if a, ok := r[id]; ok {
+func (p peerAddresses) ServerAddr(id raft.ServerID) (raft.ServerAddress, error) {
+	if a, ok := p[id]; ok {
 		return a, nil
 	}
-	return "", fmt.Errorf("no replica %s", id)
+	return "", fmt.Errorf("no address for replica %s", id)
 }
 
-// newPeerAddresses returns the address each peer is dialed at: its own, or its route.
+// newPeerAddresses returns the raft address to dial for each peer: the peer's own address, or its route if cfg has one.
 func newPeerAddresses(cfg Config) peerAddresses {
 	out := peerAddresses{}
 	for _, p := range cfg.Peers {
--- a/internal/registry/replica/replica.go
+++ b/internal/registry/replica/replica.go
@@ -1,10 +1,10 @@
-// Package replica is discovery's I/O shell round package registry: a replica of the list, replicated by
-// hashicorp/raft with its log and stable store in BoltDB and snapshots on disk, serving PROTOCOL's reads and
+// Package replica runs one replica of discovery and does the I/O for package registry. hashicorp/raft replicates the list, with
+// its log and stable store in a Bolt database and its snapshots on disk. The replica serves PROTOCOL's reads and
 // watches and the registration API of docs/discovery.md over HTTP.
 //
-// Writes are acknowledged only once raft has committed them on a quorum and this replica has applied them. Reads
-// and watches are answered by any replica that has heard from a leader within Staleness (a leader: that still
-// holds its lease); otherwise 503, with X-Last-Contact-Ms saying how long since.
+// A write is acknowledged only once raft has committed it on a quorum and this replica has applied it. Reads and watches are
+// answered by the leader while it holds its lease, and by any other replica that has heard from the leader within
+// Config.Staleness. Otherwise the answer is 503, with the time since the last contact in X-Last-Contact-Ms.
 package replica
 
 import (
@@ -26,18 +26,18 @@
 	"meadowsill/internal/registry"
 )
 
-// Config places a replica.
+// Config is the configuration of a replica.
 type Config struct {
 	Self             Peer
-	Peers            []Peer // all replicas, itself among them
-	Dir              string // raft's log, stable store and snapshots
+	Peers            []Peer // all replicas, including this one
+	Dir              string // directory of raft's log, stable store and snapshots
 	Staleness        time.Duration
-	KeepRevisions    int               // removed entries kept for this many revisions before compaction
-	SnapshotAfter    uint64            // entries of raft's log after which a snapshot is due; 0: 2048
-	SnapshotInterval time.Duration     // how often, up to twice that, it is looked whether one is; 0: 5 s
-	Routes           map[string]string // by peer id, an address to dial it at other than its raft address (a relay)
+	KeepRevisions    int               // number of revisions that a removed entry is kept before compaction
+	SnapshotAfter    uint64            // number of raft log entries after which a snapshot is due; 0: 2048
+	SnapshotInterval time.Duration     // time between checks whether a snapshot is due, up to twice as long by raft's random stagger; 0: 5 s
+	Routes           map[string]string // by peer id, an address to dial in place of the peer's raft address (a relay)
 	Log              *slog.Logger
-	Fleet            *control.Settings // nil: no fleet, and its paths answer 404
+	Fleet            *control.Settings // nil: no fleet, and the fleet's paths answer 404
 }
 
 // Replica is one running discovery replica.
@@ -48,30 +48,30 @@
 	store *raftboltdb.BoltStore
 	http  *http.Server
 	done  chan struct{}
-	// startIndex is the last log index this process found in its store: until it has applied that far, its list
-	// may be older than what it had acknowledged, and it answers no reads.
+	// startIndex is the last log index in the store when this process started. Until the replica has applied the log up to
+	// that index, its list may be older than a state that it has acknowledged, so it answers no reads.
 	startIndex uint64
 }
 
-// Raft's timing within one network, and what it keeps on disk.
+// Raft's timeouts, for replicas in one network, and the limits of the data that raft keeps on disk.
 const (
 	heartbeatTimeout         = 500 * time.Millisecond
 	electionTimeout          = 500 * time.Millisecond
 	leaderLeaseTimeout       = 250 * time.Millisecond
 	commitTimeout            = 10 * time.Millisecond
 	transportTimeout         = 2 * time.Second
-	maxPooledConns           = 8 // to each peer
+	maxPooledConns           = 8 // idle connections kept for each peer
 	defaultSnapshotThreshold = 2048
 	defaultSnapshotInterval  = 5 * time.Second
-	defaultTrailingLogs      = 4096 // entries kept behind a snapshot, for a replica that was away
+	defaultTrailingLogs      = 4096 // entries kept after a snapshot, so that a replica that was down can catch up from the log
 	retainedSnapshots        = 3
 )
 
-// headerReadTimeout is for the head of a request.
+// headerReadTimeout is the time limit for reading a request's headers.
 const headerReadTimeout = 5 * time.Second
 
-// Start opens the replica's stores, joins raft (bootstrapping the cluster from Peers where the store is new)
-// and serves HTTP on Self.HTTP.
+// Start opens the replica's stores, starts raft (bootstrapping the cluster from Peers if the store is new), and serves HTTP on
+// Self.HTTP.
 func Start(cfg Config) (*Replica, error) {
 	if err := os.MkdirAll(cfg.Dir, 0o755); err != nil {
 		return nil, err
@@ -80,15 +80,15 @@
 	if err != nil {
 		return nil, fmt.Errorf("raft store: %w", err)
 	}
-	machine := newFSM(cfg.KeepRevisions)
-	consensus, err := startRaft(cfg, machine, store)
+	stateMachine := newFSM(cfg.KeepRevisions)
+	consensus, err := startRaft(cfg, stateMachine, store)
 	if err != nil {
 		store.Close()
 		return nil, err
 	}
 	rep := &Replica{
 		cfg:        cfg,
-		fsm:        machine,
+		fsm:        stateMachine,
 		raft:       consensus,
 		store:      store,
 		done:       make(chan struct{}),
@@ -103,8 +103,8 @@
 	return rep, nil
 }
 
-// startRaft joins raft, and bootstraps the cluster where the store is new.
-func startRaft(cfg Config, machine *fsm, store *raftboltdb.BoltStore) (*raft.Raft, error) {
+// startRaft starts raft, and bootstraps the cluster if the store is new.
+func startRaft(cfg Config, stateMachine *fsm, store *raftboltdb.BoltStore) (*raft.Raft, error) {
 	log := hclog.New(&hclog.LoggerOptions{Name: "raft", Output: os.Stderr, JSONFormat: true, Level: hclog.Warn})
 	snapshots, err := raft.NewFileSnapshotStoreWithLogger(cfg.Dir, retainedSnapshots, log)
 	if err != nil {
@@ -127,7 +127,7 @@
 	if err != nil {
 		return nil, err
 	}
-	consensus, err := raft.NewRaft(raftConfig(cfg, log), machine, store, store, snapshots, transport)
+	consensus, err := raft.NewRaft(raftConfig(cfg, log), stateMachine, store, store, snapshots, transport)
 	if err != nil {
 		return nil, fmt.Errorf("raft: %w", err)
 	}
@@ -163,7 +163,7 @@
 	return c
 }
 
-// bootstrap makes the peers the members of a new cluster. That another replica has done so is no error.
+// bootstrap bootstraps a new cluster with the peers as its members. It is no error if the cluster has already been bootstrapped.
 func bootstrap(consensus *raft.Raft, peers []Peer) error {
 	var servers []raft.Server
 	for _, p := range peers {
@@ -176,7 +176,7 @@
 	return err
 }
 
-// serve answers HTTP on the listener, leads the fleet when this replica is the leader, and expires leases.
+// serve starts the HTTP server on the listener, the fleet's leadership if there is a fleet, and the expiry of leases.
 func (rep *Replica) serve(listener net.Listener) {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /registry/instances", rep.read)
@@ -192,7 +192,7 @@
 	go rep.sweep()
 }
 
-// Close ends the replica: HTTP, raft and its store.
+// Close stops the replica: its HTTP server, raft and the store.
 func (rep *Replica) Close() {
 	close(rep.done)
 	if rep.http != nil {
@@ -202,7 +202,8 @@
 	rep.store.Close()
 }
 
-// sweep has the leader propose the expiry of lapsed leases, with its own clock on the command.
+// sweep checks every 100 ms for lapsed leases while this replica is the leader, and proposes their expiry with its own clock in
+// the command.
 func (rep *Replica) sweep() {
 	t := time.NewTicker(100 * time.Millisecond)
 	defer t.Stop()
--- a/internal/registry/replica/watchers.go
+++ b/internal/registry/replica/watchers.go
@@ -6,15 +6,15 @@
 	"meadowsill/internal/registry/index"
 )
 
-// watcherSet are the calls that wait for a change of the intent, by the scopes that they hear. A change costs those that it
-// wakes and no others. It is safe for concurrent use.
+// watcherSet is the set of requests that wait for a change of the intent, indexed by scope. The cost of a change depends only
+// on the watchers that it wakes. A watcherSet is safe for concurrent use.
 type watcherSet struct {
 	mu      sync.Mutex // guards the fields below
 	byScope map[index.Scope]map[*watcher]struct{}
 	wakeups int // watchers woken so far
 }
 
-// watcher is one call that waits. woken is closed once one of its scopes changes.
+// watcher is one waiting request. woken is closed when one of its scopes changes.
 type watcher struct {
 	scopes []index.Scope
 	woken  chan struct{}
@@ -24,7 +24,7 @@
 	return &watcherSet{byScope: map[index.Scope]map[*watcher]struct{}{}}
 }
 
-// add begins a wait. The caller removes the watcher after it.
+// add registers a watcher of scopes. The caller must remove it after the wait.
 func (w *watcherSet) add(scopes []index.Scope) *watcher {
 	added := &watcher{scopes: scopes, woken: make(chan struct{})}
 	w.mu.Lock()
@@ -38,14 +38,14 @@
 	return added
 }
 
-// remove ends a wait, whether or not the watcher was woken.
+// remove unregisters a watcher, whether or not it was woken.
 func (w *watcherSet) remove(ended *watcher) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.detach(ended)
 }
 
-// wake wakes the watchers that hear one of scopes, each once.
+// wake wakes each watcher of at least one of scopes once.
 func (w *watcherSet) wake(scopes []index.Scope) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -71,10 +71,10 @@
 	}
 }
 
-// detach takes a watcher out of all its scopes. The caller holds mu.
-func (w *watcherSet) detach(x *watcher) {
-	for _, scope := range x.scopes {
-		delete(w.byScope[scope], x)
+// detach removes a watcher from all its scopes. The caller holds mu.
+func (w *watcherSet) detach(removed *watcher) {
+	for _, scope := range removed.scopes {
+		delete(w.byScope[scope], removed)
 		if len(w.byScope[scope]) == 0 {
 			delete(w.byScope, scope)
 		}
--- a/internal/registry/view.go
+++ b/internal/registry/view.go
@@ -8,22 +8,22 @@
 	"meadowsill/internal/registry/index"
 )
 
-// Answer is PROTOCOL's body of a read or a watch.
+// Answer is the body that PROTOCOL specifies for the answer to a read or a watch.
 type Answer struct {
 	Version uint64  `json:"version"`
 	Full    bool    `json:"full"`
 	Servers []Entry `json:"servers"`
 }
 
-// View is the list as it was when the view was taken. It never changes, so that readers need no lock, and is safe for
-// concurrent use.
+// View is an immutable snapshot of the list. Readers need no lock: a View is safe for concurrent use.
 type View struct {
-	Version uint64 // of the list's last change
-	Floor   uint64 // changes at or below it are compacted
+	Version uint64 // revision of the list's last change
+	Floor   uint64 // changes at or below this revision are compacted
 	entries index.Snapshot[Entry]
 }
 
-// View returns the list as it is now. It is the same one until the list changes, and costs the same however long the list.
+// View returns a view of the current list. It returns the same view until the list changes, and its cost does not depend on
+// the list's length.
 func (s *State) View() *View {
 	if s.view == nil {
 		s.view = &View{Version: s.ListRevision, Floor: s.Floor, entries: s.entries.Snapshot()}
@@ -31,12 +31,12 @@
 	return s.view
 }
 
-// Read answers from the list as it is now; see View.Read.
+// Read answers from the current list; see View.Read.
 func (s *State) Read(since uint64, watch bool) Answer { return s.View().Read(since, watch) }
 
-// Read answers a complete read (since 0, watch false) or a watch from since: the entries changed after it, or the
-// complete list where since is compacted away or newer than this list. Gone entries appear only among changes. A watch costs
-// what changed.
+// Read answers a complete read (since 0, watch false) or a watch. A watch gets the entries that changed after since, or the
+// complete list where since is compacted or newer than this list. Removed entries (state "gone") appear only among changes.
+// The cost of a watch depends on the number of changed entries, not on the length of the list.
 func (v *View) Read(since uint64, watch bool) Answer {
 	if !watch || since < v.Floor || since > v.Version {
 		return v.complete()
@@ -59,10 +59,11 @@
 	return a
 }
 
-// Len is the number of entries known, removed ones among them.
+// Len returns the number of entries, including removed entries that are not yet compacted.
 func (v *View) Len() int { return v.entries.Len() }
 
-// Each returns every entry that is known, removed ones too, by id, with the revision of its last change.
+// Each iterates over all entries in the order of their ids, including removed entries that are not yet compacted, each with
+// the revision of its last change.
 func (v *View) Each() iter.Seq2[Entry, uint64] {
 	return func(yield func(Entry, uint64) bool) {
 		for e := range v.entries.All("") {
--- a/internal/registry/watch.go
+++ b/internal/registry/watch.go
@@ -8,14 +8,14 @@
 	"time"
 )
 
-// WatchQuery is a read's query as PROTOCOL gives it: ?since=V&timeout_ms=T, T at most 60,000.
+// WatchQuery is the query of a read as PROTOCOL specifies it: ?since=V&timeout_ms=T, with T at most 60,000.
 type WatchQuery struct {
-	IsWatch bool // since was given
+	IsWatch bool // whether the query has since
 	Since   uint64
-	Timeout time.Duration // how long to wait for something newer than Since; 0 answers at once
+	Timeout time.Duration // how long to wait for a change after Since; 0 answers at once
 }
 
-// ParseWatchQuery reads a query; a since that is not a number is an error.
+// ParseWatchQuery parses a query. A since that is not a number is an error; an invalid timeout_ms counts as 0.
 func ParseWatchQuery(q url.Values) (WatchQuery, error) {
 	w := WatchQuery{IsWatch: q.Has("since")}
 	if w.IsWatch {
@@ -30,7 +30,7 @@
 	return w, nil
 }
 
-// Await waits for changed to close, d to pass or ctx to end.
+// Await returns when changed is closed, after d, or when ctx is done, whichever comes first.
 func Await(ctx context.Context, changed <-chan struct{}, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
