--- a/cmd/discovery/agent.go
+++ b/cmd/discovery/agent.go
@@ -25,11 +25,11 @@
 )
 
 const (
-	dialTimeout       = 2 * time.Second // for a connection to a replica
-	headerReadTimeout = 5 * time.Second // for the head of a request of the node
+	dialTimeout       = 2 * time.Second // to connect to a replica
+	headerReadTimeout = 5 * time.Second // to read the headers of a node's request
 )
 
-// agentFlags are the flags of agent as they are given.
+// agentFlags are the values of the flags of discovery agent.
 type agentFlags struct {
 	replicas   []string
 	routes     []string
@@ -41,7 +41,7 @@
 	dir        string
 }
 
-// agentCmd is the command that runs a node's agent.
+// agentCmd returns the command discovery agent, which runs a node's agent.
 func agentCmd() *cobra.Command {
 	var flags agentFlags
 	cmd := &cobra.Command{Use: "agent", Short: "Serve a node the list watched from the replicas", Args: cobra.NoArgs,
@@ -62,7 +62,7 @@
 	return cmd
 }
 
-// check returns what is wrong with the flags. It sorts the services.
+// check returns an error if the flags are invalid. It sorts the services.
 func (flags agentFlags) check() error {
 	if len(flags.replicas) == 0 {
 		return errors.New("--replica is needed, once for each replica's HTTP address")
@@ -81,7 +81,7 @@
 	return nil
 }
 
-// runAgent serves the node until the process is asked to end.
+// runAgent runs the agent until the process receives SIGTERM or SIGINT.
 func runAgent(flags agentFlags) error {
 	log := slog.New(slog.NewJSONHandler(os.Stderr, nil)).With("agent", flags.listen)
 	listener, err := net.Listen("tcp", flags.listen)
@@ -129,7 +129,7 @@
 	return nil
 }
 
-// readAddressMap reads a file of server ids and the addresses that this machine reaches them at.
+// readAddressMap reads a JSON file that maps a server's id to the address at which this machine reaches the server.
 func readAddressMap(file string) (map[string]string, error) {
 	raw, err := os.ReadFile(file)
 	if err != nil {
@@ -142,8 +142,8 @@
 	return addresses, nil
 }
 
-// startFleetAgent starts the agent's part in the fleet and returns a handler of its paths, its metrics, and the list
-// for all else.
+// startFleetAgent starts the agent's part in the fleet. It returns a handler that serves the fleet's paths, the metrics, and list
+// for all other paths.
 func startFleetAgent(ctx context.Context, list http.Handler, cfg fleetagent.Config) (http.Handler, error) {
 	metrics := prometheus.NewRegistry()
 	f, err := fleetagent.Start(ctx, cfg, metrics)
@@ -157,7 +157,7 @@
 	return mux, nil
 }
 
-// dialerWithRoutes returns a dialer that reaches the replicas named in "HTTP=ADDR" at ADDR.
+// dialerWithRoutes returns a dial function that connects to ADDR in place of HTTP for each route "HTTP=ADDR".
 func dialerWithRoutes(routes []string) (func(ctx context.Context, network, addr string) (net.Conn, error), error) {
 	routed := map[string]string{}
 	for _, route := range routes {
--- a/cmd/discovery/main.go
+++ b/cmd/discovery/main.go
@@ -6,9 +6,10 @@
 //	discovery agent ... --node NAME --zone ZONE --dir DATA [--service NAME ...]
 //	discovery tenants apply FILE | status NAME | delete NAME --replica HTTP --replica HTTP
 //
-// serve runs one replica of three or five: PROTOCOL's GET /registry/instances and the registration API.
-// agent runs beside a node and serves it the list it watches from the replicas.
-// With --fleet and --node the two are the control plane and the agent of docs/fleet.md, too.
+// discovery serve runs one replica of a cluster of three or five. It serves PROTOCOL's GET /registry/instances and the
+// registration API. discovery agent runs beside a node, watches the list at the replicas and serves it to the node. With --fleet,
+// serve is also a replica of the fleet's control plane, and with --node, agent is also the node's fleet agent (docs/fleet.md).
+// discovery tenants is the operators' client of the tenants' API.
 package main
 
 import (
--- a/cmd/discovery/serve.go
+++ b/cmd/discovery/serve.go
@@ -22,7 +22,7 @@
 	defaultKeepRevisions = 1000
 )
 
-// serveFlags are the flags of serve as they are given.
+// serveFlags are the values of the flags of discovery serve.
 type serveFlags struct {
 	id               string
 	dir              string
@@ -35,7 +35,7 @@
 	snapshotAfter    uint64
 }
 
-// serveCmd is the command that runs one replica.
+// serveCmd returns the command discovery serve, which runs one replica.
 func serveCmd() *cobra.Command {
 	var flags serveFlags
 	cmd := &cobra.Command{Use: "serve", Short: "Run one replica", Args: cobra.NoArgs,
@@ -49,12 +49,12 @@
 	cmd.Flags().IntVar(&flags.keepRevisions, "keep-revisions", defaultKeepRevisions, "revisions a removed entry is kept before watches from before it get the complete list")
 	cmd.Flags().Uint64Var(&flags.snapshotAfter, "snapshot-after", 0, "entries of raft's log after which a snapshot is due; 0: 2048")
 	cmd.Flags().DurationVar(&flags.snapshotInterval, "snapshot-every", 0, "how often it is looked whether one is due, 5ms or more; 0: 5s")
-	cmd.Flags().MarkHidden("snapshot-after") // of tests: small ones make snapshots come at once
+	cmd.Flags().MarkHidden("snapshot-after") // for tests, which set small values so that snapshots are taken soon
 	cmd.Flags().MarkHidden("snapshot-every")
 	return cmd
 }
 
-// serve runs a replica until the process is asked to end.
+// serve runs a replica until the process receives SIGTERM or SIGINT.
 func serve(flags serveFlags) error {
 	cfg, err := flags.config()
 	if err != nil {
@@ -67,15 +67,15 @@
 		return err
 	}
 	log.Info("serving", "http", cfg.Self.HTTP, "raft", cfg.Self.Raft, "peers", len(cfg.Peers))
-	ending := make(chan os.Signal, 1)
-	signal.Notify(ending, syscall.SIGTERM, os.Interrupt)
-	<-ending
+	signals := make(chan os.Signal, 1)
+	signal.Notify(signals, syscall.SIGTERM, os.Interrupt)
+	<-signals
 	log.Info("ending")
 	r.Close()
 	return nil
 }
 
-// config returns the replica's configuration, or what is wrong with the flags.
+// config returns the replica's configuration, or an error if the flags are invalid.
 func (flags serveFlags) config() (replica.Config, error) {
 	cfg := replica.Config{
 		Dir:              flags.dir,
@@ -119,7 +119,7 @@
 	return cfg, nil
 }
 
-// readFleetSettings reads the fleet's settings.
+// readFleetSettings reads and parses the file of the fleet's settings.
 func readFleetSettings(file string) (*control.Settings, error) {
 	raw, err := os.ReadFile(file)
 	if err != nil {
--- a/cmd/discovery/tenants.go
+++ b/cmd/discovery/tenants.go
@@ -22,7 +22,8 @@
 	"meadowsill/internal/registry/replica"
 )
 
-// tenantsCmd is the operators' side of the tenants' API (docs/fleet.md): apply, status and delete.
+// tenantsCmd returns the command discovery tenants, the operators' client of the tenants' API (docs/fleet.md), with the
+// subcommands apply, status and delete.
 func tenantsCmd() *cobra.Command {
 	var replicas []string
 	var timeout time.Duration
@@ -44,25 +45,27 @@
 	return root
 }
 
-// tenantClient calls the leader of the replicas. It asks one after the other until one answers for the leader.
+// tenantClient calls the tenants' API. It tries the replicas in turn, or the leader that a replica names, until one answers with
+// a status below 500.
 type tenantClient struct {
 	replicas []string
 	timeout  time.Duration
 	http     *http.Client
 	next     int
-	leader   string // as a replica named it
+	leader   string // its address from the last X-Leader header; "" if unknown
 }
 
-// answer is a call's final answer. Unclear says that an earlier attempt may have been carried out unheard.
+// answer is the final answer to a call. If outcomeUnknown is true, an earlier attempt may have been carried out.
 type answer struct {
-	status  int
-	body    []byte
-	unclear bool
+	status         int
+	body           []byte
+	outcomeUnknown bool
 }
 
-// call sends one request, following X-Leader, and again with backoff while no replica answers for the leader.
+// call sends one request, follows X-Leader, and retries with backoff until a replica answers with a status below 500 or c.timeout
+// has passed.
 func (c *tenantClient) call(ctx context.Context, method, path string, body []byte) (answer, error) {
-	unclear := false
+	outcomeUnknown := false
 	attempt := func() (answer, error) {
 		addr := c.leader
 		if addr == "" {
@@ -74,43 +77,43 @@
 		}
 		resp, err := c.http.Do(req)
 		if err != nil {
-			unclear = true
+			outcomeUnknown = true
 			c.leader, c.next = "", c.next+1
 			return answer{}, err
 		}
 		defer resp.Body.Close()
 		raw, err := io.ReadAll(io.LimitReader(resp.Body, fleet.MaxIntentBytes))
 		if err == nil && resp.StatusCode < 500 {
-			return answer{status: resp.StatusCode, body: raw, unclear: unclear}, nil
+			return answer{status: resp.StatusCode, body: raw, outcomeUnknown: outcomeUnknown}, nil
 		}
 		if err == nil {
 			err = fmt.Errorf("%s answers %d: %.200s", addr, resp.StatusCode, bytes.TrimSpace(raw))
 		}
-		unclear = unclear || !bytes.HasPrefix(raw, []byte(replica.NotLeader))
+		outcomeUnknown = outcomeUnknown || !bytes.HasPrefix(raw, []byte(replica.NotLeader))
 		if c.leader = resp.Header.Get("X-Leader"); c.leader == "" {
 			c.next++
 		}
 		return answer{}, err
 	}
-	pace := &backoff.ExponentialBackOff{InitialInterval: 50 * time.Millisecond, RandomizationFactor: 0.5, Multiplier: 1.5, MaxInterval: time.Second}
-	a, err := backoff.Retry(ctx, attempt, backoff.WithBackOff(pace), backoff.WithMaxElapsedTime(c.timeout))
+	retryBackoff := &backoff.ExponentialBackOff{InitialInterval: 50 * time.Millisecond, RandomizationFactor: 0.5, Multiplier: 1.5, MaxInterval: time.Second}
+	a, err := backoff.Retry(ctx, attempt, backoff.WithBackOff(retryBackoff), backoff.WithMaxElapsedTime(c.timeout))
 	if err != nil {
 		return answer{}, fmt.Errorf("no replica answers for the leader: %w", err)
 	}
 	return a, nil
 }
 
-// rejection is the API's own reason why it did not do as asked.
-func (a answer) refusal(what string) error {
-	return fmt.Errorf("%s: %d: %.400s", what, a.status, bytes.TrimSpace(a.body))
+// rejection returns an error with the status and the reason from the API's answer.
+func (a answer) rejection(subject string) error {
+	return fmt.Errorf("%s: %d: %.400s", subject, a.status, bytes.TrimSpace(a.body))
 }
 
 func noTenant(name string) error { return fmt.Errorf("tenant %s: there is none", name) }
 
 func tenantPath(name string) string { return "/fleet/v1/tenants/" + url.PathEscape(name) }
 
-// present returns the tenant as it is intended, its generation 0 where there is none.
-func (c *tenantClient) present(ctx context.Context, name string) (t fleet.Tenant, generation uint64, err error) {
+// currentTenant returns the tenant as it is intended now, and its committed generation; 0 if it has none.
+func (c *tenantClient) currentTenant(ctx context.Context, name string) (t fleet.Tenant, generation uint64, err error) {
 	a, err := c.call(ctx, http.MethodGet, tenantPath(name), nil)
 	switch {
 	case err != nil:
@@ -118,7 +121,7 @@
 	case a.status == http.StatusNotFound:
 		return t, 0, nil
 	case a.status != http.StatusOK:
-		return t, 0, a.refusal("tenant " + name)
+		return t, 0, a.rejection("tenant " + name)
 	}
 	if err := json.Unmarshal(a.body, &t); err != nil {
 		return t, 0, fmt.Errorf("tenant %s: %w", name, err)
@@ -138,63 +141,63 @@
 	if err != nil {
 		return fmt.Errorf("%s: %w", file, err)
 	}
-	t, at, err := c.present(ctx, spec.Name)
+	t, generation, err := c.currentTenant(ctx, spec.Name)
 	if err != nil {
 		return err
 	}
 	digest := tenants.Digest(spec)
 	if t.Committed != nil && t.Staged == nil && !t.Removing && t.Committed.Digest == digest {
-		fmt.Fprintf(out, "%s is at generation %d already, digest %s\n", spec.Name, at, digest)
+		fmt.Fprintf(out, "%s is at generation %d already, digest %s\n", spec.Name, generation, digest)
 		return nil
 	}
-	body, err := json.Marshal(map[string]any{"generation": at, "spec": spec})
+	body, err := json.Marshal(map[string]any{"generation": generation, "spec": spec})
 	if err != nil {
 		return err
 	}
 	a, err := c.call(ctx, http.MethodPut, tenantPath(spec.Name), body)
 	if err != nil {
-		return fmt.Errorf("%w; whether generation %d was proposed is not known: see status", err, at+1)
+		return fmt.Errorf("%w; whether generation %d was proposed is not known: see status", err, generation+1)
 	}
-	if a.status == http.StatusConflict && a.unclear { // it may be our own first attempt that is in the way
-		now, _, err := c.present(ctx, spec.Name)
-		for _, g := range []*fleet.Generation{now.Staged, now.Committed} {
-			if err == nil && g != nil && g.Number == at+1 && g.Digest == digest {
+	if a.status == http.StatusConflict && a.outcomeUnknown { // the conflict may be with an earlier attempt of this call
+		latest, _, err := c.currentTenant(ctx, spec.Name)
+		for _, g := range []*fleet.Generation{latest.Staged, latest.Committed} {
+			if err == nil && g != nil && g.Number == generation+1 && g.Digest == digest {
 				a.status = http.StatusOK
 			}
 		}
 	}
 	if a.status != http.StatusOK {
-		return a.refusal("tenant " + spec.Name)
+		return a.rejection("tenant " + spec.Name)
 	}
-	fmt.Fprintf(out, "%s: generation %d proposed, digest %s\n", spec.Name, at+1, digest)
+	fmt.Fprintf(out, "%s: generation %d proposed, digest %s\n", spec.Name, generation+1, digest)
 	return nil
 }
 
 func deleteTenant(ctx context.Context, c *tenantClient, out io.Writer, name string) error {
-	t, at, err := c.present(ctx, name)
+	t, generation, err := c.currentTenant(ctx, name)
 	switch {
 	case err != nil:
 		return err
 	case t.UID == 0:
 		return noTenant(name)
 	}
-	a, err := c.call(ctx, http.MethodDelete, fmt.Sprintf("%s?generation=%d", tenantPath(name), at), nil)
+	a, err := c.call(ctx, http.MethodDelete, fmt.Sprintf("%s?generation=%d", tenantPath(name), generation), nil)
 	if err != nil {
 		return fmt.Errorf("%w; whether its removal began is not known: see status", err)
 	}
-	if a.status != http.StatusOK && a.unclear { // an attempt without an answer may have begun it, or it is over by now
-		if now, _, err := c.present(ctx, name); err == nil && (now.UID != t.UID || now.Removing) {
+	if a.status != http.StatusOK && a.outcomeUnknown { // an earlier attempt may have begun the removal, which may also be complete by now
+		if latest, _, err := c.currentTenant(ctx, name); err == nil && (latest.UID != t.UID || latest.Removing) {
 			a.status = http.StatusOK
 		}
 	}
 	switch a.status {
 	case http.StatusOK:
-	case http.StatusNotFound: // the replica that was read is behind the leader
+	case http.StatusNotFound: // the follower that currentTenant read from is behind the leader
 		return noTenant(name)
 	default:
-		return a.refusal("tenant " + name)
+		return a.rejection("tenant " + name)
 	}
-	fmt.Fprintf(out, "%s: removal of generation %d begun\n", name, at)
+	fmt.Fprintf(out, "%s: removal of generation %d begun\n", name, generation)
 	return nil
 }
 
@@ -204,7 +207,7 @@
 		return err
 	}
 	if a.status != http.StatusOK {
-		return a.refusal("tenant " + name)
+		return a.rejection("tenant " + name)
 	}
 	var st struct {
 		Phase      string               `json:"phase"`
