--- a/cmd/discovery/agent_flags_test.go
+++ b/cmd/discovery/agent_flags_test.go
@@ -8,7 +8,8 @@
 	"meadowsill/internal/fleet"
 )
 
-// A bad scope stops the agent at its start with one line that names the flag, and nothing is written.
+// TestAgentRejectsBadServices checks that the agent exits at its start if its services are invalid, with one line that names the
+// flag and before it writes anything.
 func TestAgentRejectsBadServices(t *testing.T) {
 	t.Parallel()
 	many := []string{"--node", "n", "--zone", "z"}
--- a/cmd/discovery/agents_test.go
+++ b/cmd/discovery/agents_test.go
@@ -17,20 +17,20 @@
 	return err == nil && resp.StatusCode == http.StatusOK && json.Unmarshal(raw, v) == nil
 }
 
-// An agent serves its durable copy with its age while no replica can be reached; a damaged copy is rejected and put aside;
-// an old one is served as old, and never over what the node holds.
-func TestAgentsCopy(t *testing.T) {
+// TestAgentDurableCopy checks that an agent serves its durable copy with its age while it can reach no replica, that a damaged copy
+// is rejected and renamed, and that an old copy is served as old and does not replace newer intent at the node.
+func TestAgentDurableCopy(t *testing.T) {
 	t.Parallel()
 	f := startFleet(t, 3, "")
-	f.present()
+	f.awaitSessions()
 	f.mustPut("brand", 0, 100)
-	f.settled("brand", 1)
+	f.awaitSettled("brand", 1)
 	a := f.nodes[0]
 	b := f.nodes[1]
 	c := f.nodes[2]
 	file := func(n *simulated.Node) string { return filepath.Join(n.Dir, "intent.copy") }
 	for _, n := range f.nodes {
-		f.until("the copy of "+n.Name, func() bool {
+		f.until("the durable copy of "+n.Name, func() bool {
 			raw, err := os.ReadFile(file(n))
 			return err == nil && strings.Contains(string(raw), "brand") && strings.Contains(string(raw), "committed")
 		})
@@ -40,24 +40,24 @@
 		t.Fatal(err)
 	}
 	f.mustPut("brand", 1, 200)
-	f.settled("brand", 2)
+	f.awaitSettled("brand", 2)
 
-	// a: the agent starts again with its copy and no replica, beside a node that starts again too.
+	// Node a: the agent and the node both restart. The agent has its copy and can reach no replica.
 	a.StopAgent()
 	a.Cut(true)
 	a.Boot()
 	f.startAgent(a)
-	f.until("the copy served", func() bool { return a.Serves("brand") > 0 })
+	f.until("the copy to be served", func() bool { return a.Serves("brand") > 0 })
 	if in := a.Look(); in.CaughtUp || in.LeaseMS != 0 || in.AgeMS < 60_000 {
-		t.Errorf("from the copy alone: %+v", in)
+		t.Errorf("served from the copy alone: %+v", in)
 	}
 	a.Cut(false)
-	f.until("caught up", func() bool {
+	f.until("the agent to catch up", func() bool {
 		in := a.Look()
 		return in.CaughtUp && in.AgeMS < 5000 && in.LeaseMS > 0 && a.Serves("brand") == 2
 	})
 
-	// b: its copy is damaged.
+	// Node b: the agent restarts with a damaged copy.
 	b.StopAgent()
 	raw, err := os.ReadFile(file(b))
 	if err != nil {
@@ -69,45 +69,45 @@
 	}
 	b.Boot()
 	f.startAgent(b)
-	f.until("caught up without a copy", func() bool { return b.Look().CaughtUp && b.Serves("brand") == 2 })
+	f.until("the agent to catch up without a copy", func() bool { return b.Look().CaughtUp && b.Serves("brand") == 2 })
 	if _, err := os.Stat(file(b) + ".refused"); err != nil || b.Metric("fleet_agent_copies_refused_total") != "1" {
-		t.Errorf("the damaged copy: %v, counted %q", err, b.Metric("fleet_agent_copies_refused_total"))
+		t.Errorf("the damaged copy: %v, rejected copies counted: %q", err, b.Metric("fleet_agent_copies_refused_total"))
 	}
 
-	// c: its copy is of before the second generation, and no replica answers.
+	// Node c: the agent restarts with a copy from before the second generation and can reach no replica.
 	c.StopAgent()
 	c.Cut(true)
 	if err := os.WriteFile(file(c), old, 0o644); err != nil {
 		t.Fatal(err)
 	}
 	f.startAgent(c)
-	f.until("the old copy offered", func() bool { in := c.Look(); return !in.CaughtUp && in.Revision < c.Revision() })
+	f.until("the old copy to be served", func() bool { in := c.Look(); return !in.CaughtUp && in.Revision < c.Revision() })
 	if in := c.Look(); in.AgeMS < 60_000 || c.Serves("brand") != 2 {
 		t.Errorf("an old copy: age %d ms, the node serves generation %d", in.AgeMS, c.Serves("brand"))
 	}
 	c.Cut(false)
-	f.until("caught up from an old copy", func() bool { return c.Look().CaughtUp && c.Look().Revision >= c.Revision() })
+	f.until("the agent to catch up from an old copy", func() bool { return c.Look().CaughtUp && c.Look().Revision >= c.Revision() })
 	if raw, err := os.ReadFile(file(c)); err != nil || string(raw) == string(old) {
-		f.until("the copy made new", func() bool { raw, _ := os.ReadFile(file(c)); return string(raw) != string(old) })
+		f.until("the copy to be replaced", func() bool { raw, _ := os.ReadFile(file(c)); return string(raw) != string(old) })
 	}
-	f.settled("brand", 2)
+	f.awaitSettled("brand", 2)
 }
 
-// All replicas are down: the agents go on serving what they have, with its age, and count their nodes out; when the replicas are
-// back, so are the sessions, without a new incarnation.
+// TestReplicasDown stops all replicas. The agents must keep serving their intent with its age while their nodes' leases run out.
+// When the replicas are back, the sessions must return without a new incarnation.
 func TestReplicasDown(t *testing.T) {
 	t.Parallel()
 	f := startFleet(t, 10, "ttl_ms = 2000")
-	f.present()
+	f.awaitSessions()
 	f.mustPut("brand", 0, 100)
-	f.settled("brand", 1)
+	f.awaitSettled("brand", 1)
 	for i := range f.HTTP {
 		f.Kill(i)
 	}
 	for _, n := range f.nodes {
-		f.until(n.Name+" counted out, and told the age", func() bool { in := n.Look(); return in.LeaseMS == 0 && in.AgeMS > 2000 })
+		f.until(n.Name+" without a lease and with the age of its intent", func() bool { in := n.Look(); return in.LeaseMS == 0 && in.AgeMS > 2000 })
 		if in := n.Look(); n.Serves("brand") != 1 || !in.CaughtUp {
-			t.Errorf("%s with the replicas gone: generation %d, %+v", n.Name, n.Serves("brand"), in)
+			t.Errorf("%s with the replicas down: generation %d, %+v", n.Name, n.Serves("brand"), in)
 		}
 	}
 	for i := range f.HTTP {
@@ -115,7 +115,7 @@
 			t.Fatal(err)
 		}
 	}
-	f.present()
+	f.awaitSessions()
 	f.mustPut("brand", 1, 200)
-	f.settled("brand", 2)
+	f.awaitSettled("brand", 2)
 }
--- a/cmd/discovery/cluster_test.go
+++ b/cmd/discovery/cluster_test.go
@@ -23,8 +23,8 @@
 	ops []linearizability.Operation // the history of writes and consistent reads, for the linearizability check
 }
 
-// bin is the discovery under test, built once; with DISCOVERY_RACE=1 in the environment with the race detector, which makes these tests
-// several times as long.
+// bin is the path of the discovery binary under test, which TestMain builds once. With DISCOVERY_RACE=1 in the environment it is
+// built with the race detector, with which these tests take several times as long.
 var bin string
 
 var raceOn = os.Getenv("DISCOVERY_RACE") != ""
@@ -36,7 +36,7 @@
 		os.Exit(1)
 	}
 	args := []string{"build", "-o", dir + "/"}
-	if raceOn { // the raft store's boltdb fails checkptr, which comes with it
+	if raceOn { // -race turns on checkptr, which fails on the boltdb of the raft store
 		args = append(args, "-race", "-gcflags=all=-d=checkptr=0")
 	}
 	if out, err := exec.Command("go", append(args, "meadowsill/cmd/discovery")...).CombinedOutput(); err != nil {
@@ -58,14 +58,14 @@
 	t.Cleanup(func() {
 		lc.Close()
 		for _, d := range lc.Dirs {
-			noRace(t, d+".log")
+			checkNoDataRace(t, d+".log")
 		}
 	})
 	return &cluster{Cluster: lc, t: t}
 }
 
-// noRace fails the test where a process's log names a data race.
-func noRace(t *testing.T, file string) {
+// checkNoDataRace fails the test if a process's log reports a data race or can't be read.
+func checkNoDataRace(t *testing.T, file string) {
 	raw, err := os.ReadFile(file)
 	if err != nil || bytes.Contains(raw, []byte("DATA RACE")) {
 		t.Errorf("%s: %v\n%s", file, err, raw)
@@ -86,8 +86,8 @@
 	c.mu.Unlock()
 }
 
-// register tries each replica in turn, following X-Leader's replica, until one acknowledges or 30 s pass. Each
-// try is recorded: acknowledged, or of unknown outcome unless the replica said at once that it does not lead.
+// register tries the replicas in turn, beginning with from, until one acknowledges or 30 s have passed. It records each attempt
+// as acknowledged or of unknown outcome, except those that a replica rejected because it is not the leader.
 func (c *cluster) register(id string, from int) bool {
 	for end, i := time.Now().Add(30*time.Second), from; time.Now().Before(end); i = (i + 1) % len(c.HTTP) {
 		op := linearizability.Operation{Client: 2, Write: true, ID: id, Call: time.Now().UnixNano()}
@@ -104,7 +104,7 @@
 	return false
 }
 
-func (c *cluster) whole(i int) map[string]bool {
+func (c *cluster) completeList(i int) map[string]bool {
 	for end := time.Now().Add(20 * time.Second); ; time.Sleep(50 * time.Millisecond) {
 		a, err := c.Read(i, "")
 		if err == nil {
--- a/cmd/discovery/drift_test.go
+++ b/cmd/discovery/drift_test.go
@@ -21,17 +21,17 @@
 	Log      []drift.LogEntry
 }
 
-func (f *fleetUp) drift(query string) (a driftAnswer) {
+func (f *testFleet) drift(query string) (a driftAnswer) {
 	f.t.Helper()
-	code, text := f.api(http.MethodGet, "/fleet/v1/drift"+query, nil)
+	code, text := f.callAPI(http.MethodGet, "/fleet/v1/drift"+query, nil)
 	if err := json.Unmarshal([]byte(text), &a); code != http.StatusOK || err != nil {
 		f.t.Fatalf("drift%s: %d %s", query, code, text)
 	}
 	return a
 }
 
-// metric waits until an address shows a line at /metrics.
-func (f *fleetUp) metric(what, addr, line string) {
+// awaitMetric waits until /metrics at an address has a line.
+func (f *testFleet) awaitMetric(what, addr, line string) {
 	f.t.Helper()
 	f.until(what+": "+line, func() bool {
 		resp, err := fleetClient.Get("http://" + addr + "/metrics")
@@ -44,19 +44,20 @@
 	})
 }
 
-// One of ten nodes holds another tenant's rules than it was sent: the leader names it, the item and the field, and has its agent
-// tell it again; the verdict's first-seen time outlives the leader. Then one node falls silent, and one has a ban of its operators.
+// TestDrift has one of ten nodes apply another rate of a tenant than the intended one. The leader must report the node, the item
+// and the field, and have the node's agent send the item again; the verdict must keep its first-seen time when another leader
+// takes over. Then one node stops reporting, and another has an exclusion set by its operators.
 func TestDrift(t *testing.T) {
 	t.Parallel()
 	f := startFleet(t, 10, "")
-	f.present()
+	f.awaitSessions()
 	f.mustPut("brand", 0, 100)
-	f.settled("brand", 1)
-	f.until("all in step", func() bool { return f.drift("").States[drift.InStep] == 10 })
+	f.awaitSettled("brand", 1)
+	f.until("all nodes in step", func() bool { return f.drift("").States[drift.InStep] == 10 })
 
-	odd := f.nodes[4]
-	odd.With(func() {
-		odd.Odd = func(items []fleet.AppliedItem) []fleet.AppliedItem {
+	divergent := f.nodes[4]
+	divergent.With(func() {
+		divergent.Odd = func(items []fleet.AppliedItem) []fleet.AppliedItem {
 			for i, h := range items {
 				if h.Key != "tenant/brand" {
 					continue
@@ -69,28 +70,28 @@
 			return items
 		}
 	})
-	f.until("the node named", func() bool {
+	f.until("the diverged node to be reported", func() bool {
 		a := f.drift("?node=n04&state=" + drift.Diverged)
 		return len(a.Verdicts) == 1 && slices.ContainsFunc(a.Verdicts[0].Differences, func(d drift.Difference) bool {
 			return d.Key == "tenant/brand" && d.Field == "committed.rate" && d.Intended == "100" && d.Applied == "999"
 		})
 	})
-	f.until("told again", func() bool {
+	f.until("the item to be sent again", func() bool {
 		return slices.ContainsFunc(f.drift("").Log, func(e drift.LogEntry) bool { return e.Node == "n04" && slices.Contains(e.Keys, "tenant/brand") })
 	})
-	f.metric("the leader's count", f.HTTP[f.leader()], `fleet_drift_differences_total{kind="tenant",state="diverged"} 1`)
-	f.metric("the agent's own verdict", odd.Agent, `fleet_agent_drift{state="diverged"} 1`)
+	f.awaitMetric("the leader's count", f.HTTP[f.leader()], `fleet_drift_differences_total{kind="tenant",state="diverged"} 1`)
+	f.awaitMetric("the agent's own verdict", divergent.Agent, `fleet_agent_drift{state="diverged"} 1`)
 	first := f.drift("?node=n04").Verdicts[0].FirstSeenMS
 	lead := f.leader()
 	f.Kill(lead)
-	f.until("the verdict again, by another leader", func() bool {
+	f.until("the same verdict by another leader", func() bool {
 		a := f.drift("?node=n04&state=" + drift.Diverged)
 		return len(a.Verdicts) == 1 && a.Verdicts[0].FirstSeenMS == first
 	})
-	odd.With(func() { odd.Odd = nil })
-	f.until("all in step again", func() bool { return f.drift("").States[drift.InStep] == 10 })
-	f.metric("the verdict's end", f.HTTP[f.leader()], `fleet_drift_seconds_count{state="diverged"} 1`)
-	f.metric("the agent's own verdict again", odd.Agent, `fleet_agent_drift{state="in-step"} 1`)
+	divergent.With(func() { divergent.Odd = nil })
+	f.until("all nodes in step again", func() bool { return f.drift("").States[drift.InStep] == 10 })
+	f.awaitMetric("the verdict's end", f.HTTP[f.leader()], `fleet_drift_seconds_count{state="diverged"} 1`)
+	f.awaitMetric("the agent's own verdict again", divergent.Agent, `fleet_agent_drift{state="in-step"} 1`)
 
 	f.nodes[5].With(func() { f.nodes[5].Silent = true })
 	f.nodes[6].With(func() {
@@ -100,7 +101,7 @@
 			return append(items, ban)
 		}
 	})
-	f.until("one silent, one overridden", func() bool {
+	f.until("one node silent and one overridden", func() bool {
 		a := f.drift("")
 		over := slices.ContainsFunc(a.Verdicts, func(v drift.Verdict) bool {
 			return v.Node == "n06" && v.State == drift.Overridden && len(v.Overrides) == 1 && v.Overrides[0].ChangedBy == "ops"
@@ -109,7 +110,7 @@
 	})
 	before := f.drift("").Revision
 	f.nodes[5].With(func() { f.nodes[5].Silent = false })
-	f.until("a watch to tell of n05", func() bool {
+	f.until("a watch to report n05 in step", func() bool {
 		a := f.drift("?timeout_ms=5000&since=" + strconv.FormatUint(before, 10))
 		return slices.ContainsFunc(a.Verdicts, func(v drift.Verdict) bool { return v.Node == "n05" && v.State == drift.InStep })
 	})
--- a/cmd/discovery/failover_test.go
+++ b/cmd/discovery/failover_test.go
@@ -13,8 +13,8 @@
 	"meadowsill/internal/lab/faults"
 )
 
-// staged says how many nodes have staged a tenant, by the leader.
-func (f *fleetUp) staged(name string) (n int) {
+// countStaged returns how many nodes have staged a tenant, as the leader reports it.
+func (f *testFleet) countStaged(name string) (n int) {
 	for _, s := range f.status(name).Nodes {
 		if s.Phase == "staged" {
 			n++
@@ -23,8 +23,9 @@
 	return n
 }
 
-// watchT2 checks until stop that present nodes serve no more than two adjacent generations of a tenant.
-func (f *fleetUp) watchT2(name string) (stop func()) {
+// checkAdjacentGenerations checks invariant T2 until stop is called: at any time present nodes serve at most two adjacent
+// generations of a tenant.
+func (f *testFleet) checkAdjacentGenerations(name string) (stop func()) {
 	done := make(chan struct{})
 	ended := make(chan struct{})
 	go func() {
@@ -50,24 +51,24 @@
 	return func() { close(done); <-ended }
 }
 
-// The leader is killed between stage and commit, and again between commit and the first apply: the rollout continues from the
-// replicated state, and nothing is rolled back.
+// TestLeaderKilledInRollout kills the leader between stage and commit, and again between commit and the first apply. The rollout
+// must continue from the replicated state without a rollback.
 func TestLeaderKilledInRollout(t *testing.T) {
 	t.Parallel()
 	f := startFleet(t, 10, "")
-	f.present()
+	f.awaitSessions()
 	f.mustPut("brand", 0, 100)
-	f.settled("brand", 1)
-	defer f.watchT2("brand")()
+	f.awaitSettled("brand", 1)
+	defer f.checkAdjacentGenerations("brand")()
 
 	last := f.nodes[9]
 	last.With(func() { last.Slow = true })
 	f.mustPut("brand", 1, 200)
-	f.until("nine of ten staged", func() bool { return f.staged("brand") == 9 })
+	f.until("nine of ten staged", func() bool { return f.countStaged("brand") == 9 })
 	lead := f.leader()
 	f.Kill(lead)
 	last.With(func() { last.Slow = false })
-	f.settled("brand", 2)
+	f.awaitSettled("brand", 2)
 	if err := f.Restart(lead); err != nil {
 		t.Fatal(err)
 	}
@@ -79,7 +80,7 @@
 	f.until("the commit", func() bool { return f.status("brand").Phase == "applying" })
 	for _, n := range f.nodes {
 		if g := n.Serves("brand"); g != 2 {
-			t.Fatalf("%s serves generation %d before the kill", n.Name, g)
+			t.Fatalf("%s serves generation %d before the kill, want 2", n.Name, g)
 		}
 	}
 	lead = f.leader()
@@ -87,29 +88,29 @@
 	for _, n := range f.nodes {
 		n.With(func() { n.Keep = false })
 	}
-	f.settled("brand", 3)
+	f.awaitSettled("brand", 3)
 	if s := f.tenant("brand"); s.RolledBack != "" || s.Committed.Spec.Quota.Rate != 300 {
-		t.Errorf("after two kills: %+v", s)
+		t.Errorf("after the leader was killed twice: %+v", s)
 	}
 }
 
-// A partition during a rollout: three of ten nodes can't reach any replica, and the leader is cut off from the others. The
-// rollout waits for the three for no longer than their leases, the majority commits, and after the heal all hold the
-// same; the three are not present again before they do.
+// TestPartitionInRollout partitions the fleet during a rollout: three of ten nodes can't reach any replica, and the leader is cut
+// off from the other replicas. The rollout must wait for the three nodes no longer than their leases, and the majority must
+// commit. After the partition all nodes must get the same generation, and the three must not be present before they have it.
 func TestPartitionInRollout(t *testing.T) {
 	t.Parallel()
 	f := startFleet(t, 10, "ttl_ms = 2000")
-	f.present()
+	f.awaitSessions()
 	f.mustPut("brand", 0, 100)
-	f.settled("brand", 1)
-	defer f.watchT2("brand")()
+	f.awaitSettled("brand", 1)
+	defer f.checkAdjacentGenerations("brand")()
 
 	last := f.nodes[9]
 	last.With(func() { last.Slow = true })
 	f.mustPut("brand", 1, 200)
-	f.until("nine of ten staged", func() bool { return f.staged("brand") == 9 })
-	away := f.nodes[:3]
-	for _, n := range away {
+	f.until("nine of ten staged", func() bool { return f.countStaged("brand") == 9 })
+	cutOff := f.nodes[:3]
+	for _, n := range cutOff {
 		for _, l := range n.Links {
 			l.Set(faults.Fault{Blackhole: true})
 		}
@@ -125,21 +126,21 @@
 		}
 		return f.status("brand").Phase == "settled"
 	})
-	for _, n := range away {
+	for _, n := range cutOff {
 		if in := n.Look(); in.LeaseMS > 0 || n.Serves("brand") != 1 {
-			t.Errorf("%s, cut off, serves generation %d and counts %d ms of its session", n.Name, n.Serves("brand"), in.LeaseMS)
+			t.Errorf("%s, cut off from the replicas, serves generation %d with %d ms left of its lease", n.Name, n.Serves("brand"), in.LeaseMS)
 		}
 	}
-	f.mustPut("brand", 2, 300) // another, while they are away: their generation is now two behind
+	f.mustPut("brand", 2, 300) // another rollout during the partition: the three nodes are now two generations behind
 	f.until("the majority at generation 3", func() bool { return f.status("brand").Phase == "settled" })
 	f.Cut(lead, faults.Fault{})
-	for _, n := range away {
+	for _, n := range cutOff {
 		for _, l := range n.Links {
 			l.Set(faults.Fault{})
 		}
 	}
-	f.settled("brand", 3)
-	f.present()
+	f.awaitSettled("brand", 3)
+	f.awaitSessions()
 	for i := range f.HTTP {
 		f.until(fmt.Sprintf("replica %d to hold generation 3", i), func() bool {
 			resp, err := fleetClient.Get("http://" + f.HTTP[i] + "/fleet/v1/tenants/brand")
@@ -153,8 +154,8 @@
 	}
 }
 
-// snapshots returns the index in raft's log of each replica's newest snapshot, 0 for none.
-func (f *fleetUp) snapshots() (newest [3]uint64) {
+// newestSnapshots returns the index in raft's log of each replica's newest snapshot, 0 for none.
+func (f *testFleet) newestSnapshots() (newest [3]uint64) {
 	for i, d := range f.Dirs {
 		entries, _ := os.ReadDir(d + "/snapshots")
 		for _, e := range entries { // TERM-INDEX-TIME
@@ -167,25 +168,25 @@
 	return newest
 }
 
-// A replica that was down comes back on its store of long ago, a snapshot and an old log: it answers nothing older than
-// what agents have, and catches up.
+// TestReplicaBackFromOldSnapshot restarts a replica with an old copy of its store, a snapshot and an old log. The replica must
+// catch up, and must not answer with a state older than the agents'.
 func TestReplicaBackFromOldSnapshot(t *testing.T) {
 	t.Parallel()
 	f := startFleet(t, 2, "", "--snapshot-after", "20", "--snapshot-every", "200ms")
-	f.present()
+	f.awaitSessions()
 	f.mustPut("brand", 0, 100)
-	f.settled("brand", 1)
-	// Each write goes to whoever leads then: the lead may move, and a replica that has lost it takes none.
-	w, from := 0, f.snapshots()
+	f.awaitSettled("brand", 1)
+	// Look up the leader for each write: the leadership may move, and only the current leader accepts writes.
+	w, from := 0, f.newestSnapshots()
 	f.until("a snapshot with the fleet on each replica", func() bool {
 		for range 10 {
 			w++
 			if !f.register(fmt.Sprintf("w-%d", w), f.leader()) {
-				t.Fatal("a write that no replica takes")
+				t.Fatal("no replica accepted a write")
 			}
 		}
 		have := 0
-		for i, s := range f.snapshots() {
+		for i, s := range f.newestSnapshots() {
 			if s > from[i] {
 				have++
 			}
@@ -202,7 +203,7 @@
 		t.Fatal(err)
 	}
 	f.mustPut("brand", 1, 200)
-	f.settled("brand", 2)
+	f.awaitSettled("brand", 2)
 	f.Kill(down)
 	os.RemoveAll(f.Dirs[down])
 	if out, err := exec.Command("cp", "-a", old, f.Dirs[down]).CombinedOutput(); err != nil {
@@ -211,7 +212,7 @@
 	if err := f.Restart(down); err != nil {
 		t.Fatal(err)
 	}
-	f.until("the replica caught up", func() bool {
+	f.until("the replica to catch up", func() bool {
 		resp, err := fleetClient.Get("http://" + f.HTTP[down] + "/fleet/v1/tenants/brand")
 		if err != nil {
 			return false
@@ -226,5 +227,5 @@
 		}
 	}
 	f.mustPut("brand", 2, 300)
-	f.settled("brand", 3)
+	f.awaitSettled("brand", 3)
 }
--- a/cmd/discovery/list_test.go
+++ b/cmd/discovery/list_test.go
@@ -19,8 +19,8 @@
 	"meadowsill/internal/registry/linearizability"
 )
 
-// The leader is killed during a burst of registrations: none acknowledged is lost on any replica, the killed one
-// catches up when it is back, and a watcher never sees a revision twice or out of order.
+// TestLeaderKilledDuringBurst kills the leader during a burst of registrations. No replica may lose an acknowledged registration,
+// the killed replica must catch up after its restart, and a watcher must not see a revision twice or out of order.
 func TestLeaderKilledDuringBurst(t *testing.T) {
 	c := startCluster(t, 3)
 	lead := c.leader()
@@ -41,18 +41,18 @@
 			}
 			a, err := c.Read(watched, fmt.Sprintf("?since=%d&timeout_ms=1000", since))
 			if err != nil {
-				time.Sleep(20 * time.Millisecond) // stale or between leaders: the watcher keeps its list
+				time.Sleep(20 * time.Millisecond) // stale, or without a leader: the watcher keeps its list
 				continue
 			}
 			if a.Version < since || (!a.Full && a.Version == since && len(a.Servers) > 0) {
-				watchErr = fmt.Errorf("revision %d after %d (full %v)", a.Version, since, a.Full)
+				watchErr = fmt.Errorf("watch answered revision %d after %d (full %v)", a.Version, since, a.Full)
 				return
 			}
 			since = a.Version
 		}
 	})
 	var reader sync.WaitGroup
-	reader.Go(func() { // consistent reads at whoever leads, for the linearizability check
+	reader.Go(func() { // consistent reads from the current leader, for the linearizability check
 		for i := 0; ; i = (i + 1) % 3 {
 			select {
 			case <-stop:
@@ -93,7 +93,7 @@
 	killedAt.Store(time.Now().UnixNano())
 	c.Kill(lead)
 	writers.Wait()
-	t.Logf("acknowledged %d of 300; first acknowledged write %v after the leader's kill", ackCount.Load(),
+	t.Logf("acknowledged %d of 300; first write acknowledged %v after the leader was killed", ackCount.Load(),
 		time.Duration(firstAfter.Load()-killedAt.Load()))
 	c.Restart(lead)
 	next := c.leader()
@@ -103,7 +103,7 @@
 			break
 		}
 		if time.Now().After(end) {
-			t.Fatal("the restarted replica did not catch up in 30 s")
+			t.Fatal("the restarted replica did not catch up within 30 s")
 		}
 	}
 	close(stop)
@@ -125,7 +125,7 @@
 	t.Logf("linearizability: %d ids, %d operations (%d consistent reads), %d violations, %d unknown", lin.IDs, len(history),
 		reads, len(lin.Violations), len(lin.Unknown))
 	if len(lin.Violations) > 0 || reads < 10 {
-		t.Errorf("violations at %v; %d reads", lin.Violations, reads)
+		t.Errorf("linearizability violations at ids %v; %d consistent reads, want 10 at least", lin.Violations, reads)
 	}
 	if ackCount.Load() < 250 {
 		t.Errorf("only %d of 300 acknowledged", ackCount.Load())
@@ -147,15 +147,16 @@
 		}
 		acked.Range(func(k, _ any) bool {
 			if !have[k.(string)] {
-				t.Errorf("replica %d lost acknowledged %s", i, k)
+				t.Errorf("replica %d lost the acknowledged registration %s", i, k)
 			}
 			return true
 		})
 	}
 }
 
-// A partition isolates the leader: it stops acknowledging writes, the majority elects another that does, and an
-// agent that watches only the minority keeps its list and says how old it is; after the heal it has the new entry.
+// TestPartitionedLeaderStopsAcknowledging isolates the leader by a partition. The isolated leader must acknowledge no write, and
+// the majority must elect another leader that does. An agent that watches only the isolated leader must keep its list and report
+// the list's age, and must get the new entry after the partition.
 func TestPartitionedLeaderStopsAcknowledging(t *testing.T) {
 	c := startCluster(t, 3)
 	lead := c.leader()
@@ -194,7 +195,7 @@
 			break
 		}
 		if time.Now().After(end) {
-			t.Fatal("the agent never had the list")
+			t.Fatal("the agent did not get the list within 20 s")
 		}
 	}
 	c.Cut(lead, faults.Fault{Blackhole: true})
@@ -213,35 +214,35 @@
 			break
 		}
 		if time.Now().After(end) {
-			t.Fatal("the majority acknowledged no write in 30 s")
+			t.Fatal("the majority acknowledged no write within 30 s")
 		}
 	}
 	time.Sleep(3 * time.Second) // past the staleness bound
 	a, age := fromAgent()
 	if len(a.Servers) != 20 || age < 2*time.Second {
-		t.Errorf("the agent on the minority: %d entries, age %v", len(a.Servers), age)
+		t.Errorf("the agent of the isolated leader: %d entries, age %v", len(a.Servers), age)
 	}
 	c.Cut(lead, faults.Fault{})
 	for end := time.Now().Add(30 * time.Second); ; time.Sleep(100 * time.Millisecond) {
 		a, age := fromAgent()
 		if len(a.Servers) == 21 && age < 2*time.Second {
-			t.Logf("after the heal the agent has %d entries at revision %d", len(a.Servers), a.Version)
+			t.Logf("after the partition the agent has %d entries at revision %d", len(a.Servers), a.Version)
 			break
 		}
 		if time.Now().After(end) {
-			t.Fatalf("after the heal the agent has %d entries, age %v", len(a.Servers), age)
+			t.Fatalf("30 s after the partition the agent has %d entries, age %v", len(a.Servers), age)
 		}
 	}
 }
 
-// The whole cluster killed with -9 and started again keeps every acknowledged registration; then 200
-// registrants come at once, as after a restart of theirs, and each is acknowledged.
+// TestWholeClusterRestartAndLeaseStorm kills all replicas with SIGKILL and restarts them: every acknowledged registration must
+// remain. Then 200 registrants register at once, as after their own restart, and each must be acknowledged.
 func TestWholeClusterRestartAndLeaseStorm(t *testing.T) {
 	c := startCluster(t, 3)
 	lead := c.leader()
 	for k := range 100 {
 		if !c.register(fmt.Sprintf("s-%03d", k), lead) {
-			t.Fatal("not acknowledged")
+			t.Fatal("registration not acknowledged")
 		}
 	}
 	for i := range 3 {
@@ -254,12 +255,12 @@
 	}
 	lead = c.leader()
 	for i := range 3 {
-		have := c.whole(i)
+		have := c.completeList(i)
 		for end := time.Now().Add(30 * time.Second); len(have) != 100 && time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
-			have = c.whole(i) // one that was behind when it was killed catches up
+			have = c.completeList(i) // a replica that was behind when it was killed has to catch up
 		}
 		if len(have) != 100 {
-			t.Errorf("replica %d holds %d of 100 after the restart", i, len(have))
+			t.Errorf("replica %d has %d of 100 entries after the restart", i, len(have))
 		}
 	}
 	start := time.Now()
@@ -274,12 +275,12 @@
 	}
 	storm.Wait()
 	t.Logf("lease storm: %d of 200 acknowledged in %v", acked.Load(), time.Since(start))
-	if acked.Load() != 200 || len(c.whole(lead)) != 300 {
-		t.Errorf("storm: %d of 200 acknowledged", acked.Load())
+	if acked.Load() != 200 || len(c.completeList(lead)) != 300 {
+		t.Errorf("lease storm: %d of 200 registrations acknowledged, or the leader's list is not 300 entries long", acked.Load())
 	}
 }
 
-// A watcher that falls behind compaction gets the complete list, never a gap.
+// TestSlowWatcherAfterCompaction checks that a watcher from before a compaction gets the complete list, and not changes with a gap.
 func TestSlowWatcherAfterCompaction(t *testing.T) {
 	c := startCluster(t, 3, "--keep-revisions", "8")
 	lead := c.leader()
--- a/cmd/discovery/olddata_test.go
+++ b/cmd/discovery/olddata_test.go
@@ -20,7 +20,7 @@
 	"meadowsill/internal/registry"
 )
 
-// unpack lays a replica's data, packed as .tar.gz, into dir.
+// unpack unpacks a replica's data from a .tar.gz file into dir.
 func unpack(t *testing.T, file, dir string) {
 	t.Helper()
 	f, err := os.Open(file)
@@ -53,8 +53,9 @@
 	}
 }
 
-// The data of a replica that a build before the fleet wrote (a snapshot, and a log that goes on after it, of a process killed): this
-// build, with the fleet turned on, continues from it. Its four registrations lapsed long ago, which the leader now reports.
+// TestOldDataRestores starts a replica with a fleet on data of a build without fleet support: a snapshot and a log that continues
+// after it, from a process that was killed. The replica must continue from that data. The leases of its four registrations have
+// lapsed since, so the leader must report these as removed.
 func TestOldDataRestores(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
@@ -92,6 +93,6 @@
 		got[e.ID] = e.State
 	}
 	if d := cmp.Diff(map[string]string{"s-0": "gone", "s-1": "gone", "s-2": "gone", "s-4": "gone"}, got); a.Full || d != "" {
-		t.Errorf("the changes after the old data's revision 7, the four that were ready or draining: full %v %s", a.Full, d)
+		t.Errorf("changes after the old data's revision 7, which should remove the four servers: full %v %s", a.Full, d)
 	}
 }
--- a/cmd/discovery/rollout_test.go
+++ b/cmd/discovery/rollout_test.go
@@ -18,8 +18,8 @@
 	"meadowsill/internal/fleet"
 )
 
-// tenant reads a tenant at the leader: a follower may be a moment behind.
-func (f *fleetUp) tenant(name string) (tn fleet.Tenant) {
+// tenant reads a tenant from the leader, because a follower may be slightly behind.
+func (f *testFleet) tenant(name string) (tn fleet.Tenant) {
 	f.t.Helper()
 	f.until("a read of "+name, func() bool {
 		resp, err := fleetClient.Get("http://" + f.HTTP[f.leader()] + "/fleet/v1/tenants/" + name)
@@ -32,23 +32,23 @@
 	return tn
 }
 
-// Tenants on ten nodes: a rollout, a rejection by one node, two operators at once, a name deleted and made again at once, and
-// 200 tenants in one go.
+// TestTenants tests tenants on ten nodes: a rollout, a rejection by one node, two concurrent operators, a tenant that is deleted and
+// created again at once, and 200 tenants at once.
 func TestTenants(t *testing.T) {
 	t.Parallel()
 	f := startFleet(t, 10, "")
-	f.present()
+	f.awaitSessions()
 	f.mustPut("brand", 0, 100)
-	f.settled("brand", 1)
+	f.awaitSettled("brand", 1)
 	for _, n := range f.nodes {
 		f.until("the share of "+n.Name, func() bool {
 			ok := false
-			n.With(func() { _, ok = n.Held["share/"+n.Name]; ok = ok && len(n.Held) == 2 }) // and no other node's
+			n.With(func() { _, ok = n.Held["share/"+n.Name]; ok = ok && len(n.Held) == 2 }) // and no other node's share
 			return ok
 		})
 	}
 
-	// The fleet's changes have made revisions, and none of them is the list's: a watch of it waits its time out.
+	// The fleet's changes have made new revisions but have not changed the list, so a watch of the list waits until its timeout.
 	start := time.Now()
 	a, err := f.Read(f.leader(), "?since=0&timeout_ms=1000")
 	if took := time.Since(start); err != nil || a.Version != 0 || a.Full || took < 900*time.Millisecond {
@@ -61,7 +61,7 @@
 		f.until("the rollback", func() bool { return f.status("brand").Phase == "settled" })
 		f.nodes[3].With(func() { f.nodes[3].Refuse = "" })
 		if s := f.tenant("brand"); s.Committed.Number != 1 || !strings.Contains(s.RolledBack, "n03") || !strings.Contains(s.RolledBack, "no server matches") {
-			t.Errorf("after a refusal: %+v", s)
+			t.Errorf("after a rejection: %+v", s)
 		}
 	})
 
@@ -74,9 +74,9 @@
 			}
 			both.Wait()
 			if codes[0]+codes[1] != http.StatusOK+http.StatusConflict {
-				t.Fatalf("generation %d: %v", g, codes)
+				t.Fatalf("generation %d: statuses %v, want one 200 and one 409", g, codes)
 			}
-			f.settled("brand", g+1)
+			f.awaitSettled("brand", g+1)
 			want := float64(1000 * int(g))
 			if codes[1] == http.StatusOK {
 				want++
@@ -90,40 +90,40 @@
 	t.Run("another service", func(t *testing.T) {
 		before := f.tenant("brand")
 		spec := fleet.Spec{Name: "brand", Service: "billing", Quota: fleet.Quota{Rate: 5, Burst: 1}}
-		code, text, _ := f.try(http.MethodPut, "/fleet/v1/tenants/brand", map[string]any{"generation": before.Committed.Number, "spec": spec})
+		code, text, _ := f.tryAPI(http.MethodPut, "/fleet/v1/tenants/brand", map[string]any{"generation": before.Committed.Number, "spec": spec})
 		if code != http.StatusBadRequest || !strings.Contains(text, "service") || strings.Count(strings.TrimSpace(text), "\n") > 0 {
 			t.Errorf("%d %s", code, text)
 		}
 		if d := cmp.Diff(before, f.tenant("brand")); d != "" {
-			t.Errorf("the tenant has changed: %s", d)
+			t.Errorf("the rejected proposal changed the tenant: %s", d)
 		}
 	})
 
 	t.Run("delete and re-create", func(t *testing.T) {
 		old := f.tenant("brand").UID
-		if code, text := f.api(http.MethodDelete, "/fleet/v1/tenants/brand?generation=4", nil); code != http.StatusConflict {
+		if code, text := f.callAPI(http.MethodDelete, "/fleet/v1/tenants/brand?generation=4", nil); code != http.StatusConflict {
 			t.Errorf("delete of an older generation: %d %s", code, text)
 		}
-		if code, text, unknown := f.try(http.MethodDelete, "/fleet/v1/tenants/brand?generation=5", nil); code != http.StatusOK && !unknown {
+		if code, text, unknown := f.tryAPI(http.MethodDelete, "/fleet/v1/tenants/brand?generation=5", nil); code != http.StatusOK && !unknown {
 			t.Fatalf("delete: %d %s", code, text)
 		}
 		start := time.Now()
-		f.until("the name free", func() bool { code, _ := f.put("brand", 0, 7); return code == http.StatusOK })
+		f.until("the name to be free", func() bool { code, _ := f.put("brand", 0, 7); return code == http.StatusOK })
 		t.Logf("the name was free after %v", time.Since(start))
-		f.settled("brand", 1)
+		f.awaitSettled("brand", 1)
 		if s := f.tenant("brand"); s.UID <= old || s.Committed.Spec.Quota.Rate != 7 {
-			t.Errorf("made again: %+v, the old one was %d", s, old)
+			t.Errorf("created again: %+v, the old UID was %d", s, old)
 		}
 		for _, n := range f.nodes {
 			n.With(func() {
 				if n.UIDs["brand"] <= old {
-					t.Errorf("%s holds the old tenant", n.Name)
+					t.Errorf("%s still has the old tenant", n.Name)
 				}
 			})
 		}
 	})
 
-	t.Run("by the command", func(t *testing.T) {
+	t.Run("by the command line", func(t *testing.T) {
 		file := filepath.Join(t.TempDir(), "lulu.toml")
 		run := func(want string, ok bool, args ...string) {
 			t.Helper()
@@ -140,7 +140,7 @@
 		run("lulu.toml: invalid: line 3: quota.rate", false, "apply", file)
 		toml("name = \"lulu\"\n[quota]\nrate = 40\nburst = 4\n")
 		run("lulu: generation 1 proposed", true, "apply", file)
-		f.settled("lulu", 1)
+		f.awaitSettled("lulu", 1)
 		run("n09   applied  1", true, "status", "lulu")
 		run("lulu is at generation 1 already", true, "apply", file)
 		f.nodes[2].With(func() { f.nodes[2].Refuse = "routes[0]: matches no server" })
@@ -154,7 +154,7 @@
 		run("there is none", false, "delete", "lulu")
 	})
 
-	t.Run("200 in one go", func(t *testing.T) {
+	t.Run("200 at once", func(t *testing.T) {
 		start := time.Now()
 		var all sync.WaitGroup
 		for i := range 200 {
@@ -179,11 +179,11 @@
 	})
 }
 
-// Bad bodies get one plain error, change nothing and are counted.
+// TestBadBodies checks that an invalid body gets an error of one line, changes nothing and is counted.
 func TestBadBodies(t *testing.T) {
 	t.Parallel()
 	f := startFleet(t, 1, "")
-	f.present()
+	f.awaitSessions()
 	member := `"node":"n99","zone":"za","incarnation":1`
 	for _, row := range []struct {
 		method string
@@ -214,13 +214,13 @@
 		{"POST", "/fleet/v1/report/difference", `"` + strings.Repeat("x", fleet.MaxReportBytes) + `"`, 400, "over"},
 		{"POST", "/fleet/v1/report/difference", `{"head":{` + member + `,"seq":2},"base_seq":1,"digest":"0123456789abcdef"}`, 200, `"whole":true`},
 	} {
-		code, text := f.api(row.method, row.path, json.RawMessage(row.body))
+		code, text := f.callAPI(row.method, row.path, json.RawMessage(row.body))
 		if code != row.code || !strings.Contains(text, row.want) || strings.Count(strings.TrimSpace(text), "\n") > 0 {
 			t.Errorf("%s %s %.60s: %d %s", row.method, row.path, row.body, code, text)
 		}
 	}
 	if s := f.tenant("a"); s.UID != 0 {
-		t.Errorf("a bad body made %+v", s)
+		t.Errorf("an invalid body created tenant %+v", s)
 	}
 	resp, err := fleetClient.Get("http://" + f.HTTP[f.leader()] + "/metrics")
 	if err != nil {
--- a/cmd/discovery/tenants_test.go
+++ b/cmd/discovery/tenants_test.go
@@ -17,13 +17,13 @@
 	"meadowsill/internal/fleet/tenants"
 )
 
-// leaderStub answers the tenants' API from the core itself, one request at a time.
+// leaderStub is a fake leader that serves the tenants' API from a tenants.State. It handles one request at a time.
 type leaderStub struct {
 	s     tenants.State
 	rev   uint64
 	calls []string
-	lose  bool   // carry the next change out, and end the connection without an answer
-	race  string // a TOML that another operator puts before the next PUT
+	lose  bool   // apply the next change and close the connection without an answer
+	race  string // TOML of a tenant that another operator proposes just before the next PUT
 }
 
 func firstEpoch(string) uint64 { return 1 }
@@ -71,11 +71,11 @@
 	json.NewEncoder(w).Encode(out)
 }
 
-// settle carries the tenant's rollout through, as no node is present.
+// settle runs the controller until the tenant's rollout is complete, which needs no node because none is present.
 func (l *leaderStub) settle() {
-	j := tenants.NewController(tenants.Config{Slots: 1})
+	ctl := tenants.NewController(tenants.Config{Slots: 1})
 	for range 3 {
-		for _, c := range j.Step(0, &l.s, tenants.Present{Epoch: firstEpoch}) {
+		for _, c := range ctl.Step(0, &l.s, tenants.Present{Epoch: firstEpoch}) {
 			l.apply(c)
 		}
 	}
@@ -136,7 +136,8 @@
 			t.Errorf("%s: got %q, %v; want %q, %q", step.what, out, err, step.out, step.fail)
 		}
 	}
-	// A follower that is behind still has the tenant; the leader's answer counts, as "not the leader" leaves nothing unclear.
+	// A follower that is behind still has the tenant. The leader's answer counts, because an attempt that was answered "not the
+	// leader" had no effect.
 	behind := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.Method == http.MethodGet {
 			json.NewEncoder(w).Encode(fleet.Tenant{UID: 7, Committed: &fleet.Generation{Number: 3}})
@@ -155,10 +156,10 @@
 	}
 	calls := len(l.calls)
 	if _, err := apply(-1); err == nil || len(l.calls) != calls {
-		t.Errorf("a bad file was sent: %v, %d calls", err, len(l.calls)-calls)
+		t.Errorf("an invalid file was sent: %v, %d calls", err, len(l.calls)-calls)
 	}
 	leader.Close()
 	if _, err := run("status", "lulu", "--timeout", "300ms"); err == nil || !strings.Contains(err.Error(), "no replica answers for the leader") {
-		t.Errorf("with no leader: %v", err)
+		t.Errorf("status without a leader: %v", err)
 	}
 }
--- a/cmd/discovery/zone_test.go
+++ b/cmd/discovery/zone_test.go
@@ -9,8 +9,9 @@
 	"meadowsill/internal/fleet"
 )
 
-// A zone is lost, and the raft leader with it: every agent hears one directive; when the zone answers again it returns by steps,
-// in order, until there is no directive.
+// TestZoneLostWithTheLeader loses a zone and the raft leader at once. Every agent must receive a directive for that zone only. When
+// the zone answers again, it must pass through the phases in order, and its traffic must return by increasing shares until there
+// is no directive.
 func TestZoneLostWithTheLeader(t *testing.T) {
 	t.Parallel()
 	f := startFleet(t, 10, "[cold]\ntime_ms = 1000")
@@ -18,11 +19,11 @@
 	for _, n := range f.nodes {
 		n.With(func() { n.Counts = n.World("zb", &lost) })
 	}
-	f.present()
-	time.Sleep(2 * time.Second) // some seconds of a healthy fleet, so that rates are proved
+	f.awaitSessions()
+	time.Sleep(2 * time.Second) // let the healthy fleet report for 2 s, so that the zones' rates are established
 	for _, n := range f.nodes {
 		if d, ok := n.Directive("zone/zb"); ok {
-			t.Fatalf("%s was told %+v of a zone that is well", n.Name, d)
+			t.Fatalf("%s received directive %+v for the healthy zone zb", n.Name, d)
 		}
 	}
 	var steps []float64
@@ -45,7 +46,7 @@
 	lost.Store(true)
 	start := time.Now()
 	f.Kill(lead)
-	f.until("every agent to hear that zb is left", func() bool {
+	f.until("every node to receive the evacuation of zb", func() bool {
 		for _, n := range f.nodes {
 			if d, ok := n.Directive("zone/zb"); !ok || d.Share != 0 {
 				return false
@@ -53,10 +54,10 @@
 		}
 		return true
 	})
-	t.Logf("left on 10 nodes %v after the loss, with a failover", time.Since(start))
+	t.Logf("zb evacuated on 10 nodes %v after the loss, with a failover", time.Since(start))
 	lost.Store(false)
 	start = time.Now()
-	f.until("zb served again on every node", func() bool {
+	f.until("zb to be served again on every node", func() bool {
 		for _, n := range f.nodes {
 			if _, ok := n.Directive("zone/zb"); ok {
 				return false
@@ -64,19 +65,19 @@
 		}
 		return true
 	})
-	t.Logf("back on 10 nodes after %v, by shares %v", time.Since(start), steps)
+	t.Logf("zb back on 10 nodes after %v, by shares %v", time.Since(start), steps)
 	watching.With(func() {
 		if want := []string{fleet.Evacuated, fleet.Probation, fleet.Recovering}; !slices.Equal(phases, want) {
-			t.Errorf("phases %v", phases)
+			t.Errorf("unexpected phases %v", phases)
 		}
 		if len(steps) < 3 || !slices.IsSorted(steps) {
-			t.Errorf("returned by shares %v", steps)
+			t.Errorf("traffic returned by shares %v", steps)
 		}
 	})
 	for _, n := range f.nodes {
 		for _, z := range []string{"zone/za", "zone/zc"} {
 			if d, ok := n.Directive(z); ok {
-				t.Errorf("%s was told %+v of %s", n.Name, d, z)
+				t.Errorf("%s received directive %+v for the healthy zone %s", n.Name, d, z)
 			}
 		}
 	}
--- a/internal/registry/agent/agent_test.go
+++ b/internal/registry/agent/agent_test.go
@@ -12,12 +12,12 @@
 	"time"
 )
 
-// A replica that answers well, then garbage, then a revision behind, then stalls mid-body: the agent keeps the
-// list it had and its revision, and serves it.
+// TestBadAnswersChangeNothing polls a replica that sends one valid answer and then truncated JSON, an older revision, an invalid
+// entry and answers that stall within the body. The agent must keep and serve the list and revision of the first answer.
 func TestBadAnswersChangeNothing(t *testing.T) {
-	var turn atomic.Int64
+	var requests atomic.Int64
 	replica := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		switch turn.Add(1) {
+		switch requests.Add(1) {
 		case 1:
 			io.WriteString(w, `{"version":5,"full":true,"servers":[{"id":"s1","addr":"127.0.0.1:1","state":"ready"}]}`)
 		case 2:
@@ -37,7 +37,7 @@
 	a.client.Timeout = 300 * time.Millisecond
 	ctx, cancel := context.WithCancel(context.Background())
 	go a.Watch(ctx)
-	for end := time.Now().Add(20 * time.Second); turn.Load() < 6 && time.Now().Before(end); {
+	for end := time.Now().Add(20 * time.Second); requests.Load() < 6 && time.Now().Before(end); {
 		time.Sleep(10 * time.Millisecond)
 	}
 	cancel()
@@ -49,18 +49,18 @@
 	}
 	json.Unmarshal(rec.Body.Bytes(), &got)
 	if got.Version != 5 || len(got.Servers) != 1 || got.Servers[0].ID != "s1" || rec.Header().Get("X-List-Age-Ms") == "" {
-		t.Errorf("after bad answers: %s %v", rec.Body, rec.Header())
+		t.Errorf("after invalid answers the agent serves %s %v", rec.Body, rec.Header())
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.AnswersDropped < 4 {
-		t.Errorf("dropped %d answers", a.AnswersDropped)
+		t.Errorf("%d answers dropped, want 4 at least", a.AnswersDropped)
 	}
 }
 
-// A replica that falls silent in the middle of a watch, its connection open: the agent leaves it for the other well before a
-// minute, or half of one, is over.
-func TestSilentWatchIsLeft(t *testing.T) {
+// TestSilentReplicaTimesOut watches a replica that accepts a watch and never answers, its connection open. The agent must give up the
+// watch within 15 s, well before 30 s or a minute, and get the list from the other replica.
+func TestSilentReplicaTimesOut(t *testing.T) {
 	silent := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { <-r.Context().Done() }))
 	defer silent.Close()
 	good := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -71,10 +71,10 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	start := time.Now()
 	if err := a.poll(ctx, a.replicas[0]); err == nil {
-		t.Error("an answer of a silent replica")
+		t.Error("a poll of a silent replica returned no error")
 	}
 	if took := time.Since(start); took > 15*time.Second {
-		t.Errorf("a silent watch was left after %v", took)
+		t.Errorf("the poll of a silent replica took %v", took)
 	}
 	go a.Watch(ctx)
 	for end := time.Now().Add(30 * time.Second); ; time.Sleep(10 * time.Millisecond) {
@@ -85,7 +85,7 @@
 			break
 		}
 		if time.Now().After(end) {
-			t.Fatal("the other replica's list never came")
+			t.Fatal("the agent did not get the other replica's list within 30 s")
 		}
 	}
 	cancel()
--- a/internal/registry/bench_test.go
+++ b/internal/registry/bench_test.go
@@ -5,13 +5,13 @@
 	"testing"
 )
 
-// benchmarkSizes are numbers of app servers; the last is the planned one.
+// benchmarkSizes are the numbers of app servers in the list; the last is the planned number.
 var benchmarkSizes = []int{1_000, 5_000, 13_000, 26_000}
 
-// benchmarkStart is the leader's clock when the servers of a benchmark register, Unix ms.
+// benchmarkStart is the leader's clock when the first server of a benchmark registers, in Unix ms.
 const benchmarkStart = 1_000_000
 
-// populated returns a list of n servers with leases of 60 s that lapse one ms after another.
+// populated returns a list of n servers. Their leases are 60 s long and lapse at intervals of 1 ms.
 func populated(tb testing.TB, n int) *State {
 	tb.Helper()
 	s := New(1000)
@@ -24,7 +24,7 @@
 	return s
 }
 
-// BenchmarkReadWatch is what each watcher costs at a change: the read of one changed server.
+// BenchmarkReadWatch measures the cost of a change for each watcher: a read of one changed server.
 func BenchmarkReadWatch(b *testing.B) {
 	for _, n := range benchmarkSizes {
 		s := populated(b, n)
@@ -39,7 +39,7 @@
 	}
 }
 
-// BenchmarkReadComplete is a read of the complete list.
+// BenchmarkReadComplete measures a read of the complete list.
 func BenchmarkReadComplete(b *testing.B) {
 	for _, n := range benchmarkSizes {
 		s := populated(b, n)
@@ -54,7 +54,7 @@
 	}
 }
 
-// BenchmarkNextExpiry is what the leader asks ten times a second.
+// BenchmarkNextExpiry measures NextExpiry, which the leader calls ten times a second.
 func BenchmarkNextExpiry(b *testing.B) {
 	for _, n := range benchmarkSizes {
 		s := populated(b, n)
@@ -66,7 +66,7 @@
 	}
 }
 
-// BenchmarkExpireOne is the lapse of one lease, and its registration anew.
+// BenchmarkExpireOne measures the expiry of one lease and the new registration of its server.
 func BenchmarkExpireOne(b *testing.B) {
 	for _, n := range benchmarkSizes {
 		s := populated(b, n)
@@ -85,7 +85,7 @@
 	}
 }
 
-// BenchmarkRenew is the renewal of one lease by registering again, the list's most frequent command.
+// BenchmarkRenew measures the renewal of a lease by another registration, the most frequent command.
 func BenchmarkRenew(b *testing.B) {
 	for _, n := range benchmarkSizes {
 		s := populated(b, n)
--- a/internal/registry/capacity_bench_test.go
+++ b/internal/registry/capacity_bench_test.go
@@ -6,10 +6,10 @@
 	"testing"
 )
 
-// The sizes are steps towards the plan of docs/CAPACITY.md, the last its own.
+// Numbers of app servers up to the plan of docs/CAPACITY.md; the last is the planned number.
 var benchSizes = []int{1000, 5000, 13_000, 26_000}
 
-// benchState is a list of n registered servers.
+// benchState returns a list of n registered servers.
 func benchState(b *testing.B, n int) *State {
 	state := New(1000)
 	for i := range n {
@@ -30,7 +30,7 @@
 	}
 }
 
-// BenchmarkCapacityReadOneChange is the answer to a watch that lacks the newest change.
+// BenchmarkCapacityReadOneChange measures the answer to a watch that lacks only the newest change.
 func BenchmarkCapacityReadOneChange(b *testing.B) {
 	benchEach(b, func(b *testing.B, state *State) {
 		for b.Loop() {
@@ -39,7 +39,7 @@
 	})
 }
 
-// BenchmarkCapacityReadComplete is a read of the complete list.
+// BenchmarkCapacityReadComplete measures a read of the complete list.
 func BenchmarkCapacityReadComplete(b *testing.B) {
 	benchEach(b, func(b *testing.B, state *State) {
 		for b.Loop() {
@@ -48,7 +48,7 @@
 	})
 }
 
-// BenchmarkCapacityEncodeComplete is the complete list as JSON, whose size it reports.
+// BenchmarkCapacityEncodeComplete measures the encoding of the complete list as JSON, and reports the size of the JSON.
 func BenchmarkCapacityEncodeComplete(b *testing.B) {
 	benchEach(b, func(b *testing.B, state *State) {
 		answer := state.Read(0, false)
@@ -64,7 +64,7 @@
 	})
 }
 
-// BenchmarkCapacitySweep is an expiry command that finds no lapsed lease.
+// BenchmarkCapacitySweep measures an expiry command that finds no lapsed lease.
 func BenchmarkCapacitySweep(b *testing.B) {
 	benchEach(b, func(b *testing.B, state *State) {
 		for b.Loop() {
@@ -73,7 +73,7 @@
 	})
 }
 
-// BenchmarkCapacityNextExpiry is the look for the next lease to lapse, which the leader takes at each sweep.
+// BenchmarkCapacityNextExpiry measures NextExpiry, which the leader calls at each sweep.
 func BenchmarkCapacityNextExpiry(b *testing.B) {
 	benchEach(b, func(b *testing.B, state *State) {
 		for b.Loop() {
@@ -82,7 +82,7 @@
 	})
 }
 
-// BenchmarkCapacitySnapshot is the list's snapshot, whose size it reports.
+// BenchmarkCapacitySnapshot measures the encoding of the list's snapshot, and reports the snapshot's size.
 func BenchmarkCapacitySnapshot(b *testing.B) {
 	benchEach(b, func(b *testing.B, state *State) {
 		size := 0
--- a/internal/registry/cost_test.go
+++ b/internal/registry/cost_test.go
@@ -9,10 +9,10 @@
 	"testing"
 )
 
-// costSizes are the numbers of servers between which the cost of a read may not grow.
+// costSizes are two numbers of servers. The cost of a read of one change must not be higher at the second.
 var costSizes = [2]int{1_000, 26_000}
 
-// visitsOfChange counts the entries that a watch's read looks at for one changed server among n.
+// visitsOfChange counts the entries that a watch's read visits when one of n servers has changed.
 func visitsOfChange(tb testing.TB, n int, read func(v *View, since uint64) Answer) int64 {
 	tb.Helper()
 	s := populated(tb, n)
@@ -25,7 +25,7 @@
 	return visits.Load()
 }
 
-// growth says how a read's cost grows from the least to the largest list, or "" where it does not.
+// growth describes how the cost of a read grows from the smaller to the larger list, or returns "" if it does not grow.
 func growth(tb testing.TB, read func(v *View, since uint64) Answer) string {
 	tb.Helper()
 	minimum, maximum := visitsOfChange(tb, costSizes[0], read), visitsOfChange(tb, costSizes[1], read)
@@ -35,7 +35,8 @@
 	return ""
 }
 
-// A watch's read costs what changed, whatever there is; a read that scans is found out.
+// TestReadCostsWhatChanged checks that the cost of a watch's read depends on the number of changes and not on the length of the
+// list, and that the check detects a read that scans the list.
 func TestReadCostsWhatChanged(t *testing.T) {
 	if why := growth(t, func(v *View, since uint64) Answer { return v.Read(since, true) }); why != "" {
 		t.Error(why)
@@ -50,21 +51,22 @@
 		return a
 	}
 	if growth(t, scan) == "" {
-		t.Error("a planted scan is not found out")
+		t.Error("the check does not detect a read that scans the list")
 	}
 }
 
-// A complete read is in the order of the ids, without the removed.
+// TestCompleteReadIsInOrder checks that a complete read is sorted by id and leaves out removed servers.
 func TestCompleteReadIsInOrder(t *testing.T) {
 	s := populated(t, 300)
 	s.Apply(Command{Op: Deregister, ID: "server-000007", NowMS: benchmarkStart})
 	a := s.Read(0, false)
 	if len(a.Servers) != 299 || !slices.IsSortedFunc(a.Servers, func(a, b Entry) int { return strings.Compare(a.ID, b.ID) }) {
-		t.Errorf("%d servers, in order: false", len(a.Servers))
+		t.Errorf("%d servers, want 299 sorted by id", len(a.Servers))
 	}
 }
 
-// Readers of views run while the list changes; each sees one complete list. The race detector watches.
+// TestReadersWhileTheListChanges reads views while the list changes, and checks that each view is one consistent list. It relies
+// on the race detector to find unsynchronized access.
 func TestReadersWhileTheListChanges(t *testing.T) {
 	const servers, changes, readers = 200, 500, 4
 	s := populated(t, servers)
--- a/internal/registry/golden_test.go
+++ b/internal/registry/golden_test.go
@@ -6,7 +6,7 @@
 	"meadowsill/internal/golden"
 )
 
-// Commands of the replicated log, the state as snapshots hold it, and the answer to a read.
+// TestStoredAndSentBytes checks the encodings of commands in the replicated log, of snapshots and of the answer to a read.
 func TestStoredAndSentBytes(t *testing.T) {
 	golden.JSON[Command](t, "command")
 	golden.JSON[snapshot](t, "snapshot")
--- a/internal/registry/index/index_test.go
+++ b/internal/registry/index/index_test.go
@@ -11,7 +11,7 @@
 	"pgregory.net/rapid"
 )
 
-// naive is the reference for Index: a map that is scanned.
+// naive is the reference model of Index: a map that every read scans.
 type naive map[[2]string]Entry[int]
 
 func (n naive) sorted(scope Scope, after uint64, order func(a, b Entry[int]) int) []Entry[int] {
@@ -40,7 +40,7 @@
 	return out
 }
 
-// compare holds a snapshot against the reference, in every scope and from every revision.
+// compare compares a snapshot with the reference in every scope and from every revision.
 func compare(t *rapid.T, s Snapshot[int], want naive, revision uint64) {
 	if s.Len() != len(want) {
 		t.Fatalf("%d entries, want %d", s.Len(), len(want))
@@ -57,7 +57,8 @@
 	}
 }
 
-// Any schedule of changes gives what a scan gives, and a snapshot stays as it was.
+// TestIndexAgainstScan compares the index with the scanning reference over random schedules of changes, and checks that a
+// snapshot does not change.
 func TestIndexAgainstScan(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		x := New[int]()
@@ -79,9 +80,9 @@
 			},
 			"remove": func(t *rapid.T) {
 				scope, key := scopes.Draw(t, "scope"), keys.Draw(t, "key")
-				_, there := want[[2]string{string(scope), key}]
-				if got := x.Remove(scope, key); got != there {
-					t.Fatalf("removed %v, want %v", got, there)
+				_, exists := want[[2]string{string(scope), key}]
+				if got := x.Remove(scope, key); got != exists {
+					t.Fatalf("removed %v, want %v", got, exists)
 				}
 				delete(want, [2]string{string(scope), key})
 			},
@@ -104,7 +105,7 @@
 	})
 }
 
-// Nothing comes after the last revision that there can be.
+// TestChangedAfterTheLastRevision checks that no value is returned as set after the largest possible revision.
 func TestChangedAfterTheLastRevision(t *testing.T) {
 	x := New[int]()
 	x.Set("", "k", 1, 1)
@@ -113,7 +114,8 @@
 	}
 }
 
-// Readers of snapshots run while the writer changes the index; each sees a complete state. The race detector watches.
+// TestReadersWhileTheIndexChanges reads snapshots while a writer changes the index, and checks that each snapshot is one
+// consistent state. It relies on the race detector to find unsynchronized access.
 func TestReadersWhileTheIndexChanges(t *testing.T) {
 	const keys, rounds, readers = 500, 200, 4
 	x := New[int]()
@@ -127,7 +129,7 @@
 					values[e.Value] = true
 				}
 				if len(values) != 1 {
-					t.Errorf("%d values in one snapshot", len(values))
+					t.Errorf("%d different values in one snapshot, want 1", len(values))
 				}
 			}
 		})
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -16,28 +16,28 @@
 	}
 	must(Command{Op: Register, Entry: entry("s1"), TTLMS: 1000, NowMS: 0}, true)
 	must(Command{Op: Register, Entry: entry("s2"), TTLMS: 1000, NowMS: 0}, true)
-	must(Command{Op: Register, Entry: entry("s2"), TTLMS: 1000, NowMS: 500}, false) // a renewal
-	must(Command{Op: Expire, NowMS: 1200}, true)                                    // s1 lapses, s2 holds to 1500
+	must(Command{Op: Register, Entry: entry("s2"), TTLMS: 1000, NowMS: 500}, false) // renews s2's lease only
+	must(Command{Op: Expire, NowMS: 1200}, true)                                    // s1's lease lapses; s2's lasts until 1500
 	if a := s.Read(2, true); a.Version != 3 || a.Full || len(a.Servers) != 1 || a.Servers[0].State != "gone" {
 		t.Fatalf("watch from 2: %+v", a)
 	}
 	if a := s.Read(0, false); len(a.Servers) != 1 || a.Servers[0].ID != "s2" || !a.Full {
-		t.Fatalf("whole list: %+v", a)
+		t.Fatalf("complete list: %+v", a)
 	}
 	must(Command{Op: Drain, ID: "s2", NowMS: 1300}, true)
-	must(Command{Op: Register, Entry: entry("s3"), TTLMS: 100000, NowMS: 1300}, true) // TTL held to the most
-	must(Command{Op: Expire, NowMS: 1600}, true)                                      // s2 lapses; s1 compacted
+	must(Command{Op: Register, Entry: entry("s3"), TTLMS: 100000, NowMS: 1300}, true) // TTL clamped to MaxTTLMS
+	must(Command{Op: Expire, NowMS: 1600}, true)                                      // s2's lease lapses; s1 is compacted
 	if a := s.Read(1, true); !a.Full {
-		t.Errorf("a watch from a compacted revision gets the whole list: %+v", a)
+		t.Errorf("a watch from a compacted revision does not get the complete list: %+v", a)
 	}
 	if a := s.Read(99, true); !a.Full {
-		t.Errorf("a watch from a revision newer than the list gets the whole list: %+v", a)
+		t.Errorf("a watch from a revision newer than the list does not get the complete list: %+v", a)
 	}
 	if s.NextExpiry() != 1300+MaxTTLMS {
 		t.Errorf("next expiry %d", s.NextExpiry())
 	}
 	if _, err := s.Apply(Command{Op: Renew, ID: "s1", NowMS: 1700}); err == nil {
-		t.Error("a gone lease renewed")
+		t.Error("the lease of a removed server was renewed")
 	}
 }
 
@@ -45,11 +45,11 @@
 	s := New(8)
 	for _, e := range []Entry{{ID: "", Addr: "127.0.0.1:1"}, {ID: "x", Addr: "nowhere"}, {ID: "x", Addr: "127.0.0.1:1", State: "odd"}} {
 		if _, err := s.Apply(Command{Op: Register, Entry: e, TTLMS: 1000}); err == nil {
-			t.Errorf("%+v taken", e)
+			t.Errorf("invalid registration %+v accepted", e)
 		}
 	}
 	if s.Revision != 0 || len(s.Records) != 0 {
-		t.Errorf("state changed: %+v", s)
+		t.Errorf("an invalid registration changed the state: %+v", s)
 	}
 }
 
@@ -68,14 +68,15 @@
 		t.Fatal(err)
 	}
 	if a, b := s.Read(1, true), r.Read(1, true); a.Version != b.Version || len(a.Servers) != len(b.Servers) {
-		t.Errorf("%+v against %+v", a, b)
+		t.Errorf("answer before the restore %+v, after %+v", a, b)
 	}
 	if _, err := r.Restore([]byte("{")); err == nil {
-		t.Error("a broken snapshot taken")
+		t.Error("a malformed snapshot was restored")
 	}
 }
 
-// Compaction comes with writes alone, with no lease lapsing: a watch from before it gets the complete list.
+// TestCompactionWithoutSweep checks that writes alone compact the list, without a lapsed lease, and that a watch from before
+// the compaction then gets the complete list.
 func TestCompactionWithoutSweep(t *testing.T) {
 	s := New(4)
 	for _, id := range []string{"a", "b", "c", "d", "e", "f"} {
@@ -85,16 +86,16 @@
 	if a := s.Read(6, true); a.Full || len(a.Servers) != 1 {
 		t.Fatalf("before compaction: %+v", a)
 	}
-	for _, id := range []string{"g", "h", "i", "j", "k"} { // to revision 12, a multiple of 4: "a" is 5 behind
+	for _, id := range []string{"g", "h", "i", "j", "k"} { // up to revision 12, a multiple of 4; the removal of "a" is 5 revisions old
 		s.Apply(Command{Op: Register, Entry: entry(id), TTLMS: 60000})
 	}
 	if a := s.Read(6, true); !a.Full || len(a.Servers) != 10 {
-		t.Errorf("a slow watcher from 6: %+v", a)
+		t.Errorf("watch from the compacted revision 6: %+v", a)
 	}
 }
 
-// A registrant whose clock is an hour fast: its server's start is taken as the leader's now, and its lease runs
-// on the leader's clock.
+// TestRegistrantClockAheadIsBounded registers a server with a clock that is an hour ahead. Its start time must be limited to the
+// leader's clock, and its lease must lapse by the leader's clock.
 func TestRegistrantClockAheadIsBounded(t *testing.T) {
 	s := New(8)
 	e := entry("s1")
@@ -104,7 +105,7 @@
 		t.Errorf("started_ms %d", got)
 	}
 	if changed, _ := s.Apply(Command{Op: Register, Entry: e, TTLMS: 1000, NowMS: 10_500}); changed {
-		t.Error("a renewal with the same start made a new revision")
+		t.Error("a renewal with the same start time made a new revision")
 	}
 	if changed, _ := s.Apply(Command{Op: Expire, NowMS: 11_600}); !changed {
 		t.Error("the lease did not lapse on the leader's clock")
--- a/internal/registry/replica/golden_test.go
+++ b/internal/registry/replica/golden_test.go
@@ -13,7 +13,7 @@
 	"meadowsill/internal/golden"
 )
 
-// Bodies of the HTTP API.
+// TestBodiesOnTheWire checks the encoding of bodies of the HTTP API.
 func TestBodiesOnTheWire(t *testing.T) {
 	golden.JSON[writeBody](t, "write")
 	golden.JSON[zoneStatus](t, "zone")
@@ -21,7 +21,7 @@
 
 var describedMetric = regexp.MustCompile(`fqName: "([^"]*)".*constLabels: \{(.*)\}, variableLabels: \{(.*)\}`)
 
-// The names and labels of the metrics.
+// TestMetricNames checks the names and labels of the metrics.
 func TestMetricNames(t *testing.T) {
 	metrics := reflect.ValueOf(newFleetMetrics()).Elem()
 	var lines []string
@@ -30,13 +30,13 @@
 			continue
 		}
 		descs := make(chan *prometheus.Desc, 8)
-		// The field is not exported: its value is read through its address.
+		// Read the unexported field through its address.
 		reflect.NewAt(field.Type(), field.Addr().UnsafePointer()).Elem().Interface().(prometheus.Collector).Describe(descs)
 		close(descs)
 		for desc := range descs {
 			m := describedMetric.FindStringSubmatch(desc.String())
 			if m == nil {
-				t.Fatalf("not understood: %s", desc)
+				t.Fatalf("unexpected metric description: %s", desc)
 			}
 			lines = append(lines, fmt.Sprintf("%s {%s} {%s}\n", m[1], m[2], m[3]))
 		}
--- a/internal/registry/replica/replica_test.go
+++ b/internal/registry/replica/replica_test.go
@@ -20,10 +20,10 @@
 	"meadowsill/internal/registry"
 )
 
-func log(c control.Command) *raft.Log { return &raft.Log{Data: fleetCommand(c)} }
+func logEntry(c control.Command) *raft.Log { return &raft.Log{Data: fleetCommand(c)} }
 
-// A change of the fleet takes the next revision, wakes no watcher of the list, and comes back with a snapshot; a join
-// wakes no watcher of the intent either.
+// TestFSM checks that a change of the fleet takes the next revision, wakes no watcher of the list, and is restored from a
+// snapshot. A join must not wake a watcher of the intent either.
 func TestFSM(t *testing.T) {
 	f := newFSM(10)
 	list, intent := f.list.Load().changed, f.watchers.add(control.ReaderScopes("n")).woken
@@ -42,18 +42,18 @@
 	list = f.list.Load().changed
 	m := fleet.Member{Node: "n", Zone: "z", Incarnation: 1}
 	join := control.Command{Session: &session.Command{Operation: session.Join, Member: m}, ScopeDigest: f.fleet.ScopeDigest("n", nil)}
-	if a := f.Apply(log(join)).(applyResult); a.revision != 2 || woken(list) || woken(intent) {
+	if a := f.Apply(logEntry(join)).(applyResult); a.revision != 2 || woken(list) || woken(intent) {
 		t.Fatalf("a join: %+v", a)
 	}
 	put := control.Command{Tenants: &tenants.Command{Operation: tenants.Put, Name: "b", Spec: &fleet.Spec{Name: "b", Quota: fleet.Quota{Rate: 1, Burst: 1}}}}
-	if a := f.Apply(log(put)).(applyResult); a.revision != 3 || woken(list) || !woken(intent) {
-		t.Fatalf("a tenant: %+v", a)
+	if a := f.Apply(logEntry(put)).(applyResult); a.revision != 3 || woken(list) || !woken(intent) {
+		t.Fatalf("a new tenant: %+v", a)
 	}
-	if a := f.Apply(log(put)).(applyResult); !errors.Is(a.err, fleet.ErrConflict) || a.changed || f.state.Revision != 3 {
-		t.Fatalf("a tenant again: %+v", a)
+	if a := f.Apply(logEntry(put)).(applyResult); !errors.Is(a.err, fleet.ErrConflict) || a.changed || f.state.Revision != 3 {
+		t.Fatalf("the same tenant proposed again: %+v", a)
 	}
 	if a := f.Apply(&raft.Log{Data: []byte(`{"op":"fleet","now_ms":0,"fleet":{"tenants":3}}`)}).(applyResult); a.err == nil || f.state.Revision != 3 {
-		t.Fatalf("a garbled command: %+v", a)
+		t.Fatalf("a malformed command: %+v", a)
 	}
 	if a := f.state.Read(1, true); a.Version != 1 || a.Full || len(a.Servers) != 0 {
 		t.Errorf("the list after changes of the fleet: %+v", a)
@@ -70,12 +70,13 @@
 		t.Errorf("restored at revision %d: %s", g.state.Revision, d)
 	}
 	if err := g.Restore(io.NopCloser(bytes.NewReader([]byte(`{"rev":9,"version":2,"fleet":{"zones":1}}`)))); err == nil || g.state.Revision != 3 {
-		t.Errorf("a broken snapshot: %v, revision %d", err, g.state.Revision)
+		t.Errorf("a malformed snapshot: %v, revision %d", err, g.state.Revision)
 	}
 }
 
-// Every asker of a batch gets the outcome of a check that began after it asked, and many share one.
-func TestBatch(t *testing.T) {
+// TestBatchedCheck checks that each caller gets the outcome of a check that began after its call, and that many callers share a
+// check.
+func TestBatchedCheck(t *testing.T) {
 	var begun, checks atomic.Int64
 	b := batchedCheck{check: func() error { begun.Add(1); checks.Add(1); time.Sleep(time.Millisecond); return nil }}
 	var all sync.WaitGroup
@@ -83,12 +84,12 @@
 		all.Go(func() {
 			before := begun.Load()
 			if err := b.wait(); err != nil || begun.Load() <= before {
-				t.Errorf("%v: the check began before it was asked for", err)
+				t.Errorf("%v: no check began after the call", err)
 			}
 		})
 	}
 	all.Wait()
 	if n := checks.Load(); n > 20 {
-		t.Errorf("%d checks for 200 askers", n)
+		t.Errorf("%d checks for 200 callers", n)
 	}
 }
--- a/internal/registry/replica/watchers_test.go
+++ b/internal/registry/replica/watchers_test.go
@@ -23,33 +23,33 @@
 	"meadowsill/internal/registry"
 )
 
-// longWait is a watch's wait that no test waits for the end of.
+// longWait is the timeout of a watch that must end for another reason.
 const longWait = time.Minute
 
-// putTenantOf applies the first generation of a tenant of a service.
+// putTenantOf applies the first generation of a tenant in a service.
 func putTenantOf(t *testing.T, f *fsm, name, service string) applyResult {
 	t.Helper()
 	spec := &fleet.Spec{Name: name, Service: service, Quota: fleet.Quota{Rate: 1, Burst: 1}}
-	a := f.Apply(log(control.Command{Tenants: &tenants.Command{Operation: tenants.Put, Name: name, Spec: spec}})).(applyResult)
+	a := f.Apply(logEntry(control.Command{Tenants: &tenants.Command{Operation: tenants.Put, Name: name, Spec: spec}})).(applyResult)
 	if a.err != nil || !a.changed {
 		t.Fatalf("%s of %q: %+v", name, service, a)
 	}
 	return a
 }
 
-// shareTo applies a division that gives a node a share.
-func shareTo(t *testing.T, f *fsm, node string) applyResult {
+// applyShare applies a division that gives a node a share.
+func applyShare(t *testing.T, f *fsm, node string) applyResult {
 	t.Helper()
 	s := f.fleet
 	d := &tenants.Division{Slots: 8, Grants: []tenants.Grant{{Run: tenants.Run{Node: node, Incarnation: 1}}}}
-	a := f.Apply(log(control.Command{Tenants: &tenants.Command{Operation: tenants.Divide, IfRevision: s.Tenants.DividedRevision, Epoch: s.Session.Epoch, Division: d}})).(applyResult)
+	a := f.Apply(logEntry(control.Command{Tenants: &tenants.Command{Operation: tenants.Divide, IfRevision: s.Tenants.DividedRevision, Epoch: s.Session.Epoch, Division: d}})).(applyResult)
 	if a.err != nil || !a.changed {
-		t.Fatalf("a share to %s: %+v", node, a)
+		t.Fatalf("a share for %s: %+v", node, a)
 	}
 	return a
 }
 
-// A change wakes the watchers of its scope and no others: counted, whatever the time.
+// TestWakeupsByScope checks that a change wakes only the watchers of its scope. It counts wake-ups and does not depend on time.
 func TestWakeupsByScope(t *testing.T) {
 	f := newFSM(10)
 	scopes := map[string][]string{"n1": {"x"}, "n2": {"y"}, "n3": {"x", "y"}, "n4": nil}
@@ -79,8 +79,8 @@
 		{"a tenant of y", "n2 n3 n4", func() { putTenantOf(t, f, "b", "y") }},
 		{"a tenant of z", "n4", func() { putTenantOf(t, f, "c", "z") }},
 		{"a tenant of every service", "n1 n2 n3 n4", func() { putTenantOf(t, f, "d", "") }},
-		{"a share of n2", "n2", func() { shareTo(t, f, "n2") }},
-		{"a share of another node", "", func() { shareTo(t, f, "n9") }},
+		{"a share of n2", "n2", func() { applyShare(t, f, "n2") }},
+		{"a share of another node", "", func() { applyShare(t, f, "n9") }},
 	} {
 		c.change()
 		got := woken()
@@ -98,7 +98,7 @@
 		f.watchers.remove(w)
 	}
 	if n := len(f.watchers.byScope); n != 0 {
-		t.Errorf("%d scopes are still watched", n)
+		t.Errorf("%d scopes still have watchers", n)
 	}
 }
 
@@ -107,17 +107,17 @@
 	return intentWatch{WatchQuery: registry.WatchQuery{IsWatch: true, Since: since, Timeout: wait}, node: "n", services: []string{service}}
 }
 
-// A watcher in whose scope nothing changes is answered at its wait's end, with nothing and the newest revision; one in whose
-// scope something has changed is answered at once.
+// TestAwaitIntentByScope checks that a watch without a change in its scope waits until its end and then gets no item and the
+// newest revision, and that a watch with a change in its scope is answered at once.
 func TestAwaitIntentByScope(t *testing.T) {
 	f := newFSM(10)
 	since := putTenantOf(t, f, "a", "x").revision
-	ended, end := context.WithCancel(t.Context())
+	ctx, cancel := context.WithCancel(t.Context())
 	var got *control.View
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		got = f.awaitIntent(ended, scopedWatch(since, longWait, "x"))
+		got = f.awaitIntent(ctx, scopedWatch(since, longWait, "x"))
 	}()
 	watched := func() int {
 		f.watchers.mu.Lock()
@@ -129,18 +129,18 @@
 	}
 	newest := putTenantOf(t, f, "b", "y").revision
 	if f.watchers.wakeups != 0 {
-		t.Errorf("%d wake-ups by a change outside of the scope", f.watchers.wakeups)
+		t.Errorf("%d wake-ups after a change outside the scope", f.watchers.wakeups)
 	}
-	end()
+	cancel()
 	<-done
 	if in := got.Read(since, "n", "x"); in.Revision != newest || in.Full || len(in.Items) != 0 || watched() != 0 {
-		t.Errorf("at the wait's end: %+v, %d scopes watched", in, watched())
+		t.Errorf("at the end of the wait: %+v, %d scopes with watchers", in, watched())
 	}
 	if in := f.awaitIntent(t.Context(), scopedWatch(since, longWait, "y")).Read(since, "n", "y"); len(in.Items) != 1 {
 		t.Errorf("a change before the watch: %+v", in)
 	}
 	if in := f.awaitIntent(t.Context(), scopedWatch(newest+5, longWait, "y")).Read(newest+5, "n", "y"); !in.Full {
-		t.Errorf("a watch from a revision that there is not: %+v", in)
+		t.Errorf("a watch from a revision that does not exist: %+v", in)
 	}
 	go func() { putTenantOf(t, f, "c", "y") }()
 	if in := f.awaitIntent(t.Context(), scopedWatch(newest, longWait, "y")).Read(newest, "n", "y"); len(in.Items) != 1 {
@@ -148,7 +148,8 @@
 	}
 }
 
-// Watchers of many scopes follow a writer, a restore among its changes, and miss nothing. The race detector watches.
+// TestWatchersFollowTheWriter checks that watchers of several scopes get every change of a writer, also across a restore. It
+// relies on the race detector to find unsynchronized access.
 func TestWatchersFollowTheWriter(t *testing.T) {
 	const services, perService, watchersEach = 5, 40, 3
 	f := newFSM(10)
@@ -165,14 +166,14 @@
 					}
 					since = in.Revision
 					if !in.Full && len(in.Items) == 0 || time.Since(start) >= longWait {
-						t.Errorf("%s: answered at %d, after %v, without a change", name, since, time.Since(start))
+						t.Errorf("%s: answered at revision %d after %v without a change", name, since, time.Since(start))
 						return
 					}
 				}
 			})
 		}
 	}
-	all.Go(func() { // a reader of the list, which nothing here changes
+	all.Go(func() { // reads the list, which this test does not change
 		for range 50 {
 			if a := f.list.Load().view.Read(0, false); len(a.Servers) != 0 {
 				t.Errorf("%+v", a)
@@ -194,22 +195,22 @@
 	all.Wait()
 }
 
-// The list as drift compares it is made anew only where the list has changed.
-func TestServersAreMadeOncePerChange(t *testing.T) {
+// TestServersAreBuiltOncePerChange checks that the list in drift's form is rebuilt only after a change of the list.
+func TestServersAreBuiltOncePerChange(t *testing.T) {
 	f := newFSM(10)
 	register := func(id string, now int64) {
 		raw, _ := json.Marshal(registry.Command{Op: registry.Register, Entry: registry.Entry{ID: id, Addr: "127.0.0.1:1"}, TTLMS: 1000, NowMS: now})
 		f.Apply(&raft.Log{Data: raw})
 	}
 	if f.servers() != nil {
-		t.Error("servers where nothing has ever registered")
+		t.Error("servers is not nil although no server has ever registered")
 	}
 	register("b", 1)
 	first := f.servers()
-	register("b", 2) // a renewal
+	register("b", 2) // renews the lease only
 	putTenantOf(t, f, "a", "")
 	if second := f.servers(); &first[0] != &second[0] {
-		t.Error("made anew where the list has not changed")
+		t.Error("rebuilt although the list has not changed")
 	}
 	register("a", 3)
 	ids := []string{}
@@ -221,8 +222,9 @@
 	}
 }
 
-// Compaction alone wakes no watcher of the list; a watch from before it gets the complete list.
-func TestCompactionWakesNobody(t *testing.T) {
+// TestCompactionWakesNoWatcher checks that compaction alone wakes no watcher of the list, and that a watch from before the
+// compaction gets the complete list.
+func TestCompactionWakesNoWatcher(t *testing.T) {
 	f := newFSM(1)
 	apply := func(c registry.Command) {
 		raw, _ := json.Marshal(c)
@@ -230,13 +232,13 @@
 	}
 	apply(registry.Command{Op: registry.Register, Entry: registry.Entry{ID: "a", Addr: "127.0.0.1:1"}, TTLMS: 1000, NowMS: 1})
 	apply(registry.Command{Op: registry.Deregister, ID: "a", NowMS: 2})
-	putTenantOf(t, f, "a", "") // the revision goes on without the list
+	putTenantOf(t, f, "a", "") // a new revision without a change of the list
 	before := f.list.Load()
 	apply(registry.Command{Op: registry.Expire, NowMS: 3})
 	after := f.list.Load()
 	select {
 	case <-before.changed:
-		t.Error("a watcher is woken")
+		t.Error("compaction woke a watcher of the list")
 	default:
 	}
 	if after.changed != before.changed || after.view.Floor != 2 || !after.view.Read(1, true).Full {
@@ -244,7 +246,7 @@
 	}
 }
 
-// A scope that can't be is rejected with one line that names what is wrong.
+// TestBadScopeIsRejected checks that an invalid scope is rejected with one line that names the fault.
 func TestBadScopeIsRejected(t *testing.T) {
 	many := make([]string, fleet.MaxScopeServices+1)
 	for i := range many {
--- a/internal/registry/scan_test.go
+++ b/internal/registry/scan_test.go
@@ -10,8 +10,8 @@
 	"pgregory.net/rapid"
 )
 
-// scanned is the reference for State: the same commands carried out by scans of one map, without any index.
-type scanned struct {
+// scanState is the reference model of State. It applies the same commands by scans of one map, without indexes.
+type scanState struct {
 	Rev     uint64             `json:"rev"`
 	Last    uint64             `json:"last,omitempty"`
 	Floor   uint64             `json:"floor"`
@@ -19,7 +19,7 @@
 	keep    int
 }
 
-func (s *scanned) apply(c Command) (bool, error) {
+func (s *scanState) apply(c Command) (bool, error) {
 	before := s.Last
 	changed, err := s.carryOut(c)
 	if changed {
@@ -31,7 +31,7 @@
 	return changed, err
 }
 
-func (s *scanned) carryOut(c Command) (bool, error) {
+func (s *scanState) carryOut(c Command) (bool, error) {
 	ttl := min(max(c.TTLMS, MinTTLMS), MaxTTLMS)
 	switch c.Op {
 	case Register:
@@ -71,7 +71,7 @@
 	return false, ErrInvalid
 }
 
-func (s *scanned) register(c Command, ttl int64) (bool, error) {
+func (s *scanState) register(c Command, ttl int64) (bool, error) {
 	e := c.Entry
 	if e.State == "" {
 		e.State = "ready"
@@ -91,7 +91,7 @@
 	return true, nil
 }
 
-func (s *scanned) change(r *record, state string) {
+func (s *scanState) change(r *record, state string) {
 	s.Rev++
 	r.Entry.State, r.Revision = state, s.Rev
 	if state == "gone" {
@@ -99,7 +99,7 @@
 	}
 }
 
-func (s *scanned) compact() {
+func (s *scanState) compact() {
 	for id, r := range s.Records {
 		if r.ExpiresMS == 0 && r.Revision+uint64(s.keep) <= s.Rev {
 			delete(s.Records, id)
@@ -108,7 +108,7 @@
 	}
 }
 
-func (s *scanned) read(since uint64, watch bool) Answer {
+func (s *scanState) read(since uint64, watch bool) Answer {
 	full := !watch || since < s.Floor || since > s.Last
 	a := Answer{Version: s.Last, Full: full, Servers: []Entry{}}
 	for _, r := range s.Records {
@@ -120,7 +120,7 @@
 	return a
 }
 
-func (s *scanned) nextExpiry() int64 {
+func (s *scanState) nextExpiry() int64 {
 	var next int64
 	for _, r := range s.Records {
 		if r.ExpiresMS != 0 && (next == 0 || r.ExpiresMS < next) {
@@ -130,8 +130,8 @@
 	return next
 }
 
-// snapshot is the list's snapshot as builds before the indexes wrote it.
-func (s *scanned) snapshot() ([]byte, error) {
+// snapshot encodes the list as builds without the indexes wrote it.
+func (s *scanState) snapshot() ([]byte, error) {
 	out := *s
 	if s.Last == s.Rev {
 		out.Last = 0
@@ -139,7 +139,7 @@
 	return json.Marshal(out)
 }
 
-// drawCommand draws a command on few ids, at a time that never goes back.
+// drawCommand draws a command on one of a few ids, at a time that never decreases.
 func drawCommand(t *rapid.T, now *int64) Command {
 	*now += int64(rapid.IntRange(0, 2000).Draw(t, "ms"))
 	id := fmt.Sprint("s", rapid.IntRange(0, 5).Draw(t, "id"))
@@ -154,13 +154,13 @@
 	return c
 }
 
-// Over random schedules the list answers, expires, compacts and is written exactly as one that scans, restored or not; and
-// what was read from a view before stays as it was.
+// TestListAgainstScan compares the list with the scanning reference over random schedules of commands and restores: answers,
+// expiry, compaction and snapshots must be the same, and an earlier view must not change.
 func TestListAgainstScan(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		keep := rapid.IntRange(1, 6).Draw(t, "keep")
 		s := New(keep)
-		want := &scanned{Records: map[string]*record{}, keep: keep}
+		want := &scanState{Records: map[string]*record{}, keep: keep}
 		now := int64(1)
 		held, heldWant := s.View(), want.read(0, false)
 		t.Repeat(map[string]func(*rapid.T){
@@ -186,7 +186,7 @@
 				if _, err := s.Restore(raw); err != nil {
 					t.Fatal(err)
 				}
-				if want.Last == 0 { // a snapshot does not tell a list that has never changed from one at its revision
+				if want.Last == 0 { // a snapshot doesn't distinguish a list that has never changed from one that last changed at the snapshot's revision
 					want.Last = want.Rev
 				}
 			},
@@ -197,10 +197,10 @@
 					}
 				}
 				if d := cmp.Diff(want.read(0, false), s.Read(0, false)); d != "" {
-					t.Fatalf("whole read: %s", d)
+					t.Fatalf("complete read: %s", d)
 				}
 				if d := cmp.Diff(heldWant, held.Read(0, false)); d != "" {
-					t.Fatalf("a view has changed: %s", d)
+					t.Fatalf("an earlier view has changed: %s", d)
 				}
 				if got := s.NextExpiry(); got != want.nextExpiry() {
 					t.Fatalf("next expiry %d, want %d", got, want.nextExpiry())
--- a/internal/registry/versions_test.go
+++ b/internal/registry/versions_test.go
@@ -26,14 +26,14 @@
 			t.Fatalf("%s: %v", line, err)
 		}
 		if again, _ := json.Marshal(c); !bytes.Equal(again, line) {
-			t.Errorf("a command of the list is written as %s, was %s", again, line)
+			t.Errorf("the command is encoded as %s, it was %s in the log", again, line)
 		}
 	}
 	return s
 }
 
-// A log and a snapshot that builds before the fleet wrote (testdata/v1-*) still restore, to the same list and on to the same
-// bytes; with the fleet's state next to it the list's answers stay the same.
+// TestOldLogAndSnapshotRestore checks that a log and a snapshot of builds without fleet support (testdata/v1-*) still give the
+// same list and the same snapshot bytes, and that the list's answers stay the same with the fleet's state next to the list.
 func TestOldLogAndSnapshotRestore(t *testing.T) {
 	s := replay(t, "testdata/v1-commands.jsonl")
 	old, err := os.ReadFile("testdata/v1-snapshot.json")
@@ -52,7 +52,7 @@
 		t.Error(d)
 	}
 	if r.NextRevision() != 8 || r.Revision != 8 {
-		t.Fatalf("the fleet's revision is %d", r.Revision)
+		t.Fatalf("after the fleet's first change the revision is %d, want 8", r.Revision)
 	}
 	raw, _ := r.Snapshot(json.RawMessage(`{"a":1}`))
 	with := New(1000)
@@ -61,7 +61,7 @@
 	}
 	for since := range uint64(9) {
 		if d := cmp.Diff(s.Read(since, true), with.Read(since, true)); d != "" {
-			t.Errorf("since %d, after a change of the fleet alone: %s", since, d)
+			t.Errorf("since %d, after a change of only the fleet: %s", since, d)
 		}
 	}
 	with.Apply(Command{Op: Drain, ID: "a-2", NowMS: 9000})
@@ -69,6 +69,6 @@
 		t.Errorf("the list's next change: %+v", a)
 	}
 	if _, err := with.Restore([]byte(`{"rev":1,"version":3}`)); err == nil || with.Revision != 9 {
-		t.Errorf("a newer snapshot: %v, revision %d", err, with.Revision)
+		t.Errorf("a snapshot of a newer version: %v, revision %d", err, with.Revision)
 	}
 }
