--- a/internal/registry/replica/fsm.go
+++ b/internal/registry/replica/fsm.go
@@ -103,7 +103,8 @@
 }
 
 // servers returns the list in the form that drift compares, or nil if no server has ever registered: then the nodes get their
-// servers from another source. It is rebuilt only after a change of the list. The caller holds mu and must not modify it.
+// servers from another source. The slice is rebuilt only after a change of the list, and must not be modified. The caller holds
+// mu.
 func (f *fsm) servers() []drift.ListedServer {
 	view := f.state.View()
 	if view.Len() == 0 && view.Floor == 0 {
--- a/internal/registry/replica/replica.go
+++ b/internal/registry/replica/replica.go
@@ -63,7 +63,7 @@
 	maxPooledConns           = 8 // idle connections kept for each peer
 	defaultSnapshotThreshold = 2048
 	defaultSnapshotInterval  = 5 * time.Second
-	defaultTrailingLogs      = 4096 // entries kept after a snapshot, so that a replica that was down can catch up from the log
+	defaultTrailingLogs      = 4096 // entries older than a snapshot that stay in the log, so that a replica that was down can catch up from it
 	retainedSnapshots        = 3
 )
 
