--- a/internal/fleet/agent/agent.go
+++ b/internal/fleet/agent/agent.go
@@ -20,64 +20,64 @@
 	"meadowsill/internal/fleet/session"
 )
 
-// Config places an agent.
+// Config holds an agent's settings: the node it belongs to, the replicas it talks to and the directory of its durable copy.
 type Config struct {
 	Node     string
 	Zone     string
-	Services []string                                                          // the scope: whose tenants the node serves, sorted; none: every service
-	Replicas []string                                                          // their HTTP addresses
-	Dir      string                                                            // of the durable copy
-	Dial     func(ctx context.Context, network, addr string) (net.Conn, error) // how replicas are reached; nil: as named
+	Services []string                                                          // the scope: services whose tenants the node holds, sorted; empty: all
+	Replicas []string                                                          // HTTP addresses of the control plane's replicas
+	Dir      string                                                            // directory of the durable copy
+	Dial     func(ctx context.Context, network, addr string) (net.Conn, error) // connects to a replica; nil: the default dialer
 	Log      *slog.Logger
 }
 
-// Agent is a running fleet half. Start makes one.
+// Agent is the fleet part of the agent beside a node. Start creates one.
 type Agent struct {
 	cfg        Config
 	client     http.Client
-	clockStart time.Time // of the clock, where the machine has no better
+	clockStart time.Time // reference of the fallback clock, where the machine has no CLOCK_BOOTTIME
 	metrics    metrics
 	ownDrift   ownDrift
-	copyFile   *copyFile // of the goroutine that saves
-
-	mu            sync.Mutex // guards the fields below, but for sender
-	copy          *IntentCopy
-	resendKeys    map[string]bool // items to send to the node again
-	joined        bool            // the control plane has counted the node: it may be sent quotas
-	hasSession    bool            // a session was answered, at minRevision of the leader
-	minRevision   uint64          // the node is sent nothing older: others may be two generations on
-	savedRevision uint64          // revision that a restart would have at least
-	fetchAll      bool            // the next watch requests everything
-	scopeUnread   bool            // a service of the scope has not been read yet: fetchAll is set, and the node is sent everything with it
-	saveAll       bool            // the next save is of everything
-	confirmedAt   fleet.Time      // when a replica held the copy to be the newest it has; only with caughtUp
-	caughtUp      bool
-	updated       chan struct{} // closed when there is something to send to the node
-	dirty         chan struct{} // holds one: the copy is to be saved
+	copyFile   *copyFile // used by the saving goroutine only
+
+	mu              sync.Mutex // guards the fields below, except sender
+	copy            *IntentCopy
+	resendKeys      map[string]bool // keys of items to send to the node again, whatever their revision
+	joined          bool            // the control plane has counted the node, so the node may be sent quotas
+	hasSession      bool            // the leader has answered with a lease; minRevision is the leader's revision in the first such answer
+	minRevision     uint64          // the node is sent nothing older than this: other nodes may already be two generations further
+	savedRevision   uint64          // the agent has at least this revision after a restart
+	fetchAll        bool            // the next watch call requests every item
+	scopeIncomplete bool            // a service of the scope has not been read yet: fetchAll is set; after that read the node is sent every item
+	saveAll         bool            // the next save writes every item
+	confirmedAt     fleet.Time      // when a replica last confirmed that the copy is the newest revision it has; valid only with caughtUp
+	caughtUp        bool
+	updated         chan struct{} // closed when there is something to send to the node
+	dirty           chan struct{} // buffers one signal: the copy needs to be saved
 
 	lease        session.AgentLease
-	report       *pendingReport // the node's newest
-	reports      chan struct{}  // holds one: a report is to be carried
+	report       *pendingReport // the node's newest report
+	reports      chan struct{}  // buffers one signal: a report needs to be forwarded
 	lastAnswer   fleet.ReportAnswer
 	lastAnswerAt fleet.Time         // when the leader last answered
-	reportsLost  bool               // no replica took the last report
+	reportsLost  bool               // no replica accepted the last report
 	fenced       bool               // the node's newest incarnation has a successor elsewhere
-	sender       reportdelta.Sender // of the goroutine that carries
-	incarnation  uint64             // the largest incarnation seen, and its largest sequence
+	sender       reportdelta.Sender // used by the forwarding goroutine only
+	incarnation  uint64             // the largest incarnation seen; sequence is its largest sequence number
 	sequence     uint64
 }
 
-// pendingReport is a report on its way to the leader.
+// pendingReport is a report that the agent forwards to the leader.
 type pendingReport struct {
 	raw               []byte
 	report            fleet.Report // normalized
-	hasUnknownMembers bool         // it has members that this build does not know, which no difference would have
+	hasUnknownMembers bool         // it has members that this build does not know, which a delta would drop
 	receivedAt        fleet.Time
-	done              chan struct{} // closed once the leader has answered it, or it has a successor
+	done              chan struct{} // closed once the leader has answered the report or a newer report has replaced it
 	once              sync.Once
 }
 
-func (c *pendingReport) finish() { c.once.Do(func() { close(c.done) }) }
+func (p *pendingReport) finish() { p.once.Do(func() { close(p.done) }) }
 
 type metrics struct {
 	answersDropped  prometheus.Counter
@@ -89,7 +89,7 @@
 	revision        prometheus.Gauge
 	driftState      *prometheus.GaugeVec
 	driftVerdicts   *prometheus.CounterVec
-	// reports, by kind
+	// Counters of sent reports, labeled by kind.
 	sent           *prometheus.CounterVec
 	sentBytes      *prometheus.CounterVec
 	deltasRejected prometheus.Counter
@@ -117,14 +117,14 @@
 	return m
 }
 
-// Start reads the durable copy and follows the replicas until ctx ends. A copy that is damaged is rejected, counted
-// and said; the agent starts without one.
+// Start reads the durable copy and follows the replicas until ctx ends. It rejects, counts and logs a damaged copy and
+// then starts without one.
 func Start(ctx context.Context, cfg Config, reg prometheus.Registerer) (*Agent, error) {
 	a, err := newAgent(cfg, reg)
 	if err != nil {
 		return nil, err
 	}
-	a.cfg.Log.Info("fleet agent starts", "revision", a.copy.Revision, "services", cfg.Services)
+	a.cfg.Log.Info("fleet agent started", "revision", a.copy.Revision, "services", cfg.Services)
 	go a.watch(ctx)
 	go a.forwardReports(ctx)
 	go a.save(ctx)
@@ -132,7 +132,7 @@
 	return a, nil
 }
 
-// newAgent makes an agent that has its copy and follows nobody yet.
+// newAgent creates an agent that has read its durable copy and follows no replica yet.
 func newAgent(cfg Config, reg prometheus.Registerer) (*Agent, error) {
 	if err := fleet.ValidScope(cfg.Services); err != nil {
 		return nil, err
@@ -157,7 +157,8 @@
 	return a, nil
 }
 
-// now reads the agent's clock: monotonic, and going on while the machine sleeps, as a session does at the leader.
+// now reads the agent's clock. It is monotonic and keeps running while the machine is suspended, because the session's lease at
+// the leader keeps running too.
 func (a *Agent) now() fleet.Time {
 	var ts unix.Timespec
 	if unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts) != nil {
@@ -166,13 +167,13 @@
 	return fleet.Time(ts.Nano())
 }
 
-// notifyNode tells the node's watch that there is something new; the caller holds mu.
+// notifyNode wakes the node's watch because there is something new to send. The caller holds mu.
 func (a *Agent) notifyNode() {
 	close(a.updated)
 	a.updated = make(chan struct{})
 }
 
-// applyIntent brings in a replica's answer that confirms the intent as of confirmed.
+// applyIntent applies a replica's answer to the copy. The answer confirms the intent as of the time confirmed.
 func (a *Agent) applyIntent(in fleet.Intent, confirmed fleet.Time) error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -185,7 +186,7 @@
 		a.confirmedAt = confirmed
 	}
 	if in.Full {
-		a.appliedComplete(changed, before)
+		a.markCompleteApplied(changed, before)
 	}
 	if changed {
 		a.metrics.revision.Set(float64(a.copy.Revision))
@@ -194,7 +195,7 @@
 	if a.hasSession {
 		a.markJoined()
 	}
-	if changed && (in.Full || len(in.Items) > 0) || !a.caughtUp { // of a higher revision alone the node hears at its next call
+	if changed && (in.Full || len(in.Items) > 0) || !a.caughtUp { // the node learns of a higher revision without items at its next call
 		a.notifyNode()
 	}
 	if !a.caughtUp {
@@ -211,8 +212,8 @@
 	}
 }
 
-// markJoined notes that the node has been counted, and has it sent what is intended, once the copy is as new as the leader's
-// state was then. The caller holds mu.
+// markJoined records that the control plane has counted the node, once the copy is as new as the leader's state was at that time.
+// From then on the node is sent the intent. The caller holds mu.
 func (a *Agent) markJoined() {
 	if !a.joined && a.copy.Revision >= a.minRevision {
 		a.joined = true
@@ -221,7 +222,7 @@
 	}
 }
 
-// sleep waits for d or the end of ctx.
+// sleep waits for d or until ctx ends.
 func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
@@ -229,7 +230,8 @@
 	}
 }
 
-// newRetryBackoff is the wait between attempts at replicas: 50 ms doubling to 2 s, half of it by chance.
+// newRetryBackoff returns the backoff between attempts at replicas: it doubles from 50 ms up to 2 s, and each wait
+// is randomized by up to half of it.
 func newRetryBackoff() *backoff.ExponentialBackOff {
 	b := backoff.NewExponentialBackOff()
 	b.InitialInterval = 50 * time.Millisecond
@@ -240,5 +242,5 @@
 	return b
 }
 
-// randomReplica is where a loop starts, so that agents are spread over the replicas.
+// randomReplica returns the index of the replica at which a loop starts. It is random, to spread the agents over the replicas.
 func (a *Agent) randomReplica() int { return rand.IntN(len(a.cfg.Replicas)) }
--- a/internal/fleet/agent/copy_file_test.go
+++ b/internal/fleet/agent/copy_file_test.go
@@ -101,7 +101,7 @@
 		"no base":                        append([]byte(logFormat), join(1, 2)...),
 		"two bases":                      append(join(0, 1), parts[0][len(logFormat):]...),
 		"a difference cut in the middle": append(join(0, 1)[:len(join(0, 1))-3], parts[2]...),
-		"something after the last":       append(join(0, 1), make([]byte, recordHead)...),
+		"something after the last":       append(join(0, 1), make([]byte, recordHeaderSize)...),
 		"another format":                 bytes.Replace(log, []byte("fleet-intent 2"), []byte("fleet-intent 3"), 1),
 	} {
 		if stored, err := decodeCopy(bad, "n"); err == nil {
--- a/internal/fleet/agent/errors.go
+++ b/internal/fleet/agent/errors.go
@@ -5,14 +5,14 @@
 	"fmt"
 )
 
-// errIncompleteAnswer says that a replica answered with changes a call that wants everything.
-var errIncompleteAnswer = errors.New("changes, where everything was asked for")
+// errIncompleteAnswer reports that a replica answered with a delta although every item was requested.
+var errIncompleteAnswer = errors.New("the replica sent a delta although every item was requested")
 
-// statusError is an answer of a replica with a status that the agent has no other use for.
+// statusError is a replica's answer with a status that the agent does not handle.
 type statusError struct {
 	status int
 	body   []byte
 }
 
-// Error returns the status and the beginning of the body.
+// Error returns the status and the first 100 bytes of the body.
 func (e *statusError) Error() string { return fmt.Sprintf("status %d: %.100q", e.status, e.body) }
--- a/internal/fleet/agent/outgoing.go
+++ b/internal/fleet/agent/outgoing.go
@@ -8,8 +8,8 @@
 	"meadowsill/internal/fleet/reportdelta"
 )
 
-// Kinds of bodies in which a report is sent, and their paths. A replica of the build before has no path for differences, and
-// so can't take one for a report with few rows.
+// Kinds of report bodies, and the paths they are sent to. A replica of the previous build has no path for deltas, so it can't
+// mistake a delta for a complete report with few rows.
 const (
 	kindComplete = "whole"
 	kindDelta    = "difference"
@@ -18,41 +18,41 @@
 	deltaPath  = "/fleet/v1/report/difference"
 )
 
-// errCompleteWanted reports that a replica did not take a difference: the complete report is to be sent at once. Nothing is then left to make a
-// difference against, so it comes once for a report at most.
-var errCompleteWanted = errors.New("whole report wanted")
+// errCompleteRequested reports that a replica did not accept a delta and that the complete report must be sent at once. The sender has
+// no base left after it, so it comes at most once per report.
+var errCompleteRequested = errors.New("the replica requires the complete report")
 
-// newPendingReport makes the report rep, read from raw, one to carry; newer says that it has more members than this build knows.
-func newPendingReport(rep fleet.Report, raw []byte, newer bool) *pendingReport {
-	return &pendingReport{raw: raw, report: reportdelta.Normalize(rep), hasUnknownMembers: newer, done: make(chan struct{})}
+// newPendingReport returns a report to forward: rep, decoded from raw. unknownMembers reports whether raw has members that this build lacks.
+func newPendingReport(rep fleet.Report, raw []byte, unknownMembers bool) *pendingReport {
+	return &pendingReport{raw: raw, report: reportdelta.Normalize(rep), hasUnknownMembers: unknownMembers, done: make(chan struct{})}
 }
 
-// outgoing is a report as it is sent.
-type outgoing struct {
+// encodedReport is a report in the form in which it is sent.
+type encodedReport struct {
 	kind string
 	path string
 	body []byte
 }
 
-// outgoing makes the shorter body: the difference against what the leader has acknowledged, or the report as the node made
-// it.
-func (a *Agent) outgoing(c *pendingReport) outgoing {
-	complete := outgoing{kindComplete, reportPath, c.raw}
-	if c.hasUnknownMembers {
+// encodedReport returns the shorter body for a report: the delta against the report that the leader last acknowledged, or the report
+// as the node sent it.
+func (a *Agent) encodedReport(p *pendingReport) encodedReport {
+	complete := encodedReport{kindComplete, reportPath, p.raw}
+	if p.hasUnknownMembers {
 		return complete
 	}
-	d, ok := a.sender.Delta(c.report)
+	d, ok := a.sender.Delta(p.report)
 	if !ok {
 		return complete
 	}
 	body, err := reportdelta.Encode(d)
-	if err != nil || len(body) >= len(c.raw) {
+	if err != nil || len(body) >= len(p.raw) {
 		return complete
 	}
-	return outgoing{kindDelta, deltaPath, body}
+	return encodedReport{kindDelta, deltaPath, body}
 }
 
-// isDeltaRejected reports whether a status means that the replica does not take this difference, or none.
+// isDeltaRejected reports whether a status means that the replica does not accept this delta, or no deltas at all.
 func isDeltaRejected(status int) bool {
 	switch status {
 	case http.StatusBadRequest, http.StatusNotFound, http.StatusMethodNotAllowed:
@@ -61,10 +61,10 @@
 	return false
 }
 
-// completeWanted is the error for an answer that requests the complete report.
-func completeWanted(out outgoing) error {
+// completeRequestError returns the error for an answer that requests the complete report.
+func completeRequestError(out encodedReport) error {
 	if out.kind == kindComplete {
-		return errors.New("the whole report was sent, and wished for")
+		return errors.New("the replica requires the complete report although it was sent")
 	}
-	return errCompleteWanted
+	return errCompleteRequested
 }
--- a/internal/fleet/agent/outgoing_test.go
+++ b/internal/fleet/agent/outgoing_test.go
@@ -161,10 +161,10 @@
 		l.t.Fatal(err)
 	}
 	_, err = l.a.sendReport(l.t.Context(), l.addr, c)
-	if errors.Is(err, errCompleteWanted) {
+	if errors.Is(err, errCompleteRequested) {
 		_, err = l.a.sendReport(l.t.Context(), l.addr, c)
 	}
-	if errors.Is(err, errCompleteWanted) {
+	if errors.Is(err, errCompleteRequested) {
 		l.t.Fatal("a whole report was wished for after one was sent")
 	}
 	return err
--- a/internal/fleet/agent/own_drift.go
+++ b/internal/fleet/agent/own_drift.go
@@ -16,22 +16,23 @@
 // ownDriftInterval is how often the agent evaluates its own node.
 const ownDriftInterval = 250 * time.Millisecond
 
-// ownDrift is the agent's evaluation of its own node, by the agent's copy (docs/drift.md): a machine that is cut off still knows.
+// ownDrift is the agent's evaluation of its own node against its copy (docs/drift.md). It works without the leader, so a machine
+// that is cut off also learns of its drift.
 type ownDrift struct {
 	mu       sync.Mutex // guards the fields below
 	detector *drift.LocalDetector
-	member   fleet.Member // of the newest report; none: Node is empty
+	member   fleet.Member // member of the newest report; Node is empty before the first report
 
-	state       string     // of the last verdict
-	loggedState string     // that the log has
-	loggedAt    fleet.Time // when it was put there
+	state       string     // state of the last verdict
+	loggedState string     // state that was last logged
+	loggedAt    fleet.Time // when that state was logged
 }
 
-// ownDriftLogInterval is the least time between two lines of the log on the agent's own verdict.
+// ownDriftLogInterval is the minimum time between two log lines about the agent's own verdict.
 const ownDriftLogInterval = 10 * time.Second
 
-// reportOwnVerdict shows the verdict in the metrics and, where it is another than the log has, in the log. The caller holds ownDrift.mu.
-func (a *Agent) reportOwnVerdict(now fleet.Time) {
+// recordOwnVerdict records the verdict in the metrics, and logs it where it differs from the one last logged. The caller holds ownDrift.mu.
+func (a *Agent) recordOwnVerdict(now fleet.Time) {
 	o := &a.ownDrift
 	v, ok := o.detector.Verdict(now, time.Now().UnixMilli(), a.cfg.Node)
 	if !ok {
@@ -45,12 +46,12 @@
 		a.metrics.driftVerdicts.WithLabelValues(v.State).Inc()
 		o.state = v.State
 	}
-	bad := func(state string) bool { return state != "" && state != drift.InStep && state != drift.CatchingUp }
-	if v.State == o.loggedState || !bad(v.State) && !bad(o.loggedState) || o.loggedAt != 0 && now-o.loggedAt < ownDriftLogInterval {
+	isDrift := func(state string) bool { return state != "" && state != drift.InStep && state != drift.CatchingUp }
+	if v.State == o.loggedState || !isDrift(v.State) && !isDrift(o.loggedState) || o.loggedAt != 0 && now-o.loggedAt < ownDriftLogInterval {
 		return
 	}
 	level := slog.LevelInfo
-	if bad(v.State) {
+	if isDrift(v.State) {
 		level = slog.LevelWarn
 	}
 	var keys []string
@@ -61,41 +62,41 @@
 	o.loggedState, o.loggedAt = v.State, now
 }
 
-// evaluateOwnNode evaluates the node by what the agent has now, and has it sent again what it lacks. It gives what the next report is to
-// carry.
-func (a *Agent) evaluateOwnNode(rep *fleet.Report) (want []string) {
+// evaluateOwnNode evaluates the node against the agent's present copy, and resends to the node the items that it lacks. It returns the
+// keys that the next report is to carry.
+func (a *Agent) evaluateOwnNode(rep *fleet.Report) (wantedKeys []string) {
 	a.mu.Lock()
 	in := drift.Intended{Revision: a.copy.Revision, Items: a.copy.All()}
-	comparable := a.joined && !a.scopeUnread
+	comparable := a.joined && !a.scopeIncomplete
 	caughtUp := a.caughtUp
 	now := a.now()
 	a.mu.Unlock()
 	a.ownDrift.mu.Lock()
 	if rep != nil {
 		a.ownDrift.member = rep.Member
-		a.ownDrift.detector.Observe(now, *rep) // rejects what acceptReport rejects
+		a.ownDrift.detector.Observe(now, *rep) // the detector rejects the same reports as acceptReport
 	}
 	if a.ownDrift.member.Node == "" || !comparable {
 		a.ownDrift.mu.Unlock()
 		return nil
 	}
 	a.ownDrift.detector.Step(now, in, a.ownDrift.member, caughtUp)
-	a.reportOwnVerdict(now)
+	a.recordOwnVerdict(now)
 	var resend []string
 	if rep != nil {
-		resend, want = a.ownDrift.detector.Answer(rep.Node)
+		resend, wantedKeys = a.ownDrift.detector.Answer(rep.Node)
 	}
 	a.ownDrift.mu.Unlock()
 	if len(resend) > 0 {
 		a.mu.Lock()
 		a.resend(resend)
 		a.mu.Unlock()
-		a.cfg.Log.Warn("own node drifts: resending", "keys", resend)
+		a.cfg.Log.Warn("own node has drifted; resending items to it", "keys", resend)
 	}
-	return want
+	return wantedKeys
 }
 
-// resend has the node sent items again whatever their revision. The caller holds mu.
+// resend marks items to be sent to the node again whatever their revision. The caller holds mu.
 func (a *Agent) resend(keys []string) {
 	for _, k := range keys {
 		a.resendKeys[k] = true
@@ -103,7 +104,7 @@
 	a.notifyNode()
 }
 
-// checkOwnDrift evaluates the node while the agent runs, also when no report comes.
+// checkOwnDrift evaluates the node while the agent runs, even when no report arrives.
 func (a *Agent) checkOwnDrift(ctx context.Context) {
 	for ctx.Err() == nil {
 		a.evaluateOwnNode(nil)
@@ -111,7 +112,7 @@
 	}
 }
 
-// drift answers GET /fleet/v1/drift at the agent: what it thinks of its own node, in the leader's form.
+// drift answers GET /fleet/v1/drift with the agent's verdict on its own node, in the leader's format.
 func (a *Agent) drift(w http.ResponseWriter, _ *http.Request) {
 	a.ownDrift.mu.Lock()
 	v, ok := a.ownDrift.detector.Verdict(a.now(), time.Now().UnixMilli(), a.cfg.Node)
@@ -124,7 +125,7 @@
 	json.NewEncoder(w).Encode(out)
 }
 
-// union adds to a what of b it has not.
+// union appends to a the strings of b that it lacks.
 func union(a, b []string) []string {
 	for _, s := range b {
 		if !slices.Contains(a, s) {
--- a/internal/fleet/agent/record.go
+++ b/internal/fleet/agent/record.go
@@ -12,82 +12,82 @@
 	"meadowsill/internal/fleet"
 )
 
-// The durable copy is a log: a line that names the format, a base with every item, then the differences since, each a
-// record. A record is a line with the length of its body, the body's xxhash64 and a checksum of the line itself, then
-// the body, a line of JSON. As the line has its own checksum, a damaged length is never taken for a record that
-// was cut short at the end of the file.
+// The durable copy is a log: a line that names the format, a base with every item, then the deltas since the base. The base and
+// each delta are a record. A record is a header line and a body. The header has the length of the body, the body's xxhash64 and a
+// checksum of the header itself; the body is a line of JSON. Because the header has its own checksum, a record with a damaged length
+// is never mistaken for one that was truncated at the end of the file.
 const (
-	logFormat    = "fleet-intent 2\n"
-	recordPrefix = "%08x %016x"
-	recordHead   = len("00000000 0000000000000000 00000000\n")
+	logFormat          = "fleet-intent 2\n"
+	recordHeaderFormat = "%08x %016x"
+	recordHeaderSize   = len("00000000 0000000000000000 00000000\n")
 )
 
 // baseRecord is the body of the first record: every item of a scope.
 type baseRecord struct {
 	Node     string   `json:"node"`
-	Services []string `json:"services"` // the scope; none: every service
-	// Incomplete: the scope had more services since, of which nothing has been read.
+	Services []string `json:"services"` // the scope; empty: every service
+	// Incomplete is set if services were added to the scope after the base and none of their items has been read.
 	Incomplete bool         `json:"incomplete,omitempty"`
 	Revision   uint64       `json:"revision"`
 	Items      []fleet.Item `json:"items"`
 }
 
 // differenceRecord is the body of each further record: the items that changed after Since, up to Revision. Since is the
-// revision of the record before, so that a lost, repeated or reordered record is noticed.
+// revision of the preceding record, so that a lost, repeated or reordered record is detected.
 type differenceRecord struct {
 	Since    uint64       `json:"since"`
 	Revision uint64       `json:"revision"`
 	Items    []fleet.Item `json:"items"`
 }
 
-// errTruncatedRecord is met at the end of a log whose last record was not written to its end.
-var errTruncatedRecord = errors.New("copy: the last record is cut short")
+// errTruncatedRecord reports that the log ends before its last record is complete.
+var errTruncatedRecord = errors.New("copy: the last record is truncated")
 
-// appendRecord adds a record to a log.
+// appendRecord appends a record to a log.
 func appendRecord(log []byte, record any) ([]byte, error) {
 	body, err := json.Marshal(record)
 	if err != nil {
 		return nil, err
 	}
 	body = append(body, '\n')
-	log = append(log, recordLine(uint32(len(body)), xxhash.Sum64(body))...)
+	log = append(log, recordHeader(uint32(len(body)), xxhash.Sum64(body))...)
 	return append(log, body...), nil
 }
 
-// recordLine is the line before a body of a length and a checksum.
-func recordLine(length uint32, sum uint64) string {
-	prefix := fmt.Sprintf(recordPrefix, length, sum)
+// recordHeader returns the header line for a body with a length and a checksum.
+func recordHeader(length uint32, sum uint64) string {
+	prefix := fmt.Sprintf(recordHeaderFormat, length, sum)
 	return fmt.Sprintf("%s %08x\n", prefix, uint32(xxhash.Sum64String(prefix)))
 }
 
-// encodeBase returns a file that holds a base alone.
+// encodeBase returns the content of a file that holds only a base.
 func encodeBase(base baseRecord) ([]byte, error) {
 	raw, err := appendRecord([]byte(logFormat), base)
 	if err == nil && len(raw) > maxBaseBytes {
-		err = fmt.Errorf("copy: %d bytes, at most %d", len(raw), maxBaseBytes)
+		err = fmt.Errorf("copy: %d bytes, at most %d are allowed", len(raw), maxBaseBytes)
 	}
 	return raw, err
 }
 
-// nextRecord reads the record that a log begins with into record and gives the rest. The error is errTruncatedRecord where
-// the log ends before the record does; any other means damage.
+// nextRecord decodes the first record of log into record and returns the rest of the log. The error is errTruncatedRecord if
+// the log ends before the record does; any other error means that the log is damaged.
 func nextRecord(log []byte, record any) (rest []byte, err error) {
-	if len(log) < recordHead {
+	if len(log) < recordHeaderSize {
 		return nil, errTruncatedRecord
 	}
-	line := string(log[:recordHead])
+	header := string(log[:recordHeaderSize])
 	var length uint32
 	var sum uint64
-	if _, err := fmt.Sscanf(line, recordPrefix, &length, &sum); err != nil || line != recordLine(length, sum) {
-		return nil, errors.New("copy: a record's line is damaged")
+	if _, err := fmt.Sscanf(header, recordHeaderFormat, &length, &sum); err != nil || header != recordHeader(length, sum) {
+		return nil, errors.New("copy: damaged record header")
 	}
-	log = log[recordHead:]
+	log = log[recordHeaderSize:]
 	if uint64(len(log)) < uint64(length) {
 		return nil, errTruncatedRecord
 	}
 	body := log[:length]
 	if got := xxhash.Sum64(body); got != sum {
-		return nil, fmt.Errorf("copy: a record's checksum is %016x, its body has %016x", sum, got)
+		return nil, fmt.Errorf("copy: record has checksum %016x, its body has %016x", sum, got)
 	}
 	if err := unmarshalStrict(body, record); err != nil {
 		return nil, err
@@ -95,7 +95,7 @@
 	return log[length:], nil
 }
 
-// unmarshalStrict reads JSON that is UTF-8 throughout, also where a body is kept as it is.
+// unmarshalStrict decodes JSON and requires valid UTF-8 throughout, also in a raw message that is kept as it is.
 func unmarshalStrict(body []byte, value any) error {
 	if !utf8.Valid(body) {
 		return errors.New("copy: not UTF-8")
@@ -106,22 +106,22 @@
 	return nil
 }
 
-// storedCopy is what a file of a durable copy holds.
+// storedCopy is the decoded file of a durable copy.
 type storedCopy struct {
 	copy       *IntentCopy
-	services   []string // the scope that it is of; none: every service
-	incomplete bool     // services of the scope are missing: a complete read is due
+	services   []string // the scope of the copy; empty: every service
+	incomplete bool     // services of the scope are missing, so a complete read is needed
 	baseSize   int64    // bytes up to the end of the base
-	truncated  bool     // a last record that was cut short has been left out
-	oldFormat  bool     // it is of the format before the log
+	truncated  bool     // a truncated last record was dropped
+	oldFormat  bool     // the file has the format that preceded the log
 }
 
-// decodeCopy reads the file of a durable copy, of this format or the one before. One that is damaged, of another node or of
-// another kind is an error; nothing of it is used. A last record that is cut short is left out: nobody
-// has been promised what it holds, as a record counts only once all of it is on disk.
+// decodeCopy decodes the file of a durable copy, in this format or the previous one. A file that is damaged, of another node or of
+// another kind is an error, and none of it is used. A truncated last record is dropped: nothing depends on its content yet, because a
+// record counts as saved only once all of it is on disk.
 func decodeCopy(raw []byte, node string) (storedCopy, error) {
 	if len(raw) > maxFileBytes {
-		return storedCopy{}, fmt.Errorf("copy: %d bytes, at most %d", len(raw), maxFileBytes)
+		return storedCopy{}, fmt.Errorf("copy: %d bytes, at most %d are allowed", len(raw), maxFileBytes)
 	}
 	log, ok := bytes.CutPrefix(raw, []byte(logFormat))
 	if !ok {
@@ -146,7 +146,7 @@
 	return stored, nil
 }
 
-// decodeBase reads the first record of a log. It is written before the file has its name, so it is never cut short.
+// decodeBase decodes the first record of a log. It is never truncated, because it is written before the file gets its name.
 func decodeBase(log []byte, node string) (storedCopy, []byte, error) {
 	var base baseRecord
 	rest, err := nextRecord(log, &base)
@@ -160,10 +160,10 @@
 	return stored, rest, err
 }
 
-// newStoredCopy makes a copy of the items of a base.
+// newStoredCopy returns a copy of the items of a base.
 func newStoredCopy(base baseRecord, node string) (storedCopy, error) {
 	if base.Node != node {
-		return storedCopy{}, fmt.Errorf("copy: of node %q, this is %q", base.Node, node)
+		return storedCopy{}, fmt.Errorf("copy: belongs to node %q, this is node %q", base.Node, node)
 	}
 	if err := checkItems(base.Items, 0, base.Revision); err != nil {
 		return storedCopy{}, err
@@ -173,14 +173,14 @@
 	return stored, err
 }
 
-// applyRecord takes the difference that a log begins with into the copy and gives the rest of the log.
+// applyRecord applies the first record of log, a delta, to the copy and returns the rest of the log.
 func (s *storedCopy) applyRecord(log []byte) (rest []byte, err error) {
 	var difference differenceRecord
 	if rest, err = nextRecord(log, &difference); err != nil {
 		return nil, err
 	}
 	if difference.Since != s.copy.Revision || difference.Revision <= difference.Since {
-		return nil, fmt.Errorf("copy: a difference from revision %d to %d follows revision %d", difference.Since, difference.Revision, s.copy.Revision)
+		return nil, fmt.Errorf("copy: a delta from revision %d to %d follows revision %d", difference.Since, difference.Revision, s.copy.Revision)
 	}
 	if err := checkItems(difference.Items, difference.Since, difference.Revision); err != nil {
 		return nil, err
@@ -189,7 +189,7 @@
 	return rest, err
 }
 
-// checkItems reads items through: each once, and of a revision above since, up to revision.
+// checkItems checks that each item is valid and has a revision above since, up to revision, and that each key occurs once.
 func checkItems(items []fleet.Item, since, revision uint64) error {
 	seen := make(map[string]bool, len(items))
 	for i := range items {
@@ -198,35 +198,35 @@
 			return fmt.Errorf("copy: items[%d]: %w", i, err)
 		}
 		if item.Revision <= since || item.Revision > revision {
-			return fmt.Errorf("copy: %s: revision %d is not above %d, up to %d", item.Key, item.Revision, since, revision)
+			return fmt.Errorf("copy: %s: revision %d is not above %d and up to %d", item.Key, item.Revision, since, revision)
 		}
 		if seen[item.Key] {
-			return fmt.Errorf("copy: %s twice", item.Key)
+			return fmt.Errorf("copy: %s occurs twice", item.Key)
 		}
 		seen[item.Key] = true
 	}
 	return nil
 }
 
-// oldFormatLine is the first line of the format before the log: the copy's revision and the checksum of its one body.
+// oldFormatLine is the first line of the format that preceded the log: the copy's revision and the checksum of its single body.
 const oldFormatLine = "fleet-intent 1 %d %016x\n"
 
-// decodeOldFormat reads the format before the log. It has no scope: it holds every service.
+// decodeOldFormat decodes the format that preceded the log. A file in it has no scope and holds every service.
 func decodeOldFormat(raw []byte, node string) (storedCopy, error) {
 	line, body, _ := bytes.Cut(raw, []byte("\n"))
 	var revision, sum uint64
 	if _, err := fmt.Sscanf(string(line)+"\n", oldFormatLine, &revision, &sum); err != nil {
-		return storedCopy{}, errors.New("copy: its first line is not a copy's")
+		return storedCopy{}, errors.New("copy: the first line has no known format")
 	}
 	if got := xxhash.Sum64(body); got != sum {
-		return storedCopy{}, fmt.Errorf("copy: checksum %016x, its body has %016x", sum, got)
+		return storedCopy{}, fmt.Errorf("copy: first line has checksum %016x, the body has %016x", sum, got)
 	}
 	var base baseRecord
 	if err := unmarshalStrict(body, &base); err != nil {
 		return storedCopy{}, err
 	}
 	if base.Revision != revision {
-		return storedCopy{}, fmt.Errorf("copy: of revision %d, the line says %d", base.Revision, revision)
+		return storedCopy{}, fmt.Errorf("copy: body has revision %d, the first line has %d", base.Revision, revision)
 	}
 	base.Services, base.Incomplete = nil, false
 	stored, err := newStoredCopy(base, node)
--- a/internal/fleet/agent/reports.go
+++ b/internal/fleet/agent/reports.go
@@ -15,17 +15,17 @@
 )
 
 const (
-	reportTimeout  = time.Second           // of one attempt at one replica
-	maxReportAge   = time.Second           // a report older than this is not carried: a silent node is not kept present
-	reportPause    = 50 * time.Millisecond // between two reports carried
+	reportTimeout  = time.Second           // limit of one attempt at one replica
+	maxReportAge   = time.Second           // a report older than this is not forwarded, so that a silent node does not count as present
+	reportPause    = 50 * time.Millisecond // between two forwarded reports
 	maxAnswerBytes = 256 << 10
 )
 
-// forwardReports brings the node's newest report to the leader, as it comes. A replica that does not lead names the leader; one that
-// fails is followed by the next. A report that has a successor, or has grown old, is let go.
+// forwardReports sends the node's newest report to the leader as it arrives. A replica that does not lead names the leader; after a
+// replica that fails, the next one is tried. A report is dropped once a newer one replaces it or it is older than maxReportAge.
 func (a *Agent) forwardReports(ctx context.Context) {
 	b, i := newRetryBackoff(), a.randomReplica()
-	to := a.cfg.Replicas[i]
+	replica := a.cfg.Replicas[i]
 	for {
 		select {
 		case <-ctx.Done():
@@ -35,63 +35,63 @@
 		b.Reset()
 		for ctx.Err() == nil {
 			a.mu.Lock()
-			c, saved := a.report, a.savedRevision
+			p, saved := a.report, a.savedRevision
 			sendable := a.joined && a.copy.Revision > 0
 			a.mu.Unlock()
-			if c == nil || c.report.Revision == 0 && sendable {
-				break // it would join as one that holds nothing, and then take what the copy has: it is sent that first
+			if p == nil || p.report.Revision == 0 && sendable {
+				break // the node would join without any items and then apply the copy; the copy is sent to the node first
 			}
-			if a.now()-c.receivedAt > maxReportAge {
-				a.logReportsLost(true, c)
+			if a.now()-p.receivedAt > maxReportAge {
+				a.logReportsLost(true, p)
 				break
 			}
-			if c.report.Revision > saved { // a restart would come back with less than the report says
+			if p.report.Revision > saved { // a restarted agent would have an older revision than the report claims
 				sleep(ctx, 5*time.Millisecond)
 				continue
 			}
-			leader, err := a.sendReport(ctx, to, c)
+			leader, err := a.sendReport(ctx, replica, p)
 			if err == nil {
-				a.logReportsLost(false, c)
+				a.logReportsLost(false, p)
 				break
 			}
-			if errors.Is(err, errCompleteWanted) {
+			if errors.Is(err, errCompleteRequested) {
 				a.metrics.deltasRejected.Inc()
-				a.cfg.Log.Debug("report delta rejected", "replica", to, "incarnation", c.report.Incarnation, "err", err)
+				a.cfg.Log.Debug("report delta rejected", "replica", replica, "incarnation", p.report.Incarnation, "err", err)
 				continue
 			}
-			a.cfg.Log.Debug("report not answered", "replica", to, "incarnation", c.report.Incarnation, "err", err)
-			if leader != "" && leader != to && slices.Contains(a.cfg.Replicas, leader) {
-				to = leader
+			a.cfg.Log.Debug("report not accepted", "replica", replica, "incarnation", p.report.Incarnation, "err", err)
+			if leader != "" && leader != replica && slices.Contains(a.cfg.Replicas, leader) {
+				replica = leader
 				sleep(ctx, 5*time.Millisecond)
 				continue
 			}
 			i = (i + 1) % len(a.cfg.Replicas)
-			to = a.cfg.Replicas[i]
+			replica = a.cfg.Replicas[i]
 			sleep(ctx, min(b.NextBackOff(), 300*time.Millisecond))
 		}
 		sleep(ctx, reportPause)
 	}
 }
 
-// logReportsLost logs that no replica takes the node's reports, or that one does again.
-func (a *Agent) logReportsLost(lost bool, c *pendingReport) {
+// logReportsLost logs that no replica accepts the node's reports, or that one accepts them again.
+func (a *Agent) logReportsLost(lost bool, p *pendingReport) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if lost != a.reportsLost {
 		a.reportsLost = lost
-		a.cfg.Log.Warn("reports to the leader", "answered", !lost, "incarnation", c.report.Incarnation, "held_ms", a.lease.Remaining(a.now()).Milliseconds())
+		a.cfg.Log.Warn("reports to the leader", "answered", !lost, "incarnation", p.report.Incarnation, "held_ms", a.lease.Remaining(a.now()).Milliseconds())
 	}
 }
 
-// sendReport makes one attempt at one replica. An error says that the report is still to be carried; leader is where, if known.
-func (a *Agent) sendReport(ctx context.Context, to string, c *pendingReport) (leader string, err error) {
+// sendReport makes one attempt to send p to one replica. After an error the report still needs to be sent; leader is the leader's address if known.
+func (a *Agent) sendReport(ctx context.Context, replica string, p *pendingReport) (leader string, err error) {
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
 	t0 := a.now()
-	out := a.outgoing(c)
+	out := a.encodedReport(p)
 	a.metrics.sent.WithLabelValues(out.kind).Inc()
 	a.metrics.sentBytes.WithLabelValues(out.kind).Add(float64(len(out.body)))
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+to+out.path, bytes.NewReader(out.body))
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+replica+out.path, bytes.NewReader(out.body))
 	if err != nil {
 		return "", err
 	}
@@ -107,7 +107,7 @@
 	}
 	if out.kind == kindDelta && isDeltaRejected(resp.StatusCode) {
 		a.sender.Forget()
-		return "", fmt.Errorf("%w: status %d: %.100q", errCompleteWanted, resp.StatusCode, raw)
+		return "", fmt.Errorf("%w: status %d: %.100q", errCompleteRequested, resp.StatusCode, raw)
 	}
 	switch resp.StatusCode {
 	case http.StatusOK:
@@ -117,32 +117,32 @@
 		}
 		if ans.SendComplete {
 			a.sender.Forget()
-			return "", completeWanted(out)
+			return "", completeRequestError(out)
 		}
-		a.sender.Acknowledged(c.report, ans.AckSequence)
-		a.applyAnswer(c, ans, t0)
+		a.sender.Acknowledged(p.report, ans.AckSequence)
+		a.applyAnswer(p, ans, t0)
 		return "", nil
-	case http.StatusConflict: // an older incarnation: it never will be taken
-		a.sessionFenced(c, string(raw))
+	case http.StatusConflict: // the report is of an older incarnation and will never be accepted
+		a.sessionFenced(p, string(raw))
 		return "", nil
 	case http.StatusBadRequest:
-		a.cfg.Log.Error("the leader rejects the node's report", "incarnation", c.report.Incarnation, "err", string(raw[:min(len(raw), 200)]))
-		c.finish()
+		a.cfg.Log.Error("the leader rejects the node's report", "incarnation", p.report.Incarnation, "err", string(raw[:min(len(raw), 200)]))
+		p.finish()
 		return "", nil
 	}
 	return resp.Header.Get("X-Leader"), &statusError{status: resp.StatusCode, body: raw}
 }
 
-// applyAnswer takes the leader's answer to a report whose sending began after t0.
-func (a *Agent) applyAnswer(c *pendingReport, ans fleet.ReportAnswer, t0 fleet.Time) {
+// applyAnswer applies the leader's answer to a report whose sending began at t0 or later.
+func (a *Agent) applyAnswer(p *pendingReport, ans fleet.ReportAnswer, t0 fleet.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	defer c.finish()
-	if c.report.Incarnation != a.incarnation {
-		return // of a run that has a successor
+	defer p.finish()
+	if p.report.Incarnation != a.incarnation {
+		return // the answer is to an incarnation that has a successor
 	}
 	a.lastAnswerAt = a.now()
-	held := a.lease.Remaining(a.now()) > 0
+	heldBefore := a.lease.Remaining(a.now()) > 0
 	if ttl := time.Duration(ans.LeaseTTLMS) * time.Millisecond; ttl > 0 && ttl <= time.Hour {
 		a.lease.Renew(t0, ttl)
 		a.metrics.renewals.Inc()
@@ -153,8 +153,8 @@
 	} else {
 		a.lease.Drop()
 	}
-	if now := a.lease.Remaining(a.now()) > 0; now != held {
-		a.cfg.Log.Info("session", "held", now, "incarnation", c.report.Incarnation, "revision", ans.Revision)
+	if now := a.lease.Remaining(a.now()) > 0; now != heldBefore {
+		a.cfg.Log.Info("session", "held", now, "incarnation", p.report.Incarnation, "revision", ans.Revision)
 		a.notifyNode()
 	}
 	if len(ans.Resend) > 0 || ans.Restart {
@@ -162,23 +162,23 @@
 			a.fetchAll, ans.Resend = true, append(ans.Resend, "*")
 		}
 		a.resend(ans.Resend)
-		a.cfg.Log.Info("resending to the node", "keys", ans.Resend, "restart", ans.Restart, "incarnation", c.report.Incarnation)
+		a.cfg.Log.Info("resending items to the node", "keys", ans.Resend, "restart", ans.Restart, "incarnation", p.report.Incarnation)
 	}
-	want := union(a.lastAnswer.WantedKeys, ans.WantedKeys) // what the node has not been sent yet
+	wantedKeys := union(a.lastAnswer.WantedKeys, ans.WantedKeys) // keeps the keys that the node has not been sent yet
 	a.lastAnswer = ans
-	a.lastAnswer.WantedKeys = want[:min(len(want), 1024)]
+	a.lastAnswer.WantedKeys = wantedKeys[:min(len(wantedKeys), 1024)]
 }
 
-// sessionFenced notes that the run which made the report has a successor.
-func (a *Agent) sessionFenced(c *pendingReport, why string) {
+// sessionFenced records that the incarnation which made the report has a successor.
+func (a *Agent) sessionFenced(p *pendingReport, reason string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	defer c.finish()
-	if c.report.Incarnation != a.incarnation {
+	defer p.finish()
+	if p.report.Incarnation != a.incarnation {
 		return
 	}
 	a.fenced = true
 	a.lease.Drop()
-	a.cfg.Log.Error("session rejected", "incarnation", c.report.Incarnation, "err", why)
+	a.cfg.Log.Error("session rejected", "incarnation", p.report.Incarnation, "err", reason)
 	a.notifyNode()
 }
--- a/internal/fleet/agent/save.go
+++ b/internal/fleet/agent/save.go
@@ -9,13 +9,13 @@
 
 const (
 	saveInterval   = 50 * time.Millisecond // between two saves
-	saveRetryDelay = time.Second           // after one that left nothing certain on disk
+	saveRetryDelay = time.Second           // after a save that left the file in an unknown state
 )
 
-// openCopy reads the durable copy. One that is damaged is rejected, counted and logged, and the agent starts without. One of another
-// scope is served as far as it goes; where the scope has a service that it lacks, a complete read is due.
+// openCopy reads the durable copy. It rejects, counts and logs a damaged copy, and the agent starts without one. A copy of another
+// scope is served as far as it covers the present scope; if the present scope has a service that the copy lacks, a complete read follows.
 func (a *Agent) openCopy() {
-	d, stored, err := openCopyFile(a.cfg.Dir, a.cfg.Node, a.cfg.Services)
+	f, stored, err := openCopyFile(a.cfg.Dir, a.cfg.Node, a.cfg.Services)
 	if err != nil {
 		a.metrics.copiesRejected.Inc()
 		a.cfg.Log.Error("durable copy rejected", "err", err)
@@ -23,20 +23,20 @@
 	if stored.truncated {
 		a.cfg.Log.Warn("durable copy: truncated last record dropped", "revision", stored.copy.Revision)
 	}
-	a.copyFile, a.copy = d, stored.copy
-	a.joined, a.savedRevision = a.copy.Revision > 0, a.copy.Revision // a copy is kept only of a node that was counted
-	a.scopeUnread = stored.incomplete || isWidened(stored.services, a.cfg.Services) || a.copy.Revision == 0 && len(a.cfg.Services) > 0
-	a.fetchAll = a.scopeUnread
+	a.copyFile, a.copy = f, stored.copy
+	a.joined, a.savedRevision = a.copy.Revision > 0, a.copy.Revision // only the copy of a node that was counted is saved
+	a.scopeIncomplete = stored.incomplete || isWidened(stored.services, a.cfg.Services) || a.copy.Revision == 0 && len(a.cfg.Services) > 0
+	a.fetchAll = a.scopeIncomplete
 	if a.copy.Revision > 0 && !slices.Equal(stored.services, a.cfg.Services) {
 		a.changeScope(stored.services)
 	}
 }
 
-// changeScope leaves in the copy what is in the new scope, and writes it before the node is sent any of it: a further change of
-// scope is then seen at the next start. The node is sent everything where it may hold what is no longer in scope.
+// changeScope restricts the copy to the present scope and saves it before the node is sent any of it, so that the next start detects
+// a further change of scope. The node is sent every item if it may hold items that are no longer in scope.
 func (a *Agent) changeScope(before []string) {
 	restricted := &IntentCopy{}
-	restricted.Apply(restrictToScope(a.cfg.Services, a.copy.Read(0, nil))) // an empty copy takes every answer
+	restricted.Apply(restrictToScope(a.cfg.Services, a.copy.Read(0, nil))) // an empty copy accepts every answer
 	a.cfg.Log.Info("scope changed", "was", before, "services", a.cfg.Services, "items", restricted.Len(), "were", a.copy.Len())
 	a.copy = restricted
 	if isWidened(a.cfg.Services, before) {
@@ -45,17 +45,17 @@
 	a.saveCopy()
 }
 
-// appliedComplete follows a complete answer, taken at the revision before where that is the copy's. The caller holds mu.
-func (a *Agent) appliedComplete(changed bool, before uint64) {
+// markCompleteApplied updates the agent's state after a complete answer. The copy had revisionBefore until then. The caller holds mu.
+func (a *Agent) markCompleteApplied(changed bool, revisionBefore uint64) {
 	a.fetchAll = false
-	if changed && before == a.copy.Revision || a.scopeUnread { // the node may be at this revision with other content
+	if changed && revisionBefore == a.copy.Revision || a.scopeIncomplete { // the node may be at this revision with other content
 		a.resendKeys[allItems] = true
 	}
-	if changed || a.scopeUnread {
+	if changed || a.scopeIncomplete {
 		a.saveAll = true
 		signal(a.dirty)
 	}
-	a.scopeUnread = false
+	a.scopeIncomplete = false
 }
 
 // save writes the copy to disk after changes.
@@ -75,9 +75,9 @@
 	}
 }
 
-// saveCopy writes what has changed since the last write, or everything, and reports whether the disk is as it should be. A copy
-// that can't be written is taken away: an agent that comes back without one sends its node nothing before the node is counted,
-// but one with an old copy would send it quotas that were larger.
+// saveCopy writes the changes since the last write, or everything, and reports whether the file is as it should be. If the copy can't
+// be written it is removed: an agent that restarts without a copy sends its node nothing before the node is counted, but one that
+// restarts with an old copy would send it the larger quotas of that time.
 func (a *Agent) saveCopy() bool {
 	since := a.copyFile.deltaSince()
 	a.mu.Lock()
@@ -89,12 +89,12 @@
 		since = 0
 	}
 	a.saveAll = false
-	in, unread := a.copy.Read(since, nil), a.scopeUnread
+	in, incomplete := a.copy.Read(since, nil), a.scopeIncomplete
 	a.mu.Unlock()
 	if !in.Full && in.Revision == since {
 		return true
 	}
-	written, err := a.copyFile.save(in, unread)
+	written, err := a.copyFile.save(in, incomplete)
 	a.metrics.bytesWritten.Add(float64(written))
 	if err != nil {
 		a.metrics.saveErrors.Inc()
--- a/internal/fleet/agent/scope.go
+++ b/internal/fleet/agent/scope.go
@@ -8,7 +8,7 @@
 	"meadowsill/internal/fleet"
 )
 
-// scopedTenant is the part of a tenant's body that says which nodes hold it.
+// scopedTenant is the part of a tenant's body that determines which nodes hold the tenant.
 type scopedTenant struct {
 	Committed *scopedGeneration `json:"committed"`
 	Staged    *scopedGeneration `json:"staged"`
@@ -24,9 +24,9 @@
 	return g != nil && fleet.Serves(services, g.Spec.Service)
 }
 
-// inScope reports whether a node that serves services holds an item. Only tenants have a scope: that of the committed
-// generation and, while a rollout is on, that of the staged one. A tenant without either is in every scope, as is an
-// item that is removed: its body, which would tell, is removed as well.
+// inScope reports whether a node that serves services holds an item. Only tenants have a scope: the service of the committed
+// generation and, during a rollout, also that of the staged one. A tenant without either generation is in every scope, and so is a
+// removed item, because it has no body to read the service from.
 func inScope(services []string, item fleet.Item) bool {
 	if len(services) == 0 || item.Removed || !strings.HasPrefix(item.Key, fleet.KeyTenant) {
 		return true
@@ -38,8 +38,8 @@
 	return tenant.Committed.serves(services) || tenant.Staged.serves(services)
 }
 
-// restrictToScope leaves in an answer what is in scope, whatever the replica's build sent. A complete answer loses the other
-// tenants. A difference has them as removed: they may have been in scope when the node last read.
+// restrictToScope returns an answer restricted to the scope, whatever the replica's build sent. A complete answer loses the other
+// tenants. A delta keeps them as removed, because they may have been in scope when the node last read.
 func restrictToScope(services []string, in fleet.Intent) fleet.Intent {
 	if len(services) == 0 {
 		return in
@@ -57,7 +57,7 @@
 	return in
 }
 
-// isWidened reports whether the scope now holds a service that the scope before did not.
+// isWidened reports whether the scope now contains a service that the scope before did not.
 func isWidened(before, now []string) bool {
 	if len(before) == 0 {
 		return false
--- a/internal/fleet/agent/subscription_test.go
+++ b/internal/fleet/agent/subscription_test.go
@@ -106,7 +106,7 @@
 		return string(raw[:len(logFormat)])
 	}
 	a := atRest(t, old(), "billing")
-	if in := asks(t, a, 0); keys(in) != "any bill zone/a" || in.CaughtUp || in.AgeMS < copyAge.Milliseconds() || in.Revision != 9 {
+	if in := asks(t, a, 0); keys(in) != "any bill zone/a" || in.CaughtUp || in.AgeMS < unconfirmedAge.Milliseconds() || in.Revision != 9 {
 		t.Errorf("with a scope: %s, %+v", keys(in), in)
 	}
 	if a.fetchAll || format(a) != logFormat {
@@ -149,7 +149,7 @@
 
 	for range 2 { // the second finds on disk that the complete read is still due
 		a = atRest(t, dir, "billing", "search")
-		if in := asks(t, a, 9); !a.fetchAll || in.Full || len(in.Items) > 0 || in.CaughtUp || in.AgeMS < copyAge.Milliseconds() {
+		if in := asks(t, a, 9); !a.fetchAll || in.Full || len(in.Items) > 0 || in.CaughtUp || in.AgeMS < unconfirmedAge.Milliseconds() {
 			t.Errorf("a further service: whole read due %v, %+v", a.fetchAll, in)
 		}
 		if in := asks(t, a, 0); keys(in) != "any bill zone/a" {
--- a/internal/fleet/agent/watch.go
+++ b/internal/fleet/agent/watch.go
@@ -11,14 +11,14 @@
 	"meadowsill/internal/fleet"
 )
 
-// A watch waits so long at a replica, and is given so much more to answer in. It is short, as each answer confirms the age of
-// what the node is served, and directives hold for 5 s after one.
+// watchTimeout is how long a watch call waits at a replica; watchAnswerSlack is the additional time for the answer to arrive. The
+// timeout is short because each answer confirms the age of what the node is served, and a directive holds for 5 s after a confirmation.
 const (
 	watchTimeout     = time.Second
 	watchAnswerSlack = 1500 * time.Millisecond
 )
 
-// watch follows the replicas, one at a time; where one fails it goes on to the next.
+// watch follows the replicas, one at a time. When one fails, it moves on to the next.
 func (a *Agent) watch(ctx context.Context) {
 	b, i := newRetryBackoff(), a.randomReplica()
 	for ctx.Err() == nil {
@@ -37,7 +37,7 @@
 	}
 }
 
-// poll makes one watch call and takes its answer, or says why not.
+// poll makes one watch call and applies its answer. The error says why the answer was dropped.
 func (a *Agent) poll(ctx context.Context, replica string) error {
 	a.mu.Lock()
 	since := a.copy.Revision
@@ -75,13 +75,13 @@
 	if since == 0 && !in.Full {
 		return errIncompleteAnswer
 	}
-	// The replica read its state after it had waited: no sooner than t0 and what it waited. It had heard from the
-	// leader so long before. What the answer took to come is counted as age, as it can't be separated.
-	return a.applyIntent(restrictToScope(a.cfg.Services, in), min(t0+ms(resp.Header, "X-Waited-Ms"), a.now())-ms(resp.Header, "X-Last-Contact-Ms"))
+	// The replica read its state after it had waited, so no earlier than t0 plus the waiting time. It had last heard from the
+	// leader X-Last-Contact-Ms before that. The answer's transfer time counts as age, because it can't be told apart.
+	return a.applyIntent(restrictToScope(a.cfg.Services, in), min(t0+headerMS(resp.Header, "X-Waited-Ms"), a.now())-headerMS(resp.Header, "X-Last-Contact-Ms"))
 }
 
-// ms reads a header in ms, 0 to a minute; one that is not such a number is 0.
-func ms(h http.Header, name string) time.Duration {
+// headerMS reads a header in ms, limited to the range from 0 to a minute. A header that is not a number counts as 0.
+func headerMS(h http.Header, name string) time.Duration {
 	n, err := strconv.Atoi(h.Get(name))
 	if err != nil {
 		return 0
