--- a/internal/fleet/reportdelta/decode.go
+++ b/internal/fleet/reportdelta/decode.go
@@ -9,13 +9,13 @@
 	"meadowsill/internal/fleet"
 )
 
-// Limits on what one difference may hold, and on the complete report that it gives.
+// Limits on the content of one delta and on the complete report that it gives.
 const (
 	maxRows      = 16 << 10
 	maxNameBytes = 128
 )
 
-// Encode writes a difference as Decode reads it, bodies of items as they are.
+// Encode encodes a delta for Decode. The bodies of its items stay as they are.
 func Encode(d Delta) ([]byte, error) {
 	var out bytes.Buffer
 	enc := json.NewEncoder(&out)
@@ -26,8 +26,8 @@
 	return bytes.TrimSuffix(out.Bytes(), []byte("\n")), nil
 }
 
-// Decode reads the body of POST /fleet/v1/report/difference by the rules of fleet.DecodeReport: what is malformed, too much
-// or impossible is fleet.ErrInvalid with the member's name. Whether it fits its base is Apply's to say.
+// Decode reads the body of POST /fleet/v1/report/difference by the rules of fleet.DecodeReport: a body that is malformed, too large
+// or impossible is fleet.ErrInvalid with the member's name. Apply checks whether the delta matches its base.
 func Decode(b []byte) (Delta, error) {
 	if len(b) > fleet.MaxReportBytes {
 		return Delta{}, fmt.Errorf("%w: %d bytes, at most %d", fleet.ErrInvalid, len(b), fleet.MaxReportBytes)
@@ -59,11 +59,11 @@
 	if len(d.Digest) != 16 {
 		return fmt.Errorf("%w: digest: %.40q", fleet.ErrInvalid, d.Digest)
 	}
-	part := d.Head // its rows are checked as a report's are
-	part.Zones = d.Zones
-	part.Tenants = d.Tenants
-	part.Applied = d.Applied
-	if err := part.Check(); err != nil {
+	partial := d.Head // the rows are checked by the rules of a report
+	partial.Zones = d.Zones
+	partial.Tenants = d.Tenants
+	partial.Applied = d.Applied
+	if err := partial.Check(); err != nil {
 		return err
 	}
 	if err := d.checkLoads(); err != nil {
@@ -106,8 +106,8 @@
 	return nil
 }
 
-// checkSize rejects a complete report that no body of fleet.MaxReportBytes bytes can hold: what a leader keeps of a node is
-// bounded by that.
+// checkSize rejects a complete report that no body of fleet.MaxReportBytes bytes can hold. This bounds what a leader keeps of each
+// node.
 func checkSize(r *fleet.Report) error {
 	if len(r.Zones) > maxRows || len(r.Tenants) > maxRows || len(r.Applied) > maxRows {
 		return fmt.Errorf("%w: too many zones, tenants or facts", fleet.ErrInvalid)
@@ -121,8 +121,8 @@
 		size += len(t.Name) + len(t.Digest) + len(t.RejectReason)
 	}
 	for i := range r.Applied {
-		h := &r.Applied[i]
-		size += len(h.Key) + len(h.Digest) + len(h.ChangedBy) + len(h.Body)
+		a := &r.Applied[i]
+		size += len(a.Key) + len(a.Digest) + len(a.ChangedBy) + len(a.Body)
 	}
 	if size > fleet.MaxReportBytes {
 		return fmt.Errorf("%w: whole report: over %d bytes", fleet.ErrInvalid, fleet.MaxReportBytes)
--- a/internal/fleet/reportdelta/digest.go
+++ b/internal/fleet/reportdelta/digest.go
@@ -12,7 +12,7 @@
 	"meadowsill/internal/fleet"
 )
 
-// Digest is the xxhash64, in hex, over all members of a normalized report.
+// Digest returns the xxhash64 of all members of a normalized report, in hex.
 func Digest(r fleet.Report) string {
 	hash := xxhash.New()
 	b := make(hashBuffer, 0, 512)
@@ -37,7 +37,7 @@
 	return fmt.Sprintf("%016x", hash.Sum64())
 }
 
-// hashBuffer is what is hashed next: texts with their lengths, numbers in 8 bytes each.
+// hashBuffer collects the bytes to hash next: each text preceded by its length, each number in 8 bytes.
 type hashBuffer []byte
 
 func (b *hashBuffer) flush(hash *xxhash.Digest) {
@@ -45,22 +45,22 @@
 	*b = (*b)[:0]
 }
 
-func (b *hashBuffer) text(all ...string) {
-	for _, s := range all {
+func (b *hashBuffer) text(texts ...string) {
+	for _, s := range texts {
 		*b = binary.LittleEndian.AppendUint64(*b, uint64(len(s)))
 		*b = append(*b, s...)
 	}
 }
 
-func (b *hashBuffer) numbers(all ...uint64) {
-	for _, n := range all {
+func (b *hashBuffer) numbers(values ...uint64) {
+	for _, n := range values {
 		*b = binary.LittleEndian.AppendUint64(*b, n)
 	}
 }
 
-func (b *hashBuffer) rates(all ...float64) {
-	for _, f := range all {
-		b.numbers(math.Float64bits(f + 0)) // -0 and 0 are equal
+func (b *hashBuffer) rates(values ...float64) {
+	for _, f := range values {
+		b.numbers(math.Float64bits(f + 0)) // adding 0 makes -0 equal to 0
 	}
 }
 
@@ -83,12 +83,12 @@
 	b.rates(t.Offered, t.Admitted, t.Rate)
 }
 
-func (b *hashBuffer) item(h *fleet.AppliedItem) {
-	b.text(h.Key, h.Digest, h.ChangedBy, string(h.Body))
-	b.numbers(uint64(h.SinceMS))
+func (b *hashBuffer) item(a *fleet.AppliedItem) {
+	b.text(a.Key, a.Digest, a.ChangedBy, string(a.Body))
+	b.numbers(uint64(a.SinceMS))
 }
 
-// compactBody takes the space out of an item's body, so that it is the same after it was sent.
+// compactBody removes insignificant space from an item's body, so that the body is the same before and after encoding.
 func compactBody(body json.RawMessage) json.RawMessage {
 	var out bytes.Buffer
 	if len(body) == 0 || json.Compact(&out, body) != nil {
--- a/internal/fleet/reportdelta/link.go
+++ b/internal/fleet/reportdelta/link.go
@@ -7,13 +7,14 @@
 	"meadowsill/internal/fleet"
 )
 
-// Sender is the agent's end: the newest report that the leader has acknowledged. It is not safe for concurrent use.
+// Sender is the agent's end of the link. It keeps the newest report that the leader has acknowledged. It is not safe for concurrent use.
 type Sender struct {
 	base    fleet.Report
-	hasBase bool // there is a base
+	hasBase bool // base is set
 }
 
-// Delta returns next as a difference; ok is false where it is to be sent complete: nothing is acknowledged, or by another run.
+// Delta returns next as a delta. ok is false if next must be sent complete: no earlier report of this
+// incarnation has been acknowledged.
 func (s *Sender) Delta(next fleet.Report) (d Delta, ok bool) {
 	if !s.hasBase || next.Sequence <= s.base.Sequence {
 		return Delta{}, false
@@ -22,8 +23,8 @@
 	return d, err == nil
 }
 
-// Acknowledged takes the ack_seq of the answer to a report. A leader that does not acknowledge it (one of the build before,
-// or one at which the run has no session) is sent complete reports.
+// Acknowledged applies the ack_seq of the answer to a report. If the leader does not acknowledge the report (because it runs the
+// previous build, or because the node's incarnation has no session there), the next report is sent complete.
 func (s *Sender) Acknowledged(sent fleet.Report, ackSeq uint64) {
 	if ackSeq == 0 || ackSeq != sent.Sequence {
 		s.Forget()
@@ -32,11 +33,11 @@
 	s.base, s.hasBase = sent, true
 }
 
-// Forget has the next report sent complete.
+// Forget drops the base, so that the next report is sent complete.
 func (s *Sender) Forget() { *s = Sender{} }
 
-// Bases is the leader's end: for each present node the newest report it acknowledged, and the one that this followed, as
-// the answer may not have come to the agent. It is not safe for concurrent use.
+// Bases is the leader's end of the link. For each present node it keeps the newest report that it acknowledged and the base of that
+// report, because the acknowledgement may not have reached the agent. It is not safe for concurrent use.
 type Bases struct {
 	nodes map[string]nodeBases
 }
@@ -46,10 +47,10 @@
 	previous fleet.Report
 }
 
-// Find returns the base of a difference, or ErrUnknownBase.
+// Find returns the base of a delta, or ErrUnknownBase.
 func (b *Bases) Find(d *Delta) (fleet.Report, error) {
-	if held, ok := b.nodes[d.Head.Node]; ok {
-		for _, base := range []fleet.Report{held.newest, held.previous} {
+	if bases, ok := b.nodes[d.Head.Node]; ok {
+		for _, base := range []fleet.Report{bases.newest, bases.previous} {
 			if base.Member == d.Head.Member && base.Sequence == d.BaseSequence {
 				return base, nil
 			}
@@ -58,18 +59,18 @@
 	return fleet.Report{}, fmt.Errorf("%w: report %d of incarnation %d", ErrUnknownBase, d.BaseSequence, d.Head.Incarnation)
 }
 
-// Keep notes that r, a normalized report which followed the report baseSeq (0: it came complete), is acknowledged, and gives the
-// answer's ack_seq: 0 where a newer one is, as r is no base then.
+// Keep records that r, a normalized report, is acknowledged, and returns the answer's ack_seq. baseSeq is the sequence number of r's
+// base, or 0 if r came complete. The ack_seq is 0 if a newer report is already acknowledged, because r can't be a base then.
 func (b *Bases) Keep(r fleet.Report, baseSeq uint64) (ackSeq uint64) {
-	held, ok := b.nodes[r.Node]
-	if ok && (held.newest.Incarnation > r.Incarnation || held.newest.Incarnation == r.Incarnation && held.newest.Sequence > r.Sequence) {
+	current, ok := b.nodes[r.Node]
+	if ok && (current.newest.Incarnation > r.Incarnation || current.newest.Incarnation == r.Incarnation && current.newest.Sequence > r.Sequence) {
 		return 0
 	}
-	if ok && held.newest.Member == r.Member && held.newest.Sequence == r.Sequence {
-		return r.Sequence // once more, as the answer was lost
+	if ok && current.newest.Member == r.Member && current.newest.Sequence == r.Sequence {
+		return r.Sequence // the report was repeated because its answer was lost
 	}
 	next := nodeBases{newest: r}
-	for _, base := range []fleet.Report{held.newest, held.previous} {
+	for _, base := range []fleet.Report{current.newest, current.previous} {
 		if baseSeq != 0 && base.Member == r.Member && base.Sequence == baseSeq {
 			next.previous = base
 		}
@@ -81,19 +82,19 @@
 	return r.Sequence
 }
 
-// Retain forgets the runs that are not present.
+// Retain drops the bases of incarnations that are not present.
 func (b *Bases) Retain(present func(fleet.Member) bool) {
-	for node, held := range b.nodes {
-		if !present(held.newest.Member) {
+	for node, bases := range b.nodes {
+		if !present(bases.newest.Member) {
 			delete(b.nodes, node)
 		}
 	}
 }
 
-// Len is how many nodes there is a base of.
+// Len returns the number of nodes that have a base.
 func (b *Bases) Len() int { return len(b.nodes) }
 
-// MetricReason names an error of Find or Apply in a word, for metrics.
+// MetricReason returns the metric label for an error of Find or Apply.
 func MetricReason(err error) string {
 	switch {
 	case errors.Is(err, ErrUnknownBase):
--- a/internal/fleet/reportdelta/reportdelta.go
+++ b/internal/fleet/reportdelta/reportdelta.go
@@ -1,7 +1,7 @@
-// Package reportdelta sends a node's reports as differences (docs/fleet.md, "Reports by difference"): an agent sends what
-// changed since a report that the leader has acknowledged, and the leader makes the complete report again. A difference that
-// was lost, repeated, reordered, cut short or made against something else is an error and changes nothing; the
-// complete report follows. The package does no I/O and reads no clock.
+// Package reportdelta sends a node's reports as deltas (docs/fleet.md, "Reports by difference"): an agent sends what
+// changed since a report that the leader has acknowledged, and the leader restores the complete report from it. A delta that
+// is lost, repeated, reordered, truncated or made against another base is an error and changes nothing; the complete report
+// is sent after it. The package does no I/O and reads no clock.
 package reportdelta
 
 import (
@@ -14,19 +14,19 @@
 	"meadowsill/internal/fleet"
 )
 
-// Errors of a difference that can't be applied. Each changes nothing; the answer to it is a request for the complete report.
+// Errors of a delta that can't be applied. Each changes nothing, and the leader answers it with a request for the complete report.
 var (
-	ErrUnknownBase    = errors.New("no such base")                    // the base is not held: a new leader, a gap, another run
-	ErrRowMismatch    = errors.New("rows do not fit the base")        // out of order, or of a row that is not there
-	ErrDigestMismatch = errors.New("digest does not fit")             // the complete report would be another than the node's
-	errDifferentRuns  = errors.New("reports of two runs or services") // Diff has no difference between them
+	ErrUnknownBase    = errors.New("unknown base report")                           // the leader lacks it: new leader, lost report, other incarnation
+	ErrRowMismatch    = errors.New("rows do not match the base")                    // rows are out of order, or a row is not in the base
+	ErrDigestMismatch = errors.New("digest does not match")                         // the restored report would differ from the node's
+	errDifferentRuns  = errors.New("reports of different incarnations or services") // Diff requires the same ones
 )
 
-// Delta is a report as what changed since an earlier one of the same run: POST /fleet/v1/report/difference. Lists
-// are in the order of their keys, each key at most once.
+// Delta is a report expressed as its changes since an earlier report of the same incarnation: POST /fleet/v1/report/difference.
+// Lists are ordered by key, and each key occurs at most once.
 type Delta struct {
-	Head           fleet.Report         `json:"head"`     // the report without its services and its rows; its services are the base's
-	BaseSequence   uint64               `json:"base_seq"` // seq of the report that this follows
+	Head           fleet.Report         `json:"head"`     // the report without its services and its rows; the services are those of the base
+	BaseSequence   uint64               `json:"base_seq"` // sequence number of the base, the report that the delta is made against
 	Digest         string               `json:"digest"`   // Digest of the complete report
 	Zones          []fleet.ZoneEvidence `json:"zones,omitempty"`
 	ZonesRemoved   []string             `json:"zones_gone,omitempty"`
@@ -37,17 +37,17 @@
 	AppliedRemoved []string             `json:"held_gone,omitempty"`
 }
 
-// LoadChange is a tenant's row of which nothing but the load and the quota changed.
+// LoadChange is a change of a tenant's row that affects nothing but its load and its quota share.
 type LoadChange struct {
-	Row      int     `json:"i"` // of the base's tenants, from 0
+	Row      int     `json:"i"` // index of the row among the base's tenants, from 0
 	Open     int     `json:"o,omitempty"`
 	Offered  float64 `json:"f,omitempty"`
 	Admitted float64 `json:"a,omitempty"`
 	Rate     float64 `json:"r,omitempty"`
 }
 
-// Normalize puts a report's rows in the order of their keys and the bodies of its items in compact form, as Diff and Apply
-// need them. It changes nothing else; the rows of the argument stay as they are.
+// Normalize sorts a report's rows by key and compacts the bodies of its items, as Diff and Apply require. It changes nothing
+// else; the argument's rows stay as they are.
 func Normalize(r fleet.Report) fleet.Report {
 	r.Zones = sortedRows(r.Zones, zoneKey)
 	r.Tenants = sortedRows(r.Tenants, tenantKey)
@@ -60,9 +60,9 @@
 
 func zoneKey(z *fleet.ZoneEvidence) string   { return z.Zone }
 func tenantKey(t *fleet.TenantAck) string    { return t.Name }
-func appliedKey(h *fleet.AppliedItem) string { return h.Key }
+func appliedKey(a *fleet.AppliedItem) string { return a.Key }
 
-// sortedRows returns rows by key: the slice itself where it is in order.
+// sortedRows returns rows sorted by key; it returns the slice itself if it is already sorted.
 func sortedRows[T any](rows []T, key func(*T) string) []T {
 	order := func(a, b T) int { return cmp.Compare(key(&a), key(&b)) }
 	if slices.IsSortedFunc(rows, order) {
@@ -73,7 +73,7 @@
 	return rows
 }
 
-// Diff returns what changed from base to next, two normalized reports of one run.
+// Diff returns the changes from base to next, two normalized reports of one incarnation.
 func Diff(base, next fleet.Report) (Delta, error) {
 	if base.Member != next.Member || !slices.Equal(base.Services, next.Services) {
 		return Delta{}, errDifferentRuns
@@ -85,13 +85,13 @@
 	d.Head.Applied = nil
 	equal := func(a, b *fleet.ZoneEvidence, _ int) bool { return *a == *b }
 	d.Zones, d.ZonesRemoved = changedRows(base.Zones, next.Zones, zoneKey, equal)
-	d.Tenants, d.TenantsRemoved = changedRows(base.Tenants, next.Tenants, tenantKey, d.sameButLoad)
+	d.Tenants, d.TenantsRemoved = changedRows(base.Tenants, next.Tenants, tenantKey, d.sameExceptLoad)
 	d.Applied, d.AppliedRemoved = changedRows(base.Applied, next.Applied, appliedKey, sameItem)
 	return d, nil
 }
 
-// sameButLoad compares two rows of a tenant, the first of them the base's row i. Where only the load differs it is noted.
-func (d *Delta) sameButLoad(a, b *fleet.TenantAck, i int) bool {
+// sameExceptLoad compares two rows of a tenant; a is the base's row i. If only the load differs, it records a LoadChange and returns true.
+func (d *Delta) sameExceptLoad(a, b *fleet.TenantAck, i int) bool {
 	if *a == *b {
 		return true
 	}
@@ -116,7 +116,7 @@
 	return a.Key == b.Key && a.Digest == b.Digest && a.ChangedBy == b.ChangedBy && a.SinceMS == b.SinceMS && bytes.Equal(a.Body, b.Body)
 }
 
-// changedRows returns the rows of next that base has not, or not the same, and the keys that base alone has.
+// changedRows returns the rows of next that base lacks or has with other content, and the keys that only base has.
 func changedRows[T any](base, next []T, key func(*T) string, same func(a, b *T, i int) bool) (changed []T, removed []string) {
 	i := 0
 	for n := range next {
@@ -139,7 +139,7 @@
 	return changed, removed
 }
 
-// Apply makes the complete report again. base is not changed.
+// Apply restores the complete report. base is not changed.
 func Apply(base fleet.Report, d Delta) (fleet.Report, error) {
 	if base.Member != d.Head.Member || base.Sequence != d.BaseSequence || d.Head.Sequence <= base.Sequence {
 		return fleet.Report{}, fmt.Errorf("%w: report %d of incarnation %d after %d", ErrUnknownBase, d.Head.Sequence, d.Head.Incarnation, d.BaseSequence)
@@ -161,12 +161,12 @@
 		return fleet.Report{}, err
 	}
 	if got := Digest(r); got != d.Digest {
-		return fleet.Report{}, fmt.Errorf("%w: %s, the difference says %.16s", ErrDigestMismatch, got, d.Digest)
+		return fleet.Report{}, fmt.Errorf("%w: the restored report has %s, the delta says %.16s", ErrDigestMismatch, got, d.Digest)
 	}
 	return r, nil
 }
 
-// applyLoads returns the rows with new loads.
+// applyLoads returns the rows with the new loads.
 func applyLoads(rows []fleet.TenantAck, loads []LoadChange) ([]fleet.TenantAck, error) {
 	if len(loads) == 0 {
 		return rows, nil
@@ -183,13 +183,13 @@
 	return rows, nil
 }
 
-// mergeRows returns base with the rows changed or new in changed, without those removed. All are in the order of their keys.
+// mergeRows returns base with the rows in changed inserted or replaced, and without those in removed. All are ordered by key.
 func mergeRows[T any](base []T, key func(*T) string, changed []T, removed []string) ([]T, error) {
 	if len(changed) == 0 && len(removed) == 0 {
 		return base, nil
 	}
 	out := make([]T, 0, max(len(base)+len(changed)-len(removed), 0))
-	c, g := 0, 0
+	c, r := 0, 0
 	for i := range base {
 		k := key(&base[i])
 		for c < len(changed) && key(&changed[c]) < k {
@@ -197,8 +197,8 @@
 			c++
 		}
 		switch {
-		case g < len(removed) && removed[g] == k:
-			g++
+		case r < len(removed) && removed[r] == k:
+			r++
 		case c < len(changed) && key(&changed[c]) == k:
 			out = append(out, changed[c])
 			c++
@@ -209,11 +209,11 @@
 	out = append(out, changed[c:]...)
 	for i := 1; i < len(out); i++ {
 		if key(&out[i-1]) >= key(&out[i]) {
-			return nil, fmt.Errorf("%w: %.128q out of order or twice", ErrRowMismatch, key(&out[i]))
+			return nil, fmt.Errorf("%w: row %.128q is out of order or occurs twice", ErrRowMismatch, key(&out[i]))
 		}
 	}
-	if g < len(removed) {
-		return nil, fmt.Errorf("%w: %.128q gone, not in the base or out of order", ErrRowMismatch, removed[g])
+	if r < len(removed) {
+		return nil, fmt.Errorf("%w: removed row %.128q is not in the base or out of order", ErrRowMismatch, removed[r])
 	}
 	return out, nil
 }
