--- a/internal/fleet/agent/bench_test.go
+++ b/internal/fleet/agent/bench_test.go
@@ -8,10 +8,10 @@
 	"meadowsill/internal/fleet"
 )
 
-// benchSizes are the numbers of tenants that the copy is measured with.
+// benchSizes are the numbers of tenants with which the copy is measured.
 var benchSizes = []int{300, 5000, 20_000}
 
-// benchTenant is a small tenant, as most are.
+// benchTenant returns a small tenant, as most tenants are.
 func benchTenant(i int, rev uint64) fleet.Item {
 	name := fmt.Sprintf("tenant-%06d", i)
 	body, err := json.Marshal(fleet.Tenant{UID: uint64(i + 1), Committed: &fleet.Generation{Number: rev, Digest: "0123456789abcdef",
@@ -22,8 +22,8 @@
 	return fleet.Item{Key: fleet.KeyTenant + name, Revision: rev, Body: body}
 }
 
-// benchWhole is a complete answer of so many tenants.
-func benchWhole(size int) fleet.Intent {
+// benchComplete returns a complete answer with the given number of tenants.
+func benchComplete(size int) fleet.Intent {
 	in := fleet.Intent{Revision: uint64(size), Full: true}
 	for i := range size {
 		in.Items = append(in.Items, benchTenant(i, uint64(i+1)))
@@ -31,17 +31,17 @@
 	return in
 }
 
-// benchChange is an answer that changes one tenant.
+// benchChange returns an answer that changes one tenant.
 func benchChange(size int, rev uint64) fleet.Intent {
 	return fleet.Intent{Revision: rev, Items: []fleet.Item{benchTenant(int(rev)%size, rev)}}
 }
 
-// benchCopy runs a benchmark at each size, over a copy that holds so many tenants.
+// benchCopy runs a benchmark for each size, on a copy with that number of tenants.
 func benchCopy(b *testing.B, run func(b *testing.B, c *IntentCopy, size int)) {
 	for _, size := range benchSizes {
 		b.Run(fmt.Sprintf("tenants=%d", size), func(b *testing.B) {
 			c := &IntentCopy{}
-			if _, err := c.Apply(benchWhole(size)); err != nil {
+			if _, err := c.Apply(benchComplete(size)); err != nil {
 				b.Fatal(err)
 			}
 			b.ReportAllocs()
@@ -51,8 +51,8 @@
 	}
 }
 
-// BenchmarkTake takes an answer that changes one tenant.
-func BenchmarkTake(b *testing.B) {
+// BenchmarkApplyChange applies an answer that changes one tenant.
+func BenchmarkApplyChange(b *testing.B) {
 	benchCopy(b, func(b *testing.B, c *IntentCopy, size int) {
 		for b.Loop() {
 			if _, err := c.Apply(benchChange(size, c.Revision+1)); err != nil {
@@ -76,10 +76,10 @@
 	})
 }
 
-// BenchmarkSave makes a change of one tenant durable, as the agent does after each.
+// BenchmarkSave saves a change of one tenant to disk, as the agent does after each change.
 func BenchmarkSave(b *testing.B) {
 	benchCopy(b, func(b *testing.B, c *IntentCopy, size int) {
-		d, _, err := openCopyFile(b.TempDir(), "n", nil)
+		f, _, err := openCopyFile(b.TempDir(), "n", nil)
 		if err != nil {
 			b.Fatal(err)
 		}
@@ -88,7 +88,7 @@
 			if _, err := c.Apply(benchChange(size, c.Revision+1)); err != nil {
 				b.Fatal(err)
 			}
-			bytes, err := d.save(c.Read(d.deltaSince(), nil), false)
+			bytes, err := f.save(c.Read(f.deltaSince(), nil), false)
 			if err != nil {
 				b.Fatal(err)
 			}
--- a/internal/fleet/agent/capacity_bench_test.go
+++ b/internal/fleet/agent/capacity_bench_test.go
@@ -9,11 +9,11 @@
 	"meadowsill/internal/fleet"
 )
 
-// The sizes are steps towards the plan of docs/CAPACITY.md, 170,000 tenants. The last is all that one answer may hold:
-// fleet.DecodeIntent rejects more than 16,384 items.
+// capacitySizes are numbers of tenants on the way to the plan of docs/CAPACITY.md, 170,000 tenants. The last size is close to the
+// maximum of one answer: fleet.DecodeIntent rejects more than 16,384 items.
 var capacitySizes = []int{1000, 4000, 8000, 16_000}
 
-// benchIntent is a complete answer with n small tenants.
+// benchIntent returns a complete answer with n small tenants.
 func benchIntent(b *testing.B, n int) fleet.Intent {
 	intent := fleet.Intent{Revision: uint64(n), Full: true}
 	for i := range n {
@@ -29,44 +29,44 @@
 	return intent
 }
 
-func benchEach(b *testing.B, run func(b *testing.B, intent fleet.Intent, held *IntentCopy)) {
+func benchEach(b *testing.B, run func(b *testing.B, intent fleet.Intent, loaded *IntentCopy)) {
 	for _, n := range capacitySizes {
 		intent := benchIntent(b, n)
-		held := &IntentCopy{}
-		if _, err := held.Apply(intent); err != nil {
+		loaded := &IntentCopy{}
+		if _, err := loaded.Apply(intent); err != nil {
 			b.Fatal(err)
 		}
-		b.Run(fmt.Sprintf("tenants=%d", n), func(b *testing.B) { run(b, intent, held) })
+		b.Run(fmt.Sprintf("tenants=%d", n), func(b *testing.B) { run(b, intent, loaded) })
 	}
 }
 
-// BenchmarkCapacityReadOneChange is the answer to a node that lacks the newest change.
+// BenchmarkCapacityReadOneChange reads the answer to a node that lacks the newest change.
 func BenchmarkCapacityReadOneChange(b *testing.B) {
-	benchEach(b, func(b *testing.B, _ fleet.Intent, held *IntentCopy) {
+	benchEach(b, func(b *testing.B, _ fleet.Intent, loaded *IntentCopy) {
 		for b.Loop() {
-			held.Read(held.Revision-1, nil)
+			loaded.Read(loaded.Revision-1, nil)
 		}
 	})
 }
 
-// BenchmarkCapacityTakeOneChange brings one changed tenant in.
+// BenchmarkCapacityTakeOneChange applies one changed tenant.
 func BenchmarkCapacityTakeOneChange(b *testing.B) {
 	benchEach(b, func(b *testing.B, intent fleet.Intent, _ *IntentCopy) {
-		own := &IntentCopy{} // the changes are of this run alone
-		if _, err := own.Apply(intent); err != nil {
+		fresh := &IntentCopy{} // a copy for this run only, so that the changes do not add up
+		if _, err := fresh.Apply(intent); err != nil {
 			b.Fatal(err)
 		}
 		for b.Loop() {
 			changed := intent.Items[0]
-			changed.Revision = own.Revision + 1
-			if _, err := own.Apply(fleet.Intent{Revision: changed.Revision, Items: []fleet.Item{changed}}); err != nil {
+			changed.Revision = fresh.Revision + 1
+			if _, err := fresh.Apply(fleet.Intent{Revision: changed.Revision, Items: []fleet.Item{changed}}); err != nil {
 				b.Fatal(err)
 			}
 		}
 	})
 }
 
-// BenchmarkCapacityApplyComplete brings a complete answer into an empty copy.
+// BenchmarkCapacityApplyComplete applies a complete answer to an empty copy.
 func BenchmarkCapacityApplyComplete(b *testing.B) {
 	benchEach(b, func(b *testing.B, intent fleet.Intent, _ *IntentCopy) {
 		for b.Loop() {
@@ -78,9 +78,9 @@
 	})
 }
 
-// encodeCopy is a copy as it lies on disk after its whole base was written.
-func encodeCopy(b *testing.B, held *IntentCopy) []byte {
-	complete := held.Read(0, nil)
+// encodeCopy returns the content of the file that holds the whole copy as a base.
+func encodeCopy(b *testing.B, loaded *IntentCopy) []byte {
+	complete := loaded.Read(0, nil)
 	raw, err := encodeBase(baseRecord{Node: "n1", Revision: complete.Revision, Items: complete.Items})
 	if err != nil {
 		b.Fatal(err)
@@ -88,21 +88,21 @@
 	return raw
 }
 
-// BenchmarkCapacityEncode is the copy as it lies on disk, whose size it reports.
+// BenchmarkCapacityEncode encodes the copy as it is on disk, and reports its size.
 func BenchmarkCapacityEncode(b *testing.B) {
-	benchEach(b, func(b *testing.B, _ fleet.Intent, held *IntentCopy) {
+	benchEach(b, func(b *testing.B, _ fleet.Intent, loaded *IntentCopy) {
 		size := 0
 		for b.Loop() {
-			size = len(encodeCopy(b, held))
+			size = len(encodeCopy(b, loaded))
 		}
 		b.ReportMetric(float64(size), "copy-B")
 	})
 }
 
-// BenchmarkCapacityDecode reads a copy back, as each start does.
+// BenchmarkCapacityDecode decodes a copy, as the agent does at each start.
 func BenchmarkCapacityDecode(b *testing.B) {
-	benchEach(b, func(b *testing.B, _ fleet.Intent, held *IntentCopy) {
-		raw := encodeCopy(b, held)
+	benchEach(b, func(b *testing.B, _ fleet.Intent, loaded *IntentCopy) {
+		raw := encodeCopy(b, loaded)
 		for b.Loop() {
 			if _, err := decodeCopy(raw, "n1"); err != nil {
 				b.Fatal(err)
@@ -111,29 +111,29 @@
 	})
 }
 
-// BenchmarkCapacitySaveOneChange makes a change of one tenant durable, the write of a new base now and then among it. It
-// reports the bytes written for each. Its time has the wait for the disk in it.
+// BenchmarkCapacitySaveOneChange saves a change of one tenant to disk, which now and then includes writing a new base. It
+// reports the bytes written for each change. Its time includes waiting for the disk.
 func BenchmarkCapacitySaveOneChange(b *testing.B) {
 	benchEach(b, func(b *testing.B, intent fleet.Intent, _ *IntentCopy) {
-		own := &IntentCopy{}
-		if _, err := own.Apply(intent); err != nil {
+		fresh := &IntentCopy{}
+		if _, err := fresh.Apply(intent); err != nil {
 			b.Fatal(err)
 		}
-		d, _, err := openCopyFile(b.TempDir(), "n1", nil)
+		f, _, err := openCopyFile(b.TempDir(), "n1", nil)
 		if err != nil {
 			b.Fatal(err)
 		}
-		if _, err := d.save(own.Read(0, nil), false); err != nil {
+		if _, err := f.save(fresh.Read(0, nil), false); err != nil {
 			b.Fatal(err)
 		}
 		written := 0
 		for b.Loop() {
 			changed := intent.Items[0]
-			changed.Revision = own.Revision + 1
-			if _, err := own.Apply(fleet.Intent{Revision: changed.Revision, Items: []fleet.Item{changed}}); err != nil {
+			changed.Revision = fresh.Revision + 1
+			if _, err := fresh.Apply(fleet.Intent{Revision: changed.Revision, Items: []fleet.Item{changed}}); err != nil {
 				b.Fatal(err)
 			}
-			bytes, err := d.save(own.Read(d.deltaSince(), nil), false)
+			bytes, err := f.save(fresh.Read(f.deltaSince(), nil), false)
 			if err != nil {
 				b.Fatal(err)
 			}
@@ -143,7 +143,7 @@
 	})
 }
 
-// BenchmarkCapacityHeap reports the live heap of a copy that was decoded from a replica's answer. Its time is that of making it.
+// BenchmarkCapacityHeap reports the live heap of a copy decoded from a replica's answer. Its time is that of decoding and applying.
 func BenchmarkCapacityHeap(b *testing.B) {
 	for _, n := range capacitySizes {
 		b.Run(fmt.Sprintf("tenants=%d", n), func(b *testing.B) {
@@ -158,12 +158,12 @@
 				if err != nil {
 					b.Fatal(err)
 				}
-				held := &IntentCopy{}
-				if _, err := held.Apply(decoded); err != nil {
+				loaded := &IntentCopy{}
+				if _, err := loaded.Apply(decoded); err != nil {
 					b.Fatal(err)
 				}
 				live = liveHeap() - before
-				runtime.KeepAlive(held)
+				runtime.KeepAlive(loaded)
 			}
 			b.ReportMetric(live, "heap-B")
 			runtime.KeepAlive(raw)
@@ -171,7 +171,7 @@
 	}
 }
 
-// liveHeap is what the heap holds after a collection. Two make sure that what the first found dead is swept.
+// liveHeap returns the bytes of live objects on the heap. The second collection makes sure that the garbage found by the first is swept.
 func liveHeap() float64 {
 	var stats runtime.MemStats
 	runtime.GC()
--- a/internal/fleet/agent/golden_test.go
+++ b/internal/fleet/agent/golden_test.go
@@ -15,14 +15,15 @@
 	"meadowsill/internal/golden"
 )
 
-// The records of the durable copy.
+// The encoding of the durable copy's records is unchanged.
 func TestRecordBytes(t *testing.T) {
 	golden.JSON[baseRecord](t, "base")
 	golden.JSON[differenceRecord](t, "difference")
 	golden.JSON[scopedTenant](t, "scoped-tenant")
 }
 
-// A whole file of the durable copy: a base and two differences. It is decoded, and its content encoded to the same bytes.
+// A complete file of the durable copy, a base and two deltas, is encoded and decoded, and the result is encoded as a base. The bytes of
+// both files are unchanged.
 func TestCopyFileBytes(t *testing.T) {
 	directive, err := json.Marshal(fleet.Directive{Phase: fleet.Evacuated, Share: 0.5, ValidMS: 5000, Reason: "lost"})
 	if err != nil {
@@ -33,7 +34,7 @@
 		t.Fatal(err)
 	}
 	base := baseRecord{Node: "n1", Services: []string{"billing"}, Revision: 5, Items: []fleet.Item{{Key: "share/n1", Revision: 4, Body: lease}}}
-	differences := []differenceRecord{
+	deltas := []differenceRecord{
 		{Since: 5, Revision: 6, Items: []fleet.Item{{Key: "zone/a", Revision: 6, Body: directive}}},
 		{Since: 6, Revision: 9, Items: []fleet.Item{{Key: "zone/a", Revision: 9, Removed: true}}},
 	}
@@ -41,8 +42,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, difference := range differences {
-		if file, err = appendRecord(file, difference); err != nil {
+	for _, delta := range deltas {
+		if file, err = appendRecord(file, delta); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -51,38 +52,38 @@
 	if err != nil || stored.copy.Revision != 9 || stored.truncated || !slices.Equal(stored.services, base.Services) {
 		t.Fatalf("%+v, %v", stored, err)
 	}
-	again := stored.copy.Read(0, nil)
-	complete, err := encodeBase(baseRecord{Node: "n1", Services: stored.services, Revision: again.Revision, Items: again.Items})
+	content := stored.copy.Read(0, nil)
+	complete, err := encodeBase(baseRecord{Node: "n1", Services: stored.services, Revision: content.Revision, Items: content.Items})
 	if err != nil || !bytes.Contains(complete, lease) {
 		t.Fatalf("%v: %s", err, complete)
 	}
 	golden.Check(t, "intent.copy.base", complete)
 }
 
-var describedMetric = regexp.MustCompile(`fqName: "([^"]*)".*constLabels: \{(.*)\}, variableLabels: \{(.*)\}`)
+var metricPattern = regexp.MustCompile(`fqName: "([^"]*)".*constLabels: \{(.*)\}, variableLabels: \{(.*)\}`)
 
-// described is a registerer that notes what is registered.
-type described struct {
+// metricRecorder is a registerer that records the descriptions of registered metrics.
+type metricRecorder struct {
 	prometheus.Registerer
 	lines []string
 }
 
-func (d *described) MustRegister(all ...prometheus.Collector) {
+func (r *metricRecorder) MustRegister(all ...prometheus.Collector) {
 	for _, c := range all {
 		descs := make(chan *prometheus.Desc, 8)
 		c.Describe(descs)
 		close(descs)
 		for desc := range descs {
-			m := describedMetric.FindStringSubmatch(desc.String())
-			d.lines = append(d.lines, fmt.Sprintf("%s {%s} {%s}\n", m[1], m[2], m[3]))
+			m := metricPattern.FindStringSubmatch(desc.String())
+			r.lines = append(r.lines, fmt.Sprintf("%s {%s} {%s}\n", m[1], m[2], m[3]))
 		}
 	}
 }
 
-// The names and labels of the metrics.
+// The names and labels of the metrics are unchanged.
 func TestMetricNames(t *testing.T) {
-	d := &described{}
-	newMetrics(d)
-	slices.Sort(d.lines)
-	golden.Check(t, "metrics.txt", []byte(strings.Join(d.lines, "")))
+	r := &metricRecorder{}
+	newMetrics(r)
+	slices.Sort(r.lines)
+	golden.Check(t, "metrics.txt", []byte(strings.Join(r.lines, "")))
 }
--- a/internal/fleet/agent/own_drift.go
+++ b/internal/fleet/agent/own_drift.go
@@ -31,7 +31,8 @@
 // ownDriftLogInterval is the minimum time between two log lines about the agent's own verdict.
 const ownDriftLogInterval = 10 * time.Second
 
-// recordOwnVerdict records the verdict in the metrics, and logs it where it differs from the one last logged. The caller holds ownDrift.mu.
+// recordOwnVerdict records the verdict in the metrics. It logs a verdict that differs from the last logged one if either of them is a
+// drift, at most once per ownDriftLogInterval. The caller holds ownDrift.mu.
 func (a *Agent) recordOwnVerdict(now fleet.Time) {
 	o := &a.ownDrift
 	v, ok := o.detector.Verdict(now, time.Now().UnixMilli(), a.cfg.Node)
--- a/internal/fleet/agent/record.go
+++ b/internal/fleet/agent/record.go
@@ -175,17 +175,17 @@
 
 // applyRecord applies the first record of log, a delta, to the copy and returns the rest of the log.
 func (s *storedCopy) applyRecord(log []byte) (rest []byte, err error) {
-	var difference differenceRecord
-	if rest, err = nextRecord(log, &difference); err != nil {
+	var delta differenceRecord
+	if rest, err = nextRecord(log, &delta); err != nil {
 		return nil, err
 	}
-	if difference.Since != s.copy.Revision || difference.Revision <= difference.Since {
-		return nil, fmt.Errorf("copy: a delta from revision %d to %d follows revision %d", difference.Since, difference.Revision, s.copy.Revision)
+	if delta.Since != s.copy.Revision || delta.Revision <= delta.Since {
+		return nil, fmt.Errorf("copy: a delta from revision %d to %d follows revision %d", delta.Since, delta.Revision, s.copy.Revision)
 	}
-	if err := checkItems(difference.Items, difference.Since, difference.Revision); err != nil {
+	if err := checkItems(delta.Items, delta.Since, delta.Revision); err != nil {
 		return nil, err
 	}
-	_, err = s.copy.Apply(fleet.Intent{Revision: difference.Revision, Items: difference.Items})
+	_, err = s.copy.Apply(fleet.Intent{Revision: delta.Revision, Items: delta.Items})
 	return rest, err
 }
 
--- a/internal/fleet/agent/scope_test.go
+++ b/internal/fleet/agent/scope_test.go
@@ -9,7 +9,7 @@
 	"meadowsill/internal/fleet"
 )
 
-// A tenant is in scope by its committed or its staged service; everything else is in every scope.
+// A tenant is in scope by its committed or its staged service. Every other item is in every scope.
 func TestInScope(t *testing.T) {
 	scope := []string{"billing", "search"}
 	for _, row := range []struct {
@@ -33,13 +33,13 @@
 			t.Errorf("%s %s: %v", row.item.Key, row.item.Body, got)
 		}
 		if !inScope(nil, row.item) {
-			t.Errorf("%s %s: not in the scope of a node without one", row.item.Key, row.item.Body)
+			t.Errorf("%s %s: not in the scope of a node without a scope", row.item.Key, row.item.Body)
 		}
 	}
 }
 
-// Of a complete answer what is out of scope is left out; in a difference it is removed, as it may have been in scope before.
-func TestRestrict(t *testing.T) {
+// A complete answer loses the items out of scope. A delta has them as removed, because they may have been in scope before.
+func TestRestrictToScope(t *testing.T) {
 	items := []fleet.Item{tenantOf("in", 3, "billing", "-"), tenantOf("out", 4, "mail", "-"), tenantOf("moves", 5, "billing", "mail")}
 	summary := func(in fleet.Intent) (out []string) {
 		for _, item := range in.Items {
@@ -64,7 +64,7 @@
 	}
 }
 
-func TestWidened(t *testing.T) {
+func TestIsWidened(t *testing.T) {
 	for _, row := range []struct {
 		before []string
 		now    []string
--- a/internal/fleet/agent/serve_test.go
+++ b/internal/fleet/agent/serve_test.go
@@ -19,22 +19,22 @@
 	"meadowsill/internal/fleet"
 )
 
-// leader stands in for a replica: its intent never changes, and it answers reports as it is set.
-type leader struct {
-	mu     sync.Mutex
-	code   int
-	answer string
-	unsent int // reports of run 9, which has not been sent anything
+// stubLeader is a stub for a replica. Its intent never changes, and it answers reports with the answer set last.
+type stubLeader struct {
+	mu           sync.Mutex
+	code         int
+	answer       string
+	earlyReports int // number of reports received from incarnation 9, which has not been sent any items
 }
 
-func (l *leader) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (s *stubLeader) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(r.Body)
-	l.mu.Lock()
-	code, answer := l.code, l.answer
+	s.mu.Lock()
+	code, answer := s.code, s.answer
 	if strings.Contains(string(body), `"incarnation":9`) {
-		l.unsent++
+		s.earlyReports++
 	}
-	l.mu.Unlock()
+	s.mu.Unlock()
 	if r.Method != http.MethodPost {
 		io.WriteString(w, `{"revision":5,"full":true,"items":[{"key":"zone/a","rev":5,"body":{"phase":"left","valid_ms":5000}}]}`)
 		return
@@ -43,17 +43,17 @@
 	io.WriteString(w, answer)
 }
 
-func (l *leader) says(code int, answer string) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.code, l.answer = code, answer
+func (s *stubLeader) setAnswer(code int, answer string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.code, s.answer = code, answer
 }
 
-// The node's reports: bad ones change nothing and are counted; an answer renews the session; what the leader wants, and what it has
-// the agent tell again, comes once; a 409 ends the session until the node has a new incarnation.
+// Invalid reports change nothing and are counted. An answer renews the session. Keys that the leader wants, and items that it has
+// the agent resend, are sent to the node once. A 409 ends the session until the node has a new incarnation.
 func TestReports(t *testing.T) {
-	lead, dir := &leader{}, t.TempDir()
-	srv := httptest.NewServer(lead)
+	leader, dir := &stubLeader{}, t.TempDir()
+	srv := httptest.NewServer(leader)
 	defer srv.Close()
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
@@ -76,11 +76,11 @@
 		in, _ := fleet.DecodeIntent(rec.Body.Bytes())
 		return in, rec.Body.String()
 	}
-	until := func(what string, ok func() bool) {
+	waitFor := func(condition string, ok func() bool) {
 		t.Helper()
-		for end := time.Now().Add(30 * time.Second); !ok(); time.Sleep(10 * time.Millisecond) {
-			if time.Now().After(end) {
-				t.Fatal("never: ", what)
+		for deadline := time.Now().Add(30 * time.Second); !ok(); time.Sleep(10 * time.Millisecond) {
+			if time.Now().After(deadline) {
+				t.Fatal("timed out waiting for: ", condition)
 			}
 		}
 	}
@@ -89,8 +89,8 @@
 		seq++
 		return post(fmt.Sprintf(`{"node":"n","zone":"z","incarnation":%d,"seq":%d,"revision":%d,"later_field":1}`, inc, seq, rev))
 	}
-	lead.says(200, `{"ttl_ms":6000,"revision":5,"want":["~*"],"resend":["zone/a"]}`)
-	until("the intent at hand", func() bool { a.mu.Lock(); defer a.mu.Unlock(); return a.caughtUp })
+	leader.setAnswer(200, `{"ttl_ms":6000,"revision":5,"want":["~*"],"resend":["zone/a"]}`)
+	waitFor("the intent", func() bool { a.mu.Lock(); defer a.mu.Unlock(); return a.caughtUp })
 	if in, text := get("?since=0"); in.CaughtUp || len(in.Items) != 0 || in.Revision != 0 || !in.Full {
 		t.Errorf("sent before the node was counted: %s", text)
 	}
@@ -98,14 +98,14 @@
 		t.Errorf("sent before the node was counted: %s", text)
 	}
 	if _, err := os.Stat(filepath.Join(dir, copyFileName)); err == nil {
-		t.Error("a copy kept before the node was counted")
-	}
-	until("wanted", func() bool { _, text := next(7); return strings.Contains(text, `"want":["~*"]`) })
-	lead.says(200, `{"ttl_ms":6000,"revision":5}`)
-	rev = 5 // as it has been sent it
-	until("sent again", func() bool { in, _ := get("?since=5"); return !in.Full && len(in.Items) == 1 })
-	until("counted, and sent", func() bool { in, _ := get("?since=0"); return in.CaughtUp && len(in.Items) == 1 })
-	until("held, and the wish sent once", func() bool {
+		t.Error("a copy was saved before the node was counted")
+	}
+	waitFor("wanted", func() bool { _, text := next(7); return strings.Contains(text, `"want":["~*"]`) })
+	leader.setAnswer(200, `{"ttl_ms":6000,"revision":5}`)
+	rev = 5 // the revision that the node has been sent
+	waitFor("a resent item", func() bool { in, _ := get("?since=5"); return !in.Full && len(in.Items) == 1 })
+	waitFor("node counted and sent the item", func() bool { in, _ := get("?since=0"); return in.CaughtUp && len(in.Items) == 1 })
+	waitFor("session held and wanted keys sent once", func() bool {
 		_, text := next(7)
 		in, _ := get("?since=5")
 		return !strings.Contains(text, "want") && in.LeaseMS > 0 && in.LeaseMS <= 5760 && in.AgeMS < 10_000
@@ -129,33 +129,33 @@
 	if in, text := get("?since=5&node=m"); in.Revision != 0 || !strings.Contains(text, "this agent is n's") {
 		t.Errorf("another node's watch: %s", text)
 	}
-	lead.says(409, "older incarnation")
-	until("refused", func() bool { code, _ := next(7); in, _ := get("?since=5"); return code == 409 && in.LeaseMS == 0 })
-	lead.says(200, `{"ttl_ms":6000,"revision":5}`)
-	until("held again by a new incarnation", func() bool { next(8); in, _ := get("?since=5"); return in.LeaseMS > 0 })
-	lead.says(200, `{"revision":5,"out":true}`)
-	until("out", func() bool {
+	leader.setAnswer(409, "older incarnation")
+	waitFor("refused", func() bool { code, _ := next(7); in, _ := get("?since=5"); return code == 409 && in.LeaseMS == 0 })
+	leader.setAnswer(200, `{"ttl_ms":6000,"revision":5}`)
+	waitFor("session held by a new incarnation", func() bool { next(8); in, _ := get("?since=5"); return in.LeaseMS > 0 })
+	leader.setAnswer(200, `{"revision":5,"out":true}`)
+	waitFor("out", func() bool {
 		_, text := next(8)
 		in, _ := get("?since=5")
 		return strings.Contains(text, `"out":true`) && in.LeaseMS == 0
 	})
-	lead.says(200, `garbage`)
+	leader.setAnswer(200, `garbage`)
 	if code, text := next(8); code != 200 || !strings.Contains(text, `"out":true`) {
-		t.Errorf("a garbled answer of the leader changed the last answer: %d %s", code, text)
+		t.Errorf("a malformed answer of the leader changed the last answer: %d %s", code, text)
 	}
 	rev = 0
 	for range 3 {
 		next(9)
 	}
-	lead.mu.Lock()
-	if lead.unsent > 0 {
-		t.Error("a run that has not been sent anything was reported as one that holds nothing")
+	leader.mu.Lock()
+	if leader.earlyReports > 0 {
+		t.Error("an incarnation that has not been sent any items was reported as one without items")
 	}
-	lead.mu.Unlock()
+	leader.mu.Unlock()
 	metrics, _ := reg.Gather()
 	for _, m := range metrics {
 		if m.GetName() == "fleet_agent_reports_refused_total" && m.Metric[0].Counter.GetValue() != 6 {
-			t.Errorf("bad reports counted: %v", m.Metric[0].Counter.GetValue())
+			t.Errorf("%v reports rejected, want 6", m.Metric[0].Counter.GetValue())
 		}
 	}
 }
--- a/internal/fleet/reportdelta/golden_test.go
+++ b/internal/fleet/reportdelta/golden_test.go
@@ -8,12 +8,12 @@
 	"meadowsill/internal/golden"
 )
 
-// A difference as it is sent, and the digest of a report, which both ends compute.
-func TestDifferenceOnTheWire(t *testing.T) {
+// The encoding of a delta, and the digest of a report, which agent and leader both compute, are unchanged.
+func TestDeltaEncoding(t *testing.T) {
 	golden.JSON[reportdelta.Delta](t, "difference")
-	var difference reportdelta.Delta
-	golden.Fill(&difference)
-	encoded, err := reportdelta.Encode(difference)
+	var delta reportdelta.Delta
+	golden.Fill(&delta)
+	encoded, err := reportdelta.Encode(delta)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/fleet/reportdelta/reportdelta_test.go
+++ b/internal/fleet/reportdelta/reportdelta_test.go
@@ -16,19 +16,19 @@
 	"meadowsill/internal/fleet/drift"
 )
 
-// node makes the reports of a node with so many tenants, of which the first active ones have load.
-func node(tenants, active int, seq uint64) fleet.Report {
+// nodeReport returns the report of a node with the given number of tenants, of which the first active ones have load.
+func nodeReport(tenants, active int, seq uint64) fleet.Report {
 	r := fleet.Report{Member: fleet.Member{Node: "ghala-17", Zone: "ghala", Incarnation: 1_764_652_571_000_000_000}, Sequence: seq,
 		Revision: 4711, Ready: true, WindowMS: 1000 + int64(seq%7), List: 12, AppliedRoot: "0123456789abcdef", ListRoot: "fedcba9876543210",
 		Applied: []fleet.AppliedItem{{Key: fleet.KeySettings, Digest: "00000000000000aa", ChangedBy: "the configuration file", SinceMS: 1_764_652_571_000}}}
 	for i := range tenants {
 		t := fleet.TenantAck{Name: fmt.Sprintf("tenant-%05d", i), UID: uint64(1000 + i), Committed: 3, Digest: fmt.Sprintf("%016x", i*7919), Rate: 0.2}
 		if i < active {
-			came := float64((seq*31+uint64(i)*17)%23 + 1)
+			load := float64((seq*31+uint64(i)*17)%23 + 1)
 			t.Open = int(seq % 3)
-			t.Offered = came / 1.003
-			t.Admitted = came / 1.003
-			t.Rate = 5 + came/7
+			t.Offered = load / 1.003
+			t.Admitted = load / 1.003
+			t.Rate = 5 + load/7
 		}
 		r.Tenants = append(r.Tenants, t)
 	}
@@ -44,8 +44,8 @@
 	return d
 }
 
-// send takes a difference over the wire.
-func send(t testing.TB, d Delta) Delta {
+// roundTrip encodes and decodes a delta.
+func roundTrip(t testing.TB, d Delta) Delta {
 	t.Helper()
 	raw, err := Encode(d)
 	if err != nil {
@@ -58,9 +58,9 @@
 	return got
 }
 
-func same(a, b fleet.Report) string { return cmp.Diff(a, b, cmpopts.EquateEmpty()) }
+func diffReports(a, b fleet.Report) string { return cmp.Diff(a, b, cmpopts.EquateEmpty()) }
 
-// Every member of a report, its rows' too, is in the digest: one that is forgotten here would be lost unseen.
+// Every member of a report and of its rows is in the digest: a change of a member missing there would be lost undetected.
 func TestDigestCoversEveryMember(t *testing.T) {
 	full := func() fleet.Report {
 		return fleet.Report{Services: []string{"a"}, Zones: []fleet.ZoneEvidence{{}}, Tenants: []fleet.TenantAck{{}}, Applied: []fleet.AppliedItem{{}}}
@@ -103,37 +103,37 @@
 	}
 	walk("report", func(r *fleet.Report) reflect.Value { return reflect.ValueOf(r).Elem() })
 	if seen < 35 {
-		t.Errorf("%d members looked at", seen)
+		t.Errorf("%d members checked, want at least 35", seen)
 	}
 }
 
-// Idle tenants cost nothing, a load costs its numbers, any other change its row.
-func TestOnlyWhatChangedIsSent(t *testing.T) {
-	base, next := node(300, 5, 1), node(300, 5, 2)
+// An idle tenant adds nothing to a delta, a changed load adds its numbers, and any other change adds the row.
+func TestDeltaHoldsOnlyChanges(t *testing.T) {
+	base, next := nodeReport(300, 5, 1), nodeReport(300, 5, 2)
 	d := mustDiff(t, base, next)
 	if len(d.Tenants) != 0 || len(d.Loads) != 5 || len(d.TenantsRemoved) != 0 || len(d.Applied) != 0 {
-		t.Errorf("%d rows, %d loads, %d gone, %d facts", len(d.Tenants), len(d.Loads), len(d.TenantsRemoved), len(d.Applied))
+		t.Errorf("%d rows, %d loads, %d removed, %d items", len(d.Tenants), len(d.Loads), len(d.TenantsRemoved), len(d.Applied))
 	}
 	next.Tenants = append(next.Tenants[:7:7], next.Tenants[8:]...)
 	next.Tenants[0].Staged = 4
 	next.Applied = append(next.Applied, fleet.AppliedItem{Key: "~3*", Digest: "00000000000000bb", Body: json.RawMessage(`{"a":"<&>"}`)})
-	d = send(t, mustDiff(t, base, next))
+	d = roundTrip(t, mustDiff(t, base, next))
 	if len(d.Tenants) != 1 || len(d.Loads) != 4 || len(d.TenantsRemoved) != 1 || len(d.Applied) != 1 {
-		t.Errorf("%d rows, %d loads, %d gone, %d facts", len(d.Tenants), len(d.Loads), len(d.TenantsRemoved), len(d.Applied))
+		t.Errorf("%d rows, %d loads, %d removed, %d items", len(d.Tenants), len(d.Loads), len(d.TenantsRemoved), len(d.Applied))
 	}
 	got, err := Apply(base, d)
-	if diff := same(next, got); err != nil || diff != "" {
+	if diff := diffReports(next, got); err != nil || diff != "" {
 		t.Error(err, diff)
 	}
-	if diff := same(base, node(300, 5, 1)); diff != "" {
+	if diff := diffReports(base, nodeReport(300, 5, 1)); diff != "" {
 		t.Error("the base was changed:", diff)
 	}
 }
 
-// A difference that does not fit is rejected with its reason and changes nothing: lost before it, repeated, reordered, cut short, of
-// another run, with a wrong digest, with rows that can't be.
-func TestDifferenceThatDoesNotFit(t *testing.T) {
-	first, second, third := node(5, 2, 1), node(6, 3, 2), node(4, 1, 3)
+// A delta that does not match its base is rejected with its reason and changes nothing: the delta before it was lost, or it is repeated,
+// reordered, truncated, of another incarnation, with a wrong digest, or with impossible rows.
+func TestApplyRejectsMismatchedDelta(t *testing.T) {
+	first, second, third := nodeReport(5, 2, 1), nodeReport(6, 3, 2), nodeReport(4, 1, 3)
 	fromFirst, fromSecond := mustDiff(t, first, second), mustDiff(t, second, third)
 	with := func(d Delta, change func(*Delta)) Delta { change(&d); return d }
 	for _, row := range []struct {
@@ -142,23 +142,23 @@
 		d    Delta
 		want error
 	}{
-		{"the one before was lost", first, fromSecond, ErrUnknownBase},
+		{"the delta before it was lost", first, fromSecond, ErrUnknownBase},
 		{"repeated", second, fromFirst, ErrUnknownBase},
 		{"reordered", third, fromFirst, ErrUnknownBase},
-		{"another run", with(Delta{Head: first}, func(d *Delta) { d.Head.Incarnation++ }).Head, fromFirst, ErrUnknownBase},
+		{"another incarnation", with(Delta{Head: first}, func(d *Delta) { d.Head.Incarnation++ }).Head, fromFirst, ErrUnknownBase},
 		{"another node", with(Delta{Head: first}, func(d *Delta) { d.Head.Node = "m" }).Head, fromFirst, ErrUnknownBase},
-		{"cut short: a load", first, with(fromFirst, func(d *Delta) { d.Loads = d.Loads[:1] }), ErrDigestMismatch},
-		{"cut short: a row", first, with(fromFirst, func(d *Delta) { d.Tenants = nil }), ErrDigestMismatch},
-		{"rows gone are forgotten", second, with(fromSecond, func(d *Delta) { d.TenantsRemoved = nil }), ErrDigestMismatch},
+		{"truncated: a load", first, with(fromFirst, func(d *Delta) { d.Loads = d.Loads[:1] }), ErrDigestMismatch},
+		{"truncated: a row", first, with(fromFirst, func(d *Delta) { d.Tenants = nil }), ErrDigestMismatch},
+		{"removed rows are omitted", second, with(fromSecond, func(d *Delta) { d.TenantsRemoved = nil }), ErrDigestMismatch},
 		{"wrong digest", first, with(fromFirst, func(d *Delta) { d.Digest = "0123456789abcdef" }), ErrDigestMismatch},
 		{"altered head", first, with(fromFirst, func(d *Delta) { d.Head.Revision++ }), ErrDigestMismatch},
-		{"a row gone that is not there", first, with(fromFirst, func(d *Delta) { d.TenantsRemoved = []string{"x"} }), ErrRowMismatch},
+		{"a removed row that is not in the base", first, with(fromFirst, func(d *Delta) { d.TenantsRemoved = []string{"x"} }), ErrRowMismatch},
 		{"rows out of order", first, with(fromFirst, func(d *Delta) {
 			d.Tenants = []fleet.TenantAck{{Name: "z"}, {Name: "y"}}
 		}), ErrRowMismatch},
-		{"a load of no row", first, with(fromFirst, func(d *Delta) { d.Loads = []LoadChange{{Row: 5}} }), ErrRowMismatch},
+		{"a load of a row that does not exist", first, with(fromFirst, func(d *Delta) { d.Loads = []LoadChange{{Row: 5}} }), ErrRowMismatch},
 		{"a load twice", first, with(fromFirst, func(d *Delta) { d.Loads = []LoadChange{{Row: 1}, {Row: 1}} }), ErrRowMismatch},
-		{"rows below 0", first, with(fromFirst, func(d *Delta) { d.Loads = []LoadChange{{Row: -1}} }), ErrRowMismatch},
+		{"a load of a row below 0", first, with(fromFirst, func(d *Delta) { d.Loads = []LoadChange{{Row: -1}} }), ErrRowMismatch},
 		{"more than a report can hold", first, with(fromFirst, func(d *Delta) {
 			d.Tenants = nil
 			for i := range 300 {
@@ -176,12 +176,12 @@
 		}
 	}
 	if _, err := Diff(first, with(Delta{Head: second}, func(d *Delta) { d.Head.Incarnation++ }).Head); err == nil {
-		t.Error("a difference between two runs")
+		t.Error("no error for a delta between two incarnations")
 	}
 }
 
-// Bad bodies are rejected in one line that names the member.
-func TestBadDifferences(t *testing.T) {
+// Invalid bodies are rejected in one line that names the member.
+func TestDecodeRejectsInvalidDeltas(t *testing.T) {
 	const head = `"head":{"node":"n","zone":"z","incarnation":7,"seq":3},"base_seq":2,"digest":"0123456789abcdef"`
 	if _, err := Decode([]byte("{" + head + "}")); err != nil {
 		t.Fatal(err)
@@ -213,26 +213,26 @@
 	}
 }
 
-// A leader of the build before that were given a difference as a report would not take it for one.
-func TestDifferenceIsNoReport(t *testing.T) {
-	raw, err := Encode(mustDiff(t, node(5, 2, 1), node(5, 2, 2)))
+// A leader of the previous build would not accept a delta as a report if it were sent one.
+func TestDeltaIsNotAReport(t *testing.T) {
+	raw, err := Encode(mustDiff(t, nodeReport(5, 2, 1), nodeReport(5, 2, 2)))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if _, err := fleet.DecodeReport(raw); !errors.Is(err, fleet.ErrInvalid) {
-		t.Errorf("taken as a report: %v", err)
+		t.Errorf("accepted as a report: %v", err)
 	}
 }
 
-// What a leader wants of a node's items comes through differences as through complete reports, and goes again from them.
-func TestWantedFactsComeThroughDifferences(t *testing.T) {
+// Items that a leader wants from a node arrive in deltas as in complete reports, and are later removed from them.
+func TestWantedItemsInDeltas(t *testing.T) {
 	items := []fleet.AppliedItem{{Key: "settings", Digest: "00000000000000aa", Body: json.RawMessage(`{ "nodes": 3 }`)},
 		{Key: "tenant/a", Digest: "00000000000000ab", Body: json.RawMessage(`{"uid": 1}`)},
 		{Key: "tenant/b", Digest: "00000000000000ac", Body: json.RawMessage(`{"uid":2}`)}, {Key: "server/1", Digest: "00000000000000ad"}}
 	var sender Sender
 	var leader Bases
 	for seq, want := range [][]string{nil, {"~*"}, {"tenant/b", "=*"}, {"settings", "~*"}, nil} {
-		r := node(3, 1, uint64(seq+1))
+		r := nodeReport(3, 1, uint64(seq+1))
 		drift.FillReport(&r, items, want)
 		raw, _ := json.Marshal(r)
 		complete, err := fleet.DecodeReport(raw)
@@ -241,7 +241,7 @@
 		}
 		sent, got, baseSeq := Normalize(complete), Normalize(complete), uint64(0)
 		if d, ok := sender.Delta(sent); ok {
-			d, baseSeq = send(t, d), d.BaseSequence
+			d, baseSeq = roundTrip(t, d), d.BaseSequence
 			base, err := leader.Find(&d)
 			if err == nil {
 				got, err = Apply(base, d)
@@ -250,18 +250,18 @@
 				t.Fatal(err)
 			}
 		} else if seq > 0 {
-			t.Fatal("sent whole")
+			t.Fatal("sent complete")
 		}
-		if diff := same(Normalize(complete), got); diff != "" || len(want) > 0 && len(got.Applied) < 2 {
-			t.Errorf("seq %d: %d facts: %s", seq, len(got.Applied), diff)
+		if diff := diffReports(Normalize(complete), got); diff != "" || len(want) > 0 && len(got.Applied) < 2 {
+			t.Errorf("seq %d: %d items: %s", seq, len(got.Applied), diff)
 		}
 		sender.Acknowledged(sent, leader.Keep(got, baseSeq))
 	}
 }
 
 func FuzzDecode(f *testing.F) {
-	base := node(4, 2, 1)
-	for _, next := range []fleet.Report{node(4, 2, 2), node(6, 3, 3), node(0, 0, 4)} {
+	base := nodeReport(4, 2, 1)
+	for _, next := range []fleet.Report{nodeReport(4, 2, 2), nodeReport(6, 3, 3), nodeReport(0, 0, 4)} {
 		d, _ := Diff(base, next)
 		raw, _ := Encode(d)
 		f.Add(raw)
@@ -270,7 +270,7 @@
 		d, err := Decode(b)
 		if err != nil {
 			if !errors.Is(err, fleet.ErrInvalid) {
-				t.Fatalf("%v is no ErrInvalid", err)
+				t.Fatalf("%v is not ErrInvalid", err)
 			}
 			return
 		}
@@ -279,12 +279,12 @@
 			return
 		}
 		if Digest(r) != d.Digest || r.Check() != nil || r.Member != base.Member {
-			t.Fatalf("a report that is none: %+v", r)
+			t.Fatalf("an invalid report: %+v", r)
 		}
 	})
 }
 
-func sizes(f func(tenants, active int)) {
+func forEachSize(f func(tenants, active int)) {
 	for _, tenants := range []int{10, 100, 300, 1000} {
 		for _, active := range []int{0, 5, 50} {
 			if active <= tenants {
@@ -294,31 +294,31 @@
 	}
 }
 
-// A difference's bytes follow the tenants with load, whatever the scope holds.
-func TestBytesOfReports(t *testing.T) {
+// The size of a delta depends on the number of tenants with load, whatever the size of the scope.
+func TestDeltaSize(t *testing.T) {
 	minimum := map[int]int{}
-	sizes(func(tenants, active int) {
-		base, next := node(tenants, active, 12), node(tenants, active, 13)
+	forEachSize(func(tenants, active int) {
+		base, next := nodeReport(tenants, active, 12), nodeReport(tenants, active, 13)
 		complete, _ := json.Marshal(next)
 		raw, err := Encode(mustDiff(t, base, next))
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Logf("%4d tenants, %2d with load: whole %6d, difference %4d bytes", tenants, active, len(complete), len(raw))
+		t.Logf("%4d tenants, %2d with load: complete %6d, delta %4d bytes", tenants, active, len(complete), len(raw))
 		if minimum[active] == 0 {
 			minimum[active] = len(raw)
 		}
-		if len(raw) > minimum[active]+2*active { // the digits of the rows' numbers
+		if len(raw) > minimum[active]+2*active { // allows for more digits in the rows' numbers
 			t.Errorf("%d tenants, %d with load: %d bytes, %d in the smallest scope", tenants, active, len(raw), minimum[active])
 		}
 	})
-	t.Logf("a base: %d bytes a tenant's row, and its texts", unsafe.Sizeof(fleet.TenantAck{}))
+	t.Logf("a base: %d bytes per tenant's row, plus its texts", unsafe.Sizeof(fleet.TenantAck{}))
 }
 
 func BenchmarkDiff(b *testing.B) {
-	sizes(func(tenants, active int) {
+	forEachSize(func(tenants, active int) {
 		b.Run(fmt.Sprintf("tenants=%d/active=%d", tenants, active), func(b *testing.B) {
-			base, next := node(tenants, active, 12), node(tenants, active, 13)
+			base, next := nodeReport(tenants, active, 12), nodeReport(tenants, active, 13)
 			b.ReportAllocs()
 			for b.Loop() {
 				d, _ := Diff(base, next)
@@ -329,9 +329,9 @@
 }
 
 func BenchmarkApply(b *testing.B) {
-	sizes(func(tenants, active int) {
+	forEachSize(func(tenants, active int) {
 		b.Run(fmt.Sprintf("tenants=%d/active=%d", tenants, active), func(b *testing.B) {
-			base, next := node(tenants, active, 12), node(tenants, active, 13)
+			base, next := nodeReport(tenants, active, 12), nodeReport(tenants, active, 13)
 			raw, _ := Encode(mustDiff(b, base, next))
 			b.ReportAllocs()
 			for b.Loop() {
@@ -347,14 +347,14 @@
 	})
 }
 
-// BenchmarkDecodeComplete is what a leader does with a complete report, for comparison.
+// BenchmarkDecodeComplete decodes a complete report, as a leader does, for comparison.
 func BenchmarkDecodeComplete(b *testing.B) {
-	sizes(func(tenants, active int) {
+	forEachSize(func(tenants, active int) {
 		if active > 0 {
 			return
 		}
 		b.Run(fmt.Sprintf("tenants=%d", tenants), func(b *testing.B) {
-			raw, _ := json.Marshal(node(tenants, active, 13))
+			raw, _ := json.Marshal(nodeReport(tenants, active, 13))
 			b.ReportAllocs()
 			for b.Loop() {
 				if _, err := fleet.DecodeReport(raw); err != nil {
