--- a/internal/lab/bounds/bounds.go
+++ b/internal/lab/bounds/bounds.go
@@ -1,35 +1,35 @@
-// Package bounds keeps a run of many processes within the machine: what it needs is worked out and compared with the limits before
-// anything starts, and what it uses is watched while it goes on. A run may take half of the machine's memory, 300 processes,
-// and what the machine allows of descriptors and ports.
+// Package bounds keeps a run of many processes within the limits of the machine. The estimated needs of a run are compared with the
+// limits before any process starts, and its actual use is checked while it runs. A run may use half of the machine's memory,
+// 300 processes, and as many descriptors and ports as the machine allows.
 package bounds
 
 import "fmt"
 
-// Limits are what a run may not pass.
+// Limits are the upper bounds on the resources of a run.
 type Limits struct {
-	MemoryBytes uint64 // half of the machine's
+	MemoryBytes uint64 // half of the machine's memory
 	Processes   int
-	Descriptors int // of one process
-	Ports       int // of connections to one replica's address
+	Descriptors int // open descriptors of one process
+	Ports       int // local ports for connections to one replica's address
 }
 
-// MaxProcesses is how many processes a run may have.
+// MaxProcesses is the largest number of processes that a run may have.
 const MaxProcesses = 300
 
-// LimitsOf gives the limits on a machine.
+// LimitsOf returns the limits of a run on machine m.
 func LimitsOf(m Machine) Limits {
 	return Limits{MemoryBytes: m.MemoryBytes / 2, Processes: MaxProcesses, Descriptors: int(m.Descriptors), Ports: ephemeralPorts()}
 }
 
-// Needs are what a run is reckoned to take.
+// Needs are the resources that a run uses, estimated beforehand or measured while it runs.
 type Needs struct {
 	MemoryBytes uint64
 	Processes   int
-	Descriptors int // of the process that has the most
-	Ports       int // connections to the leader's address
+	Descriptors int // open descriptors of the process that has the most
+	Ports       int // local ports for connections to the leader's address
 }
 
-// Within compares what is needed with the limits.
+// Within returns an error that names the first limit that the needs exceed, or nil.
 func (n Needs) Within(l Limits) error {
 	switch {
 	case n.MemoryBytes > l.MemoryBytes:
--- a/internal/lab/bounds/bounds_test.go
+++ b/internal/lab/bounds/bounds_test.go
@@ -14,17 +14,17 @@
 func TestReadMachine(t *testing.T) {
 	m, err := ReadMachine()
 	if err != nil || m.Cores < 1 || m.MemoryBytes < 1<<20 || m.Descriptors < 1 {
-		t.Errorf("%+v, %v", m, err)
+		t.Errorf("ReadMachine: %+v, %v", m, err)
 	}
 	if l := LimitsOf(m); l.MemoryBytes != m.MemoryBytes/2 || l.Processes != 300 || l.Ports < 1 {
 		t.Errorf("%+v", l)
 	}
 	if use := ProcessUse(os.Getpid()); use.MemoryBytes == 0 || use.Descriptors == 0 {
-		t.Errorf("own use: %+v", use)
+		t.Errorf("use of the test process: %+v", use)
 	}
 }
 
-func TestWatcherEndsARunThatPassesALimit(t *testing.T) {
+func TestWatcherCancelsRunOverLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var memory atomic.Uint64
 		memory.Store(10)
@@ -35,12 +35,12 @@
 		go w.Run(ctx, cancel)
 		time.Sleep(10 * time.Second)
 		if ctx.Err() != nil {
-			t.Fatalf("ended within the limits: %v", context.Cause(ctx))
+			t.Fatalf("canceled while the use was within the limits: %v", context.Cause(ctx))
 		}
-		memory.Store(51) // of each of two processes
+		memory.Store(51) // in each of two processes: 102 together
 		time.Sleep(2 * time.Second)
 		if err := context.Cause(ctx); !errors.Is(err, ErrPartial) || !strings.Contains(err.Error(), "memory") {
-			t.Errorf("cause: %v", err)
+			t.Errorf("cause: %v, want ErrPartial that names the memory limit", err)
 		}
 	})
 }
--- a/internal/lab/bounds/proc.go
+++ b/internal/lab/bounds/proc.go
@@ -11,14 +11,14 @@
 	"syscall"
 )
 
-// Machine is what a run has to do with.
+// Machine describes the resources of the machine that a run executes on.
 type Machine struct {
 	Cores       int    `json:"cores"`
 	MemoryBytes uint64 `json:"memory_bytes"`
-	Descriptors uint64 `json:"descriptors"` // that a process may open
+	Descriptors uint64 `json:"descriptors"` // largest number that a process may open
 }
 
-// ReadMachine reads what the machine has.
+// ReadMachine reads the number of cores, the memory size and the descriptor limit of this machine.
 func ReadMachine() (Machine, error) {
 	raw, err := os.ReadFile("/proc/meminfo")
 	if err != nil {
@@ -35,7 +35,7 @@
 	return Machine{Cores: runtime.NumCPU(), MemoryBytes: total, Descriptors: limit.Cur}, nil
 }
 
-// procField finds a line "Name:  N kB" and gives N in bytes.
+// procField finds a line "Name:  N kB" in text and returns N in bytes. The result is false if the line is missing or malformed.
 func procField(text, name string) (uint64, bool) {
 	for line := range strings.Lines(text) {
 		rest, ok := strings.CutPrefix(line, name)
@@ -48,20 +48,20 @@
 	return 0, false
 }
 
-// ResidentBytes is a process's resident memory, 0 where there is no such process.
+// ResidentBytes returns the resident memory of a process, or 0 if there is no such process.
 func ResidentBytes(pid int) uint64 {
 	raw, _ := os.ReadFile(procPath(pid, "status"))
 	n, _ := procField(string(raw), "VmRSS:")
 	return n
 }
 
-// openDescriptors counts a process's open descriptors, 0 where there is no such process.
+// openDescriptors returns the number of open descriptors of a process, or 0 if there is no such process.
 func openDescriptors(pid int) int {
 	names, _ := os.ReadDir(procPath(pid, "fd"))
 	return len(names)
 }
 
-// WrittenBytes is what a process has sent to disks so far.
+// WrittenBytes returns the number of bytes that a process has caused to be written to disk so far.
 func WrittenBytes(pid int) uint64 {
 	raw, _ := os.ReadFile(procPath(pid, "io"))
 	for line := range bytes.Lines(raw) {
@@ -73,7 +73,7 @@
 	return 0
 }
 
-// MachineLoad is the load average of the last minute.
+// MachineLoad returns the machine's load average of the last minute.
 func MachineLoad() float64 {
 	raw, _ := os.ReadFile("/proc/loadavg")
 	first, _, _ := strings.Cut(string(raw), " ")
@@ -81,20 +81,20 @@
 	return load
 }
 
-// ephemeralPorts is how many local ports the machine has for connections to one address.
+// ephemeralPorts returns the number of local ports that the machine has for connections to one address.
 func ephemeralPorts() int {
 	raw, _ := os.ReadFile("/proc/sys/net/ipv4/ip_local_port_range")
 	var low, high int
 	if _, err := fmt.Sscan(string(raw), &low, &high); err != nil || high < low {
-		return defaultPorts
+		return defaultEphemeralPorts
 	}
 	return high - low + 1
 }
 
-// defaultPorts is Linux's range where the machine does not say.
-const defaultPorts = 28_232
+// defaultEphemeralPorts is the size of Linux's default port range. It applies where the machine's range can't be read.
+const defaultEphemeralPorts = 28_232
 
-// DirectoryBytes is the size of a file, or of all regular files under a directory.
+// DirectoryBytes returns the size of a file, or the total size of all regular files under a directory.
 func DirectoryBytes(path string) uint64 {
 	var sum uint64
 	filepath.Walk(path, func(_ string, info os.FileInfo, err error) error {
--- a/internal/lab/bounds/watcher.go
+++ b/internal/lab/bounds/watcher.go
@@ -8,32 +8,31 @@
 	"time"
 )
 
-// watchEvery is how often the limits are looked at while a sweep runs.
-const watchEvery = time.Second
+// checkInterval is the interval between two checks of the limits while a sweep runs.
+const checkInterval = time.Second
 
-// ErrPartial is the cause of a sweep's early end with what it has: a limit, its time, or an interrupt.
+// ErrPartial is the cause of a sweep that ends early with partial results: at a limit, at the end of its time, or on an interrupt.
 var ErrPartial = errors.New("ended early")
 
-// Watcher looks once a second whether the processes of a run are within the limits, and ends its context where they
-// are not.
+// Watcher checks once a second that the processes of a run are within the limits, and cancels the run's context if they are not.
 type Watcher struct {
 	Limits Limits
-	PIDs   func() []int      // of the run's processes, the runner aside
-	Use    func(pid int) Use // ProcessUse, or a test's
+	PIDs   func() []int      // the run's processes, without the process that runs the Watcher
+	Use    func(pid int) Use // ProcessUse, or a test's replacement
 }
 
-// Use is what one process takes.
+// Use is the resource use of one process.
 type Use struct {
 	MemoryBytes uint64
 	Descriptors int
 }
 
-// ProcessUse reads a process's use from /proc.
+// ProcessUse reads the resource use of a process from /proc.
 func ProcessUse(pid int) Use {
 	return Use{MemoryBytes: ResidentBytes(pid), Descriptors: openDescriptors(pid)}
 }
 
-// check compares the use of all processes with the limits.
+// check compares the use of all processes of the run, including this one, with the limits.
 func (w *Watcher) check() error {
 	pids := append(w.PIDs(), os.Getpid())
 	needs := Needs{Processes: len(pids)}
@@ -45,9 +44,9 @@
 	return needs.Within(w.Limits)
 }
 
-// Run watches until ctx ends, and ends the run by cancel at the first limit that is passed.
+// Run checks the limits until ctx ends. At the first limit that is exceeded it calls cancel with an ErrPartial and returns.
 func (w *Watcher) Run(ctx context.Context, cancel context.CancelCauseFunc) {
-	tick := time.NewTicker(watchEvery)
+	tick := time.NewTicker(checkInterval)
 	defer tick.Stop()
 	for {
 		select {
--- a/internal/lab/discoverylab/discoverylab.go
+++ b/internal/lab/discoverylab/discoverylab.go
@@ -1,6 +1,6 @@
-// Package discoverylab runs discovery replicas as processes on loopback, each raft link through the lab's relays, and
-// measures them: committed writes a second, fan-out of a change to many watchers, memory per watcher, failover
-// after the leader's kill, and the catch-up of a replica that was down.
+// Package discoverylab runs discovery replicas as processes on loopback addresses, with a relay of the lab on each raft link, and
+// measures them: committed writes per second, the fan-out of a change to many watchers, memory per watcher, the failover
+// time after the leader is killed, and the time in which a replica that was down catches up.
 package discoverylab
 
 import (
@@ -28,30 +28,30 @@
 	Dirs  []string
 	HTTP  []string
 	Raft  []string
-	Links map[[2]int]*faults.Link // raft traffic from replica i to replica j
+	Links map[[2]int]*faults.Link // the relays of the raft traffic from replica i to replica j, by {i, j}
 
-	Network *Network // reserved for the cluster; replica i is at 127.3.N.(i+1)
+	Network *Network // reserved for the cluster; replica i has the address 127.3.N.(i+1)
 
-	peers []string
-	extra []string // more arguments of discovery serve
-	mu    sync.Mutex
-	procs []*incarnation
-	cpu   time.Duration // of lives that have ended
+	peers     []string
+	extraArgs []string // additional arguments of "discovery serve"
+	mu        sync.Mutex
+	procs     []*incarnation
+	exitedCPU time.Duration // total CPU time of replica processes that have exited
 }
 
-// incarnation is one run of a replica's process.
+// incarnation is one process of a replica. A restarted replica has a new one.
 type incarnation struct {
 	cmd    *exec.Cmd
 	exited chan struct{}
 }
 
-// Start runs n replicas of bin with their data under dir, on a network of its own, each with extra arguments.
-func Start(bin, dir string, n int, extra ...string) (*Cluster, error) {
+// Start runs n replicas of the binary bin on a reserved network, with their data under dir and extraArgs added to each command line.
+func Start(bin, dir string, n int, extraArgs ...string) (*Cluster, error) {
 	network, err := ReserveNetwork()
 	if err != nil {
 		return nil, err
 	}
-	c := &Cluster{Bin: bin, Network: network, Links: map[[2]int]*faults.Link{}, procs: make([]*incarnation, n), extra: extra}
+	c := &Cluster{Bin: bin, Network: network, Links: map[[2]int]*faults.Link{}, procs: make([]*incarnation, n), extraArgs: extraArgs}
 	for i := range n {
 		ip := fmt.Sprintf("127.3.%d.%d", network.Number, i+1)
 		c.HTTP = append(c.HTTP, ip+":8000")
@@ -81,12 +81,12 @@
 	return c, nil
 }
 
-// Restart starts replica i on its store; it must not be running.
+// Restart starts replica i with its existing data directory. The replica must not be running.
 func (c *Cluster) Restart(i int) error {
-	if c.running(i) != nil {
+	if c.runningProcess(i) != nil {
 		return fmt.Errorf("replica %d is still running", i)
 	}
-	args := append([]string{"serve", "--id", fmt.Sprint("r", i), "--dir", c.Dirs[i]}, c.extra...)
+	args := append([]string{"serve", "--id", fmt.Sprint("r", i), "--dir", c.Dirs[i]}, c.extraArgs...)
 	for _, p := range c.peers {
 		args = append(args, "--peer", p)
 	}
@@ -105,7 +105,7 @@
 	cmd := exec.Command(c.Bin, args...)
 	cmd.Stdout, cmd.Stderr = logFile, logFile
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
-	defer logFile.Close() // the process has its own
+	defer logFile.Close() // the process has its own descriptor
 	if err := cmd.Start(); err != nil {
 		return err
 	}
@@ -116,15 +116,15 @@
 	go func() {
 		cmd.Wait()
 		c.mu.Lock()
-		c.cpu += cmd.ProcessState.UserTime() + cmd.ProcessState.SystemTime()
+		c.exitedCPU += cmd.ProcessState.UserTime() + cmd.ProcessState.SystemTime()
 		c.mu.Unlock()
 		close(p.exited)
 	}()
 	return nil
 }
 
-// running is replica i's present life, or nil.
-func (c *Cluster) running(i int) *incarnation {
+// runningProcess returns the process of replica i, or nil if it isn't running.
+func (c *Cluster) runningProcess(i int) *incarnation {
 	c.mu.Lock()
 	p := c.procs[i]
 	c.mu.Unlock()
@@ -139,32 +139,32 @@
 	}
 }
 
-// Kill ends replica i with SIGKILL.
+// Kill ends replica i with SIGKILL and waits for its exit.
 func (c *Cluster) Kill(i int) {
-	if p := c.running(i); p != nil {
+	if p := c.runningProcess(i); p != nil {
 		p.cmd.Process.Kill()
 		<-p.exited
 	}
 }
 
-// Signal sends sig to replica i; false where it is not running.
+// Signal sends sig to replica i. It returns false if the replica isn't running.
 func (c *Cluster) Signal(i int, sig os.Signal) bool {
-	p := c.running(i)
+	p := c.runningProcess(i)
 	return p != nil && p.cmd.Process.Signal(sig) == nil
 }
 
-// Pid is replica i's process id, or 0.
+// Pid returns the process id of replica i, or 0 if it isn't running.
 func (c *Cluster) Pid(i int) int {
-	if p := c.running(i); p != nil {
+	if p := c.runningProcess(i); p != nil {
 		return p.cmd.Process.Pid
 	}
 	return 0
 }
 
-// CPU is what every ended life of a replica took, user and system.
-func (c *Cluster) CPU() time.Duration { c.mu.Lock(); defer c.mu.Unlock(); return c.cpu }
+// CPU returns the total user and system time of all replica processes that have exited.
+func (c *Cluster) CPU() time.Duration { c.mu.Lock(); defer c.mu.Unlock(); return c.exitedCPU }
 
-// Close ends every replica and relay.
+// Close kills all replicas, closes the relays and releases the network.
 func (c *Cluster) Close() {
 	for i := range c.procs {
 		c.Kill(i)
@@ -186,13 +186,13 @@
 
 var client = http.Client{Timeout: 10 * time.Second}
 
-// Status is what a replica says of itself.
+// Status is the state that a replica reports about itself.
 type Status struct {
 	State    string `json:"state"`
 	Revision uint64 `json:"revision"`
 }
 
-// Status asks replica i.
+// Status requests the status of replica i.
 func (c *Cluster) Status(i int) (Status, error) {
 	var s Status
 	resp, err := client.Get("http://" + c.HTTP[i] + "/registry/v1/status")
@@ -203,19 +203,19 @@
 	return s, json.NewDecoder(resp.Body).Decode(&s)
 }
 
-// Leader waits up to limit for a replica that says it leads, other than skip (-1 for none).
-func (c *Cluster) Leader(limit time.Duration, skip int) (int, error) {
-	for end := time.Now().Add(limit); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
+// Leader waits up to timeout for a replica that reports that it is the leader, and returns its index. It ignores replica skip (-1: none).
+func (c *Cluster) Leader(timeout time.Duration, skip int) (int, error) {
+	for end := time.Now().Add(timeout); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		for i := range c.HTTP {
 			if s, err := c.Status(i); i != skip && err == nil && s.State == "Leader" {
 				return i, nil
 			}
 		}
 	}
-	return -1, fmt.Errorf("no leader in %v", limit)
+	return -1, fmt.Errorf("no leader in %v", timeout)
 }
 
-// Register makes one registration try at replica i: its status (0 where the connection failed) and body.
+// Register makes one attempt to register at replica i. It returns the answer's status and body, or 0 and the error if the request failed.
 func (c *Cluster) Register(i int, id string, ttlMS int) (int, string) {
 	body, _ := json.Marshal(map[string]any{"id": id, "addr": "127.0.0.1:9000", "zone": "a", "kind": "k", "weight": 1, "ttl_ms": ttlMS})
 	resp, err := client.Post("http://"+c.HTTP[i]+"/registry/v1/register", "application/json", bytes.NewReader(body))
@@ -227,7 +227,7 @@
 	return resp.StatusCode, string(msg)
 }
 
-// Answer is PROTOCOL's body of a read.
+// Answer is the body of the answer to a read, as PROTOCOL defines it.
 type Answer struct {
 	Version uint64 `json:"version"`
 	Full    bool   `json:"full"`
@@ -237,7 +237,7 @@
 	} `json:"servers"`
 }
 
-// Read reads from replica i with a query ("" for the whole list).
+// Read reads the endpoint list from replica i with a query string ("" for the complete list).
 func (c *Cluster) Read(i int, query string) (Answer, error) {
 	var a Answer
 	resp, err := client.Get("http://" + c.HTTP[i] + "/registry/instances" + query)
@@ -251,7 +251,7 @@
 	return a, json.NewDecoder(resp.Body).Decode(&a)
 }
 
-// RSS is a process's resident memory in KiB, from /proc.
+// RSS returns the resident memory of a process in KiB, from /proc.
 func RSS(pid int) int {
 	raw, _ := os.ReadFile("/proc/" + strconv.Itoa(pid) + "/status")
 	for line := range strings.SplitSeq(string(raw), "\n") {
@@ -263,10 +263,10 @@
 	return 0
 }
 
-// CPUTime is what a process has taken so far, user and system, from /proc in steps of 10 ms; 0 where there is none.
+// CPUTime returns the user and system time of a process so far, from /proc in steps of 10 ms, or 0 if there is no such process.
 func CPUTime(pid int) time.Duration {
 	raw, _ := os.ReadFile("/proc/" + strconv.Itoa(pid) + "/stat")
-	fields := strings.Fields(string(raw[bytes.LastIndexByte(raw, ')')+1:])) // from the third on: the second may hold spaces
+	fields := strings.Fields(string(raw[bytes.LastIndexByte(raw, ')')+1:])) // from the third field on: the second may contain spaces
 	if len(fields) < 13 {
 		return 0
 	}
@@ -275,7 +275,7 @@
 	return time.Duration(user+sys) * 10 * time.Millisecond
 }
 
-// Quantile of sorted durations, q in 0..1.
+// Quantile sorts d in place and returns its quantile q, from 0 to 1. It returns 0 if d is empty.
 func Quantile(d []time.Duration, q float64) time.Duration {
 	if len(d) == 0 {
 		return 0
@@ -284,7 +284,7 @@
 	return d[min(int(q*float64(len(d))), len(d)-1)]
 }
 
-// Figures are one experiment's results.
+// Figures are the results of one experiment.
 type Figures struct {
 	Replicas        int             `json:"replicas"`
 	WritesPerS      float64         `json:"writes_per_s"`
@@ -299,7 +299,7 @@
 	WritesCommitted int             `json:"writes_committed"`
 }
 
-// Writes has writers register new ids at the leader for d, and counts what was acknowledged.
+// Writes registers new ids at the leader from several concurrent writers for the duration d, and returns the number of acknowledged writes.
 func (c *Cluster) Writes(leader, writers int, d time.Duration, prefix string) int {
 	var mu sync.Mutex
 	acked := 0
@@ -320,14 +320,15 @@
 	return acked
 }
 
-// Fanout opens watchers on replica at, makes one change at leader, and times its arrival at each watcher from
-// the moment the change was sent.
-func (c *Cluster) Fanout(leader, at, watchers int) (lat []time.Duration, missed int, kib float64) {
-	base, err := c.Read(at, "")
+// Fanout opens watchers on a replica, makes one change at the leader, and measures the time from the sending of the change to its
+// arrival at each watcher. It returns these latencies, the number of watchers that missed the change, and the replica's memory
+// per watcher.
+func (c *Cluster) Fanout(leader, replica, watchers int) (latencies []time.Duration, missed int, kibPerWatcher float64) {
+	base, err := c.Read(replica, "")
 	if err != nil {
 		return nil, watchers, 0
 	}
-	before := RSS(c.Pid(at))
+	rssBefore := RSS(c.Pid(replica))
 	var wg sync.WaitGroup
 	var mu sync.Mutex
 	var sent time.Time
@@ -337,10 +338,10 @@
 			tr := &http.Transport{}
 			defer tr.CloseIdleConnections()
 			cl := http.Client{Transport: tr, Timeout: 30 * time.Second}
-			req, _ := http.NewRequest(http.MethodGet, fmt.Sprintf("http://%s/registry/instances?since=%d&timeout_ms=20000", c.HTTP[at], base.Version), nil)
+			req, _ := http.NewRequest(http.MethodGet, fmt.Sprintf("http://%s/registry/instances?since=%d&timeout_ms=20000", c.HTTP[replica], base.Version), nil)
 			ready <- struct{}{}
 			resp, err := cl.Do(req)
-			got := time.Now()
+			arrived := time.Now()
 			mu.Lock()
 			defer mu.Unlock()
 			if err != nil {
@@ -354,18 +355,18 @@
 				missed++
 				return
 			}
-			lat = append(lat, got.Sub(sent))
+			latencies = append(latencies, arrived.Sub(sent))
 		})
 	}
 	for range watchers {
 		<-ready
 	}
-	time.Sleep(time.Second) // every watcher is waiting at the replica
-	during := RSS(c.Pid(at))
+	time.Sleep(time.Second) // until the request of every watcher is waiting at the replica
+	rssDuring := RSS(c.Pid(replica))
 	mu.Lock()
 	sent = time.Now()
 	mu.Unlock()
 	c.Register(leader, fmt.Sprintf("fanout-%d", time.Now().UnixNano()), 60000)
 	wg.Wait()
-	return lat, missed, float64(during-before) / float64(watchers)
+	return latencies, missed, float64(rssDuring-rssBefore) / float64(watchers)
 }
--- a/internal/lab/discoverylab/experiment.go
+++ b/internal/lab/discoverylab/experiment.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Plan is what an experiment measures.
+// Plan sets the size of an experiment.
 type Plan struct {
 	Replicas  int
 	Watchers  int
@@ -17,7 +17,8 @@
 	WriteFor  time.Duration
 }
 
-// How long the experiment waits for a leader, a failover, and a replica that catches up.
+// Timeouts for the election of a leader, a failover and the catch-up of a replica, the pause between two writes during a failover,
+// and the TTL of registrations.
 const (
 	leaderTimeout      = 30 * time.Second
 	failoverTimeout    = 30 * time.Second
@@ -27,7 +28,7 @@
 	registrationTTLMS  = 60_000
 )
 
-// Experiment starts a cluster and measures it by plan, logging each step.
+// Experiment starts a cluster, makes the measurements of plan p, and logs the result of each.
 func Experiment(bin, dir string, p Plan, log *slog.Logger) (*Figures, error) {
 	c, err := Start(bin, dir, p.Replicas)
 	if err != nil {
@@ -54,7 +55,7 @@
 	return f, f.measureCatchUp(c, p, log)
 }
 
-// measureWrites measures committed writes at the leader.
+// measureWrites measures the rate of committed writes at the leader.
 func (f *Figures) measureWrites(c *Cluster, p Plan, leader int, log *slog.Logger) {
 	committed := c.Writes(leader, p.Writers, p.WriteFor, "w")
 	f.WritesCommitted = committed
@@ -62,10 +63,10 @@
 	log.Info("writes", "committed", committed, "per_s", f.WritesPerS, "writers", p.Writers)
 }
 
-// measureFanout measures how soon watchers of a follower see a change.
+// measureFanout measures how long a change takes to reach the watchers of a follower.
 func (f *Figures) measureFanout(c *Cluster, p Plan, leader int, log *slog.Logger) error {
 	follower := (leader + 1) % p.Replicas
-	if err := c.caughtUp(follower, syncTimeout); err != nil {
+	if err := c.waitCaughtUp(follower, syncTimeout); err != nil {
 		return err
 	}
 	latencies, missed, kib := c.Fanout(leader, follower, p.Watchers)
@@ -77,8 +78,8 @@
 	return nil
 }
 
-// measureFailover kills the leader and returns the time to the next committed write, or -1 where none came in time. The
-// killed replica is started again.
+// measureFailover kills the leader and returns the time until the next committed write, or -1 if none was committed before
+// failoverTimeout. It restarts the killed replica and waits until that one has caught up.
 func measureFailover(c *Cluster, p Plan, kill int) (time.Duration, error) {
 	leader, err := c.Leader(leaderTimeout, -1)
 	if err != nil {
@@ -88,18 +89,18 @@
 	c.Kill(leader)
 	took := time.Duration(-1)
 	for end := time.Now().Add(failoverTimeout); time.Now().Before(end) && took < 0; time.Sleep(failoverRetryPause) {
-		if c.registersAnywhere(leader, p.Replicas, fmt.Sprintf("failover-%d", kill)) {
+		if c.registersElsewhere(leader, p.Replicas, fmt.Sprintf("failover-%d", kill)) {
 			took = time.Since(killed)
 		}
 	}
 	if err := c.Restart(leader); err != nil {
 		return took, err
 	}
-	return took, c.caughtUp(leader, syncTimeout)
+	return took, c.waitCaughtUp(leader, syncTimeout)
 }
 
-// registersAnywhere reports whether a registration succeeds at any replica but one.
-func (c *Cluster) registersAnywhere(except, replicas int, id string) bool {
+// registersElsewhere reports whether a registration of id succeeds at any replica other than except.
+func (c *Cluster) registersElsewhere(except, replicas int, id string) bool {
 	for i := range replicas {
 		if i == except {
 			continue
@@ -111,7 +112,7 @@
 	return false
 }
 
-// measureCatchUp measures how long a replica takes that missed writes while it was down.
+// measureCatchUp measures how long a restarted replica takes to catch up with the writes that it missed while it was down.
 func (f *Figures) measureCatchUp(c *Cluster, p Plan, log *slog.Logger) error {
 	leader, err := c.Leader(leaderTimeout, -1)
 	if err != nil {
@@ -128,7 +129,7 @@
 	if err := c.Restart(down); err != nil {
 		return err
 	}
-	if err := c.caughtUp(down, catchUpTimeout); err != nil {
+	if err := c.waitCaughtUp(down, catchUpTimeout); err != nil {
 		return err
 	}
 	f.CatchUp = time.Since(start)
@@ -136,18 +137,18 @@
 	return nil
 }
 
-// caughtUp waits until replica i has the leader's revision.
-func (c *Cluster) caughtUp(i int, limit time.Duration) error {
-	for end := time.Now().Add(limit); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
-		lead, err := c.Leader(limit, -1)
+// waitCaughtUp waits until replica i has reached the leader's revision.
+func (c *Cluster) waitCaughtUp(i int, timeout time.Duration) error {
+	for end := time.Now().Add(timeout); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
+		leader, err := c.Leader(timeout, -1)
 		if err != nil {
 			return err
 		}
-		want, err1 := c.Status(lead)
+		want, err1 := c.Status(leader)
 		got, err2 := c.Status(i)
 		if err1 == nil && err2 == nil && got.Revision >= want.Revision {
 			return nil
 		}
 	}
-	return fmt.Errorf("replica %d did not catch up in %v", i, limit)
+	return fmt.Errorf("replica %d did not catch up in %v", i, timeout)
 }
--- a/internal/lab/discoverylab/network_test.go
+++ b/internal/lab/discoverylab/network_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// No two reservations are of one network, and one that is closed can be had again.
+// Open reservations never share a network, and a network can be reserved again after its reservation is closed.
 func TestReservedNetworksDiffer(t *testing.T) {
 	seen := map[int]bool{}
 	for range 20 {
@@ -11,8 +11,8 @@
 			t.Fatal(err)
 		}
 		defer network.Close()
-		if network.Number < 1 || network.Number > networks || seen[network.Number] {
-			t.Errorf("network %d is out of bounds or reserved twice", network.Number)
+		if network.Number < 1 || network.Number > networkCount || seen[network.Number] {
+			t.Errorf("network number %d is out of range or reserved twice", network.Number)
 		}
 		seen[network.Number] = true
 	}
@@ -27,6 +27,6 @@
 	}
 	defer other.Close()
 	if other.Number != again.Number {
-		t.Errorf("network %d was closed, and %d is reserved", again.Number, other.Number)
+		t.Errorf("network %d was released, but the next reservation is network %d", again.Number, other.Number)
 	}
 }
--- a/internal/lab/faults/fault.go
+++ b/internal/lab/faults/fault.go
@@ -1,7 +1,7 @@
-// Package faults is the lab's network between processes: a loopback relay for every link that carries traffic
-// (client to node, node to app server, node to agent, agent to replica, raft, gossip), each with a fault that the
-// scenario sets. PROTOCOL, "The network", says what the faults stand for: a dead process resets and refuses; a
-// machine cut off says nothing, its connections stay open and silent, and they are reset when it is back.
+// Package faults emulates the network between the lab's processes. It has a loopback relay for every link that carries traffic
+// (client to node, node to app server, node to agent, agent to replica, raft, gossip), and the scenario sets a fault on
+// each. PROTOCOL, "The network", describes what the faults emulate: a dead process resets its connections and refuses new
+// ones; a machine that is cut off sends nothing, its connections stay open without traffic, and are reset when it is back.
 package faults
 
 import (
@@ -10,64 +10,66 @@
 	"time"
 )
 
-// Fault is what a link does to its traffic. The zero Fault passes everything at once.
+// Fault describes how a link impairs its traffic. The zero Fault forwards everything without delay.
 type Fault struct {
-	// Added before each piece or datagram is passed on, one way.
+	// Delay and a random part of Jitter are added before each chunk or datagram is forwarded, in each direction.
 	Delay     time.Duration
 	Jitter    time.Duration
-	BytesPerS int     // a cap on each direction of each connection, or of a link's datagrams; 0 for none
-	Reject    bool    // new connections are reset at once; datagrams are dropped
-	Blackhole bool    // nothing passes either way; new connections hang; all are reset at the heal
-	Duplicate bool    // a connection's first piece goes a second time on a connection of its own; each datagram goes twice
-	Loss      float64 // share lost, 0 to 1. A datagram is gone; a stream's piece, or a new connection, comes late as TCP sends it again
-	Reorder   float64 // share of datagrams that come after later ones; a stream keeps its order
-	Truncate  int     // a direction of a connection ends once this many bytes have gone; a longer datagram is cut; 0 for none
+	BytesPerS int     // rate limit for each direction of a connection, or of one caller's datagrams; 0: none
+	Reject    bool    // new connections are reset immediately; datagrams are dropped
+	Blackhole bool    // nothing is forwarded either way; new connections hang; all are reset when the fault is removed
+	Duplicate bool    // a connection's first chunk is sent again on a connection of its own; each datagram is sent twice
+	Loss      float64 // probability of loss, 0 to 1. A datagram is dropped; a chunk of a stream or a new connection is delayed as by retransmission
+	Reorder   float64 // share of datagrams that arrive after later ones; a stream keeps its order
+	Truncate  int     // a direction of a connection is closed after this many bytes; a longer datagram is cut to this size; 0: no limit
 }
 
-// How TCP's repeats look from outside (Linux): a lost segment comes after 200 ms, a lost SYN after 1 s, each doubled
-// for each loss in a row; the rounds are bounded, then it passes.
+// The retransmission timeouts of TCP on Linux: 200 ms for a lost segment and 1 s for a lost SYN, doubled for each
+// further loss. After maxRetransmits losses the segment or SYN gets through.
 const (
-	repeatPiece   = 200 * time.Millisecond
-	repeatConnect = time.Second
-	repeatRounds  = 5
-	reorderDelay  = 30 * time.Millisecond // a reordered datagram, beyond Delay and Jitter
+	segmentTimeout = 200 * time.Millisecond
+	synTimeout     = time.Second
+	maxRetransmits = 5
+	reorderDelay   = 30 * time.Millisecond // delay of a reordered datagram, in addition to Delay and Jitter
 )
 
-// dice is a link's own seeded chance.
-type dice struct {
+// randomSource is the seeded random number generator of one link.
+type randomSource struct {
 	mu  sync.Mutex // guards rnd
 	rnd *rand.Rand
 }
 
-func newDice(seed uint64) *dice { return &dice{rnd: rand.New(rand.NewPCG(seed, 0xfa17))} }
+func newRandomSource(seed uint64) *randomSource {
+	return &randomSource{rnd: rand.New(rand.NewPCG(seed, 0xfa17))}
+}
 
-func (d *dice) hit(share float64) bool {
-	if share <= 0 {
+func (r *randomSource) happens(probability float64) bool {
+	if probability <= 0 {
 		return false
 	}
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.rnd.Float64() < share
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.rnd.Float64() < probability
 }
 
-func (d *dice) upTo(j time.Duration) time.Duration {
-	if j <= 0 {
+func (r *randomSource) durationBelow(limit time.Duration) time.Duration {
+	if limit <= 0 {
 		return 0
 	}
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return time.Duration(d.rnd.Int64N(int64(j)))
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return time.Duration(r.rnd.Int64N(int64(limit)))
 }
 
-// repeats is how late something comes that is lost with a chance of share and sent again after first, doubled
-// for each loss in a row.
-func (d *dice) repeats(share float64, first time.Duration) time.Duration {
-	late := time.Duration(0)
-	for range repeatRounds {
-		if !d.hit(share) {
+// retransmitDelay returns the delay of a segment that is lost with the given probability and retransmitted after timeout, which
+// doubles after each loss in a row.
+func (r *randomSource) retransmitDelay(probability float64, timeout time.Duration) time.Duration {
+	delay := time.Duration(0)
+	for range maxRetransmits {
+		if !r.happens(probability) {
 			break
 		}
-		late, first = late+first, 2*first
+		delay, timeout = delay+timeout, 2*timeout
 	}
-	return late
+	return delay
 }
--- a/internal/lab/faults/faults_test.go
+++ b/internal/lab/faults/faults_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// echo answers each TCP connection with what it gets, counting connections, and each datagram with itself.
-func echo(t *testing.T) (addr string, conns chan net.Conn) {
+// startEchoServer starts an echo server for TCP and UDP on one port. It sends each accepted connection to conns.
+func startEchoServer(t *testing.T) (addr string, conns chan net.Conn) {
 	t.Helper()
 	conns = make(chan net.Conn, 64)
 	for range 20 {
@@ -18,8 +18,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		at, _ := net.ResolveUDPAddr("udp", ln.Addr().String())
-		pc, err := net.ListenUDP("udp", at)
+		udpAddr, _ := net.ResolveUDPAddr("udp", ln.Addr().String())
+		pc, err := net.ListenUDP("udp", udpAddr)
 		if err != nil {
 			ln.Close()
 			continue
@@ -47,31 +47,32 @@
 		}()
 		return ln.Addr().String(), conns
 	}
-	t.Fatal("no port for both")
+	t.Fatal("no port is free for both TCP and UDP")
 	return "", nil
 }
 
-// What a fault does to one exchange of 1,000 bytes over a stream: what comes back, how it ends, and how late.
+// TestStreamFaults sends 1,000 bytes to an echo server through a link with each fault, and checks how many bytes come back, how the
+// connection ends, and the delay of the first byte.
 func TestStreamFaults(t *testing.T) {
 	sent := bytes.Repeat([]byte("0123456789"), 100)
 	for name, c := range map[string]struct {
 		fault   Fault
-		got     int           // bytes that come back
-		ends    string        // "open", "end" or "reset"
-		atLeast time.Duration // before the first byte of the answer
-		conns   int           // at the far end
+		got     int           // bytes that come back; also the number wanted
+		wantEnd string        // "open", "end" or "reset"
+		atLeast time.Duration // least delay of the answer's first byte
+		conns   int           // connections that the echo server accepts
 	}{
-		"none":      {got: 1000, ends: "open", conns: 1},
-		"delay":     {fault: Fault{Delay: 100 * time.Millisecond}, got: 1000, ends: "open", atLeast: 200 * time.Millisecond, conns: 1},
-		"cap":       {fault: Fault{BytesPerS: 10000}, got: 1000, ends: "open", atLeast: 200 * time.Millisecond, conns: 1},
-		"truncate":  {fault: Fault{Truncate: 300}, got: 300, ends: "end", conns: 1},
-		"refuse":    {fault: Fault{Reject: true}, ends: "reset"},
-		"blackhole": {fault: Fault{Blackhole: true}, ends: "open"},
-		"duplicate": {fault: Fault{Duplicate: true}, got: 1000, ends: "open", conns: 2},
+		"none":      {got: 1000, wantEnd: "open", conns: 1},
+		"delay":     {fault: Fault{Delay: 100 * time.Millisecond}, got: 1000, wantEnd: "open", atLeast: 200 * time.Millisecond, conns: 1},
+		"cap":       {fault: Fault{BytesPerS: 10000}, got: 1000, wantEnd: "open", atLeast: 200 * time.Millisecond, conns: 1},
+		"truncate":  {fault: Fault{Truncate: 300}, got: 300, wantEnd: "end", conns: 1},
+		"refuse":    {fault: Fault{Reject: true}, wantEnd: "reset"},
+		"blackhole": {fault: Fault{Blackhole: true}, wantEnd: "open"},
+		"duplicate": {fault: Fault{Duplicate: true}, got: 1000, wantEnd: "open", conns: 2},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			target, conns := echo(t)
+			target, conns := startEchoServer(t)
 			l, err := Open("a", "b", "127.0.0.1:0", target, "", 1)
 			if err != nil {
 				t.Fatal(err)
@@ -79,8 +80,8 @@
 			defer l.Close()
 			l.Set(c.fault)
 			in, err := net.Dial("tcp", l.Addr)
-			if err != nil && c.ends == "reset" {
-				return // the reset came before Dial had returned
+			if err != nil && c.wantEnd == "reset" {
+				return // the relay reset the connection before Dial returned
 			}
 			if err != nil {
 				t.Fatal(err)
@@ -89,11 +90,11 @@
 			start := time.Now()
 			in.Write(sent)
 			in.SetReadDeadline(start.Add(10 * time.Second))
-			if c.ends == "open" && c.got == 0 {
+			if c.wantEnd == "open" && c.got == 0 {
 				in.SetReadDeadline(start.Add(400 * time.Millisecond))
 			}
 			buf, got, first, end := make([]byte, 4096), 0, time.Duration(0), "open"
-			for got < c.got || c.ends != "open" || c.got == 0 {
+			for got < c.got || c.wantEnd != "open" || c.got == 0 {
 				n, err := in.Read(buf)
 				if n > 0 && first == 0 {
 					first = time.Since(start)
@@ -109,53 +110,53 @@
 					break
 				}
 			}
-			if got != c.got || end != c.ends || first < c.atLeast {
-				t.Errorf("got %d bytes, %s, first after %v; want %d, %s, at least %v", got, end, first, c.got, c.ends, c.atLeast)
+			if got != c.got || end != c.wantEnd || first < c.atLeast {
+				t.Errorf("got %d bytes, %s, first after %v; want %d, %s, at least %v", got, end, first, c.got, c.wantEnd, c.atLeast)
 			}
 			for range c.conns {
 				select {
 				case <-conns:
 				case <-time.After(10 * time.Second):
-					t.Fatalf("fewer than %d connections at the far end", c.conns)
+					t.Fatalf("the echo server accepted fewer than %d connections", c.conns)
 				}
 			}
 			l.Set(Fault{})
 			if c.fault.Blackhole {
 				in.SetReadDeadline(time.Now().Add(10 * time.Second))
 				if _, err := in.Read(buf); err == nil || err == io.EOF {
-					t.Errorf("at the heal: %v, want a reset", err)
+					t.Errorf("after the blackhole: %v, want a reset", err)
 				}
 			}
 		})
 	}
 }
 
-// Loss on a stream is lateness, never a gap, by the rounds of TCP's repeats; of datagrams it is a gap.
-func TestLossOfPiecesIsLateness(t *testing.T) {
-	d := newDice(3)
-	if late := d.repeats(0, time.Second); late != 0 {
-		t.Errorf("no loss: %v late", late)
+// Loss on a stream never drops data: it delays the data by TCP's retransmission timeouts. Only datagrams are dropped.
+func TestStreamLossDelaysData(t *testing.T) {
+	random := newRandomSource(3)
+	if late := random.retransmitDelay(0, time.Second); late != 0 {
+		t.Errorf("without loss: delay %v", late)
 	}
-	if late := d.repeats(1, 200*time.Millisecond); late != 6200*time.Millisecond { // 0.2 + 0.4 + 0.8 + 1.6 + 3.2
-		t.Errorf("all lost: %v", late)
+	if late := random.retransmitDelay(1, 200*time.Millisecond); late != 6200*time.Millisecond { // 0.2 + 0.4 + 0.8 + 1.6 + 3.2
+		t.Errorf("every segment lost: delay %v, want 6.2s", late)
 	}
 	late := 0
 	for range 10000 {
-		if d.repeats(0.05, time.Millisecond) > 0 {
+		if random.retransmitDelay(0.05, time.Millisecond) > 0 {
 			late++
 		}
 	}
 	if late < 400 || late > 600 {
-		t.Errorf("5%% loss: %d of 10000 late", late)
+		t.Errorf("5%% loss: %d of 10000 delayed, want 400 to 600", late)
 	}
 }
 
-// A target nobody listens at is known at the caller's side by its address.
-func TestRefusedAtTheTargetIsKnown(t *testing.T) {
+// A connection that the target refuses is recorded under the caller's address and reported as lost.
+func TestRecordsRefusedConnections(t *testing.T) {
 	ln, _ := net.Listen("tcp", "127.0.0.1:0")
-	dead := ln.Addr().String()
+	unusedAddr := ln.Addr().String()
 	ln.Close()
-	l, err := Open("a", "b", "127.0.0.1:0", dead, "", 1)
+	l, err := Open("a", "b", "127.0.0.1:0", unusedAddr, "", 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -163,7 +164,7 @@
 	lost := make(chan bool, 100)
 	l.OnLost(func() { lost <- true })
 	var c net.Conn
-	for range 50 { // the reset may come before Dial has returned
+	for range 50 { // the relay may reset the connection before Dial returns
 		if c, err = net.Dial("tcp", l.Addr); err == nil {
 			break
 		}
@@ -173,7 +174,7 @@
 	}
 	io.ReadAll(c)
 	if !l.Refused(c.LocalAddr().String()) || l.Refused("127.0.0.1:1") {
-		t.Error("the refused connection is not recognised")
+		t.Error("the refused connection is not recorded, or another one is")
 	}
 	select {
 	case <-lost:
@@ -182,18 +183,19 @@
 	}
 }
 
-// What a fault does to 400 datagrams of 20 bytes from one caller through a relay, echoed back.
+// TestDatagramFaults sends 400 datagrams of 20 bytes from one caller to an echo server through a relay with each fault, and checks
+// the number, size and order of the datagrams that come back.
 func TestDatagramFaults(t *testing.T) {
 	const count = 400
 	for name, c := range map[string]struct {
 		fault     Fault
-		least     int // datagrams back
+		least     int // limits on the number of datagrams that come back
 		most      int
 		size      int
 		reordered bool
 	}{
 		"none":      {least: count, most: count, size: 20},
-		"loss":      {fault: Fault{Loss: 0.2}, least: 200, most: 310, size: 20}, // both ways: 0.64
+		"loss":      {fault: Fault{Loss: 0.2}, least: 200, most: 310, size: 20}, // lost in both directions: 0.64 come back
 		"duplicate": {fault: Fault{Duplicate: true}, least: 4 * count, most: 4 * count, size: 20},
 		"reorder":   {fault: Fault{Reorder: 0.2}, least: count, most: count, size: 20, reordered: true},
 		"truncate":  {fault: Fault{Truncate: 7}, least: count, most: count, size: 7},
@@ -201,7 +203,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			target, _ := echo(t)
+			target, _ := startEchoServer(t)
 			relay, err := OpenRelay("b", "127.0.0.1:0", target, map[string]string{"127.0.0.1": "a"}, 5)
 			if err != nil {
 				t.Fatal(err)
@@ -209,7 +211,7 @@
 			defer relay.Close()
 			for _, l := range relay.Links() {
 				if l.From != "a" || l.To != "b" {
-					t.Errorf("link %s to %s", l.From, l.To)
+					t.Errorf("link from %s to %s, want a to b", l.From, l.To)
 				}
 				l.Set(c.fault)
 			}
@@ -238,7 +240,7 @@
 				order = append(order, int(buf[0])<<8|int(buf[n-1]))
 			}
 			if len(order) < c.least || len(order) > c.most {
-				t.Errorf("%d datagrams back, want %d to %d", len(order), c.least, c.most)
+				t.Errorf("%d datagrams came back, want %d to %d", len(order), c.least, c.most)
 			}
 			if slices.IsSorted(order) == c.reordered && c.fault.Truncate == 0 {
 				t.Errorf("sorted %v, want %v", !c.reordered, !c.reordered)
@@ -247,9 +249,9 @@
 	}
 }
 
-// Two callers of one relay, identified by address: a fault on one's link leaves the other's TCP and UDP alone.
+// A relay identifies two callers by their addresses: a fault on the link of one doesn't affect the other's TCP and UDP traffic.
 func TestRelayIdentifiesCallers(t *testing.T) {
-	target, _ := echo(t)
+	target, _ := startEchoServer(t)
 	relay, err := OpenRelay("c", "127.0.0.1:0", target, map[string]string{"127.0.0.2": "a", "127.0.0.3": "b"}, 5)
 	if err != nil {
 		t.Fatal(err)
@@ -257,8 +259,8 @@
 	var n Net
 	n.AddRelay(relay)
 	defer n.Close()
-	if hit := n.Each(func(l *Link) bool { return l.From == "a" }, Fault{Blackhole: true}); hit != 1 {
-		t.Fatalf("%d links", hit)
+	if count := n.Each(func(l *Link) bool { return l.From == "a" }, Fault{Blackhole: true}); count != 1 {
+		t.Fatalf("%d links have the fault, want 1", count)
 	}
 	answers := func(network, ip string) bool {
 		var from net.Addr = &net.TCPAddr{IP: net.ParseIP(ip)}
@@ -277,7 +279,7 @@
 	}
 	for _, network := range []string{"tcp", "udp"} {
 		if answers(network, "127.0.0.2") || !answers(network, "127.0.0.3") {
-			t.Errorf("%s: the fault is not on one caller alone", network)
+			t.Errorf("%s: the fault does not affect exactly one caller", network)
 		}
 	}
 }
--- a/internal/lab/faults/link.go
+++ b/internal/lab/faults/link.go
@@ -9,45 +9,45 @@
 	"time"
 )
 
-// Link relays TCP from its own loopback address to a target (or, behind a Relay, both TCP and UDP of one caller).
-// From and To name the groups at its ends.
+// Link relays TCP from its own loopback address to a target. A Link of a Relay carries the TCP and UDP traffic of one caller.
+// From and To are the names of the groups at its ends.
 type Link struct {
-	From        string
-	To          string
-	Addr        string
-	target      string
-	source      net.IP // the address it dials from, so the far end can tell who calls; nil for any
-	ln          net.Listener
-	fault       atomic.Pointer[Fault]
-	dice        *dice
-	mu          sync.Mutex // guards conns and unreachable
-	conns       map[net.Conn]bool
-	unreachable map[string]bool // callers whose connection found nobody at the target
-	closed      chan struct{}
-	lost        atomic.Pointer[func()]
-	Dials       atomic.Int64
-	Bytes       atomic.Int64 // both ways
+	From         string
+	To           string
+	Addr         string
+	target       string
+	source       net.IP // local address of its connections to the target, which identifies the caller there; nil for any
+	ln           net.Listener
+	fault        atomic.Pointer[Fault]
+	randomSource *randomSource
+	mu           sync.Mutex // guards conns and unreachable
+	conns        map[net.Conn]bool
+	unreachable  map[string]bool // addresses of callers whose connection could not be forwarded because the target refused it
+	closed       chan struct{}
+	lost         atomic.Pointer[func()]
+	Dials        atomic.Int64
+	Bytes        atomic.Int64 // forwarded in both directions
 }
 
-// maxUnreachable bounds the callers remembered as refused.
+// maxUnreachable is the largest number of refused callers that a link remembers.
 const maxUnreachable = 1 << 16
 
 func newLink(from, to, target, source string, seed uint64) *Link {
 	l := &Link{
-		From:        from,
-		To:          to,
-		target:      target,
-		conns:       map[net.Conn]bool{},
-		unreachable: map[string]bool{},
-		closed:      make(chan struct{}),
-		dice:        newDice(seed),
-		source:      net.ParseIP(source),
+		From:         from,
+		To:           to,
+		target:       target,
+		conns:        map[net.Conn]bool{},
+		unreachable:  map[string]bool{},
+		closed:       make(chan struct{}),
+		randomSource: newRandomSource(seed),
+		source:       net.ParseIP(source),
 	}
 	l.fault.Store(&Fault{})
 	return l
 }
 
-// Open starts a link on listen ("127.0.0.1:0"), dialing target from source ("" for any).
+// Open starts a link that listens on listen ("127.0.0.1:0") and connects to target from the IP address source ("" for any).
 func Open(from, to, listen, target, source string, seed uint64) (*Link, error) {
 	ln, err := net.Listen("tcp", listen)
 	if err != nil {
@@ -55,11 +55,11 @@
 	}
 	l := newLink(from, to, target, source, seed)
 	l.ln, l.Addr = ln, ln.Addr().String()
-	go accept(ln, func(net.Conn) *Link { return l })
+	go acceptLoop(ln, func(net.Conn) *Link { return l })
 	return l, nil
 }
 
-// Set gives the link a fault from now on. Leaving a blackhole resets what it held, as a machine that is back.
+// Set sets the link's fault. The end of a blackhole resets the link's connections, as when a machine that was cut off is back.
 func (l *Link) Set(f Fault) {
 	old := l.fault.Swap(&f)
 	if old.Blackhole && !f.Blackhole {
@@ -67,28 +67,28 @@
 	}
 }
 
-// Fault is the link's present fault.
+// Fault returns the link's current fault.
 func (l *Link) Fault() Fault { return *l.fault.Load() }
 
-// Refused says whether the connection from a caller's address ("127.0.0.1:4321") found nobody listening at the
-// target: the relay had taken it by then, so the caller saw a reset where it would have been refused.
+// Refused reports whether the connection from a caller's address ("127.0.0.1:4321") could not be forwarded because nothing
+// listened at the target. The relay had accepted it by then, so the caller saw a reset instead of a refused connection.
 func (l *Link) Refused(caller string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.unreachable[caller]
 }
 
-// OnLost has f called for each new connection that reaches nobody, by the fault or for want of a listener, and for each
-// piece from the calling side that a blackhole swallows.
+// OnLost sets a function that is called for each new connection that does not reach the target, because of the fault or because
+// nothing listens there, and for each chunk from the caller that a blackhole holds back.
 func (l *Link) OnLost(f func()) { l.lost.Store(&f) }
 
-func (l *Link) tellLost() {
+func (l *Link) reportLost() {
 	if f := l.lost.Load(); f != nil {
 		(*f)()
 	}
 }
 
-// ResetAll breaks every connection on the link, as a process that dies.
+// ResetAll resets every connection on the link, as the death of a process does.
 func (l *Link) ResetAll() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -97,7 +97,7 @@
 	}
 }
 
-// Close ends the link and its connections. It may be called twice.
+// Close stops the link and resets its connections. It may be called more than once.
 func (l *Link) Close() {
 	l.mu.Lock()
 	select {
@@ -119,14 +119,14 @@
 	c.Close()
 }
 
-// end tells c's other side that no more comes, and leaves the way back open.
-func end(c net.Conn) {
+// closeWrite closes the sending direction of c and leaves the receiving direction open.
+func closeWrite(c net.Conn) {
 	if tc, ok := c.(*net.TCPConn); ok {
 		tc.CloseWrite()
 	}
 }
 
-func (l *Link) keep(c net.Conn) bool {
+func (l *Link) addConn(c net.Conn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	select {
@@ -138,9 +138,9 @@
 	return true
 }
 
-func (l *Link) drop(c net.Conn) { l.mu.Lock(); delete(l.conns, c); l.mu.Unlock() }
+func (l *Link) removeConn(c net.Conn) { l.mu.Lock(); delete(l.conns, c); l.mu.Unlock() }
 
-// wait sleeps d, less where the link is closed; it says whether the link is still open.
+// wait sleeps for d, or until the link is closed, and reports whether the link is still open.
 func (l *Link) wait(d time.Duration) bool {
 	if d <= 0 {
 		return true
@@ -155,17 +155,17 @@
 	}
 }
 
-func accept(ln net.Listener, of func(net.Conn) *Link) {
+func acceptLoop(ln net.Listener, linkFor func(net.Conn) *Link) {
 	for {
 		c, err := ln.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if err != nil {
-			time.Sleep(10 * time.Millisecond) // out of descriptors, say
+			time.Sleep(10 * time.Millisecond) // a temporary failure, for example no free descriptor
 			continue
 		}
-		go of(c).serve(c)
+		go linkFor(c).serve(c)
 	}
 }
 
@@ -178,16 +178,16 @@
 	return d.Dial("tcp", l.target)
 }
 
-// comesUp holds a new connection as the fault has it, and says whether it is to go on.
-func (l *Link) comesUp(in net.Conn) bool {
+// applyConnectFault delays a new connection according to the link's fault, and reports whether the connection may proceed.
+func (l *Link) applyConnectFault(in net.Conn) bool {
 	f := l.Fault()
 	if f.Reject || f.Blackhole {
-		l.tellLost()
+		l.reportLost()
 	}
 	if f.Reject {
 		return false
 	}
-	for f.Blackhole { // it never comes up: it hangs until the heal resets it
+	for f.Blackhole { // the connection hangs until the fault is removed, and is reset then
 		if !l.wait(20 * time.Millisecond) {
 			return false
 		}
@@ -195,22 +195,22 @@
 			return false
 		}
 	}
-	return l.wait(l.dice.repeats(f.Loss, repeatConnect))
+	return l.wait(l.randomSource.retransmitDelay(f.Loss, synTimeout))
 }
 
 func (l *Link) serve(in net.Conn) {
-	if !l.keep(in) {
+	if !l.addConn(in) {
 		in.Close()
 		return
 	}
-	defer l.drop(in)
-	if !l.comesUp(in) {
+	defer l.removeConn(in)
+	if !l.applyConnectFault(in) {
 		reset(in)
 		return
 	}
 	out, err := l.dial()
 	if err != nil {
-		l.tellLost()
+		l.reportLost()
 		l.mu.Lock()
 		if len(l.unreachable) < maxUnreachable {
 			l.unreachable[in.RemoteAddr().String()] = true
@@ -219,15 +219,15 @@
 		reset(in)
 		return
 	}
-	if !l.keep(out) {
+	if !l.addConn(out) {
 		out.Close()
 		in.Close()
 		return
 	}
-	defer l.drop(out)
-	dup := l.Fault().Duplicate
+	defer l.removeConn(out)
+	duplicateFirst := l.Fault().Duplicate
 	done := make(chan struct{}, 2)
-	go func() { l.pipe(out, in, dup, true); done <- struct{}{} }()
+	go func() { l.pipe(out, in, duplicateFirst, true); done <- struct{}{} }()
 	go func() { l.pipe(in, out, false, false); done <- struct{}{} }()
 	<-done
 	<-done
@@ -235,17 +235,18 @@
 	out.Close()
 }
 
-// pipe copies src to dst under the link's fault of the moment. With dup, the first piece also goes to a second
-// connection of its own, whose answer is thrown away. An end of src is handed on as one; a break resets both.
-func (l *Link) pipe(dst, src net.Conn, dup, calling bool) {
+// pipe copies src to dst and applies the link's current fault to each chunk. If duplicateFirst is set, the first chunk is also sent on
+// a second connection, whose answer is discarded. The end of src closes the sending direction of dst; an error on either
+// connection resets the other.
+func (l *Link) pipe(dst, src net.Conn, duplicateFirst, fromCaller bool) {
 	buf := make([]byte, 32<<10)
 	passed := 0
 	for {
 		n, err := src.Read(buf)
 		if n > 0 {
 			f := l.Fault()
-			if f.Blackhole && calling {
-				l.tellLost()
+			if f.Blackhole && fromCaller {
+				l.reportLost()
 			}
 			for f.Blackhole {
 				if !l.wait(20 * time.Millisecond) {
@@ -253,15 +254,15 @@
 				}
 				f = l.Fault()
 			}
-			late := f.Delay + l.dice.upTo(f.Jitter) + l.dice.repeats(f.Loss, repeatPiece)
+			delay := f.Delay + l.randomSource.durationBelow(f.Jitter) + l.randomSource.retransmitDelay(f.Loss, segmentTimeout)
 			if f.BytesPerS > 0 {
-				late += time.Duration(n) * time.Second / time.Duration(f.BytesPerS)
+				delay += time.Duration(n) * time.Second / time.Duration(f.BytesPerS)
 			}
-			if !l.wait(late) {
+			if !l.wait(delay) {
 				return
 			}
-			cut := f.Truncate > 0 && passed+n >= f.Truncate
-			if cut {
+			truncated := f.Truncate > 0 && passed+n >= f.Truncate
+			if truncated {
 				n = max(f.Truncate-passed, 0)
 			}
 			passed += n
@@ -270,17 +271,17 @@
 				reset(src)
 				return
 			}
-			if cut {
-				end(dst)
+			if truncated {
+				closeWrite(dst)
 				return
 			}
-			if dup {
-				dup = false
-				l.duplicate(append([]byte(nil), buf[:n]...))
+			if duplicateFirst {
+				duplicateFirst = false
+				l.sendDuplicate(append([]byte(nil), buf[:n]...))
 			}
 		}
 		if err == io.EOF {
-			end(dst)
+			closeWrite(dst)
 			return
 		}
 		if err != nil {
@@ -292,7 +293,7 @@
 	}
 }
 
-func (l *Link) duplicate(piece []byte) {
+func (l *Link) sendDuplicate(data []byte) {
 	c, err := l.dial()
 	if err != nil {
 		return
@@ -300,22 +301,22 @@
 	go func() {
 		defer c.Close()
 		c.SetDeadline(time.Now().Add(30 * time.Second))
-		c.Write(piece)
+		c.Write(data)
 		io.Copy(io.Discard, c)
 	}()
 }
 
-// Net is every link of a run, for faults by group.
+// Net holds all links of a run, to set faults on groups of them.
 type Net struct {
 	mu     sync.Mutex
 	links  []*Link
 	relays []*Relay
 }
 
-// Add keeps a link.
+// Add adds a link.
 func (n *Net) Add(l *Link) { n.mu.Lock(); n.links = append(n.links, l); n.mu.Unlock() }
 
-// AddRelay keeps a relay and its links.
+// AddRelay adds a relay and its links.
 func (n *Net) AddRelay(r *Relay) {
 	n.mu.Lock()
 	n.relays = append(n.relays, r)
@@ -325,7 +326,7 @@
 	n.mu.Unlock()
 }
 
-// Each sets f on every link that match selects, and says how many.
+// Each sets fault f on every link that match selects, and returns the number of these links.
 func (n *Net) Each(match func(*Link) bool, f Fault) int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -339,10 +340,10 @@
 	return count
 }
 
-// Heal takes every link's fault away, and says how many links there are.
+// Heal removes the fault of every link, and returns the number of links.
 func (n *Net) Heal() int { return n.Each(func(*Link) bool { return true }, Fault{}) }
 
-// Close ends every link and relay.
+// Close closes every link and relay.
 func (n *Net) Close() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/lab/faults/relay.go
+++ b/internal/lab/faults/relay.go
@@ -7,39 +7,40 @@
 	"time"
 )
 
-// Relay relays the TCP and UDP of many callers to one target, on one address, as gossip wants it: a member is known
-// to all by one address. Each caller is identified by the IP address it calls from, and has a Link of its own.
+// Relay relays the TCP and UDP traffic of many callers to one target, on a single address, because all members of a gossip
+// cluster know a member by the same address. The caller's source IP address identifies it, and each caller has its own Link.
 type Relay struct {
-	Addr   string
-	links  map[string]*Link // by the caller's IP
-	others *Link            // callers of no known address: no fault of theirs can be set
-	ln     net.Listener
-	pc     *net.UDPConn
-	mu     sync.Mutex       // guards flows
-	flows  map[string]*flow // by the caller's UDP address
+	Addr           string
+	links          map[string]*Link // by the caller's IP address
+	unknownCallers *Link            // carries the traffic of callers with an unknown address; no fault can be set on it
+	ln             net.Listener
+	pc             *net.UDPConn
+	mu             sync.Mutex       // guards flows
+	flows          map[string]*flow // by the caller's UDP address
 }
 
-// maxFlows bounds the UDP callers of a relay at one time; one more ends them all, and they start anew.
+// maxFlows is the largest number of UDP flows that a relay has at one time. A further caller makes the relay close all flows;
+// each caller's next datagram opens a new one.
 const maxFlows = 1024
 
-// flow is one caller's datagrams, both ways.
+// flow carries the datagrams of one caller in both directions.
 type flow struct {
 	out    *net.UDPConn
-	freeAt [2]time.Time // when the capped link is free again, for each way
+	freeAt [2]time.Time // when the rate-limited link can take the next datagram: to the target, to the caller
 }
 
-// OpenRelay listens on listen ("127.6.0.1:7946"; port 0 for any) for TCP and UDP of callers (IP to the name of its
-// group) and relays them to target from the caller's own IP.
+// OpenRelay listens on listen ("127.6.0.1:7946"; port 0 for any) for TCP and UDP, and relays the traffic of each caller to target
+// from the caller's own IP address. callers maps IP addresses to the names of their groups.
 func OpenRelay(to, listen, target string, callers map[string]string, seed uint64) (*Relay, error) {
-	r := &Relay{links: map[string]*Link{}, flows: map[string]*flow{}, others: newLink("", to, target, "", seed)}
+	r := &Relay{links: map[string]*Link{}, flows: map[string]*flow{}, unknownCallers: newLink("", to, target, "", seed)}
 	var err error
-	for range 20 { // with port 0, the port TCP was given may be taken for UDP
+	for range 20 { // with port 0, the port that was assigned for TCP may be in use for UDP
 		if r.ln, err = net.Listen("tcp", listen); err != nil {
 			return nil, fmt.Errorf("relay to %s: %w", to, err)
 		}
 		r.Addr = r.ln.Addr().String()
-		at, _ := net.ResolveUDPAddr("udp", r.Addr)
-		if r.pc, err = net.ListenUDP("udp", at); err == nil {
+		udpAddr, _ := net.ResolveUDPAddr("udp", r.Addr)
+		if r.pc, err = net.ListenUDP("udp", udpAddr); err == nil {
 			break
 		}
 		r.ln.Close()
@@ -52,12 +53,12 @@
 		k++
 		r.links[ip] = newLink(from, to, target, ip, seed+k)
 	}
-	go accept(r.ln, func(c net.Conn) *Link { return r.linkOf(c.RemoteAddr()) })
+	go acceptLoop(r.ln, func(c net.Conn) *Link { return r.linkForCaller(c.RemoteAddr()) })
 	go r.receive()
 	return r, nil
 }
 
-// Links are the relay's links, one a caller.
+// Links returns the relay's links, one for each known caller.
 func (r *Relay) Links() []*Link {
 	var out []*Link
 	for _, l := range r.links {
@@ -66,11 +67,11 @@
 	return out
 }
 
-// Close ends the relay, its links and flows.
+// Close closes the relay, its links and its flows.
 func (r *Relay) Close() {
 	r.ln.Close()
 	r.pc.Close()
-	r.others.Close()
+	r.unknownCallers.Close()
 	for _, l := range r.links {
 		l.Close()
 	}
@@ -86,12 +87,12 @@
 	r.flows = map[string]*flow{}
 }
 
-func (r *Relay) linkOf(a net.Addr) *Link {
-	host, _, _ := net.SplitHostPort(a.String())
+func (r *Relay) linkForCaller(caller net.Addr) *Link {
+	host, _, _ := net.SplitHostPort(caller.String())
 	if l := r.links[host]; l != nil {
 		return l
 	}
-	return r.others
+	return r.unknownCallers
 }
 
 func (r *Relay) receive() {
@@ -101,17 +102,17 @@
 		if err != nil {
 			return
 		}
-		l := r.linkOf(caller)
-		f, err := r.flowOf(l, caller)
+		l := r.linkForCaller(caller)
+		f, err := r.flowForCaller(l, caller)
 		if err != nil {
 			continue
 		}
-		r.pass(l, f, 0, append([]byte(nil), buf[:n]...), func(p []byte) { f.out.Write(p) })
+		r.forwardDatagram(l, f, 0, append([]byte(nil), buf[:n]...), func(p []byte) { f.out.Write(p) })
 	}
 }
 
-// flowOf gives the caller's flow, opening it with its way back.
-func (r *Relay) flowOf(l *Link, caller *net.UDPAddr) (*flow, error) {
+// flowForCaller returns the caller's flow. It opens a missing flow and starts a goroutine that relays the answers to the caller.
+func (r *Relay) flowForCaller(l *Link, caller *net.UDPAddr) (*flow, error) {
 	key := caller.String()
 	r.mu.Lock()
 	f := r.flows[key]
@@ -144,58 +145,58 @@
 		for {
 			n, err := out.Read(buf)
 			if ne, ok := err.(net.Error); err != nil && (!ok || !ne.Timeout()) {
-				if r.remove(key, f) {
+				if r.flowEnded(key, f) {
 					return
 				}
-				time.Sleep(time.Millisecond) // refused by a target that is down: the flow stays
+				time.Sleep(time.Millisecond) // the target is down and refused a datagram; the flow stays open
 				continue
 			}
-			r.pass(l, f, 1, append([]byte(nil), buf[:n]...), func(p []byte) { r.pc.WriteToUDP(p, caller) })
+			r.forwardDatagram(l, f, 1, append([]byte(nil), buf[:n]...), func(p []byte) { r.pc.WriteToUDP(p, caller) })
 		}
 	}()
 	return f, nil
 }
 
-func (r *Relay) remove(key string, f *flow) bool {
+func (r *Relay) flowEnded(key string, f *flow) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.flows[key] != f
 }
 
-// pass sends one datagram on under the link's fault of the moment, at once or later.
-func (r *Relay) pass(l *Link, w *flow, way int, p []byte, send func([]byte)) {
+// forwardDatagram applies the link's current fault to a datagram and sends it immediately, sends it after a delay, or drops it.
+func (r *Relay) forwardDatagram(l *Link, fl *flow, direction int, datagram []byte, send func([]byte)) {
 	f := l.Fault()
-	if f.Blackhole || f.Reject || l.dice.hit(f.Loss) {
+	if f.Blackhole || f.Reject || l.randomSource.happens(f.Loss) {
 		return
 	}
-	l.Bytes.Add(int64(len(p)))
-	if f.Truncate > 0 && len(p) > f.Truncate {
-		p = p[:f.Truncate]
+	l.Bytes.Add(int64(len(datagram)))
+	if f.Truncate > 0 && len(datagram) > f.Truncate {
+		datagram = datagram[:f.Truncate]
 	}
-	late := f.Delay + l.dice.upTo(f.Jitter)
-	if l.dice.hit(f.Reorder) {
-		late += reorderDelay
+	delay := f.Delay + l.randomSource.durationBelow(f.Jitter)
+	if l.randomSource.happens(f.Reorder) {
+		delay += reorderDelay
 	}
 	if f.BytesPerS > 0 {
 		r.mu.Lock()
 		now := time.Now()
 		start := now
-		if w.freeAt[way].After(now) {
-			start = w.freeAt[way]
+		if fl.freeAt[direction].After(now) {
+			start = fl.freeAt[direction]
 		}
-		w.freeAt[way] = start.Add(time.Duration(len(p)) * time.Second / time.Duration(f.BytesPerS))
-		late += w.freeAt[way].Sub(now)
+		fl.freeAt[direction] = start.Add(time.Duration(len(datagram)) * time.Second / time.Duration(f.BytesPerS))
+		delay += fl.freeAt[direction].Sub(now)
 		r.mu.Unlock()
 	}
-	times := 1
+	copies := 1
 	if f.Duplicate {
-		times = 2
+		copies = 2
 	}
-	for range times {
-		if late <= 0 {
-			send(p)
+	for range copies {
+		if delay <= 0 {
+			send(datagram)
 			continue
 		}
-		time.AfterFunc(late, func() { send(p) })
+		time.AfterFunc(delay, func() { send(datagram) })
 	}
 }
