--- a/internal/lab/report/evidence.go
+++ b/internal/lab/report/evidence.go
@@ -9,20 +9,20 @@
 	"meadowsill/internal/invariants"
 )
 
-// Limits on what evidence is gathered for breaches.
+// Limits on the log lines that are collected as evidence for breaches.
 const (
-	evidenceIDs   = 50 // breaches looked up
-	evidenceLines = 5  // lines kept for each
+	maxEvidenceIDs   = 50 // request ids that are searched for
+	maxEvidenceLines = 5  // lines kept for each id
 )
 
-// evidence finds, for the first breaches' request ids, the lines of the run's logs (nodes and agents) that name
-// them, each prefixed with the log's node: "n3: ...". A node logs an id only where it warns of it, so many
-// breaches have none.
+// evidence searches the run's logs (of nodes and agents) for lines that contain the request ids of the first breaches. Each line is
+// prefixed with the node whose log has it: "n3: ...". A node logs a request's id only in warnings, so many breaches have no
+// such lines.
 func evidence(dir string, breaches []invariants.Breach) map[string][]string {
 	out := map[string][]string{}
 	want := map[string]bool{}
 	for _, b := range breaches {
-		if b.ID != "" && len(want) < evidenceIDs {
+		if b.ID != "" && len(want) < maxEvidenceIDs {
 			want[b.ID] = true
 		}
 	}
@@ -41,7 +41,7 @@
 		for lines.Scan() {
 			line := lines.Text()
 			for id := range want {
-				if strings.Contains(line, id) && len(out[id]) < evidenceLines {
+				if strings.Contains(line, id) && len(out[id]) < maxEvidenceLines {
 					out[id] = append(out[id], node+": "+line)
 				}
 			}
--- a/internal/lab/report/fleet.go
+++ b/internal/lab/report/fleet.go
@@ -10,48 +10,48 @@
 	"meadowsill/internal/lab"
 )
 
-// ZoneLoss is what a fault on a zone's servers, or the ways to them, did to the fleet. Times are ms from the fault's
-// start, and -1 where it never was.
+// ZoneLoss describes the effect on the fleet of a fault on a zone's servers or on the links to them. LeftMS and ServedMS are -1 if
+// the event never occurred. Times in ms count from the start of the fault.
 type ZoneLoss struct {
 	Zone      string  `json:"zone"`
 	AtS       float64 `json:"at_s"`
-	LeftMS    float64 `json:"left_ms"`     // the first directive to leave it
-	ServedMS  float64 `json:"served_ms"`   // the last directive gone: served as ever
-	StopP50MS float64 `json:"stop_p50_ms"` // a node's last attempt, or try that reached nobody, before the zone was back or on trial
+	LeftMS    float64 `json:"left_ms"`     // first directive to leave the zone
+	ServedMS  float64 `json:"served_ms"`   // removal of the zone's last directive: nodes serve the zone normally again
+	StopP50MS float64 `json:"stop_p50_ms"` // a node's last attempt, also one that reached no server, before the zone was back or in probation
 	StopP95MS float64 `json:"stop_p95_ms"`
-	SpreadMS  float64 `json:"spread_ms"` // between the first node that stopped and the one at p95
-	Nodes     int     `json:"nodes"`     // that tried it at all
-	Tries     int     `json:"tries"`     // that reached nobody
-	Further   int     `json:"further"`   // attempts and tries of the whole fleet, less the requests attempted, until the zone was back
-	Requests  int     `json:"requests"`  // sent until then
+	SpreadMS  float64 `json:"spread_ms"` // from the first node that stopped to StopP95MS
+	Nodes     int     `json:"nodes"`     // nodes that sent an attempt to the zone
+	Tries     int     `json:"tries"`     // attempts at the zone that reached no server
+	Further   int     `json:"further"`   // the fleet's attempts beyond the first of each request, and unreachable ones, until then
+	Requests  int     `json:"requests"`  // requests that clients sent until then
 }
 
-// Onboarding is a tenant's way to the nodes, in ms from the answer to its PUT.
+// Onboarding describes how long a tenant's generation took to be applied by the nodes, in ms from the answer to its PUT.
 type Onboarding struct {
 	Tenant     string  `json:"tenant"`
 	Generation uint64  `json:"generation"`
 	Nodes      int     `json:"nodes"`
 	P50MS      float64 `json:"p50_ms"`
 	P99MS      float64 `json:"p99_ms"`
-	AllMS      float64 `json:"all_ms"` // 0: never on all
+	AllMS      float64 `json:"all_ms"` // until all nodes had applied it; 0: never
 }
 
-// Detection is a planted drift and what became of it.
+// Detection is the outcome of a drift that the lab caused on purpose.
 type Detection struct {
 	Node  string  `json:"node"`
 	State string  `json:"state"`
-	MS    float64 `json:"ms"` // until the verdict; -1: none
+	MS    float64 `json:"ms"` // time until the leader's verdict; -1: none
 	What  string  `json:"what"`
 }
 
-// Deaths is how long the members left took to see that one was silenced (killed or stopped), over all pairs.
+// Deaths describes how long the remaining members took to declare a silenced member (killed or stopped) dead, over all pairs.
 type Deaths struct {
-	Silenced int     `json:"silenced"` // members
-	Pairs    int     `json:"pairs"`    // of one silenced and one left
-	Missed   int     `json:"missed"`   // pairs that never came to dead
+	Silenced int     `json:"silenced"` // silenced members
+	Pairs    int     `json:"pairs"`    // pairs of a silenced and a remaining member
+	Missed   int     `json:"missed"`   // pairs whose remaining member never declared the other dead
 	P50MS    float64 `json:"p50_ms"`
 	P99MS    float64 `json:"p99_ms"`
-	False    int     `json:"false"` // deaths seen of members that were not silenced, faults or not
+	False    int     `json:"false"` // declarations of death about members that were not silenced, with or without a fault
 }
 
 func deaths(r *lab.Records) Deaths {
@@ -73,27 +73,27 @@
 			out.False++
 		case s.At >= when && !seen[[2]int{s.By, s.Of}]:
 			seen[[2]int{s.By, s.Of}] = true
-			took = append(took, ms(s.At-when))
+			took = append(took, milliseconds(s.At-when))
 		}
 	}
 	sort.Float64s(took)
 	out.Missed = out.Pairs - len(took)
-	out.P50MS = rank(took, 0.5)
-	out.P99MS = rank(took, 0.99)
+	out.P50MS = quantile(took, 0.5)
+	out.P99MS = quantile(took, 0.99)
 	return out
 }
 
-func ms(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
+func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// rank gives the q-th of sorted values, 0 where there are none.
-func rank(v []float64, q float64) float64 {
+// quantile returns quantile q, from 0 to 1, of the sorted values v, or 0 if there are none.
+func quantile(v []float64, q float64) float64 {
 	if len(v) == 0 {
 		return 0
 	}
 	return v[min(int(q*float64(len(v))), len(v)-1)]
 }
 
-// zoneLosses gives one for each zone that a fault touched, by zone.
+// zoneLosses returns a ZoneLoss for each zone that a fault affected, sorted by zone.
 func zoneLosses(r *lab.Records) []ZoneLoss {
 	var out []ZoneLoss
 	if r.Fleet == nil {
@@ -106,7 +106,7 @@
 	sort.Strings(zones)
 	for _, z := range zones {
 		at := r.Fleet.Faulted[z]
-		l := ZoneLoss{Zone: z, AtS: at.Seconds(), LeftMS: -1, ServedMS: -1}
+		loss := ZoneLoss{Zone: z, AtS: at.Seconds(), LeftMS: -1, ServedMS: -1}
 		back := time.Duration(r.Scenario.DurationS * float64(time.Second))
 		for _, c := range r.Changes {
 			if r.Fleet.ServerZone[c.Server] == z && c.State == "ready" && c.At > at {
@@ -123,21 +123,21 @@
 			switch {
 			case zone != z || t.At < at:
 			case t.Removed:
-				l.ServedMS = ms(t.At - at)
-			case t.Phase == "left" && l.LeftMS < 0:
-				l.LeftMS = ms(t.At - at)
+				loss.ServedMS = milliseconds(t.At - at)
+			case t.Phase == "left" && loss.LeftMS < 0:
+				loss.LeftMS = milliseconds(t.At - at)
 			case t.Phase == "probation":
 				back = min(back, t.At)
 			}
 		}
-		l.fill(r, at, back)
-		out = append(out, l)
+		loss.countAttempts(r, at, back)
+		out = append(out, loss)
 	}
 	return out
 }
 
-// fill counts what nodes did from the fault until the zone was back.
-func (l *ZoneLoss) fill(r *lab.Records, at, back time.Duration) {
+// countAttempts fills in the figures about attempts and requests from the start of the fault until the zone was back.
+func (l *ZoneLoss) countAttempts(r *lab.Records, at, back time.Duration) {
 	last := map[int]time.Duration{}
 	requests := map[string]bool{}
 	within := func(t time.Duration) bool { return t >= at && t < back }
@@ -164,13 +164,13 @@
 	l.Requests = len(slices.DeleteFunc(slices.Clone(r.Sent), func(s invariants.Sent) bool { return !within(s.At) }))
 	var stops []float64
 	for _, t := range last {
-		stops = append(stops, ms(t-at))
+		stops = append(stops, milliseconds(t-at))
 	}
 	sort.Float64s(stops)
 	l.Nodes = len(stops)
-	l.StopP50MS = rank(stops, 0.5)
-	l.StopP95MS = rank(stops, 0.95)
-	l.SpreadMS = l.StopP95MS - rank(stops, 0)
+	l.StopP50MS = quantile(stops, 0.5)
+	l.StopP95MS = quantile(stops, 0.95)
+	l.SpreadMS = l.StopP95MS - quantile(stops, 0)
 }
 
 func onboardings(r *lab.Records) []Onboarding {
@@ -178,10 +178,10 @@
 	for _, o := range r.Onboarded {
 		var v []float64
 		for _, d := range o.Applied {
-			v = append(v, ms(d))
+			v = append(v, milliseconds(d))
 		}
 		sort.Float64s(v)
-		out = append(out, Onboarding{o.Tenant, o.Generation, len(v), rank(v, 0.5), rank(v, 0.99), ms(o.All)})
+		out = append(out, Onboarding{o.Tenant, o.Generation, len(v), quantile(v, 0.5), quantile(v, 0.99), milliseconds(o.All)})
 	}
 	return out
 }
@@ -196,7 +196,7 @@
 		for _, v := range r.Fleet.Verdicts {
 			if v.Node == p.Node && v.At >= p.At && slices.Contains([]string{"overridden", "diverged", "stuck", "ahead"}, v.State) {
 				d.State = v.State
-				d.MS = ms(v.At - p.At)
+				d.MS = milliseconds(v.At - p.At)
 				d.What = v.What
 				break
 			}
--- a/internal/lab/report/fleet_test.go
+++ b/internal/lab/report/fleet_test.go
@@ -8,7 +8,8 @@
 	"meadowsill/internal/lab"
 )
 
-// A zone lost at 10 s, tried until 10.4 s by node 0 and 12 s by node 1, left at 10.5 s, on trial at 15 s, served at 20 s.
+// TestZoneLossFigures has a zone that is lost at 10 s, left at 10.5 s, in probation from 15 s and served again from 20 s. The last
+// attempt of node 0 is at 10.4 s and that of node 1 at 12 s.
 func TestZoneLossFigures(t *testing.T) {
 	sec := time.Second
 	r := &lab.Records{Scenario: &lab.Scenario{DurationS: 30}, Nodes: []lab.NodeInfo{{Name: "n0"}, {Name: "n1"}},
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -1,4 +1,4 @@
-// Package report turns a lab run's records into figures by phase of its timeline, as JSON and as plots.
+// Package report computes figures from the records of a lab run, for each phase of its timeline, and writes them as JSON and as plots.
 package report
 
 import (
@@ -19,47 +19,47 @@
 	"meadowsill/internal/lab"
 )
 
-// Phase is the stretch of a run between two events of its timeline.
+// Phase is the part of a run between two successive events of its timeline.
 type Phase struct {
-	// Seconds from the run's start.
+	// From and To are seconds from the run's start.
 	From      float64
 	To        float64
-	Event     string // the event that opened it
+	Event     string // the event at the start of the phase
 	Sent      int
 	Served    int
-	Refused   int     // 429 and 503
-	Failed    int     // any other answer, or none
+	Refused   int     // answers with status 429 or 503
+	Failed    int     // requests with another status than 200, 429 and 503, or without an answer
 	GoodputPS float64 `json:"goodput_per_s"`
-	P50MS     float64 `json:"p50_ms"` // of served requests, from the last byte sent to the last byte heard
+	P50MS     float64 `json:"p50_ms"` // latency of served requests, from the last byte sent to the last byte received
 	P99MS     float64 `json:"p99_ms"`
 	P999MS    float64 `json:"p999_ms"`
 }
 
-// Report is a run's figures.
+// Report holds the figures of a run.
 type Report struct {
 	Scenario         string              `json:"scenario"`
 	Phases           []Phase             `json:"phases"`
 	Total            Phase               `json:"whole"`
-	PerNode          map[string]int      `json:"per_node"`   // requests the front dealt to each node
-	PerServer        map[string]int64    `json:"per_server"` // requests each app server worked on
+	PerNode          map[string]int      `json:"per_node"`   // requests that the front sent to each node
+	PerServer        map[string]int64    `json:"per_server"` // requests that each app server worked on
 	Breaches         []invariants.Breach `json:"breaches"`
-	Evidence         map[string][]string `json:"evidence"` // by request id, the log lines that name it
+	Evidence         map[string][]string `json:"evidence"` // log lines that contain a request's id, by id
 	NeverUp          []string            `json:"never_up"`
-	WarmingOverloads int                 `json:"cold_falls"` // overloads of warming app servers, with the nodes notified or not
+	WarmingOverloads int                 `json:"cold_falls"` // overloads of warming app servers, whether or not the nodes knew of the start
 	CPU              lab.CPU             `json:"cpu"`
-	LabCPUFraction   float64             `json:"lab_cpu_share"` // of all CPU: the lab's, the nodes', the agents' and the replicas'
+	LabCPUFraction   float64             `json:"lab_cpu_share"` // the lab's part of all CPU time: of the lab, the nodes, the agents and the replicas
 	Skipped          int                 `json:"skipped"`
 	Zones            []ZoneLoss          `json:"zones"`
 	Onboarded        []Onboarding        `json:"onboarded"`
 	Drifts           []Detection         `json:"drifts"`
-	Deaths           Deaths              `json:"deaths"`      // of members that gossip
-	BytesPS          map[string]float64  `json:"bytes_per_s"` // through the relays, both ways, by kind of link, over the run
+	Deaths           Deaths              `json:"deaths"`      // deaths among the gossiping members
+	BytesPS          map[string]float64  `json:"bytes_per_s"` // traffic through the relays in both directions, by kind of link, averaged over the run
 	NoFile           [2]uint64           `json:"nofile"`
 	Links            int                 `json:"links"`
 	Plots            []string            `json:"plots"`
 }
 
-// Build computes the report.
+// Build computes the report from a run's records.
 func Build(r *lab.Records) *Report {
 	out := &Report{
 		Scenario:         r.Scenario.Name,
@@ -86,15 +86,15 @@
 	for kind, n := range r.Bytes {
 		out.BytesPS[kind] = float64(n) / r.Scenario.DurationS
 	}
-	cuts := []float64{0}
+	edges := []float64{0}
 	names := []string{"start"}
 	for _, d := range r.Timeline {
-		cuts = append(cuts, d.At.Seconds())
+		edges = append(edges, d.At.Seconds())
 		names = append(names, d.Do)
 	}
-	cuts = append(cuts, r.Scenario.DurationS)
-	for i := range len(cuts) - 1 {
-		out.Phases = append(out.Phases, phase(r.Sent, cuts[i], cuts[i+1], names[i]))
+	edges = append(edges, r.Scenario.DurationS)
+	for i := range len(edges) - 1 {
+		out.Phases = append(out.Phases, phase(r.Sent, edges[i], edges[i+1], names[i]))
 	}
 	out.Total = phase(r.Sent, 0, r.Scenario.DurationS, "whole")
 	for _, s := range r.Sent {
@@ -140,7 +140,7 @@
 	return p
 }
 
-// Write puts report.json and the plots in dir.
+// Write writes report.json and the plots to dir.
 func Write(dir string, r *lab.Records, rep *Report) error {
 	rep.Evidence = evidence(dir, rep.Breaches)
 	plots := map[string]func(*lab.Records) (*plot.Plot, error){"latency.png": latencyPlot, "goodput.png": goodputPlot,
@@ -162,7 +162,7 @@
 	return os.WriteFile(filepath.Join(dir, "report.json"), raw, 0o644)
 }
 
-// perSecond buckets the sent requests by the second they were sent in.
+// perSecond groups the sent requests by the second in which they were sent.
 func perSecond(r *lab.Records) [][]invariants.Sent {
 	out := make([][]invariants.Sent, int(r.Scenario.DurationS)+1)
 	for _, s := range r.Sent {
--- a/internal/lab/simulated/call.go
+++ b/internal/lab/simulated/call.go
@@ -11,8 +11,9 @@
 	"time"
 )
 
-// Call makes one request of an operator: it tries the replicas in turn, following X-Leader, until one answers with a status that is
-// not 503, for a minute at most. body is sent as JSON. unknown says that an earlier attempt may have been carried out: its outcome was not known.
+// Call sends one operator request to the replicas, with body encoded as JSON. It tries the replicas in turn and follows X-Leader until
+// one answers with another status than 503, for at most a minute. unknown reports that the outcome of an earlier attempt is unknown, so
+// that the request may already have taken effect.
 func Call(replicas []string, method, path string, body any) (code int, text string, unknown bool, err error) {
 	raw, _ := json.Marshal(body)
 	to := 0
--- a/internal/lab/simulated/experiment.go
+++ b/internal/lab/simulated/experiment.go
@@ -17,45 +17,46 @@
 	"meadowsill/internal/lab/discoverylab"
 )
 
-// Plan says how often each thing is measured, with how many nodes.
+// Plan sets the number of nodes and how often each figure is measured.
 type Plan struct {
 	Nodes    int
 	Rollouts int
 	Tenants  int
 	Drifts   int
 	Losses   int
-	Steady   time.Duration // of a calm fleet, for bytes and CPU
+	Steady   time.Duration // duration of the measurement of bytes and CPU in a fleet without changes
 }
 
-// Figures are the results with so many nodes. Times are from the operator's call, the planted drift or the first lost answers.
+// Figures are the results of an experiment. Times count from the operator's request, the caused drift or the first lost answers.
 type Figures struct {
-	Nodes      int             `json:"nodes"`
-	AgentBytes float64         `json:"agent_bytes_per_s"` // both ways between one agent and the replicas, the mean
-	AgentCPU   float64         `json:"agent_cpu"`         // of one core, the mean of the agents
-	LeadBytes  float64         `json:"leader_bytes_per_s"`
-	LeadCPU    float64         `json:"leader_cpu"`
-	Rollouts   []time.Duration `json:"rollouts_ns"` // PUT to the last node that serves it, each
-	RolloutP50 time.Duration   `json:"rollout_p50_ns"`
-	RolloutP99 time.Duration   `json:"rollout_p99_ns"`
-	Drifts     []time.Duration `json:"drifts_ns"` // to the leader's verdict, each
-	DriftP50   time.Duration   `json:"drift_p50_ns"`
-	DriftP99   time.Duration   `json:"drift_p99_ns"`
-	ZoneP95    []time.Duration `json:"zone_p95_ns"`    // of the nodes, each loss
-	ZoneSpread []time.Duration `json:"zone_spread_ns"` // first node to last, each loss
-	Tenants    time.Duration   `json:"tenants_ns"`     // all of Plan.Tenants, first PUT to the last node that serves the last
+	Nodes       int             `json:"nodes"`
+	AgentBytes  float64         `json:"agent_bytes_per_s"` // mean over the agents of the traffic with the replicas, in both directions
+	AgentCPU    float64         `json:"agent_cpu"`         // mean CPU use of an agent, in cores
+	LeaderBytes float64         `json:"leader_bytes_per_s"`
+	LeaderCPU   float64         `json:"leader_cpu"`
+	Rollouts    []time.Duration `json:"rollouts_ns"` // for each rollout, from the PUT until the last node serves it
+	RolloutP50  time.Duration   `json:"rollout_p50_ns"`
+	RolloutP99  time.Duration   `json:"rollout_p99_ns"`
+	Drifts      []time.Duration `json:"drifts_ns"` // for each drift, until the leader's verdict
+	DriftP50    time.Duration   `json:"drift_p50_ns"`
+	DriftP99    time.Duration   `json:"drift_p99_ns"`
+	ZoneP95     []time.Duration `json:"zone_p95_ns"`    // for each zone loss, 95th percentile over the nodes
+	ZoneSpread  []time.Duration `json:"zone_spread_ns"` // for each zone loss, from the first node to the last
+	Tenants     time.Duration   `json:"tenants_ns"`     // from the first PUT of Plan.Tenants tenants until every node serves all of them
 }
 
-// run is one experiment under way.
-type run struct {
-	c     *discoverylab.Cluster
-	nodes []*Node
-	lost  atomic.Bool // zone zb
-	log   *slog.Logger
-	f     Figures
+// experiment is the state of one running experiment.
+type experiment struct {
+	c        *discoverylab.Cluster
+	nodes    []*Node
+	zoneLost atomic.Bool // whether answers of zone zb are lost at present
+	log      *slog.Logger
+	figures  Figures
 }
 
-// Measure starts three replicas of bin, and p.Nodes agents with a simulated node each, their data under dir, and measures them by p.
-// Nodes report every 250 ms, as a node does whose evidence changes. What was measured before an error is in the figures.
+// Measure starts three replicas of the binary bin and p.Nodes agents, each with a simulated node, with their data under dir, and makes the
+// measurements of plan p. The nodes report every 250 ms, as a node with changing evidence does. If a measurement fails, the
+// returned figures hold the results of the earlier ones.
 func Measure(bin, dir string, p Plan, log *slog.Logger) (*Figures, error) {
 	file := filepath.Join(dir, "fleet.toml")
 	if err := os.WriteFile(file, fmt.Appendf(nil, "slots = %d\n[cold]\ntime_ms = 1000\n", p.Nodes), 0o644); err != nil {
@@ -66,9 +67,9 @@
 		return nil, err
 	}
 	defer c.Close()
-	r := &run{c: c, log: log, f: Figures{Nodes: p.Nodes}}
+	e := &experiment{c: c, log: log, figures: Figures{Nodes: p.Nodes}}
 	defer func() {
-		for _, n := range r.nodes {
+		for _, n := range e.nodes {
 			n.Close()
 		}
 	}()
@@ -81,38 +82,38 @@
 		if err != nil {
 			return nil, err
 		}
-		n.With(func() { n.Every, n.Counts = 250*time.Millisecond, n.World("zb", &r.lost) })
-		r.nodes = append(r.nodes, n)
+		n.With(func() { n.Every, n.Counts = 250*time.Millisecond, n.World("zb", &e.zoneLost) })
+		e.nodes = append(e.nodes, n)
 	}
-	if err := r.all("every session held", func(n *Node) bool { return n.Look().LeaseMS > 0 }); err != nil {
+	if err := e.all("every agent holds a session", func(n *Node) bool { return n.Look().LeaseMS > 0 }); err != nil {
 		return nil, err
 	}
-	for _, step := range []func(Plan) error{r.rollouts, r.steady, r.drifts, r.losses, r.tenants} {
+	for _, step := range []func(Plan) error{e.rollouts, e.steady, e.drifts, e.losses, e.tenants} {
 		if err := step(p); err != nil {
-			return &r.f, err
+			return &e.figures, err
 		}
 	}
-	return &r.f, nil
+	return &e.figures, nil
 }
 
-// until waits for a condition, two minutes at most, looking every 5 ms.
-func until(what string, ok func() bool) error {
+// waitUntil checks a condition every 5 ms until it holds, for at most two minutes.
+func waitUntil(what string, ok func() bool) error {
 	for end := time.Now().Add(2 * time.Minute); !ok(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			return fmt.Errorf("after two minutes: not yet %s", what)
+			return fmt.Errorf("condition not met after two minutes: %s", what)
 		}
 	}
 	return nil
 }
 
-// all waits until every node is so.
-func (r *run) all(what string, ok func(*Node) bool) error {
-	return until(what, func() bool { return !slices.ContainsFunc(r.nodes, func(n *Node) bool { return !ok(n) }) })
+// all waits until the condition ok holds for every node.
+func (e *experiment) all(what string, ok func(*Node) bool) error {
+	return waitUntil(what, func() bool { return !slices.ContainsFunc(e.nodes, func(n *Node) bool { return !ok(n) }) })
 }
 
-func (r *run) put(name string, generation uint64) error {
+func (e *experiment) putTenant(name string, generation uint64) error {
 	rate := 100 + float64(generation)
-	code, text, unknown, err := Call(r.c.HTTP, http.MethodPut, "/fleet/v1/tenants/"+name, map[string]any{"generation": generation,
+	code, text, unknown, err := Call(e.c.HTTP, http.MethodPut, "/fleet/v1/tenants/"+name, map[string]any{"generation": generation,
 		"spec": fleet.Spec{Name: name, Quota: fleet.Quota{Rate: rate, Burst: rate}}})
 	if err == nil && code != http.StatusOK && !unknown {
 		err = fmt.Errorf("put %s: %d %s", name, code, text)
@@ -120,155 +121,155 @@
 	return err
 }
 
-// settled says whether the leader has a tenant's rollout at its end.
-func (r *run) settled(name string) bool {
+// settled reports whether the leader has finished a tenant's rollout.
+func (e *experiment) settled(name string) bool {
 	var s struct{ Phase string }
-	_, text, _, err := Call(r.c.HTTP, http.MethodGet, "/fleet/v1/tenants/"+name+"/status", nil)
+	_, text, _, err := Call(e.c.HTTP, http.MethodGet, "/fleet/v1/tenants/"+name+"/status", nil)
 	return err == nil && json.Unmarshal([]byte(text), &s) == nil && s.Phase == "settled"
 }
 
-func (r *run) rollouts(p Plan) error {
+func (e *experiment) rollouts(p Plan) error {
 	for g := range uint64(p.Rollouts) {
 		start := time.Now()
-		if err := r.put("brand", g); err != nil {
+		if err := e.putTenant("brand", g); err != nil {
 			return err
 		}
-		if err := r.all("the rollout", func(n *Node) bool { return n.Serves("brand") == g+1 }); err != nil {
+		if err := e.all("every node serves the rollout", func(n *Node) bool { return n.Serves("brand") == g+1 }); err != nil {
 			return err
 		}
-		r.f.Rollouts = append(r.f.Rollouts, time.Since(start))
-		if err := until("settled", func() bool { return r.settled("brand") }); err != nil {
+		e.figures.Rollouts = append(e.figures.Rollouts, time.Since(start))
+		if err := waitUntil("settled", func() bool { return e.settled("brand") }); err != nil {
 			return err
 		}
 	}
-	r.f.RolloutP50, r.f.RolloutP99 = discoverylab.Quantile(r.f.Rollouts, 0.5), discoverylab.Quantile(r.f.Rollouts, 0.99)
-	r.log.Info("rollouts", "n", p.Rollouts, "p50", r.f.RolloutP50, "p99", r.f.RolloutP99)
+	e.figures.RolloutP50, e.figures.RolloutP99 = discoverylab.Quantile(e.figures.Rollouts, 0.5), discoverylab.Quantile(e.figures.Rollouts, 0.99)
+	e.log.Info("rollouts", "n", p.Rollouts, "p50", e.figures.RolloutP50, "p99", e.figures.RolloutP99)
 	return nil
 }
 
-// steady measures a fleet in which nothing happens.
-func (r *run) steady(p Plan) error {
-	lead, err := r.c.Leader(30*time.Second, -1)
+// steady measures the traffic and CPU use of a fleet without changes.
+func (e *experiment) steady(p Plan) error {
+	leader, err := e.c.Leader(30*time.Second, -1)
 	if err != nil {
 		return err
 	}
-	look := func() (agents, leads int64, cpu, leadCPU time.Duration) {
-		for _, n := range r.nodes {
+	sample := func() (agentBytes, leaderBytes int64, agentCPU, leaderCPU time.Duration) {
+		for _, n := range e.nodes {
 			for i, l := range n.Links {
-				agents += l.Bytes.Load()
-				if i == lead {
-					leads += l.Bytes.Load()
+				agentBytes += l.Bytes.Load()
+				if i == leader {
+					leaderBytes += l.Bytes.Load()
 				}
 			}
-			cpu += discoverylab.CPUTime(n.Pid())
+			agentCPU += discoverylab.CPUTime(n.Pid())
 		}
-		for pair, l := range r.c.Links {
-			if pair[0] == lead || pair[1] == lead {
-				leads += l.Bytes.Load()
+		for pair, l := range e.c.Links {
+			if pair[0] == leader || pair[1] == leader {
+				leaderBytes += l.Bytes.Load()
 			}
 		}
-		return agents, leads, cpu, discoverylab.CPUTime(r.c.Pid(lead))
+		return agentBytes, leaderBytes, agentCPU, discoverylab.CPUTime(e.c.Pid(leader))
 	}
 	start := time.Now()
-	a0, l0, c0, lc0 := look()
+	a0, l0, c0, lc0 := sample()
 	time.Sleep(p.Steady)
-	a1, l1, c1, lc1 := look()
+	a1, l1, c1, lc1 := sample()
 	s, n := time.Since(start).Seconds(), float64(p.Nodes)
-	r.f.AgentBytes, r.f.AgentCPU = float64(a1-a0)/s/n, (c1-c0).Seconds()/s/n
-	r.f.LeadBytes, r.f.LeadCPU = float64(l1-l0)/s, (lc1-lc0).Seconds()/s
-	r.log.Info("steady", "agent_bytes_per_s", r.f.AgentBytes, "agent_cpu", r.f.AgentCPU, "leader_bytes_per_s", r.f.LeadBytes, "leader_cpu", r.f.LeadCPU)
+	e.figures.AgentBytes, e.figures.AgentCPU = float64(a1-a0)/s/n, (c1-c0).Seconds()/s/n
+	e.figures.LeaderBytes, e.figures.LeaderCPU = float64(l1-l0)/s, (lc1-lc0).Seconds()/s
+	e.log.Info("steady", "agent_bytes_per_s", e.figures.AgentBytes, "agent_cpu", e.figures.AgentCPU, "leader_bytes_per_s", e.figures.LeaderBytes, "leader_cpu", e.figures.LeaderCPU)
 	return nil
 }
 
-// is says whether the leader's verdict on a node is so.
-func (r *run) is(n *Node, state string) bool {
+// verdictIs reports whether the leader's verdict on node n is state.
+func (e *experiment) verdictIs(n *Node, state string) bool {
 	var a struct{ Verdicts []drift.Verdict }
-	_, text, _, err := Call(r.c.HTTP, http.MethodGet, "/fleet/v1/drift?node="+n.Name, nil)
+	_, text, _, err := Call(e.c.HTTP, http.MethodGet, "/fleet/v1/drift?node="+n.Name, nil)
 	return err == nil && json.Unmarshal([]byte(text), &a) == nil && len(a.Verdicts) == 1 && a.Verdicts[0].State == state
 }
 
-// otherRate has a node hold another rate of the tenant than the one it received.
-func otherRate(items []fleet.AppliedItem) []fleet.AppliedItem {
-	for i, h := range items {
-		var b fleet.AppliedTenant
-		if h.Key == "tenant/brand" && json.Unmarshal(h.Body, &b) == nil && b.Committed != nil {
-			b.Committed.Rate = 999
-			items[i], _, _ = drift.AppliedItemOf(h.Key, b)
+// alterRate changes the committed rate of tenant brand in the items that a node reports, so that it differs from the intended one.
+func alterRate(items []fleet.AppliedItem) []fleet.AppliedItem {
+	for i, item := range items {
+		var applied fleet.AppliedTenant
+		if item.Key == "tenant/brand" && json.Unmarshal(item.Body, &applied) == nil && applied.Committed != nil {
+			applied.Committed.Rate = 999
+			items[i], _, _ = drift.AppliedItemOf(item.Key, applied)
 		}
 	}
 	return items
 }
 
-func (r *run) drifts(p Plan) error {
+func (e *experiment) drifts(p Plan) error {
 	for k := range p.Drifts {
-		n := r.nodes[k%len(r.nodes)]
-		if err := until(n.Name+" in step", func() bool { return r.is(n, drift.InStep) }); err != nil {
+		n := e.nodes[k%len(e.nodes)]
+		if err := waitUntil(n.Name+" in step", func() bool { return e.verdictIs(n, drift.InStep) }); err != nil {
 			return err
 		}
 		start := time.Now()
-		n.With(func() { n.Odd = otherRate })
-		err := until("the drift of "+n.Name+" seen", func() bool { return r.is(n, drift.Diverged) })
-		r.f.Drifts = append(r.f.Drifts, time.Since(start))
+		n.With(func() { n.Odd = alterRate })
+		err := waitUntil("the drift of "+n.Name+" detected", func() bool { return e.verdictIs(n, drift.Diverged) })
+		e.figures.Drifts = append(e.figures.Drifts, time.Since(start))
 		n.With(func() { n.Odd = nil })
 		if err != nil {
 			return err
 		}
 	}
-	r.f.DriftP50, r.f.DriftP99 = discoverylab.Quantile(r.f.Drifts, 0.5), discoverylab.Quantile(r.f.Drifts, 0.99)
-	r.log.Info("drifts", "n", p.Drifts, "p50", r.f.DriftP50, "p99", r.f.DriftP99)
+	e.figures.DriftP50, e.figures.DriftP99 = discoverylab.Quantile(e.figures.Drifts, 0.5), discoverylab.Quantile(e.figures.Drifts, 0.99)
+	e.log.Info("drifts", "n", p.Drifts, "p50", e.figures.DriftP50, "p99", e.figures.DriftP99)
 	return nil
 }
 
-// losses has the reports of every node lose zone zb, and lets it return before the next.
-func (r *run) losses(p Plan) error {
+// losses makes every node report zone zb as lost, and waits until the zone is served again before the next loss.
+func (e *experiment) losses(p Plan) error {
 	const key = "zone/zb"
 	for k := range p.Losses {
-		time.Sleep(5 * time.Second) // of a healthy zone, so that its rates are proved
+		time.Sleep(5 * time.Second) // with a healthy zone, so that the leader knows its request rates
 		var mu sync.Mutex
-		var took []time.Duration
+		var delays []time.Duration
 		start := time.Now()
-		for _, n := range r.nodes {
+		for _, n := range e.nodes {
 			heard := false
 			n.With(func() {
 				n.Seen = func(it fleet.Item, d fleet.Directive) {
 					if it.Key == key && !it.Removed && d.Share == 0 && !heard {
 						heard = true
 						mu.Lock()
-						took = append(took, time.Since(start))
+						delays = append(delays, time.Since(start))
 						mu.Unlock()
 					}
 				}
 			})
 		}
-		r.lost.Store(true)
-		err := until("the zone left on every node", func() bool {
+		e.zoneLost.Store(true)
+		err := waitUntil("every node has left the zone", func() bool {
 			mu.Lock()
 			defer mu.Unlock()
-			return len(took) == len(r.nodes)
+			return len(delays) == len(e.nodes)
 		})
-		r.lost.Store(false)
+		e.zoneLost.Store(false)
 		if err != nil {
 			return err
 		}
 		mu.Lock()
-		r.f.ZoneP95 = append(r.f.ZoneP95, discoverylab.Quantile(took, 0.95))
-		r.f.ZoneSpread = append(r.f.ZoneSpread, took[len(took)-1]-took[0]) // Quantile has sorted it
+		e.figures.ZoneP95 = append(e.figures.ZoneP95, discoverylab.Quantile(delays, 0.95))
+		e.figures.ZoneSpread = append(e.figures.ZoneSpread, delays[len(delays)-1]-delays[0]) // Quantile has sorted the delays
 		mu.Unlock()
-		r.log.Info("zone lost", "loss", k, "p95", r.f.ZoneP95[k], "spread", r.f.ZoneSpread[k])
-		if err := r.all("the zone served again", func(n *Node) bool { _, ok := n.Directive(key); return !ok }); err != nil {
+		e.log.Info("zone loss measured", "loss", k, "p95", e.figures.ZoneP95[k], "spread", e.figures.ZoneSpread[k])
+		if err := e.all("every node serves the zone again", func(n *Node) bool { _, ok := n.Directive(key); return !ok }); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (r *run) tenants(p Plan) error {
+func (e *experiment) tenants(p Plan) error {
 	name := func(i int) string { return fmt.Sprintf("many-%03d", i) }
 	start := time.Now()
 	errs := make([]error, p.Tenants)
 	var all sync.WaitGroup
 	for i := range p.Tenants {
-		all.Go(func() { errs[i] = r.put(name(i), 0) })
+		all.Go(func() { errs[i] = e.putTenant(name(i), 0) })
 	}
 	all.Wait()
 	for _, err := range errs {
@@ -276,7 +277,7 @@
 			return err
 		}
 	}
-	err := r.all("every tenant on every node", func(n *Node) bool {
+	err := e.all("every node serves every tenant", func(n *Node) bool {
 		for i := range p.Tenants {
 			if n.Serves(name(i)) != 1 {
 				return false
@@ -285,8 +286,8 @@
 		return true
 	})
 	if err == nil {
-		r.f.Tenants = time.Since(start)
-		r.log.Info("tenants in one go", "tenants", p.Tenants, "took", r.f.Tenants)
+		e.figures.Tenants = time.Since(start)
+		e.log.Info("tenants created together", "tenants", p.Tenants, "took", e.figures.Tenants)
 	}
 	return err
 }
--- a/internal/lab/simulated/node.go
+++ b/internal/lab/simulated/node.go
@@ -1,6 +1,7 @@
-// Package simulated runs simulated nodes against real discovery agents: the replicas and agents are processes, and in place of
-// each agent's node a goroutine watches intent, stages, applies and reports as a node does. It can be made to refuse, to hold
-// other rules than those it received, to lag or to fall silent. The tests of discovery and the lab's measurements use it.
+// Package simulated runs simulated nodes against real discovery agents. The replicas and agents are processes; in place of each agent's
+// node, goroutines watch the intent, stage and apply it, and send reports as a node does. A simulated node can be made to refuse
+// generations, to report other items than those it received, to lag, or to stop reporting. The tests of discovery and the
+// lab's measurements use this package.
 package simulated
 
 import (
@@ -24,32 +25,32 @@
 
 var client = http.Client{Timeout: 10 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 64}}
 
-// Behaviour is how a simulated node differs from a correct one, and what it shows of itself. It is read and changed within Node.With.
+// Behaviour sets how a simulated node differs from a correct one, and exposes its state to tests. It is read and changed within Node.With.
 type Behaviour struct {
-	Counts func() []fleet.ZoneEvidence                   // of the next report; nil for none
-	Seen   func(fleet.Item, fleet.Directive)             // hears every item of a zone
-	Refuse string                                        // why it can't stage anything; empty: it can
-	Slow   bool                                          // stages nothing new
-	Keep   bool                                          // goes on serving what it serves
-	Silent bool                                          // posts no reports
-	Odd    func([]fleet.AppliedItem) []fleet.AppliedItem // replaces what it holds
-	Every  time.Duration                                 // between two reports; 0: 150 ms
+	Counts func() []fleet.ZoneEvidence                   // returns the zone evidence of the next report; nil: none
+	Seen   func(fleet.Item, fleet.Directive)             // called with every received item of a zone
+	Refuse string                                        // reason with which the node rejects every staged generation; empty: it accepts them
+	Slow   bool                                          // the node stages nothing new
+	Keep   bool                                          // the node continues to serve the generations that it serves now
+	Silent bool                                          // the node sends no reports
+	Odd    func([]fleet.AppliedItem) []fleet.AppliedItem // replaces the applied items that the node reports; nil: unchanged
+	Every  time.Duration                                 // interval between two reports; 0: 150 ms
 
-	Services []string // its scope, sorted; the agent has it from its next start on
+	Services []string // the node's scope, sorted; the agent gets a change at its next start
 
-	UIDs map[string]uint64     // of the tenants that it received, by name
-	Held map[string]fleet.Item // what its module holds, by key
-	Out  bool                  // the newest answer to a report says so
+	UIDs map[string]uint64     // UIDs of the received tenants, by name
+	Held map[string]fleet.Item // items of the intent that the node holds, by key
+	Out  bool                  // the newest answer to a report takes the node out of service
 }
 
-// Node is a simulated node and its agent, a process.
+// Node is a simulated node together with the process of its agent.
 type Node struct {
 	Name string
 	Zone string
-	// The agent's directory and address.
+	// Dir is the agent's data directory and Agent its address.
 	Dir   string
 	Agent string
-	Links []*faults.Link // from the agent to each replica
+	Links []*faults.Link // relays of the connections from the agent to each replica
 
 	bin      string
 	replicas []string
@@ -61,17 +62,17 @@
 	Behaviour
 	incarnation uint64
 	seq         uint64
-	revision    uint64       // newest that the module holds
-	heard       fleet.Intent // the newest answer
-	answer      string       // to the newest report
+	revision    uint64       // of the newest intent that the node holds
+	lastIntent  fleet.Intent // newest answer to a watch
+	lastAnswer  string       // status and body of the newest answer to a report
 	serving     map[string]fleet.Generation
-	down        bool     // its agent is gone
-	want        []string // of the last answer
-	wrong       []string
+	agentDown   bool     // the agent has been stopped
+	wantedKeys  []string // keys that the newest answer to a report asks for
+	violations  []string
 }
 
-// Start starts node i (named n00 on, over zones za, zb and zc in turn) at the replicas of c, its agent at 127.5.N.(i+1) of its network, with
-// dir for its data, which must exist.
+// Start starts node i and its agent with the replicas of c. Nodes are named n00, n01, … and are in zones za, zb and zc in turn. The agent
+// listens at 127.5.N.(i+1), where N is the number of the cluster's network, and keeps its data in dir, which must exist.
 func Start(c *discoverylab.Cluster, dir string, i int) (*Node, error) {
 	n := &Node{
 		Name:     fmt.Sprintf("n%02d", i),
@@ -95,23 +96,24 @@
 		n.Close()
 		return nil, err
 	}
-	n.done.Go(n.watch)
-	n.done.Go(n.post)
+	n.done.Go(n.watchIntent)
+	n.done.Go(n.postReports)
 	return n, nil
 }
 
-// Close ends the node, its agent and its links, and says what it saw that no agent may do. It is called once.
-func (n *Node) Close() (wrong []string) {
+// Close stops the node, its agent and its links, and returns the violations of the agent's protocol that the node saw. It must be called
+// only once.
+func (n *Node) Close() (violations []string) {
 	close(n.stop)
 	n.StopAgent()
 	n.done.Wait()
 	for _, l := range n.Links {
 		l.Close()
 	}
-	return n.wrong
+	return n.violations
 }
 
-// Pid is the agent's process id, 0 where it is stopped.
+// Pid returns the process id of the agent, or 0 if it is stopped.
 func (n *Node) Pid() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -121,18 +123,18 @@
 	return n.proc.Process.Pid
 }
 
-// Boot makes the node's process a new one, which holds nothing.
+// Boot simulates a restart of the node's process: the node gets a new incarnation and holds no intent.
 func (n *Node) Boot() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.incarnation = uint64(time.Now().UnixNano())
 	n.seq = 0
 	n.revision = 0
-	n.Held, n.heard = map[string]fleet.Item{}, fleet.Intent{}
+	n.Held, n.lastIntent = map[string]fleet.Item{}, fleet.Intent{}
 	n.serving, n.UIDs = map[string]fleet.Generation{}, map[string]uint64{}
 }
 
-// StartAgent starts the node's agent on its directory; it must not be running. Its log is agent.log there.
+// StartAgent starts the node's agent with its data directory and logs to agent.log there. The agent must not be running.
 func (n *Node) StartAgent() error {
 	args := []string{"agent", "--node", n.Name, "--zone", n.Zone, "--dir", n.Dir, "--listen", n.Agent}
 	for i, r := range n.replicas {
@@ -156,15 +158,15 @@
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.proc, n.down = cmd, false
+	n.proc, n.agentDown = cmd, false
 	return nil
 }
 
-// StopAgent kills the agent's process, where it runs.
+// StopAgent kills the agent's process if it is running.
 func (n *Node) StopAgent() {
 	n.mu.Lock()
 	cmd := n.proc
-	n.proc, n.down = nil, true
+	n.proc, n.agentDown = nil, true
 	n.mu.Unlock()
 	if cmd != nil {
 		cmd.Process.Kill()
@@ -172,14 +174,14 @@
 	}
 }
 
-// Cut takes a node's agent off every replica, or puts it back.
+// Cut cuts the agent off from every replica, or connects it again.
 func (n *Node) Cut(off bool) {
 	for _, l := range n.Links {
 		l.Set(faults.Fault{Blackhole: off})
 	}
 }
 
-// Metric reads one counter of the agent.
+// Metric reads the value of one metric of the agent, or "" if it can't be read.
 func (n *Node) Metric(name string) string {
 	resp, err := client.Get("http://" + n.Agent + "/metrics")
 	if err != nil {
@@ -195,30 +197,30 @@
 	return ""
 }
 
-// Revision is that of the newest intent that the module holds.
+// Revision returns the revision of the newest intent that the node holds.
 func (n *Node) Revision() uint64 { n.mu.Lock(); defer n.mu.Unlock(); return n.revision }
 
-// With changes how the node behaves.
+// With calls change with the node's lock held, to read or change its Behaviour.
 func (n *Node) With(change func()) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	change()
 }
 
-// Look is the newest answer of the agent to the watch.
-func (n *Node) Look() fleet.Intent { n.mu.Lock(); defer n.mu.Unlock(); return n.heard }
+// Look returns the agent's newest answer to a watch of the intent.
+func (n *Node) Look() fleet.Intent { n.mu.Lock(); defer n.mu.Unlock(); return n.lastIntent }
 
-// Last is the agent's newest answer to a report: status and body.
-func (n *Node) Last() string { n.mu.Lock(); defer n.mu.Unlock(); return n.answer }
+// Last returns the status and body of the agent's newest answer to a report.
+func (n *Node) Last() string { n.mu.Lock(); defer n.mu.Unlock(); return n.lastAnswer }
 
-// Serves is the generation of a tenant that the node serves by, 0 none.
+// Serves returns the generation of a tenant that the node serves, or 0 if it serves none.
 func (n *Node) Serves(tenant string) uint64 {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.serving[tenant].Number
 }
 
-// Directive is what the node holds of a zone.
+// Directive returns the directive that the node holds for a zone's key, if any.
 func (n *Node) Directive(key string) (d fleet.Directive, ok bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -233,7 +235,7 @@
 	return d, ok
 }
 
-func (n *Node) rest(d time.Duration) bool {
+func (n *Node) sleep(d time.Duration) bool {
 	select {
 	case <-n.stop:
 		return false
@@ -242,50 +244,51 @@
 	}
 }
 
-// watch follows the agent's intent as a node does.
-func (n *Node) watch() {
-	for n.rest(0) {
+// watchIntent watches the agent's intent and applies it, as a node does, until the node is closed.
+func (n *Node) watchIntent() {
+	for n.sleep(0) {
 		n.mu.Lock()
-		since, run := n.revision, n.incarnation
+		since, askedBy := n.revision, n.incarnation
 		n.mu.Unlock()
 		resp, err := client.Get(fmt.Sprintf("http://%s/fleet/v1/intent?since=%d&timeout_ms=300&node=%s", n.Agent, since, n.Name))
 		if err != nil {
-			n.rest(20 * time.Millisecond)
+			n.sleep(20 * time.Millisecond)
 			continue
 		}
 		raw, _ := io.ReadAll(resp.Body)
 		resp.Body.Close()
-		in, err := fleet.DecodeIntent(raw)
+		intent, err := fleet.DecodeIntent(raw)
 		if err != nil || resp.StatusCode != http.StatusOK {
-			n.note("intent: status %d, %v", resp.StatusCode, err)
-			n.rest(20 * time.Millisecond)
+			n.addViolation("intent: status %d, %v", resp.StatusCode, err)
+			n.sleep(20 * time.Millisecond)
 			continue
 		}
-		n.take(in, run)
+		n.receiveIntent(intent, askedBy)
 	}
 }
 
-func (n *Node) note(format string, args ...any) {
+func (n *Node) addViolation(format string, args ...any) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.wrong = append(n.wrong, fmt.Sprintf(format, args...))
+	n.violations = append(n.violations, fmt.Sprintf(format, args...))
 }
 
-// take tells the module what an answer holds. One behind what it has changes nothing: that is its agent's disk copy.
-func (n *Node) take(in fleet.Intent, run uint64) {
+// receiveIntent updates the node from an answer to a watch. An intent older than the held one changes nothing: the agent serves its
+// disk copy.
+func (n *Node) receiveIntent(intent fleet.Intent, askedBy uint64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if run != n.incarnation {
-		return // it was asked by a process that is no more
+	if askedBy != n.incarnation {
+		return // an earlier incarnation of the node sent the watch
 	}
-	n.heard = in
-	if in.Revision < n.revision {
+	n.lastIntent = intent
+	if intent.Revision < n.revision {
 		return
 	}
-	if in.Full {
+	if intent.Full {
 		n.Held = map[string]fleet.Item{}
 	}
-	for _, it := range in.Items {
+	for _, it := range intent.Items {
 		if n.Seen != nil && bytes.HasPrefix([]byte(it.Key), []byte("zone/")) {
 			var d fleet.Directive
 			json.Unmarshal(it.Body, &d)
@@ -297,6 +300,6 @@
 		}
 		n.Held[it.Key] = it
 	}
-	n.revision = in.Revision
-	n.apply()
+	n.revision = intent.Revision
+	n.applyCommitted()
 }
--- a/internal/lab/simulated/report.go
+++ b/internal/lab/simulated/report.go
@@ -15,29 +15,29 @@
 	"meadowsill/internal/fleet/drift"
 )
 
-// apply serves by what is committed, and by nothing else.
-func (n *Node) apply() {
+// applyCommitted makes the node serve exactly the committed generations that it holds.
+func (n *Node) applyCommitted() {
 	if n.Keep {
 		return
 	}
-	now := map[string]fleet.Generation{}
+	committed := map[string]fleet.Generation{}
 	for key, it := range n.Held {
 		var t fleet.Tenant
 		if name, ok := bytes.CutPrefix([]byte(key), []byte("tenant/")); ok {
 			json.Unmarshal(it.Body, &t)
 			n.UIDs[string(name)] = t.UID
 			if t.Committed != nil && !t.Removing {
-				now[string(name)] = *t.Committed
+				committed[string(name)] = *t.Committed
 			}
 		}
 	}
-	n.serving = now
+	n.serving = committed
 }
 
-// report is the node's next one; the caller holds mu.
-func (n *Node) report() fleet.Report {
+// nextReport builds the node's next report. The caller must hold n.mu.
+func (n *Node) nextReport() fleet.Report {
 	n.seq++
-	n.apply()
+	n.applyCommitted()
 	r := fleet.Report{
 		Member:   fleet.Member{Node: n.Name, Zone: n.Zone, Incarnation: n.incarnation},
 		Services: n.Services,
@@ -56,8 +56,8 @@
 		}
 		var t fleet.Tenant
 		json.Unmarshal(it.Body, &t)
-		g := n.serving[string(name)]
-		ack := fleet.TenantAck{Name: string(name), UID: t.UID, Committed: g.Number, Digest: g.Digest}
+		generation := n.serving[string(name)]
+		ack := fleet.TenantAck{Name: string(name), UID: t.UID, Committed: generation.Number, Digest: generation.Digest}
 		switch {
 		case t.Staged == nil || n.Slow:
 		case n.Refuse != "":
@@ -68,28 +68,28 @@
 		r.Tenants = append(r.Tenants, ack)
 	}
 	items := slices.Collect(maps.Values(n.Held))
-	facts, err := drift.Expect(drift.Intended{Revision: n.revision, Items: items}, r.Member)
+	appliedItems, err := drift.Expect(drift.Intended{Revision: n.revision, Items: items}, r.Member)
 	if err != nil {
-		n.wrong = append(n.wrong, err.Error())
+		n.violations = append(n.violations, err.Error())
 	}
 	if n.Odd != nil {
-		facts = n.Odd(facts)
+		appliedItems = n.Odd(appliedItems)
 	}
-	drift.FillReport(&r, facts, n.want)
-	n.want = nil
+	drift.FillReport(&r, appliedItems, n.wantedKeys)
+	n.wantedKeys = nil
 	slices.SortFunc(r.Tenants, func(a, b fleet.TenantAck) int { return bytes.Compare([]byte(a.Name), []byte(b.Name)) })
 	return r
 }
 
-// post sends reports as a node does.
-func (n *Node) post() {
-	for n.rest(n.every()) {
+// postReports sends reports to the agent, as a node does, until the node is closed.
+func (n *Node) postReports() {
+	for n.sleep(n.reportInterval()) {
 		n.mu.Lock()
-		if n.Silent || n.down {
+		if n.Silent || n.agentDown {
 			n.mu.Unlock()
 			continue
 		}
-		raw, _ := json.Marshal(n.report())
+		raw, _ := json.Marshal(n.nextReport())
 		n.mu.Unlock()
 		resp, err := client.Post("http://"+n.Agent+"/fleet/v1/report", "application/json", bytes.NewReader(raw))
 		if err != nil {
@@ -98,17 +98,17 @@
 		text, _ := io.ReadAll(resp.Body)
 		resp.Body.Close()
 		n.mu.Lock()
-		n.answer = fmt.Sprintf("%d %s", resp.StatusCode, text)
+		n.lastAnswer = fmt.Sprintf("%d %s", resp.StatusCode, text)
 		var ans fleet.ReportAnswer
 		if resp.StatusCode == http.StatusOK && json.Unmarshal(text, &ans) == nil {
-			n.want, n.Out = ans.WantedKeys, ans.NotReady
+			n.wantedKeys, n.Out = ans.WantedKeys, ans.NotReady
 		}
 		n.mu.Unlock()
 	}
 }
 
-// World makes a node's counts of zones za, zb and zc as a node would: it keeps to the directives, and attempts at zone are lost while
-// lost says so.
+// World returns a function for Behaviour.Counts. The evidence of zones za, zb and zc follows the directives that the node holds, and all
+// attempts at zone are lost while lost is true.
 func (n *Node) World(zone string, lost *atomic.Bool) func() []fleet.ZoneEvidence {
 	return func() []fleet.ZoneEvidence {
 		var out []fleet.ZoneEvidence
@@ -139,7 +139,7 @@
 	}
 }
 
-func (n *Node) every() time.Duration {
+func (n *Node) reportInterval() time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.Every > 0 {
--- a/internal/lab/stub/appserver.go
+++ b/internal/lab/stub/appserver.go
@@ -1,6 +1,6 @@
-// Package stub holds the lab's stubs of what a node talks to, written from PROTOCOL: app servers
-// ("Nodes to app servers") and a discovery agent ("Discovery"). They run in the lab's process, on loopback, and
-// record what they receive for the invariant checker.
+// Package stub implements the lab's stubs of a node's peers as PROTOCOL specifies them: app servers ("Nodes to app servers")
+// and a discovery agent ("Discovery"). They run in the lab's process on loopback addresses. The app servers record the requests
+// that they receive for the invariant checker.
 package stub
 
 import (
@@ -19,18 +19,18 @@
 	"meadowsill/internal/invariants"
 )
 
-// Mode is how an app server misbehaves.
+// Mode is the fault that an app server simulates.
 type Mode int32
 
 const (
 	Healthy Mode = iota
-	Slow         // ten times its latency
-	Failing      // answers 500 after its work
-	Reset        // breaks each connection once a request has come
-	Silent       // takes requests and never answers, as a machine cut off
+	Slow         // takes ten times its latency
+	Failing      // answers with status 500 after its work
+	Reset        // resets each connection when it receives a request
+	Silent       // accepts requests and never answers, like a machine that is cut off
 )
 
-// ParseMode reads a mode's name: healthy, slow, failing, reset or silent.
+// ParseMode returns the Mode with the given name: healthy, slow, failing, reset or silent.
 func ParseMode(s string) (Mode, error) {
 	for m, name := range []string{"healthy", "slow", "failing", "reset", "silent"} {
 		if s == name {
@@ -40,59 +40,59 @@
 	return 0, errors.New("mode " + s + " is none of healthy, slow, failing, reset, silent")
 }
 
-// ServerSpec is one app server's make. Latencies are log-normal round Latency with Spread as sigma.
+// ServerSpec describes one app server. Its latencies have a log-normal distribution with median Latency and sigma Spread.
 type ServerSpec struct {
 	ID        string
 	Zone      string
-	Capacity  int           // requests worked on at once; as many again wait, more are turned away
-	Latency   time.Duration // median of the work
+	Capacity  int           // requests worked on at once; as many again wait, and further ones are rejected
+	Latency   time.Duration // median duration of the work on a request
 	Spread    float64
-	MaxConns  int           // connections held; more are turned away
-	IdleClose time.Duration // an idle connection is closed after this
-	SlowStart SlowStart     // after a restart; its Rate is filled in from Capacity, Latency and Spread
+	MaxConns  int           // open connections; requests on further ones are rejected; 0: no limit
+	IdleClose time.Duration // idle time after which a connection is closed
+	SlowStart SlowStart     // applies after a restart; its Rate is computed from Capacity, Latency and Spread
 }
 
-// Recorder keeps what the stubs and the load saw, as offsets from Start. Safe for concurrent use.
+// Recorder records the events that the stubs and the load generator see, with times relative to Start. It is safe for concurrent use.
 type Recorder struct {
-	Start    time.Time
-	mu       sync.Mutex
-	sent     map[string]bool
-	attempts []invariants.Attempt
-	falls    []invariants.Fall
+	Start     time.Time
+	mu        sync.Mutex
+	sent      map[string]bool
+	attempts  []invariants.Attempt
+	overloads []invariants.Fall
 }
 
-// NewRecorder starts the run's clock.
+// NewRecorder returns a Recorder whose run starts now.
 func NewRecorder() *Recorder { return &Recorder{Start: time.Now(), sent: map[string]bool{}} }
 
-// Since is the run's clock.
+// Since returns the time since the start of the run.
 func (r *Recorder) Since() time.Duration { return time.Since(r.Start) }
 
-// Sending marks an id as sent by a client, before its first byte goes.
+// Sending records that a client is about to send the request id. It must be called before the first byte is sent.
 func (r *Recorder) Sending(id string) { r.mu.Lock(); r.sent[id] = true; r.mu.Unlock() }
 
 func (r *Recorder) wasSent(id string) bool { r.mu.Lock(); defer r.mu.Unlock(); return r.sent[id] }
 
-func (r *Recorder) attempt(a invariants.Attempt) {
+func (r *Recorder) recordAttempt(a invariants.Attempt) {
 	r.mu.Lock()
 	r.attempts = append(r.attempts, a)
 	r.mu.Unlock()
 }
 
-// Attempts gives a copy of every attempt recorded.
+// Attempts returns a copy of the recorded attempts.
 func (r *Recorder) Attempts() []invariants.Attempt {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return append([]invariants.Attempt(nil), r.attempts...)
 }
 
-// Falls gives a copy of every cold fall recorded.
+// Falls returns a copy of the recorded overloads of warming app servers.
 func (r *Recorder) Falls() []invariants.Fall {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return append([]invariants.Fall(nil), r.falls...)
+	return append([]invariants.Fall(nil), r.overloads...)
 }
 
-// AppServer is a stub app server on a loopback address that stays its own across restarts.
+// AppServer is a stub app server on a loopback address. It keeps the address across restarts.
 type AppServer struct {
 	Spec    ServerSpec
 	Addr    string
@@ -104,13 +104,14 @@
 	conns   atomic.Int64
 	served  atomic.Int64
 
-	mu   sync.Mutex
-	srv  *http.Server
-	rnd  *rand.Rand
-	cold slowStartState
+	mu        sync.Mutex
+	srv       *http.Server
+	rnd       *rand.Rand
+	slowStart slowStartState
 }
 
-// NewAppServer listens on addr ("127.0.0.1:0" for any port). nodeOf tells which node a connection's source address belongs to.
+// NewAppServer starts an app server that listens on addr ("127.0.0.1:0" for any port). nodeOf returns the node to which the source
+// address of a connection belongs.
 func NewAppServer(spec ServerSpec, addr string, nodeOf func(string) int, rec *Recorder, seed uint64) (*AppServer, error) {
 	s := &AppServer{
 		Spec:   spec,
@@ -120,7 +121,7 @@
 		rnd:    rand.New(rand.NewPCG(seed, 0x5e7e)),
 	}
 	spec.SlowStart.Rate = float64(max(spec.Capacity, 1)) / (spec.Latency.Seconds() * math.Exp(spec.Spread*spec.Spread/2))
-	s.cold.rule = spec.SlowStart
+	s.slowStart.rule = spec.SlowStart
 	if err := s.listen(addr); err != nil {
 		return nil, err
 	}
@@ -133,7 +134,7 @@
 		return err
 	}
 	s.Addr = ln.Addr().String()
-	srv := &http.Server{Handler: s, IdleTimeout: s.Spec.IdleClose, ConnState: s.track}
+	srv := &http.Server{Handler: s, IdleTimeout: s.Spec.IdleClose, ConnState: s.countConns}
 	s.mu.Lock()
 	s.srv = srv
 	s.mu.Unlock()
@@ -141,7 +142,7 @@
 	return nil
 }
 
-func (s *AppServer) track(_ net.Conn, st http.ConnState) {
+func (s *AppServer) countConns(_ net.Conn, st http.ConnState) {
 	switch st {
 	case http.StateNew:
 		s.conns.Add(1)
@@ -150,13 +151,13 @@
 	}
 }
 
-// SetMode changes how it behaves from now on.
+// SetMode sets the fault that the server simulates from now on.
 func (s *AppServer) SetMode(m Mode) { s.mode.Store(int32(m)) }
 
-// Served counts the requests it worked on.
+// Served returns the number of requests that the server has worked on.
 func (s *AppServer) Served() int64 { return s.served.Load() }
 
-// Stop ends it as a process that dies: its connections reset, new ones are refused.
+// Stop breaks all connections of the server, as the death of its process would. New connections are refused.
 func (s *AppServer) Stop() {
 	s.mu.Lock()
 	srv := s.srv
@@ -164,57 +165,57 @@
 	srv.Close()
 }
 
-// Restart stops it, waits down, and starts it again on the same address, cold.
-func (s *AppServer) Restart(down time.Duration) error {
+// Restart stops the server, waits for pause, and starts the server again on the same address, warming up.
+func (s *AppServer) Restart(pause time.Duration) error {
 	s.Stop()
-	time.Sleep(down)
+	time.Sleep(pause)
 	s.mu.Lock()
-	s.cold.restart(s.rec.Since())
+	s.slowStart.restart(s.rec.Since())
 	s.mu.Unlock()
 	return s.listen(s.Addr)
 }
 
-func (s *AppServer) work() time.Duration {
+func (s *AppServer) workTime() time.Duration {
 	s.mu.Lock()
-	z, share := s.rnd.NormFloat64(), 1.0
-	if s.cold.on {
-		share = s.cold.rule.Share(s.rec.Since() - s.cold.start)
+	normal, capacityShare := s.rnd.NormFloat64(), 1.0
+	if s.slowStart.started {
+		capacityShare = s.slowStart.rule.Share(s.rec.Since() - s.slowStart.start)
 	}
 	s.mu.Unlock()
-	d := time.Duration(float64(s.Spec.Latency) * math.Exp(z*s.Spec.Spread))
+	d := time.Duration(float64(s.Spec.Latency) * math.Exp(normal*s.Spec.Spread))
 	if Mode(s.mode.Load()) == Slow {
 		d *= 10
 	}
-	return time.Duration(float64(d) / share)
+	return time.Duration(float64(d) / capacityShare)
 }
 
-// noArrival has fallen count no arrival.
+// noArrival is the node argument with which isOverloaded counts no request.
 const noArrival = -2
 
-// fallen counts the arrival of a request of a node, and says whether the server lies fallen: then it answers
-// nothing.
-func (s *AppServer) fallen(node int) bool {
+// isOverloaded counts a request from node and reports whether the server is down because of an overload while it warmed up.
+// A server that is down answers no request.
+func (s *AppServer) isOverloaded(node int) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.rec.Since()
-	if s.cold.down(now) {
+	if s.slowStart.isDown(now) {
 		return true
 	}
 	if node == noArrival {
 		return false
 	}
-	fall, fell := s.cold.arrive(now, node)
-	if fell {
-		fall.Server = s.Spec.ID
+	overload, overloaded := s.slowStart.arrive(now, node)
+	if overloaded {
+		overload.Server = s.Spec.ID
 		s.rec.mu.Lock()
-		s.rec.falls = append(s.rec.falls, fall)
+		s.rec.overloads = append(s.rec.overloads, overload)
 		s.rec.mu.Unlock()
 	}
-	return fell
+	return overloaded
 }
 
-// breakOff resets the request's connection. The attempt ends before: the node may begin another at once.
-func (s *AppServer) breakOff(w http.ResponseWriter, a *invariants.Attempt) {
+// resetConn resets the request's connection. It sets the attempt's end first, because the node may start another attempt immediately.
+func (s *AppServer) resetConn(w http.ResponseWriter, a *invariants.Attempt) {
 	a.End = s.rec.Since()
 	if c, _, err := http.NewResponseController(w).Hijack(); err == nil {
 		if tc, ok := c.(*net.TCPConn); ok {
@@ -224,15 +225,15 @@
 	}
 }
 
-// reject answers that the attempt was not worked on.
+// reject answers with status 503 and marks the attempt as not processed.
 func reject(w http.ResponseWriter) {
 	w.Header().Set("X-Unprocessed", "1")
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-// ServeHTTP answers as PROTOCOL's app server does.
+// ServeHTTP serves a request as PROTOCOL specifies for an app server.
 func (s *AppServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	io.Copy(io.Discard, r.Body) // it begins once the last byte has come
+	io.Copy(io.Discard, r.Body) // work begins when the last byte has been received
 	id := r.Header.Get("X-Correlation-Id")
 	class, _, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
 	a := invariants.Attempt{ID: id, Class: class, Server: s.Spec.ID, Node: s.nodeOf(r.RemoteAddr), Start: s.rec.Since()}
@@ -240,7 +241,7 @@
 		if a.End == 0 {
 			a.End = s.rec.Since()
 		}
-		s.rec.attempt(a)
+		s.rec.recordAttempt(a)
 	}()
 	if !s.admit(w, r, &a) {
 		return
@@ -248,11 +249,11 @@
 	defer func() { <-s.slots }()
 	a.Ran = true
 	s.served.Add(1)
-	if !Sleep(r.Context(), s.work()) {
+	if !Sleep(r.Context(), s.workTime()) {
 		return
 	}
-	if s.fallen(noArrival) {
-		s.breakOff(w, &a)
+	if s.isOverloaded(noArrival) {
+		s.resetConn(w, &a)
 		return
 	}
 	if Mode(s.mode.Load()) == Failing {
@@ -263,7 +264,7 @@
 	io.WriteString(w, "done "+id+"\n")
 }
 
-// admit answers an attempt that isn't worked on and reports false, or takes a slot for it.
+// admit takes a slot for the attempt and returns true. If the server does not work on the attempt, admit answers it and returns false.
 func (s *AppServer) admit(w http.ResponseWriter, r *http.Request, a *invariants.Attempt) bool {
 	switch {
 	case a.ID == "":
@@ -272,13 +273,13 @@
 	case !s.rec.wasSent(a.ID):
 		w.WriteHeader(http.StatusBadRequest)
 		return false
-	case s.fallen(a.Node):
-		s.breakOff(w, a)
+	case s.isOverloaded(a.Node):
+		s.resetConn(w, a)
 		return false
 	}
 	switch Mode(s.mode.Load()) {
 	case Reset:
-		s.breakOff(w, a)
+		s.resetConn(w, a)
 		return false
 	case Silent:
 		<-r.Context().Done()
@@ -302,7 +303,7 @@
 	}
 }
 
-// Sleep waits d, or less where ctx ends first, and says whether it waited the whole of d.
+// Sleep waits for d or until ctx ends, and reports whether it waited for all of d.
 func Sleep(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
--- a/internal/lab/stub/discovery.go
+++ b/internal/lab/stub/discovery.go
@@ -10,22 +10,22 @@
 	"meadowsill/internal/registry"
 )
 
-// Entry is one app server in the list, as PROTOCOL's "Discovery" gives it. Addr is filled in for each node.
+// Entry is one app server in the endpoint list, as PROTOCOL specifies under "Discovery". Addr is filled in for each node.
 type Entry = registry.Entry
 
 type answer = registry.Answer
 
-// Discovery is a stub discovery agent with one version for the whole list and watches. Each node has a view
-// of its own, on an address of its own, in which every server's address is the one that node is to use.
+// Discovery is a stub discovery agent with watches and a single version for the complete list. Each node has its own view at its
+// own address; in a view, each server has the address that this node uses for it.
 type Discovery struct {
-	mu      sync.Mutex
-	version uint64
-	entries map[string]Entry  // by id, the latest of each; gone ones stay as last set
-	changed map[string]uint64 // by id, the version of its last change
-	floor   uint64            // watches from before it get the whole list
-	changes chan struct{}     // closed at each change
-	views   []*view
-	MaxWait time.Duration // the longest watch, 60 s by PROTOCOL
+	mu               sync.Mutex
+	version          uint64
+	entries          map[string]Entry  // newest entry of each server by id, including servers in state gone
+	changed          map[string]uint64 // version of each server's last change, by id
+	compactedVersion uint64            // a watch from an older version gets the complete list
+	changes          chan struct{}     // closed and replaced at each change
+	views            []*view
+	MaxWait          time.Duration // longest time that a watch waits; 60 s in PROTOCOL
 }
 
 type view struct {
@@ -34,7 +34,7 @@
 	Addr   string
 }
 
-// NewDiscovery starts with entries at version 1.
+// NewDiscovery returns a Discovery whose list holds entries at version 1.
 func NewDiscovery(entries []Entry) *Discovery {
 	d := &Discovery{version: 1, entries: map[string]Entry{}, changed: map[string]uint64{}, changes: make(chan struct{}), MaxWait: time.Minute}
 	for _, e := range entries {
@@ -43,7 +43,7 @@
 	return d
 }
 
-// View opens a node's address; addrOf gives the address that node has for a server. It answers the address.
+// View opens a node's view and returns its address. addrOf returns the address that this node uses for a server.
 func (d *Discovery) View(addrOf func(id string) string) (string, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -58,7 +58,7 @@
 	return v.Addr, nil
 }
 
-// Close ends every view.
+// Close closes every view.
 func (d *Discovery) Close() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -67,7 +67,7 @@
 	}
 }
 
-// Set changes one server's state ("ready", "draining", "gone") under a new version, and says which.
+// Set sets the state of a server ("ready", "draining", "gone"), and its start time unless startedMS is 0. It returns the new version.
 func (d *Discovery) Set(id, state string, startedMS int64) uint64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -83,8 +83,8 @@
 	return d.version
 }
 
-// Compact forgets the changes up to the present version: older watches get the whole list.
-func (d *Discovery) Compact() { d.mu.Lock(); d.floor = d.version; d.mu.Unlock() }
+// Compact discards the history up to the current version: watches from older versions get the complete list.
+func (d *Discovery) Compact() { d.mu.Lock(); d.compactedVersion = d.version; d.mu.Unlock() }
 
 func (d *Discovery) serve(v *view, w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path != "/registry/instances" || r.Method != http.MethodGet {
@@ -104,7 +104,7 @@
 		registry.Await(r.Context(), changes, min(watch.Timeout, d.MaxWait))
 		d.mu.Lock()
 	}
-	a := answer{Version: d.version, Full: !watching || since < d.floor || since > d.version, Servers: []Entry{}}
+	a := answer{Version: d.version, Full: !watching || since < d.compactedVersion || since > d.version, Servers: []Entry{}}
 	for id, e := range d.entries {
 		if a.Full && e.State == "gone" {
 			continue
--- a/internal/lab/stub/cold_test.go
+++ b/internal/lab/stub/slowstart_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-func TestColdRuleAllows(t *testing.T) {
+func TestSlowStartAllowed(t *testing.T) {
 	r := SlowStart{From: 0.4, For: 10 * time.Second, Factor: 4, Span: 1500 * time.Millisecond, Rate: 10}
 	for age, want := range map[time.Duration]float64{0: 24, 5 * time.Second: 42, 10 * time.Second: 60, time.Minute: 60} {
 		if got := r.Allowed(age); math.Abs(got-(want+3*math.Sqrt(want)+3)) > 1e-9 {
@@ -19,44 +19,45 @@
 	}
 }
 
-// One request more than the rule allows within its span fells it, spread over the span or not; as many, or the same
-// over two spans, or once it is warm, do not. The fall names who sent what, and ends after the cold time.
-func TestColdFallIsTheRuleAtItsEdge(t *testing.T) {
+// One request more than the rule allows within Span overloads the server, whether or not the requests are spread over Span. The allowed
+// number, the same number over two spans, or any number at a warm server does not. The recorded overload names the node
+// of each request, and the server is up again after For.
+func TestOverloadBeginsAboveAllowed(t *testing.T) {
 	rule := SlowStart{From: 0.4, For: 10 * time.Second, Factor: 4, Span: 1500 * time.Millisecond, Rate: 10}
 	maximum := int(rule.Allowed(0)) // 41
 	for name, c := range map[string]struct {
-		n     int
-		from  time.Duration
-		apart time.Duration
-		falls bool
+		requests  int
+		age       time.Duration
+		apart     time.Duration
+		overloads bool
 	}{
-		"as many at once":     {maximum, 0, 0, false},
-		"one more at once":    {maximum + 1, 0, 0, true},
-		"slowly":              {200, 0, time.Second / 24, false},
-		"fast enough to fell": {200, 0, time.Second / 60, true},
-		"warm":                {500, 10 * time.Second, 0, false},
+		"allowed number at once":  {maximum, 0, 0, false},
+		"one more at once":        {maximum + 1, 0, 0, true},
+		"slowly":                  {200, 0, time.Second / 24, false},
+		"fast enough to overload": {200, 0, time.Second / 60, true},
+		"warm":                    {500, 10 * time.Second, 0, false},
 	} {
-		c2 := slowStartState{rule: rule}
-		c2.restart(time.Minute)
-		fell := false
-		for i := range c.n {
-			if f, ok := c2.arrive(time.Minute+c.from+time.Duration(i)*c.apart, i%3); ok {
-				fell = true
-				if float64(len(f.Got)) <= f.Allowed || f.Start != time.Minute || !c2.down(f.At+9*time.Second) || c2.down(f.At+10*time.Second) {
-					t.Errorf("%s: fall %+v", name, f)
+		state := slowStartState{rule: rule}
+		state.restart(time.Minute)
+		overloaded := false
+		for i := range c.requests {
+			if f, ok := state.arrive(time.Minute+c.age+time.Duration(i)*c.apart, i%3); ok {
+				overloaded = true
+				if float64(len(f.Got)) <= f.Allowed || f.Start != time.Minute || !state.isDown(f.At+9*time.Second) || state.isDown(f.At+10*time.Second) {
+					t.Errorf("%s: overload %+v", name, f)
 				}
 				break
 			}
 		}
-		if fell != c.falls {
-			t.Errorf("%s: fell %v", name, fell)
+		if overloaded != c.overloads {
+			t.Errorf("%s: overloaded %v", name, overloaded)
 		}
 	}
 }
 
-// The stub itself: restarted and overloaded, it resets what it has and what comes, is recorded once, and is up
-// again after its cold time.
-func TestAppServerFallsWhenCold(t *testing.T) {
+// An app server that is overloaded after a restart resets its connections and the new ones, records the overload once, and is up again
+// after For.
+func TestWarmingAppServerFailsOnOverload(t *testing.T) {
 	rec := NewRecorder()
 	s, err := NewAppServer(ServerSpec{ID: "s", Capacity: 1, Latency: 20 * time.Millisecond, MaxConns: 500, IdleClose: time.Minute,
 		SlowStart: SlowStart{From: 0.4, For: 2 * time.Second, Factor: 4, Span: 500 * time.Millisecond}},
@@ -77,30 +78,30 @@
 		io.Copy(io.Discard, resp.Body)
 		return resp.StatusCode
 	}
-	push := func() {
+	sendBurst := func() {
 		var wg sync.WaitGroup
-		for i := range 150 { // it bears 40 + 3*sqrt(40) + 3 within half a second when just up
+		for i := range 150 { // just after the start, the server tolerates 40 + 3*sqrt(40) + 3 within half a second
 			wg.Go(func() { get(fmt.Sprintf("%s-%d", "p", i)) })
 		}
 		wg.Wait()
 	}
-	if push(); len(rec.Falls()) != 0 {
-		t.Fatalf("it fell though it never started: %v", rec.Falls())
+	if sendBurst(); len(rec.Falls()) != 0 {
+		t.Fatalf("overloaded without a restart: %v", rec.Falls())
 	}
 	if err := s.Restart(0); err != nil {
 		t.Fatal(err)
 	}
-	push()
+	sendBurst()
 	if f := rec.Falls(); len(f) != 1 || f[0].Server != "s" || f[0].Got[0].Node != 3 {
-		t.Fatalf("falls %v", f)
+		t.Fatalf("overloads: %v", f)
 	}
 	if code := get("down"); code != 0 {
-		t.Errorf("it answers %d though it fell", code)
+		t.Errorf("status %d from a server that is down after an overload", code)
 	}
 	end := time.Now().Add(20 * time.Second)
 	for get("up") != http.StatusOK {
 		if time.Now().After(end) {
-			t.Fatal("it is not up again after its cold time")
+			t.Fatal("the server is not up again after its downtime")
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
