--- a/internal/invariants/fleet.go
+++ b/internal/invariants/fleet.go
@@ -9,22 +9,22 @@
 	"time"
 )
 
-// IntentChange is one change of the control plane's intent (docs/fleet.md) as the lab saw it come out of discovery: a zone's directive,
-// or a tenant. At is some ms after its commit.
+// IntentChange is one change of the control plane's intent (docs/fleet.md), to a zone's directive or to a tenant, as the lab received it
+// from discovery. At is some ms after the commit of the change.
 type IntentChange struct {
 	Key     string // "zone/Y", "zone/Y@X" or "tenant/NAME"
 	Rev     uint64
 	At      time.Duration
 	Removed bool `json:"Gone"`
-	// Of a zone:
+	// Phase, Share, Budget and Trial are those of a zone's directive.
 	Phase  string
 	Share  float64
-	Budget float64 // requests/s that one of its servers may get from all nodes together; 0: no limit
-	Trial  []int   // in probation: the nodes that may try it
-	// Of a tenant:
-	Committed bool // it has a committed generation
+	Budget float64 // requests/s that one server of the zone may receive from all nodes together; 0: no limit
+	Trial  []int   // nodes that may send trial requests to a zone in probation
+	// Committed, Removing, Rate and Burst are those of a tenant.
+	Committed bool // the tenant has a committed generation
 	Removing  bool
-	Rate      float64 // of the committed generation, requests/s over all nodes
+	Rate      float64 // quota of the committed generation in requests/s over all nodes
 	Burst     float64
 }
 
@@ -33,7 +33,7 @@
 	Node  int
 	At    time.Duration
 	State string
-	What  string // its items, for people
+	What  string // the items that differ, in readable form
 }
 
 // Planted is a drift that the lab caused on purpose at a node.
@@ -42,33 +42,33 @@
 	At   time.Duration
 }
 
-// UnreachableAttempt is a node's sending, or connecting, to a server that could not be reached then: a relay saw it, no server did.
+// UnreachableAttempt is a node's attempt to connect or send to a server that was unreachable then. A relay recorded it; no server received it.
 type UnreachableAttempt struct {
 	Node   int
 	Server string
 	At     time.Duration
 }
 
-// Fleet is what the checker reads of a run with a control plane. The tags keep the names that records.json has had.
+// Fleet is the part of the checker's input that only a run with a control plane has. The tags keep the names in records.json compatible.
 type Fleet struct {
-	IntentChanges       []IntentChange `json:"Told"` // in the order seen
+	IntentChanges       []IntentChange `json:"Told"` // in the order in which the lab received them
 	Verdicts            []Verdict
 	Planted             []Planted
 	UnreachableAttempts []UnreachableAttempt `json:"Tries"`
 	NodeZone            []string
 	ServerZone          map[string]string
-	Faulted             map[string]time.Duration // by zone: when a fault first touched its servers, or ways to them
-	Settings            map[string]bool          // tenants of the nodes' settings: served until intent names them
-	Incarnations        int                      `json:"Lives"` // of nodes, for the tokens that each incarnation starts with
+	Faulted             map[string]time.Duration // time of the first fault on a zone's servers or the links to them, by zone
+	Settings            map[string]bool          // tenants in the nodes' settings, which nodes serve until the intent names them
+	Incarnations        int                      `json:"Lives"` // number of incarnations of all nodes, each of which starts with a token of every quota
 }
 
-// Bounds of the pages: how long a node has to stop after a directive is sent, and drift to be found.
+// The documented time limits: for a node to stop sending to a zone after a directive is sent, and for the detection of a drift.
 const (
 	zoneBound  = time.Second
-	driftBound = 8 * time.Second // silent after 2 s, asked and named for 3 s, and the reports' rhythm
+	driftBound = 8 * time.Second // 2 s until a node counts as silent, 3 s to request and name the items, and the reports' interval
 )
 
-// fleet gives every breach of the fleet's rules: zones (Z), tenants (T), drift (D).
+// fleet returns every breach of the fleet's rules on zones (Z), tenants (T) and drift (D).
 func (r Run) fleet() []Breach {
 	if r.Fleet == nil {
 		return nil
@@ -78,15 +78,15 @@
 	for _, t := range f.IntentChanges {
 		byKey[t.Key] = append(byKey[t.Key], t)
 	}
-	out := f.zonesWrong()
-	out = append(out, r.zonesLeft(byKey)...)
+	out := f.zonesLeftWithoutFault()
+	out = append(out, r.attemptsAtLeftZones(byKey)...)
 	out = append(out, r.zoneBudgets(byKey)...)
 	out = append(out, r.tenants(byKey)...)
 	return append(out, r.drift()...)
 }
 
-// zonesWrong finds directives for zones that no fault had touched.
-func (f *Fleet) zonesWrong() []Breach {
+// zonesLeftWithoutFault finds directives to leave a zone that no fault had affected.
+func (f *Fleet) zonesLeftWithoutFault() []Breach {
 	var out []Breach
 	for _, t := range f.IntentChanges {
 		if key, ok := strings.CutPrefix(t.Key, "zone/"); ok && !t.Removed && t.Phase == "left" {
@@ -99,14 +99,14 @@
 	return out
 }
 
-// bars says whether a directive keeps node from a zone: it was left, or is on trial by others.
-func (t IntentChange) bars(node int) bool {
+// forbids reports whether the directive forbids node to send to its zone: the zone was left, or is in probation with other trial nodes.
+func (t IntentChange) forbids(node int) bool {
 	return !t.Removed && t.Share == 0 && (t.Phase == "left" || t.Phase == "probation" && !slices.Contains(t.Trial, node))
 }
 
-// barred gives the directive of key that has kept node from its zone for the bound at the time at, with none about
-// then (the nodes may hear a little before the lab) that does not.
-func barred(changes []IntentChange, node int, at time.Duration) (IntentChange, bool) {
+// forbiddingDirective returns the directive that at time at has forbidden node to send to the zone for at least zoneBound. It finds none
+// if a directive within zoneBound of at allows node to send, because nodes may receive a directive a little before the lab does.
+func forbiddingDirective(changes []IntentChange, node int, at time.Duration) (IntentChange, bool) {
 	var last IntentChange
 	found := false
 	for _, t := range changes {
@@ -114,49 +114,49 @@
 			break
 		}
 		if t.At > at-zoneBound {
-			if !t.bars(node) {
+			if !t.forbids(node) {
 				return IntentChange{}, false
 			}
 			continue
 		}
-		last, found = t, t.bars(node)
+		last, found = t, t.forbids(node)
 	}
 	return last, found
 }
 
-// zonesLeft finds attempts, and tries that reached nobody, at a zone the node was to have left; and fragile requests
-// among the trials of a zone in probation.
-func (r Run) zonesLeft(byKey map[string][]IntentChange) []Breach {
+// attemptsAtLeftZones finds attempts at a zone that the node must have left, including those that reached no server, and fragile
+// requests among the trial requests to a zone in probation.
+func (r Run) attemptsAtLeftZones(byKey map[string][]IntentChange) []Breach {
 	var out []Breach
 	f := r.Fleet
-	look := func(id string, node int, server string, at time.Duration, fragile bool) {
+	checkAttempt := func(id string, node int, server string, at time.Duration, fragile bool) {
 		zone := f.ServerZone[server]
 		if node < 0 || node >= len(f.NodeZone) || zone == "" {
 			return
 		}
 		for _, key := range []string{"zone/" + zone, "zone/" + zone + "@" + f.NodeZone[node]} {
-			if t, ok := barred(byKey[key], node, at); ok && !r.excused("after-grace", node, t.At, at) {
+			if t, ok := forbiddingDirective(byKey[key], node, at); ok && !r.exempt("after-grace", node, t.At, at) {
 				out = append(out, Breach{"Z-left", id, at, fmt.Sprintf("node %d tried %s of %s, %s since %v (revision %d)", node, server,
 					zone, t.Phase, t.At, t.Rev)})
 				return
 			}
-			if t, ok := steady(byKey[key], at); ok && fragile && t.Phase == "probation" {
+			if t, ok := unchangedAround(byKey[key], at); ok && fragile && t.Phase == "probation" {
 				out = append(out, Breach{"Z-trial", id, at, fmt.Sprintf("node %d tried %s with a fragile request in probation", node, server)})
 				return
 			}
 		}
 	}
 	for _, a := range r.Attempts {
-		look(a.ID, a.Node, a.Server, a.Start, r.Fragile[a.Class])
+		checkAttempt(a.ID, a.Node, a.Server, a.Start, r.Fragile[a.Class])
 	}
 	for _, t := range f.UnreachableAttempts {
-		look("", t.Node, t.Server, t.At, false)
+		checkAttempt("", t.Node, t.Server, t.At, false)
 	}
 	return out
 }
 
-// steady gives the change that has held for the bound about the time at; none where it changed.
-func steady(changes []IntentChange, at time.Duration) (IntentChange, bool) {
+// unchangedAround returns the change that is in force from zoneBound before to zoneBound after time at, or none if another one came in between.
+func unchangedAround(changes []IntentChange, at time.Duration) (IntentChange, bool) {
 	var last IntentChange
 	found := false
 	for _, t := range changes {
@@ -171,14 +171,14 @@
 	return last, found
 }
 
-// zoneBudgets finds servers of a returning zone that got more from all nodes together than the directive's budget, in
-// any second, with chance's part as the cold rule has it. What a node sends that was deaf before the zone was left, and still is, is not
-// counted: it serves the zone as ever.
+// zoneBudgets finds servers of a returning zone that received more requests from all nodes together within a second than the directive's
+// budget allows. As in the cold rule, random variation is allowed for: a budget of N permits N + 3*sqrt(N) + 3. Requests of a node that a
+// fault has kept from receiving directives since before the zone was left are not counted: that node still serves the zone normally.
 func (r Run) zoneBudgets(byKey map[string][]IntentChange) []Breach {
 	var out []Breach
 	byServer := map[string][]Attempt{}
 	for _, a := range r.Attempts {
-		if !r.deafSince(leftAt(byKey["zone/"+r.Fleet.ServerZone[a.Server]], a.Start), a) {
+		if !r.uninformedSince(directiveSince(byKey["zone/"+r.Fleet.ServerZone[a.Server]], a.Start), a) {
 			byServer[a.Server] = append(byServer[a.Server], a)
 		}
 	}
@@ -193,18 +193,19 @@
 			for as[first].Start <= a.Start-time.Second {
 				first++
 			}
-			budget, bound := budgetAbout(changes, a.Start-time.Second, a.Start)
+			budget, bound := largestBudget(changes, a.Start-time.Second, a.Start)
 			if n := i - first + 1; bound && float64(n) > budget+3*math.Sqrt(budget)+3 {
 				out = append(out, Breach{"Z-budget", a.ID, a.Start, fmt.Sprintf("%s got %d requests in a second, its budget is %.1f", server, n, budget)})
-				break // one for each server
+				break // report one breach per server
 			}
 		}
 	}
 	return out
 }
 
-// leftAt is when the first directive of those that hold at at was seen; 0 where none holds.
-func leftAt(changes []IntentChange, at time.Duration) time.Duration {
+// directiveSince returns the time of the first directive since the zone last had none, as of time at. It returns 0 if no directive is in
+// force then.
+func directiveSince(changes []IntentChange, at time.Duration) time.Duration {
 	since := time.Duration(0)
 	for _, t := range changes {
 		switch {
@@ -219,23 +220,24 @@
 	return since
 }
 
-// deafSince says whether a fault has kept the attempt's node itself from hearing from before left until the attempt.
-func (r Run) deafSince(left time.Duration, a Attempt) bool {
-	return left > 0 && slices.ContainsFunc(r.Exemptions, func(e Exemption) bool {
-		return e.Node == a.Node && e.Rule == "after-grace" && e.From <= left && (e.To < 0 || a.Start <= e.To)
+// uninformedSince reports whether a fault on the attempt's own node has kept it from receiving directives from before the time since until
+// the attempt.
+func (r Run) uninformedSince(since time.Duration, a Attempt) bool {
+	return since > 0 && slices.ContainsFunc(r.Exemptions, func(e Exemption) bool {
+		return e.Node == a.Node && e.Rule == "after-grace" && e.From <= since && (e.To < 0 || a.Start <= e.To)
 	})
 }
 
-// budgetAbout is the largest budget that held from a bound before from to a bound after to; false where at some time
-// there was none.
-func budgetAbout(changes []IntentChange, from, to time.Duration) (float64, bool) {
+// largestBudget returns the largest budget in force from zoneBound before from to zoneBound after to, or false if there was no budget for
+// a part of this time.
+func largestBudget(changes []IntentChange, from, to time.Duration) (float64, bool) {
 	budget, bound := 0.0, false
 	for i, t := range changes {
 		if t.At > to+zoneBound {
 			break
 		}
 		if i+1 < len(changes) && changes[i+1].At <= from-zoneBound {
-			continue // over by then
+			continue // no longer in force
 		}
 		if i == 0 && t.At > from-zoneBound || t.Removed || t.Phase == "serving" || t.Budget <= 0 && t.Share > 0 {
 			return 0, false
--- a/internal/invariants/fleet_state.go
+++ b/internal/invariants/fleet_state.go
@@ -7,76 +7,77 @@
 	"time"
 )
 
-// tenants finds attempts for tenants that had no committed generation, or were removed, and quotas over their sum.
+// tenants finds attempts for tenants that had no committed generation or were removed, and tenants that exceeded their quota over all nodes.
 func (r Run) tenants(byKey map[string][]IntentChange) []Breach {
 	var out []Breach
-	account := map[string]string{}
+	accounts := map[string]string{}
 	for _, s := range r.Sent {
-		account[s.ID] = s.Account
+		accounts[s.ID] = s.Account
 	}
 	seen := map[string]bool{}
-	begun := map[string][]time.Duration{} // by tenant, the first attempt of each request
+	firstAttempts := map[string][]time.Duration{} // times of the first attempt of each request, by tenant
 	for _, a := range r.Attempts {
-		name := account[a.ID]
+		name := accounts[a.ID]
 		if name == "" {
 			continue
 		}
 		changes := byKey["tenant/"+name]
 		if !seen[a.ID] {
 			seen[a.ID] = true
-			begun[name] = append(begun[name], a.Start)
+			firstAttempts[name] = append(firstAttempts[name], a.Start)
 		}
-		now := IntentChange{}
+		current := IntentChange{}
 		ok := false
-		ever := false
-		soon := r.Fleet.Settings[name] && len(changes) == 0
+		everCommitted := false
+		committedNearby := r.Fleet.Settings[name] && len(changes) == 0
 		for _, t := range changes {
 			if t.At <= a.Start {
-				now = t
+				current = t
 				ok = true
-				ever = ever || t.Committed
+				everCommitted = everCommitted || t.Committed
 			}
 			if t.At <= a.Start+zoneBound && t.At >= a.Start-r.Slack && t.Committed && !t.Removing && !t.Removed {
-				soon = true // the nodes may hear a little before the lab, and go on a little after
+				committedNearby = true // nodes may receive a change a little before the lab, and apply the next one a little later
 			}
 		}
 		switch {
-		case soon, ok && now.Committed && !now.Removing && !now.Removed:
-		case ok && (now.Removing || now.Removed):
-			if a.Start > now.At+r.Slack && !r.excused("after-grace", a.Node, now.At, a.Start) {
-				out = append(out, Breach{"T-removed", a.ID, a.Start, fmt.Sprintf("node %d sent on a request of %s, removed at %v", a.Node, name, now.At)})
+		case committedNearby, ok && current.Committed && !current.Removing && !current.Removed:
+		case ok && (current.Removing || current.Removed):
+			if a.Start > current.At+r.Slack && !r.exempt("after-grace", a.Node, current.At, a.Start) {
+				out = append(out, Breach{"T-removed", a.ID, a.Start, fmt.Sprintf("node %d sent on a request of %s, removed at %v", a.Node, name, current.At)})
 			}
-		case r.Fleet.Settings[name] && !ever: // the settings go on
+		case r.Fleet.Settings[name] && !everCommitted: // the settings still apply
 		default:
 			out = append(out, Breach{"T-uncommitted", a.ID, a.Start, fmt.Sprintf("node %d sent on a request of %s, which had no committed generation",
 				a.Node, name)})
 		}
 	}
-	for name, at := range begun {
+	for name, at := range firstAttempts {
 		out = append(out, r.quota(name, byKey["tenant/"+name], at)...)
 	}
 	return out
 }
 
-// quota plays a tenant's first attempts into a bucket that its quota drains, over all nodes: more than the burst, and a
-// token and chance's one for each incarnation of a node, is over.
-func (r Run) quota(name string, changes []IntentChange, begun []time.Duration) []Breach {
-	slices.Sort(begun)
+// quota adds a tenant's first attempts at all nodes to a leaky bucket that drains at the rate of its quota. The quota is exceeded if the
+// level is above the burst plus two for each incarnation of a node, one for the token that it starts with and one for random variation,
+// plus 20 ms of the rate.
+func (r Run) quota(name string, changes []IntentChange, firstAttempts []time.Duration) []Breach {
+	slices.Sort(firstAttempts)
 	level, last := 0.0, time.Duration(0)
-	for _, at := range begun {
+	for _, at := range firstAttempts {
 		rate := 0.0
 		burst := 0.0
-		on := false
+		limited := false
 		for i, t := range changes {
-			// A generation counts from when it was seen until the next had been for the bound.
+			// A generation counts from its arrival until r.Slack after the arrival of the next one.
 			if t.At > at || !t.Committed || i+1 < len(changes) && changes[i+1].At+r.Slack < at {
 				continue
 			}
 			rate = max(rate, t.Rate)
 			burst = max(burst, t.Burst)
-			on = true
+			limited = true
 		}
-		if !on || rate <= 0 {
+		if !limited || rate <= 0 {
 			level, last = 0, at
 			continue
 		}
@@ -88,8 +89,8 @@
 	return nil
 }
 
-// drift finds verdicts that cry of what nobody caused, planted drifts that no verdict found, and nodes shown in step
-// while they could say nothing.
+// drift finds verdicts about drifts that nothing caused, drifts caused by the lab that no verdict reported, and nodes that were shown in
+// step while they could not report.
 func (r Run) drift() []Breach {
 	var out []Breach
 	f := r.Fleet
@@ -102,7 +103,7 @@
 		case v.State == "ahead":
 			out = append(out, Breach{"D-ahead", "", v.At, fmt.Sprintf("node %d holds what was never committed: %s", v.Node, v.What)})
 		case v.State != "stuck" && v.State != "diverged" && v.State != "overridden", planted:
-		case r.excused("", v.Node, v.At-driftBound, v.At):
+		case r.exempt("", v.Node, v.At-driftBound, v.At):
 		default:
 			out = append(out, Breach{"D-false", "", v.At, fmt.Sprintf("node %d is %s though no fault was on it: %s", v.Node, v.State, v.What)})
 		}
--- a/internal/invariants/invariants.go
+++ b/internal/invariants/invariants.go
@@ -1,12 +1,13 @@
-// Package invariants checks the hard rules over what a run of the fleet lab recorded: what clients sent and heard,
-// what app servers received, and what the lab did to the fleet. It does no I/O and keeps no clock: a run's records
-// go in, the breaches come out, each with the request id that shows it.
+// Package invariants checks the hard rules on the records of a fleet lab run: the requests and answers of the clients, the
+// attempts that app servers received, and the faults and changes that the lab made. It does no I/O and uses no clock: Check takes
+// the records of a run and returns the breaches, each with the request id that shows it.
 //
-// A run with a control plane is also held to the fleet's rules (docs/lab.md, "The fleet's rules").
+// A run with a control plane is also checked against the fleet's rules (docs/lab.md, "The fleet's rules").
 //
-// The rules are the bench's (DESIGN, "Hard rules"): one final answer per request taken; a fragile class never runs
-// twice; one attempt out at a time per request; nothing new to a draining or gone server after the grace; no cold
-// app server overloaded by nodes that knew of its start; nothing reaches an app server that no client sent.
+// The hard rules are those of the bench (DESIGN, "Hard rules"): each request taken by a node gets one final answer; a request of a
+// fragile class never runs twice; a request has at most one attempt in flight; no new attempt starts at a draining or gone server
+// after the grace; no warming app server is overloaded by nodes that knew of its start; and app servers receive only requests
+// that a client sent.
 package invariants
 
 import (
@@ -15,94 +16,94 @@
 	"time"
 )
 
-// Sent is one request as the load generator saw it. Times are offsets from the run's start.
+// Sent is one request as the load generator recorded it. Times are relative to the run's start.
 type Sent struct {
 	ID      string        // X-Correlation-Id
-	Class   string        // first part of the path
+	Class   string        // first segment of the path
 	Account string        // X-Account, the tenant
 	Node    int           // the node whose front connection carried it
-	At      time.Duration // its last byte written
-	Taken   bool          // its last byte was written to a connection; a request never written is not the node's
-	Done    time.Duration // the answer's last byte, or when the connection broke; zero if never
-	Status  int           // the node's status; 0 where no answer came
-	Err     string        // what broke, where no answer came
-	Closed  bool          // it was the first on a new connection, which ended with no answer
+	At      time.Duration // when its last byte was written
+	Taken   bool          // its last byte was written to a connection; otherwise the node is not responsible for it
+	Done    time.Duration // when the answer's last byte was received or the connection broke; 0 if neither happened
+	Status  int           // status of the node's answer; 0 if there was none
+	Err     string        // the error, if there was no answer
+	Closed  bool          // it was the first request on a new connection, which was closed without an answer
 }
 
-// Attempt is one request as an app server received it.
+// Attempt is one attempt of a request as an app server received it.
 type Attempt struct {
 	ID     string
 	Class  string
-	Server string        // the server's id in the list
-	Node   int           // which node sent it, by the source address of the lab's relay; -1 if unknown
-	Start  time.Duration // its last byte came
-	End    time.Duration // its answer was written or its connection broke
-	Ran    bool          // the server began its work (an effect, for a fragile class)
+	Server string        // the server's id in the endpoint list
+	Node   int           // node that sent it, by the source address of the lab's relay; -1 if unknown
+	Start  time.Duration // when its last byte was received
+	End    time.Duration // when its answer was written or its connection broke
+	Ran    bool          // the server began to work on it, which has an effect for a fragile class
 }
 
-// Change is a list change that the lab made: from At on, Server is in State for every node.
+// Change is a change that the lab made to the endpoint list: from At on, the list has Server in State for every node.
 type Change struct {
 	Server string
 	State  string // "ready", "draining", "gone"
 	At     time.Duration
 }
 
-// Fall is a warming app server that was overloaded: from Start it warmed up, at At it got one request too many.
+// Fall is the overload of a warming app server, which started at Start and received one request too many at At.
 type Fall struct {
 	Server  string
 	Start   time.Duration
 	At      time.Duration
-	Allowed float64 // requests that it bore within the rule's time
-	Got     []Part  // those it got
+	Allowed float64 // requests that it tolerated within the rule's window
+	Got     []Part  // requests that it received within the window
 }
 
-// Part is one request of a Fall.
+// Part is one request that contributed to a Fall.
 type Part struct {
 	Node int
 	At   time.Duration
 }
 
-// Exemption is a window in which a node, or the links round it, were made to fail by the lab: requests it loses then
-// are the fault's cost, not a breach. Node -1 exemptions every node.
+// Exemption is a time window in which the lab made a node or its links fail. Requests that the node loses then are a consequence of
+// the fault and not a breach. Node -1 exempts every node.
 type Exemption struct {
 	Node int
 	Rule string // "answer", "after-grace", or "" for both
 	From time.Duration
 	To   time.Duration
-	Back time.Duration // when the fault itself ended; To has what it goes on costing
-	Why  string        // what opened it: "down n3", "stopped n3", "cut n3", "deaf n3", "agent ...", "replica ..."
+	Back time.Duration // when the fault itself ended; its consequences may last until To
+	Why  string        // the fault that opened the window: "down n3", "stopped n3", "cut n3", "deaf n3", "agent ...", "replica ..."
 }
 
-// Run is all that the checker reads.
+// Run is the checker's complete input.
 type Run struct {
 	Sent       []Sent
 	Attempts   []Attempt
 	Changes    []Change
 	Exemptions []Exemption
 	Falls      []Fall
-	Fleet      *Fleet          // of a run with a control plane
-	Sightings  []Sighting      // of a run whose members gossip
+	Fleet      *Fleet          // set for a run with a control plane
+	Sightings  []Sighting      // set for a run whose members gossip
 	Fragile    map[string]bool // classes that must never run twice
-	Grace      time.Duration   // after a change is made, how long attempts to the server may still start
-	Slack      time.Duration   // how long a change may take to reach the nodes when no fault holds it up
-	End        time.Duration   // when the load ended
+	Grace      time.Duration   // time after a change during which attempts at the server may still start
+	Slack      time.Duration   // time that a change may take to reach the nodes if no fault delays it
+	End        time.Duration   // end of the load
 }
 
-// Breach is one broken rule.
+// Breach is one violation of a rule.
 type Breach struct {
-	Rule   string // "answer", "twice", "overlap", "after-grace", "unsent", "cold-fall"; Z-, T- and D- of the fleet, M- of members
-	ID     string // the request id; empty where the rule is not about one request
+	Rule   string // "answer", "twice", "overlap", "after-grace", "unsent", "cold-fall"; Z-, T- and D- for the fleet's rules, M- for members
+	ID     string // request id; empty if the rule is not about a single request
 	At     time.Duration
 	Detail string
 }
 
 func (b Breach) String() string { return fmt.Sprintf("%s %s at %v: %s", b.Rule, b.ID, b.At, b.Detail) }
 
-// closedPer: one request in so many may find its new connection closed with no answer, which counts as a refusal; the
-// rest are lost.
-const closedPer = 200
+// requestsPerClosedConn is the number of requests for each of which one may find its new connection closed without an answer, which
+// counts as a refusal. Further ones count as lost.
+const requestsPerClosedConn = 200
 
-// Check gives every breach in the run, ordered by time.
+// Check returns every breach in the run, ordered by time.
 func Check(r Run) []Breach {
 	var out []Breach
 	sent := make(map[string]Sent, len(r.Sent))
@@ -112,9 +113,9 @@
 			out = append(out, Breach{"answer", s.ID, s.At, fmt.Sprintf("id sent twice by the clients (first at %v)", prev.At)})
 		}
 		sent[s.ID] = s
-		if s.Status == 0 && s.Taken && s.At < r.End && !r.excused("answer", s.Node, s.At, s.Done) {
+		if s.Status == 0 && s.Taken && s.At < r.End && !r.exempt("answer", s.Node, s.At, s.Done) {
 			if s.Closed {
-				if closed++; closed*closedPer <= len(r.Sent) {
+				if closed++; closed*requestsPerClosedConn <= len(r.Sent) {
 					continue
 				}
 			}
@@ -131,18 +132,18 @@
 	}
 	for id, as := range byID {
 		sort.Slice(as, func(i, j int) bool { return as[i].Start < as[j].Start })
-		ran := 0
+		runs := 0
 		for i, a := range as {
 			if a.Ran {
-				ran++
+				runs++
 			}
 			if i > 0 && as[i-1].End > a.Start {
 				out = append(out, Breach{"overlap", id, a.Start, fmt.Sprintf("attempt at %s began while the one at %s was out (until %v)",
 					a.Server, as[i-1].Server, as[i-1].End)})
 			}
 		}
-		if ran > 1 && r.Fragile[as[0].Class] {
-			out = append(out, Breach{"twice", id, as[len(as)-1].Start, fmt.Sprintf("class %s ran %d times", as[0].Class, ran)})
+		if runs > 1 && r.Fragile[as[0].Class] {
+			out = append(out, Breach{"twice", id, as[len(as)-1].Start, fmt.Sprintf("class %s ran %d times", as[0].Class, runs)})
 		}
 	}
 	out = append(out, r.afterGrace()...)
@@ -153,8 +154,9 @@
 	return out
 }
 
-// excused says whether a window of the rule (any for "") covers node's request from..to (to zero: never ended, so up to the end).
-func (r Run) excused(rule string, node int, from, to time.Duration) bool {
+// exempt reports whether an exemption from the rule (from any rule for "") for node overlaps the time from..to. A zero to stands for a
+// request that never ended, and is replaced by the end of the run.
+func (r Run) exempt(rule string, node int, from, to time.Duration) bool {
 	if to == 0 {
 		to = r.End
 	}
@@ -166,8 +168,8 @@
 	return false
 }
 
-// afterGrace finds attempts that began at a draining or gone server later than the grace after the change, from a
-// node that no fault kept from hearing of it.
+// afterGrace finds attempts that started at a draining or gone server after the grace, from a node that no fault kept from receiving the
+// change.
 func (r Run) afterGrace() []Breach {
 	var out []Breach
 	changes := append([]Change(nil), r.Changes...)
@@ -179,7 +181,7 @@
 				state, since = c.State, c.At
 			}
 		}
-		if state == "ready" || a.Start <= since+r.Slack+r.Grace || r.excused("after-grace", a.Node, since, a.Start) {
+		if state == "ready" || a.Start <= since+r.Slack+r.Grace || r.exempt("after-grace", a.Node, since, a.Start) {
 			continue
 		}
 		out = append(out, Breach{"after-grace", a.ID, a.Start, fmt.Sprintf("new attempt from node %d to %s, %s since %v",
@@ -188,7 +190,7 @@
 	return out
 }
 
-// warmingOverloads finds the falls of which over two thirds came from nodes that knew of the start.
+// warmingOverloads finds the overloads in which more than two thirds of the requests came from nodes that knew of the server's start.
 func (r Run) warmingOverloads() []Breach {
 	var out []Breach
 	for _, f := range r.Falls {
@@ -199,17 +201,17 @@
 			}
 		}
 		if readyAt < 0 {
-			continue // nobody knew
+			continue // no node knew of the start
 		}
-		n := 0
+		informed := 0
 		for _, p := range f.Got {
-			if p.At > readyAt+r.Slack && !r.excused("after-grace", p.Node, readyAt, p.At) {
-				n++
+			if p.At > readyAt+r.Slack && !r.exempt("after-grace", p.Node, readyAt, p.At) {
+				informed++
 			}
 		}
-		if 3*n > 2*len(f.Got) {
+		if 3*informed > 2*len(f.Got) {
 			out = append(out, Breach{"cold-fall", "", f.At, fmt.Sprintf("%s, up since %v, got %d requests where it bears %.0f; %d of nodes that knew",
-				f.Server, f.Start, len(f.Got), f.Allowed, n)})
+				f.Server, f.Start, len(f.Got), f.Allowed, informed)})
 		}
 	}
 	return out
--- a/internal/invariants/invariants_test.go
+++ b/internal/invariants/invariants_test.go
@@ -8,7 +8,7 @@
 
 const ms = time.Millisecond
 
-func clean() Run {
+func cleanRun() Run {
 	return Run{
 		Sent: []Sent{{ID: "a", Class: "place-order", At: 10 * ms, Done: 90 * ms, Status: 200, Taken: true},
 			{ID: "b", Class: "schedule-view", At: 20 * ms, Done: 60 * ms, Status: 200, Taken: true}},
@@ -21,12 +21,12 @@
 }
 
 func TestCleanRunHasNoBreach(t *testing.T) {
-	if b := Check(clean()); len(b) != 0 {
+	if b := Check(cleanRun()); len(b) != 0 {
 		t.Fatal(b)
 	}
 }
 
-func TestEachRuleIsCaught(t *testing.T) {
+func TestDetectsEachRuleBreach(t *testing.T) {
 	for _, c := range []struct {
 		rule   string
 		change func(*Run)
@@ -46,7 +46,7 @@
 				Got: []Part{{0, 140 * ms}, {0, 200 * ms}, {1, 210 * ms}, {1, 300 * ms}}}}
 		}},
 	} {
-		r := clean()
+		r := cleanRun()
 		c.change(&r)
 		b := Check(r)
 		if len(b) != 1 || b[0].Rule != c.rule {
@@ -55,32 +55,32 @@
 	}
 }
 
-func TestExcusesAndGrace(t *testing.T) {
-	r := clean()
+func TestExemptionsAndGrace(t *testing.T) {
+	r := cleanRun()
 	r.Sent[1].Status, r.Sent[1].Err = 0, "reset"
 	r.Exemptions = []Exemption{{Node: 0, From: 50 * ms, To: 70 * ms, Why: "kill"}}
 	if b := Check(r); len(b) != 0 {
-		t.Errorf("an excused loss is a breach: %v", b)
+		t.Errorf("a loss within an exemption is a breach: %v", b)
 	}
-	r = clean()
+	r = cleanRun()
 	r.Changes = []Change{{Server: "s1", State: "gone", At: 0}, {Server: "s1", State: "ready", At: 300 * ms}}
 	r.Attempts[2].Start = 140 * ms // within slack and grace
 	r.Attempts = append(r.Attempts, Attempt{ID: "b", Server: "s1", Start: 500 * ms, End: 510 * ms})
 	r.Attempts[2].End = 150 * ms
 	if b := Check(r); len(b) != 0 {
-		t.Errorf("within the grace, or back: %v", b)
+		t.Errorf("an attempt within the grace, or at a server that is ready again, is a breach: %v", b)
 	}
 }
 
-// One new connection in 200 may be closed with no answer; one more, or a kept connection, or a request that only timed
-// out, is a loss.
+// For each 200 requests, one new connection may be closed without an answer. A further one is a breach, and so is a request that is
+// lost on a connection in use or by a timeout.
 func TestClosedNewConnections(t *testing.T) {
 	for _, c := range []struct {
 		lost   int
 		closed bool
 		want   int
 	}{{2, true, 0}, {3, true, 1}, {1, false, 1}} {
-		r := clean()
+		r := cleanRun()
 		for i := range 400 - len(r.Sent) {
 			s := Sent{ID: fmt.Sprint("x", i), Class: "schedule-view", At: 10 * ms, Done: 90 * ms, Status: 200, Taken: true}
 			if i < c.lost {
@@ -94,29 +94,30 @@
 	}
 }
 
-// A fall is no breach where a third or more came from nodes that did not know of the start: too early, cut off, or nobody did.
-func TestFallsOfUnawareNodes(t *testing.T) {
+// An overload is no breach if a third or more of its requests came from nodes that did not know of the server's start: they sent too
+// early, were cut off, or no node knew.
+func TestOverloadsByUninformedNodes(t *testing.T) {
 	fall := Fall{Server: "s3", Start: 90 * ms, At: 300 * ms, Got: []Part{{0, 140 * ms}, {0, 200 * ms}, {1, 300 * ms}}}
 	ready := []Change{{Server: "s3", State: "ready", At: 100 * ms}}
-	deaf := []Exemption{{Node: 1, Rule: "after-grace", From: 50 * ms, To: time.Second}}
+	uninformed := []Exemption{{Node: 1, Rule: "after-grace", From: 50 * ms, To: time.Second}}
 	for _, c := range []struct {
-		changes []Change
-		excuses []Exemption
-		n       int
+		changes    []Change
+		exemptions []Exemption
+		n          int
 	}{{ready, nil, 0}, {[]Change{{Server: "s3", State: "ready", At: 80 * ms}}, nil, 0}, {nil, nil, 0}} {
-		r := clean()
-		r.Falls, r.Changes, r.Exemptions = []Fall{fall}, c.changes, c.excuses
+		r := cleanRun()
+		r.Falls, r.Changes, r.Exemptions = []Fall{fall}, c.changes, c.exemptions
 		if b := Check(r); len(b) != c.n {
 			t.Errorf("%v: %v", c.changes, b)
 		}
 	}
 	fall.Got[0].At = 160 * ms
-	r := clean()
+	r := cleanRun()
 	r.Falls, r.Changes = []Fall{fall}, ready
 	if b := Check(r); len(b) != 1 {
-		t.Errorf("all know: %v", b)
+		t.Errorf("all nodes know of the start: %v", b)
 	}
-	if r.Exemptions = deaf; len(Check(r)) != 0 {
-		t.Errorf("a third deaf: %v", Check(r))
+	if r.Exemptions = uninformed; len(Check(r)) != 0 {
+		t.Errorf("a third from uninformed nodes: %v", Check(r))
 	}
 }
