--- a/internal/lab/report/fleet.go
+++ b/internal/lab/report/fleet.go
@@ -55,20 +55,20 @@
 }
 
 func deaths(r *lab.Records) Deaths {
-	at := map[int]time.Duration{}
+	silencedAt := map[int]time.Duration{}
 	for _, s := range r.Silenced {
-		if _, ok := at[s.Node]; !ok {
-			at[s.Node] = s.At
+		if _, ok := silencedAt[s.Node]; !ok {
+			silencedAt[s.Node] = s.At
 		}
 	}
-	out := Deaths{Silenced: len(at), Pairs: len(at) * (len(r.Nodes) - len(at))}
+	out := Deaths{Silenced: len(silencedAt), Pairs: len(silencedAt) * (len(r.Nodes) - len(silencedAt))}
 	seen := map[[2]int]bool{}
 	var took []float64
 	for _, s := range r.Sightings {
-		when, ok := at[s.Of]
-		_, removed := at[s.By]
+		when, ok := silencedAt[s.Of]
+		_, bySilenced := silencedAt[s.By]
 		switch {
-		case s.State != "dead" || removed:
+		case s.State != "dead" || bySilenced:
 		case !ok:
 			out.False++
 		case s.At >= when && !seen[[2]int{s.By, s.Of}]:
