--- a/internal/lab/datapath/datapath.go
+++ b/internal/lab/datapath/datapath.go
@@ -1,5 +1,5 @@
-// Package datapath measures what a real node adds to a request: one node process before one stub app server, a list of
-// any size whose every entry is that server, and requests in turn through the node and to the server directly.
+// Package datapath measures the time that a real node adds to a request. One node process runs in front of one stub app server,
+// with a list of any size in which every entry is that server. Requests go alternately through the node and to the server directly.
 package datapath
 
 import (
@@ -29,21 +29,21 @@
 //go:embed settings.json
 var settings []byte
 
-// Plan is one measurement.
+// Plan describes one measurement.
 type Plan struct {
 	Binary       string        `json:"binary"`         // the node program
-	Dir          string        `json:"-"`              // of its log and configuration
-	Nodes        int           `json:"nodes"`          // that the node is configured for: its subset and its part of quotas go by it
+	Dir          string        `json:"-"`              // for the node's log and configuration
+	Nodes        int           `json:"nodes"`          // fleet size that the node is configured for; its subset and its part of quotas depend on it
 	Servers      int           `json:"servers"`        // entries of the list
-	ChangesPerS  float64       `json:"changes_per_s"`  // of the list: an entry drains, and is ready again at the next change
-	RequestsPerS float64       `json:"requests_per_s"` // through the node; as many go directly
+	ChangesPerS  float64       `json:"changes_per_s"`  // changes of the list: an entry drains, and is ready again at the next change
+	RequestsPerS float64       `json:"requests_per_s"` // through the node; as many go to the server directly
 	Latency      time.Duration `json:"latency"`        // of the app server's work, ns
-	Warm         time.Duration `json:"warm"`           // ns, not counted
-	Measure      time.Duration `json:"measure"`        // ns
+	Warm         time.Duration `json:"warm"`           // time before the measurement whose requests are not counted, ns
+	Measure      time.Duration `json:"measure"`        // duration of the measurement, ns
 	Seed         uint64        `json:"seed"`
 }
 
-// Bounds of a plan: a load loop is to end by itself, and to leave the machine alone.
+// Limits of a plan: a load loop must end by itself and must not overload the machine.
 const (
 	MaxNodes        = 10_000
 	MaxServers      = 100_000
@@ -51,7 +51,7 @@
 	MaxMeasure      = 10 * time.Minute
 )
 
-// Check gives one line on what of a plan can't be.
+// Check returns an error of one line that names a value of the plan that is out of range.
 func (p Plan) Check() error {
 	switch {
 	case p.Servers < 1 || p.Servers > MaxServers:
@@ -70,7 +70,7 @@
 	return nil
 }
 
-// Times are percentiles of complete requests, in ms.
+// Times are percentiles of the times that complete requests took, in ms.
 type Times struct {
 	Count int64   `json:"count"`
 	P50   float64 `json:"p50_ms"`
@@ -79,30 +79,30 @@
 	Max   float64 `json:"max_ms"`
 }
 
-// Result is what a plan came to. Added is the difference of the percentiles.
+// Result is what a measurement found. Added is the difference between the percentiles of Node and those of Direct.
 type Result struct {
 	Plan    Plan    `json:"plan"`
 	Direct  Times   `json:"direct"`
 	Node    Times   `json:"node"`
 	Added   Times   `json:"added"`
 	Failed  int64   `json:"failed"`  // requests through the node that were not answered with 200
-	Lost    int64   `json:"lost"`    // direct ones
-	Changes int     `json:"changes"` // of the list while it was measured
-	CPU     float64 `json:"cpu_s"`   // of the node over its whole life
+	Lost    int64   `json:"lost"`    // direct requests that were not answered with 200
+	Changes int     `json:"changes"` // of the list during the measurement
+	CPU     float64 `json:"cpu_s"`   // CPU time of the node over its whole run
 }
 
 const (
-	class       = "schedule-view"
-	account     = "one"
-	zone        = "a"
-	readyWithin = 30 * time.Second
-	endWithin   = 5 * time.Second
-	resolution  = int64(time.Microsecond)
-	longest     = int64(10 * time.Second)
+	class         = "schedule-view"
+	account       = "one"
+	zone          = "a"
+	readyWithin   = 30 * time.Second
+	endWithin     = 5 * time.Second
+	resolutionNS  = int64(time.Microsecond)
+	maxRecordedNS = int64(10 * time.Second)
 )
 
-// bench is one measurement under way.
-type bench struct {
+// measurement is a measurement in progress.
+type measurement struct {
 	plan     Plan
 	rec      *stub.Recorder
 	server   *stub.AppServer
@@ -113,22 +113,22 @@
 	requests atomic.Int64
 }
 
-// Measure carries out a plan. It ends what it started, whatever comes.
+// Measure carries out a plan. It ends everything that it started, also after an error.
 func Measure(ctx context.Context, plan Plan) (result Result, err error) {
 	if err := plan.Check(); err != nil {
 		return Result{}, err
 	}
-	b := &bench{plan: plan, rec: stub.NewRecorder()}
-	defer func() { result.CPU = b.close() }()
-	if err := b.start(ctx); err != nil {
+	m := &measurement{plan: plan, rec: stub.NewRecorder()}
+	defer func() { result.CPU = m.close() }()
+	if err := m.start(ctx); err != nil {
 		return Result{}, err
 	}
-	b.load(ctx, plan.Warm, nil, nil)
+	m.load(ctx, plan.Warm, nil, nil)
 	direct, node := newSeries(), newSeries()
-	changing, stop := context.WithCancel(ctx)
+	changeCtx, stop := context.WithCancel(ctx)
 	changed := make(chan int)
-	go func() { changed <- b.change(changing) }()
-	b.load(ctx, plan.Measure, direct, node)
+	go func() { changed <- m.change(changeCtx) }()
+	m.load(ctx, plan.Measure, direct, node)
 	stop()
 	result = Result{Plan: plan, Direct: direct.times(), Node: node.times(), Failed: node.failed, Lost: direct.failed, Changes: <-changed}
 	result.Added = Times{P50: result.Node.P50 - result.Direct.P50, P99: result.Node.P99 - result.Direct.P99,
@@ -136,30 +136,30 @@
 	return result, ctx.Err()
 }
 
-// start brings up the app server, the list and the node, and waits until the node is ready.
-func (b *bench) start(ctx context.Context) error {
-	spec := stub.ServerSpec{ID: "s-0", Zone: zone, Capacity: 256, Latency: b.plan.Latency, IdleClose: time.Minute}
+// start starts the app server, the list and the node, and waits until the node is ready.
+func (m *measurement) start(ctx context.Context) error {
+	spec := stub.ServerSpec{ID: "s-0", Zone: zone, Capacity: 256, Latency: m.plan.Latency, IdleClose: time.Minute}
 	var err error
-	if b.server, err = stub.NewAppServer(spec, "127.0.0.1:0", func(string) int { return 0 }, b.rec, b.plan.Seed); err != nil {
+	if m.server, err = stub.NewAppServer(spec, "127.0.0.1:0", func(string) int { return 0 }, m.rec, m.plan.Seed); err != nil {
 		return err
 	}
-	entries := make([]stub.Entry, b.plan.Servers)
+	entries := make([]stub.Entry, m.plan.Servers)
 	for i := range entries {
 		entries[i] = stub.Entry{ID: entryID(i), Zone: zone, Kind: "std", State: "ready", Weight: 1, StartedMS: 1}
 	}
-	b.list = stub.NewDiscovery(entries)
-	discovery, err := b.list.View(func(string) string { return b.server.Addr })
+	m.list = stub.NewDiscovery(entries)
+	discovery, err := m.list.View(func(string) string { return m.server.Addr })
 	if err != nil {
 		return err
 	}
-	if b.listen, err = freeAddress(); err != nil {
+	if m.listen, err = freeAddress(); err != nil {
 		return err
 	}
-	b.client = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}, Timeout: endWithin}
-	if err := b.launch(discovery); err != nil {
+	m.client = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}, Timeout: endWithin}
+	if err := m.launch(discovery); err != nil {
 		return err
 	}
-	return b.ready(ctx)
+	return m.ready(ctx)
 }
 
 func entryID(i int) string { return fmt.Sprintf("s-%06d", i) }
@@ -188,58 +188,58 @@
 	MemoryMB int `json:"memory_mb"`
 }
 
-// settings are the embedded ones with the planned number of nodes.
-func (b *bench) settings() (json.RawMessage, error) {
+// settings returns the embedded settings with the planned number of nodes.
+func (m *measurement) settings() (json.RawMessage, error) {
 	var fields map[string]json.RawMessage
 	if err := json.Unmarshal(settings, &fields); err != nil {
 		return nil, err
 	}
-	fields["balancers"] = json.RawMessage(strconv.Itoa(b.plan.Nodes))
+	fields["balancers"] = json.RawMessage(strconv.Itoa(m.plan.Nodes))
 	return json.Marshal(fields)
 }
 
-func (b *bench) launch(discovery string) error {
-	own, err := b.settings()
+func (m *measurement) launch(discovery string) error {
+	nodeSettings, err := m.settings()
 	if err != nil {
 		return err
 	}
 	raw, err := json.Marshal(config{
 		Name:      "n0",
-		Listen:    b.listen,
+		Listen:    m.listen,
 		Discovery: discovery,
-		Seed:      strconv.FormatUint(b.plan.Seed, 16),
+		Seed:      strconv.FormatUint(m.plan.Seed, 16),
 		Limits:    limits{Sockets: 1024, MemoryMB: 256},
-		Settings:  own,
+		Settings:  nodeSettings,
 	})
 	if err != nil {
 		return err
 	}
-	path := filepath.Join(b.plan.Dir, "config.json")
+	path := filepath.Join(m.plan.Dir, "config.json")
 	if err := os.WriteFile(path, raw, 0o644); err != nil {
 		return err
 	}
-	log, err := os.Create(filepath.Join(b.plan.Dir, "node.log"))
+	log, err := os.Create(filepath.Join(m.plan.Dir, "node.log"))
 	if err != nil {
 		return err
 	}
 	defer log.Close()
-	node := exec.Command(b.plan.Binary)
-	node.Env = append(os.Environ(), "GW_CONFIG="+path, "TMPDIR="+b.plan.Dir)
+	node := exec.Command(m.plan.Binary)
+	node.Env = append(os.Environ(), "GW_CONFIG="+path, "TMPDIR="+m.plan.Dir)
 	node.Stdout, node.Stderr = log, log
 	node.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := node.Start(); err != nil {
 		return err
 	}
-	b.node = node
+	m.node = node
 	return nil
 }
 
-func (b *bench) ready(ctx context.Context) error {
+func (m *measurement) ready(ctx context.Context) error {
 	for end := time.Now().Add(readyWithin); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
 		if ctx.Err() != nil {
 			return ctx.Err()
 		}
-		resp, err := b.client.Get("http://" + b.listen + "/health/ready")
+		resp, err := m.client.Get("http://" + m.listen + "/health/ready")
 		if err != nil {
 			continue
 		}
@@ -251,39 +251,40 @@
 	return errors.New("the node was not ready within " + readyWithin.String())
 }
 
-// close ends the node, by its own pid, and the stubs. It gives the node's processor time.
-func (b *bench) close() (cpu float64) {
-	if b.node != nil {
-		b.node.Process.Signal(syscall.SIGTERM)
-		kill := time.AfterFunc(endWithin, func() { b.node.Process.Kill() })
-		b.node.Wait()
+// close ends the node, by its own pid, and the stubs. It returns the node's CPU time in seconds.
+func (m *measurement) close() (cpu float64) {
+	if m.node != nil {
+		m.node.Process.Signal(syscall.SIGTERM)
+		kill := time.AfterFunc(endWithin, func() { m.node.Process.Kill() })
+		m.node.Wait()
 		kill.Stop()
-		cpu = (b.node.ProcessState.UserTime() + b.node.ProcessState.SystemTime()).Seconds()
+		cpu = (m.node.ProcessState.UserTime() + m.node.ProcessState.SystemTime()).Seconds()
 	}
-	if b.list != nil {
-		b.list.Close()
+	if m.list != nil {
+		m.list.Close()
 	}
-	if b.server != nil {
-		b.server.Stop()
+	if m.server != nil {
+		m.server.Stop()
 	}
 	return cpu
 }
 
-// change has one entry of the list drain and return, in turn, at the planned rate, until ctx ends.
-func (b *bench) change(ctx context.Context) (changes int) {
-	if b.plan.ChangesPerS == 0 {
+// change lets a random entry of the list drain and makes it ready again, at the planned rate of changes, until ctx ends. It
+// returns the number of changes.
+func (m *measurement) change(ctx context.Context) (changes int) {
+	if m.plan.ChangesPerS == 0 {
 		<-ctx.Done()
 		return 0
 	}
-	rnd := rand.New(rand.NewPCG(b.plan.Seed, 1))
-	every := time.Duration(float64(time.Second) / b.plan.ChangesPerS)
+	rnd := rand.New(rand.NewPCG(m.plan.Seed, 1))
+	every := time.Duration(float64(time.Second) / m.plan.ChangesPerS)
 	drained := ""
 	for stub.Sleep(ctx, every) {
 		if drained == "" {
-			drained = entryID(rnd.IntN(b.plan.Servers))
-			b.list.Set(drained, "draining", 0)
+			drained = entryID(rnd.IntN(m.plan.Servers))
+			m.list.Set(drained, "draining", 0)
 		} else {
-			b.list.Set(drained, "ready", 0)
+			m.list.Set(drained, "ready", 0)
 			drained = ""
 		}
 		changes++
@@ -291,28 +292,28 @@
 	return changes
 }
 
-// load sends requests at the planned rate for d, each once through the node and once directly, half a period apart. It waits
-// for their answers. Without series nothing is recorded.
-func (b *bench) load(ctx context.Context, d time.Duration, direct, node *series) {
-	var open sync.WaitGroup
-	defer open.Wait()
-	half := time.Duration(float64(time.Second) / b.plan.RequestsPerS / 2)
+// load sends requests at the planned rate for d: in each period one through the node and one directly, half a period apart. It
+// waits for their answers. If the series are nil, nothing is recorded.
+func (m *measurement) load(ctx context.Context, d time.Duration, direct, node *series) {
+	var inFlight sync.WaitGroup
+	defer inFlight.Wait()
+	halfPeriod := time.Duration(float64(time.Second) / m.plan.RequestsPerS / 2)
 	begin := time.Now()
-	for i := 0; time.Duration(i)*half < d; i++ {
-		if !stub.Sleep(ctx, time.Until(begin.Add(time.Duration(i)*half))) && ctx.Err() != nil {
+	for i := 0; time.Duration(i)*halfPeriod < d; i++ {
+		if !stub.Sleep(ctx, time.Until(begin.Add(time.Duration(i)*halfPeriod))) && ctx.Err() != nil {
 			return
 		}
-		address, to := b.listen, node
+		address, to := m.listen, node
 		if i%2 == 1 {
-			address, to = b.server.Addr, direct
+			address, to = m.server.Addr, direct
 		}
-		open.Go(func() { to.add(b.send(address)) })
+		inFlight.Go(func() { to.add(m.send(address)) })
 	}
 }
 
-// send makes one request and gives the time until its last byte, or false where it was not answered with 200.
-func (b *bench) send(address string) (time.Duration, bool) {
-	id := "r" + strconv.FormatInt(b.requests.Add(1), 10)
+// send sends one request and returns the time until the answer's last byte, and whether the request was answered with 200.
+func (m *measurement) send(address string) (time.Duration, bool) {
+	id := "r" + strconv.FormatInt(m.requests.Add(1), 10)
 	req, err := http.NewRequest(http.MethodGet, "http://"+address+"/"+class, nil)
 	if err != nil {
 		return 0, false
@@ -320,9 +321,9 @@
 	req.Header.Set("X-Correlation-Id", id)
 	req.Header.Set("X-Account", account)
 	req.Header.Set("X-Time-Left", "1.2")
-	b.rec.Sending(id)
+	m.rec.Sending(id)
 	begin := time.Now()
-	resp, err := b.client.Do(req)
+	resp, err := m.client.Do(req)
 	if err != nil {
 		return 0, false
 	}
@@ -333,7 +334,7 @@
 	return time.Since(begin), resp.StatusCode == http.StatusOK
 }
 
-// series are the times of one way.
+// series collects the times of requests on one of the two paths, through the node or directly.
 type series struct {
 	mu        sync.Mutex
 	histogram *hdrhistogram.Histogram
@@ -341,7 +342,7 @@
 }
 
 func newSeries() *series {
-	return &series{histogram: hdrhistogram.New(1, longest/resolution, 3)}
+	return &series{histogram: hdrhistogram.New(1, maxRecordedNS/resolutionNS, 3)}
 }
 
 func (s *series) add(took time.Duration, ok bool) {
@@ -354,7 +355,7 @@
 		s.failed++
 		return
 	}
-	s.histogram.RecordValue(min(int64(took), longest) / resolution)
+	s.histogram.RecordValue(min(int64(took), maxRecordedNS) / resolutionNS)
 }
 
 func (s *series) times() Times {
--- a/lab/scenarios/scenarios.go
+++ b/lab/scenarios/scenarios.go
@@ -11,7 +11,7 @@
 //go:embed *.toml
 var files embed.FS
 
-// Names lists the bundled scenarios.
+// Names returns the names of the bundled scenarios, sorted.
 func Names() []string {
 	entries, _ := fs.ReadDir(files, ".")
 	var out []string
@@ -22,5 +22,5 @@
 	return out
 }
 
-// Read gives a bundled scenario's text.
+// Read returns the text of a bundled scenario.
 func Read(name string) ([]byte, error) { return files.ReadFile(name + ".toml") }
