--- a/internal/lab/agent.go
+++ b/internal/lab/agent.go
@@ -9,16 +9,17 @@
 	"time"
 )
 
-// View starts the node's agent, each of its ways to a replica a relay of its own, and gives its address.
-func (l *replicatedList) View(n *node, addrOf func(string) string) (string, error) {
+// View starts an agent process for node n and returns the address at which the agent serves the node. The agent reaches
+// each replica through a relay of its own, and lists the servers under the addresses that addrOf returns.
+func (d *replicatedDiscovery) View(n *node, addrOf func(string) string) (string, error) {
 	rewrite := map[string]string{}
-	l.mu.Lock()
-	for id := range l.entries {
+	d.mu.Lock()
+	for id := range d.entries {
 		rewrite[id] = addrOf(id)
 	}
-	l.mu.Unlock()
+	d.mu.Unlock()
 	raw, _ := json.Marshal(rewrite)
-	dir := filepath.Join(l.f.opt.Dir, "nodes", n.info.Name)
+	dir := filepath.Join(d.f.opt.Dir, "nodes", n.info.Name)
 	if err := os.MkdirAll(filepath.Join(dir, "agent"), 0o755); err != nil {
 		return "", err
 	}
@@ -26,28 +27,28 @@
 	if err := os.WriteFile(path, raw, 0o644); err != nil {
 		return "", err
 	}
-	listen := l.f.place.agent(n.i)
-	a := &process{name: agentName(n.i), bin: l.f.s.Fleet.DiscoveryBinary, env: os.Environ(),
+	listen := d.f.addressBlock.agent(n.index)
+	a := &process{name: agentName(n.index), bin: d.f.s.Fleet.DiscoveryBinary, env: os.Environ(),
 		args: []string{"agent", "--listen", listen, "--addr-map", path}}
-	for r, target := range l.cluster.HTTP {
-		link, err := l.f.link(a.name, replicaName(r), target, "", l.f.s.Seed+uint64(n.i*100+r))
+	for r, target := range d.cluster.HTTP {
+		link, err := d.f.link(a.name, replicaName(r), target, "", d.f.s.Seed+uint64(n.index*100+r))
 		if err != nil {
 			return "", err
 		}
-		if l.f.s.Fleet.Control { // it has to know replicas by the names they give each other
+		if d.f.s.Fleet.Control { // the agent must know the replicas by the addresses that they use for each other
 			a.args = append(a.args, "--replica", target, "--route", target+"="+link.Addr)
 			continue
 		}
 		a.args = append(a.args, "--replica", link.Addr)
 	}
-	if l.f.s.Fleet.Control {
+	if d.f.s.Fleet.Control {
 		a.args = append(a.args, "--node", n.info.Name, "--zone", n.info.Zone, "--dir", filepath.Join(dir, "agent"))
 	}
 	if err := a.openLog(filepath.Join(dir, "agent.log")); err != nil {
 		return "", err
 	}
-	l.f.agents = append(l.f.agents, a)
-	if err := a.begin(l.f.opt.Dir, &l.f.agentCPU, &l.f.wg); err != nil {
+	d.f.agents = append(d.f.agents, a)
+	if err := a.start(d.f.opt.Dir, &d.f.agentCPU, &d.f.wg); err != nil {
 		return "", err
 	}
 	for end := time.Now().Add(20 * time.Second); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
--- a/internal/lab/control.go
+++ b/internal/lab/control.go
@@ -19,8 +19,9 @@
 	"meadowsill/internal/lab/stub"
 )
 
-// fleetFile writes the control plane's settings (docs/fleet.md) of this run and gives the file's path.
-func (f *fleet) fleetFile() (string, error) {
+// writeFleetFile writes the control plane's settings of this run (docs/fleet.md) to a file in the run's directory and
+// returns its path.
+func (f *fleet) writeFleetFile() (string, error) {
 	var b strings.Builder
 	set := map[string]any{"slots": f.s.Fleet.Nodes, "ttl_ms": f.s.Fleet.TTLMS,
 		"cold": map[string]any{"from": f.setting("invariants", "cold_from"), "time_ms": f.setting("invariants", "cold_ns") / 1e6}}
@@ -34,14 +35,14 @@
 	return path, os.WriteFile(path, []byte(b.String()), 0o644)
 }
 
-// watching follows what the control plane intends and thinks, for the records, until ctx ends.
-func (f *fleet) watching(ctx context.Context) {
+// watchControlPlane records the control plane's intent and its drift verdicts until ctx ends.
+func (f *fleet) watchControlPlane(ctx context.Context) {
 	f.wg.Go(func() { f.watchIntent(ctx) })
 	f.wg.Go(func() { f.watchDrift(ctx) })
 }
 
-// query reads path from replica r into v, within 5 s.
-func (f *fleet) query(ctx context.Context, r int, path string, v any) error {
+// getJSON requests path from replica r and decodes the JSON answer into v. The request times out after 5 s.
+func (f *fleet) getJSON(ctx context.Context, r int, path string, v any) error {
 	ctx, cancel := context.WithTimeout(ctx, 5*time.Second)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+f.cluster.HTTP[r]+path, nil)
@@ -63,38 +64,39 @@
 	return json.Unmarshal(raw, v)
 }
 
-// watchIntent keeps every change of intent with the time it was seen, from whichever replica answers.
+// watchIntent records every change of the control plane's intent with the time at which it was seen, until ctx ends. After an
+// error, or an answer with an older revision, it asks the next replica.
 func (f *fleet) watchIntent(ctx context.Context) {
 	since := uint64(0)
 	seen := map[string]uint64{}
 	for r := 0; ctx.Err() == nil; {
-		var in messages.Intent
-		if err := f.query(ctx, r, fmt.Sprintf("/fleet/v1/intent?since=%d&timeout_ms=1000", since), &in); err != nil || in.Revision < since {
+		var intent messages.Intent
+		if err := f.getJSON(ctx, r, fmt.Sprintf("/fleet/v1/intent?since=%d&timeout_ms=1000", since), &intent); err != nil || intent.Revision < since {
 			r = (r + 1) % len(f.cluster.HTTP)
 			stub.Sleep(ctx, 50*time.Millisecond)
 			continue
 		}
-		now := f.rec.Since()
-		held := map[string]bool{}
-		for _, it := range in.Items {
-			held[it.Key] = true
+		now := f.recorder.Since()
+		present := map[string]bool{}
+		for _, it := range intent.Items {
+			present[it.Key] = true
 			if seen[it.Key] == it.Revision {
 				continue
 			}
 			seen[it.Key] = it.Revision
 			f.recordIntent(it, now)
 		}
-		for key := range seen { // a whole answer leaves out what has gone
-			if in.Full && !held[key] {
+		for key := range seen { // a complete list leaves out removed items
+			if intent.Full && !present[key] {
 				delete(seen, key)
-				f.recordIntent(messages.Item{Key: key, Revision: in.Revision, Removed: true}, now)
+				f.recordIntent(messages.Item{Key: key, Revision: intent.Revision, Removed: true}, now)
 			}
 		}
-		since = in.Revision
+		since = intent.Revision
 	}
 }
 
-// recordIntent records one item of intent.
+// recordIntent records one change of an intent item, seen at now: a zone's directive, a tenant, or the removal of any item.
 func (f *fleet) recordIntent(it messages.Item, now time.Duration) {
 	t := invariants.IntentChange{Key: it.Key, Rev: it.Revision, At: now, Removed: it.Removed}
 	switch {
@@ -108,7 +110,7 @@
 		t.Share = d.Share
 		t.Budget = d.Budget
 		for _, name := range d.TrialNodes {
-			t.Trial = append(t.Trial, f.index(name))
+			t.Trial = append(t.Trial, f.nodeIndex(name))
 		}
 	case strings.HasPrefix(it.Key, "tenant/") && !it.Removed:
 		var d messages.Tenant
@@ -121,15 +123,16 @@
 		}
 	case it.Removed:
 	default:
-		return // shares
+		return // quota shares of nodes are not recorded
 	}
 	f.opt.Log.Info("intent", "key", t.Key, "revision", t.Rev, "gone", t.Removed, "phase", t.Phase, "share", t.Share, "budget", t.Budget, "at_s", now.Seconds())
 	f.mu.Lock()
-	f.recs.Fleet.IntentChanges = append(f.recs.Fleet.IntentChanges, t)
+	f.records.Fleet.IntentChanges = append(f.records.Fleet.IntentChanges, t)
 	f.mu.Unlock()
 }
 
-// watchDrift keeps every change of a verdict, asked of the leader each 200 ms.
+// watchDrift polls the leader's drift verdicts every 200 ms and records each change of a node's state, until ctx ends. After an
+// error it asks the next replica.
 func (f *fleet) watchDrift(ctx context.Context) {
 	last := map[string]string{}
 	for r := 0; ctx.Err() == nil; stub.Sleep(ctx, 200*time.Millisecond) {
@@ -140,24 +143,26 @@
 				Items json.RawMessage `json:"items"`
 			} `json:"verdicts"`
 		}
-		if err := f.query(ctx, r, "/fleet/v1/drift", &d); err != nil {
+		if err := f.getJSON(ctx, r, "/fleet/v1/drift", &d); err != nil {
 			r = (r + 1) % len(f.cluster.HTTP)
 			continue
 		}
-		now := f.rec.Since()
+		now := f.recorder.Since()
 		for _, v := range d.Verdicts {
 			if last[v.Node] == v.State {
 				continue
 			}
 			last[v.Node] = v.State
 			f.mu.Lock()
-			f.recs.Fleet.Verdicts = append(f.recs.Fleet.Verdicts, invariants.Verdict{Node: f.index(v.Node), At: now, State: v.State, What: string(v.Items)})
+			f.records.Fleet.Verdicts = append(f.records.Fleet.Verdicts, invariants.Verdict{Node: f.nodeIndex(v.Node), At: now, State: v.State,
+				What: string(v.Items)})
 			f.mu.Unlock()
 		}
 	}
 }
 
-// tenant carries out "tenant" (a PUT on the generation of the moment) or "tenant-delete".
+// tenant carries out a "tenant" event (a PUT based on the tenant's current generation) or a "tenant-delete" event. It retries
+// for up to 10 s.
 func (f *fleet) tenant(e Event) (string, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
@@ -177,14 +182,14 @@
 }
 
 func (f *fleet) putTenant(ctx context.Context, lead int, e Event) (string, error) {
-	var have messages.Tenant
+	var current messages.Tenant
 	path := "/fleet/v1/tenants/" + e.Tenant
-	if err := f.query(ctx, lead, path, &have); err != nil && !strings.Contains(err.Error(), messages.ErrNotFound.Error()) {
+	if err := f.getJSON(ctx, lead, path, &current); err != nil && !strings.Contains(err.Error(), messages.ErrNotFound.Error()) {
 		return "", err
 	}
 	generation := uint64(0)
-	if have.Committed != nil {
-		generation = have.Committed.Number
+	if current.Committed != nil {
+		generation = current.Committed.Number
 	}
 	method, body := http.MethodDelete, ""
 	if e.Do == "tenant" {
@@ -211,15 +216,16 @@
 		return "", fmt.Errorf("%s %s: %d %s", method, path, resp.StatusCode, strings.TrimSpace(string(raw)))
 	}
 	if e.Do == "tenant" {
-		f.wg.Go(func() { f.onboarding(e.Tenant, generation+1) })
+		f.wg.Go(func() { f.watchOnboarding(e.Tenant, generation+1) })
 	}
 	return fmt.Sprintf("%s %s: %s", method, e.Tenant, strings.TrimSpace(string(raw))), nil
 }
 
-// plant gives nodes settings of their own by SIGHUP: a drift that the control plane is to find.
-func (f *fleet) plant(e Event) (string, error) {
+// injectDrift changes the settings of the event's nodes and sends them SIGHUP, which causes drift that the control plane
+// should detect. It returns the names of the nodes that received the signal.
+func (f *fleet) injectDrift(e Event) (string, error) {
 	var names []string
-	for _, i := range f.s.pick(e.Nodes, len(f.nodes)) {
+	for _, i := range f.s.resolveValid(e.Nodes, len(f.nodes)) {
 		n := f.nodes[i]
 		raw, err := os.ReadFile(n.cfg)
 		if err != nil {
@@ -237,7 +243,7 @@
 			return "", err
 		}
 		f.mu.Lock()
-		f.recs.Fleet.Planted = append(f.recs.Fleet.Planted, invariants.Planted{Node: i, At: f.rec.Since()})
+		f.records.Fleet.Planted = append(f.records.Fleet.Planted, invariants.Planted{Node: i, At: f.recorder.Since()})
 		f.mu.Unlock()
 		if n.signal(signals["hup"]) {
 			names = append(names, n.info.Name)
@@ -246,12 +252,13 @@
 	return strings.Join(names, " "), nil
 }
 
-// onboarding polls a tenant's status until every present node serves by the generation, for up to 60 s.
-func (f *fleet) onboarding(name string, generation uint64) {
-	o := Onboarding{Tenant: name, Generation: generation, At: f.rec.Since(), Applied: map[string]time.Duration{}}
+// watchOnboarding polls a tenant's status until every present node has applied the generation, for up to 60 s, and records
+// how long each node took.
+func (f *fleet) watchOnboarding(name string, generation uint64) {
+	o := Onboarding{Tenant: name, Generation: generation, At: f.recorder.Since(), Applied: map[string]time.Duration{}}
 	ctx, cancel := context.WithTimeout(context.Background(), 60*time.Second)
 	defer cancel()
-	for r := 0; ctx.Err() == nil && !f.over.Load(); stub.Sleep(ctx, 20*time.Millisecond) {
+	for r := 0; ctx.Err() == nil && !f.finished.Load(); stub.Sleep(ctx, 20*time.Millisecond) {
 		var st struct {
 			Nodes []struct {
 				Node       string `json:"node"`
@@ -259,31 +266,32 @@
 				Generation uint64 `json:"generation"`
 			} `json:"nodes"`
 		}
-		if err := f.query(ctx, r, "/fleet/v1/tenants/"+name+"/status", &st); err != nil {
+		if err := f.getJSON(ctx, r, "/fleet/v1/tenants/"+name+"/status", &st); err != nil {
 			r = (r + 1) % len(f.cluster.HTTP)
 			continue
 		}
-		left := 0
+		pending := 0
 		for _, n := range st.Nodes {
 			if n.Phase != "applied" || n.Generation != generation {
-				left++
+				pending++
 			} else if o.Applied[n.Node] == 0 {
-				o.Applied[n.Node] = f.rec.Since() - o.At
+				o.Applied[n.Node] = f.recorder.Since() - o.At
 			}
 		}
-		if left == 0 && len(st.Nodes) > 0 {
-			o.All = f.rec.Since() - o.At
+		if pending == 0 && len(st.Nodes) > 0 {
+			o.All = f.recorder.Since() - o.At
 			break
 		}
 	}
 	f.mu.Lock()
-	f.recs.Onboarded = append(f.recs.Onboarded, o)
+	f.records.Onboarded = append(f.records.Onboarded, o)
 	f.mu.Unlock()
 }
 
-// fleetRun is what the run knows of the fleet.
-func (f *fleet) fleetRun() *invariants.Fleet {
-	r := f.recs.Fleet
+// completeFleetRecords adds the zones, the number of incarnations and the tenants of the settings to the fleet's records, and
+// returns the records.
+func (f *fleet) completeFleetRecords() *invariants.Fleet {
+	r := f.records.Fleet
 	for _, n := range f.nodes {
 		r.NodeZone = append(r.NodeZone, n.info.Zone)
 		r.Incarnations += len(n.pids)
--- a/internal/lab/control_test.go
+++ b/internal/lab/control_test.go
@@ -17,9 +17,10 @@
 	"meadowsill/internal/lab/stub"
 )
 
-// The watch of intent against a stub replica: each change once, with what the checker reads of it; what a whole
-// answer leaves out has gone; a replica behind, or broken, changes nothing.
-func TestIntentIsRecorded(t *testing.T) {
+// TestWatchIntentRecordsChanges runs watchIntent against a stub replica. It must record each change once, with the fields that
+// the checker reads, and the removal of each item that a complete list no longer contains. An answer with an older revision and
+// an answer that is not JSON must change nothing.
+func TestWatchIntentRecordsChanges(t *testing.T) {
 	answers := []string{
 		`{"revision":3,"full":true,"items":[{"key":"zone/b","rev":2,"body":{"phase":"probation","share":0,"budget":4,"trial":["n1"],"valid_ms":5000}},
 		  {"key":"tenant/t","rev":3,"body":{"uid":3,"staged":{"number":1}}},{"key":"share/n0","rev":1,"body":{"rates":{}}}]}`,
@@ -30,28 +31,28 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	k := 0
+	next := 0
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if k == len(answers) {
+		if next == len(answers) {
 			cancel()
 			return
 		}
-		fmt.Fprint(w, answers[k])
-		k++
+		fmt.Fprint(w, answers[next])
+		next++
 	}))
 	defer srv.Close()
-	f := labelled(t)
+	f := newTestFleet(t)
 	f.cluster = &discoverylab.Cluster{HTTP: []string{strings.TrimPrefix(srv.URL, "http://")}}
-	f.rec, f.opt.Log = stub.NewRecorder(), slog.New(slog.NewTextHandler(io.Discard, nil))
-	f.recs.Fleet = &invariants.Fleet{}
+	f.recorder, f.opt.Log = stub.NewRecorder(), slog.New(slog.NewTextHandler(io.Discard, nil))
+	f.records.Fleet = &invariants.Fleet{}
 	done := make(chan struct{})
 	go func() { f.watchIntent(ctx); close(done) }()
 	select {
 	case <-done:
 	case <-time.After(30 * time.Second):
-		t.Fatal("the watch did not end")
+		t.Fatal("watchIntent did not return within 30 s")
 	}
-	got := f.recs.Fleet.IntentChanges
+	got := f.records.Fleet.IntentChanges
 	for i := range got {
 		got[i].At = 0
 	}
--- a/internal/lab/discovery.go
+++ b/internal/lab/discovery.go
@@ -15,32 +15,33 @@
 	"meadowsill/internal/lab/stub"
 )
 
-// lister is the discovery a run's nodes read: the stub, or discovery's replicas with an agent per node.
-type lister interface {
-	// View opens node's way to the list, in which each server's address is addrOf(id); it gives its address.
+// discoveryService is the discovery that the run's nodes use: the stub, or replicas with one agent per node.
+type discoveryService interface {
+	// View returns an address at which node n gets the list of servers, with addrOf(id) as the address of each server.
 	View(n *node, addrOf func(id string) string) (string, error)
-	// Set changes a server's state; startedMS, where not 0, is its new start. An error means that nobody was notified.
+	// Set changes a server's state. A startedMS other than 0 is the server's new start time, in Unix milliseconds. After an error
+	// no node was notified of the change.
 	Set(id, state string, startedMS int64) error
 	Close()
 }
 
-type stubList struct{ *stub.Discovery }
+type stubDiscovery struct{ *stub.Discovery }
 
-func (s stubList) View(_ *node, addrOf func(string) string) (string, error) {
+func (s stubDiscovery) View(_ *node, addrOf func(string) string) (string, error) {
 	return s.Discovery.View(addrOf)
 }
 
-func (s stubList) Set(id, state string, startedMS int64) error {
+func (s stubDiscovery) Set(id, state string, startedMS int64) error {
 	s.Discovery.Set(id, state, startedMS)
 	return nil
 }
 
-// replicatedList is discovery's replicas as processes; the lab registers the servers under leases and renews them, as
-// their registrant would, and runs one agent process per node with the node's addresses of the servers.
-type replicatedList struct {
+// replicatedDiscovery runs discovery's replicas as processes. The lab registers the servers under leases and renews the leases, as
+// the servers' registrants would. It runs one agent process per node, which lists the servers under that node's addresses.
+type replicatedDiscovery struct {
 	f       *fleet
 	cluster *discoverylab.Cluster
-	writing sync.Mutex // one write at a time, so that no renewal in flight undoes a change
+	writeMu sync.Mutex // held during a write, so that a renewal in flight does not undo a change
 	mu      sync.Mutex
 	entries map[string]stub.Entry
 	done    chan struct{}
@@ -49,17 +50,18 @@
 
 const leaseMS = 6000
 
-// startReplicatedList starts the replicas, each raft link a relay of the run's network, and registers the servers.
-func (f *fleet) startReplicatedList(entries []stub.Entry, extra ...string) (*replicatedList, error) {
+// startReplicatedDiscovery starts the replicas, adds the relays of their raft links to the run's network, and registers the
+// servers.
+func (f *fleet) startReplicatedDiscovery(entries []stub.Entry, extra ...string) (*replicatedDiscovery, error) {
 	c, err := discoverylab.Start(f.s.Fleet.DiscoveryBinary, filepath.Join(f.opt.Dir, "discovery"), f.s.Fleet.Replicas, extra...)
 	if err != nil {
 		return nil, err
 	}
 	for _, l := range c.Links {
 		f.net.Add(l)
-		f.recs.Links++
+		f.records.Links++
 	}
-	l := &replicatedList{f: f, cluster: c, entries: map[string]stub.Entry{}, done: make(chan struct{})}
+	l := &replicatedDiscovery{f: f, cluster: c, entries: map[string]stub.Entry{}, done: make(chan struct{})}
 	for i := range c.HTTP {
 		writePid(f.opt.Dir, c.Pid(i))
 	}
@@ -76,8 +78,9 @@
 	return l, nil
 }
 
-// write sends one call to whoever leads, trying for up to 10 s, or until the list is closed.
-func (l *replicatedList) write(op string, e stub.Entry) error {
+// write sends the operation op ("register" or "deregister") for a server to the leader. It retries for up to 10 s, or until
+// Close is called.
+func (d *replicatedDiscovery) write(op string, e stub.Entry) error {
 	body := map[string]any{"id": e.ID, "ttl_ms": leaseMS}
 	if op == "register" {
 		body = map[string]any{"id": e.ID, "addr": e.Addr, "zone": e.Zone, "kind": e.Kind, "cell": e.Cell, "state": e.State,
@@ -86,15 +89,15 @@
 	raw, _ := json.Marshal(body)
 	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
 		select {
-		case <-l.done:
+		case <-d.done:
 			return fmt.Errorf("discovery: %s %s not committed before the end", op, e.ID)
 		default:
 		}
-		lead, err := l.cluster.Leader(5*time.Second, -1)
+		lead, err := d.cluster.Leader(5*time.Second, -1)
 		if err != nil {
 			continue
 		}
-		resp, err := http.Post("http://"+l.cluster.HTTP[lead]+"/registry/v1/"+op, "application/json", bytes.NewReader(raw))
+		resp, err := http.Post("http://"+d.cluster.HTTP[lead]+"/registry/v1/"+op, "application/json", bytes.NewReader(raw))
 		if err != nil {
 			continue
 		}
@@ -106,59 +109,59 @@
 	return fmt.Errorf("discovery: %s %s not committed in 10 s", op, e.ID)
 }
 
-// renew keeps every lease that is not gone, a third of its length apart.
-func (l *replicatedList) renew() {
+// renew renews the lease of every server that is not gone, at intervals of a third of the lease time, until Close is called.
+func (d *replicatedDiscovery) renew() {
 	t := time.NewTicker(leaseMS / 3 * time.Millisecond)
 	defer t.Stop()
 	for {
 		select {
-		case <-l.done:
+		case <-d.done:
 			return
 		case <-t.C:
 		}
-		l.mu.Lock()
-		ids := slices.Sorted(maps.Keys(l.entries))
-		l.mu.Unlock()
+		d.mu.Lock()
+		ids := slices.Sorted(maps.Keys(d.entries))
+		d.mu.Unlock()
 		for _, id := range ids {
-			l.writing.Lock()
-			l.mu.Lock()
-			e := l.entries[id]
-			l.mu.Unlock()
+			d.writeMu.Lock()
+			d.mu.Lock()
+			e := d.entries[id]
+			d.mu.Unlock()
 			if e.State != "gone" {
-				if err := l.write("register", e); err != nil {
-					l.f.opt.Log.Warn("lease not renewed", "server", id, "err", err)
+				if err := d.write("register", e); err != nil {
+					d.f.opt.Log.Warn("lease not renewed", "server", id, "err", err)
 				}
 			}
-			l.writing.Unlock()
+			d.writeMu.Unlock()
 		}
 	}
 }
 
-func (l *replicatedList) Set(id, state string, startedMS int64) error {
-	l.writing.Lock()
-	defer l.writing.Unlock()
-	l.mu.Lock()
-	e := l.entries[id]
+func (d *replicatedDiscovery) Set(id, state string, startedMS int64) error {
+	d.writeMu.Lock()
+	defer d.writeMu.Unlock()
+	d.mu.Lock()
+	e := d.entries[id]
 	e.State = state
 	if startedMS != 0 {
 		e.StartedMS = startedMS
 	}
-	l.entries[id] = e
-	l.mu.Unlock()
+	d.entries[id] = e
+	d.mu.Unlock()
 	op := map[string]string{"ready": "register", "draining": "register", "gone": "deregister"}[state]
-	err := l.write(op, e)
+	err := d.write(op, e)
 	if err != nil {
-		l.f.opt.Log.Warn("list change not committed", "server", id, "state", state, "err", err)
+		d.f.opt.Log.Warn("list change not committed", "server", id, "state", state, "err", err)
 	}
 	return err
 }
 
-func (l *replicatedList) Close() {
+func (d *replicatedDiscovery) Close() {
 	select {
-	case <-l.done:
+	case <-d.done:
 	default:
-		close(l.done)
+		close(d.done)
 	}
-	l.wg.Wait()
-	l.cluster.Close()
+	d.wg.Wait()
+	d.cluster.Close()
 }
--- a/internal/lab/events.go
+++ b/internal/lab/events.go
@@ -13,11 +13,11 @@
 var signals = map[string]syscall.Signal{"kill": syscall.SIGKILL, "term": syscall.SIGTERM, "stop": syscall.SIGSTOP,
 	"cont": syscall.SIGCONT, "hup": syscall.SIGHUP}
 
-// do carries out one event of the timeline and says what it touched.
-func (f *fleet) do(e Event) (string, error) {
-	servers := f.s.pick(e.Servers, len(f.servers))
+// carryOut carries out one event of the timeline and describes for the records what the event affected.
+func (f *fleet) carryOut(e Event) (string, error) {
+	servers := f.s.resolveValid(e.Servers, len(f.servers))
 	if e.Zone != "" {
-		servers = f.s.pick("zone:"+e.Zone, len(f.servers))
+		servers = f.s.resolveValid("zone:"+e.Zone, len(f.servers))
 	}
 	switch e.Do {
 	case "kill", "term", "stop", "cont", "hup":
@@ -33,28 +33,28 @@
 		if err != nil {
 			return "", err
 		}
-		f.touched(servers)
+		f.recordFaultedZones(servers)
 		for _, j := range servers {
 			f.servers[j].SetMode(m)
 		}
 		return fmt.Sprintf("%d servers %s", len(servers), e.Mode), nil
 	case "restart-servers":
-		f.touched(servers)
+		f.recordFaultedZones(servers)
 		for _, j := range servers {
 			srv := f.servers[j]
 			f.wg.Go(func() {
 				if err := srv.Restart(seconds(e.DownS)); err != nil {
-					f.opt.Log.Error("app server did not come back", "server", srv.Spec.ID, "err", err)
+					f.opt.Log.Error("app server did not restart", "server", srv.Spec.ID, "err", err)
 					return
 				}
-				f.list(srv.Spec.ID, "ready", time.Now().UnixMilli())
+				f.setServerState(srv.Spec.ID, "ready", time.Now().UnixMilli())
 			})
 		}
 		return fmt.Sprintf("%d servers, down %v s", len(servers), e.DownS), nil
 	case "list":
 		committed := 0
 		for _, j := range servers {
-			if f.list(f.servers[j].Spec.ID, e.State, 0) {
+			if f.setServerState(f.servers[j].Spec.ID, e.State, 0) {
 				committed++
 			}
 		}
@@ -64,48 +64,50 @@
 	case "tenant", "tenant-delete":
 		return f.tenant(e)
 	case "drift":
-		return f.plant(e)
+		return f.injectDrift(e)
 	}
 	return "", fmt.Errorf("no action %q", e.Do)
 }
 
-// list changes a server in discovery, and records it where it was committed.
-func (f *fleet) list(id, state string, startedMS int64) bool {
-	if err := f.disc.Set(id, state, startedMS); err != nil {
+// setServerState changes a server's state in discovery. It records the change and returns true if the change was committed.
+func (f *fleet) setServerState(id, state string, startedMS int64) bool {
+	if err := f.discovery.Set(id, state, startedMS); err != nil {
 		return false
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.recs.Changes = append(f.recs.Changes, invariants.Change{Server: id, State: state, At: f.rec.Since()})
+	f.records.Changes = append(f.records.Changes, invariants.Change{Server: id, State: state, At: f.recorder.Since()})
 	return true
 }
 
-// touched notes that a fault is on servers of a zone, or the ways to them.
-func (f *fleet) touched(servers []int) {
+// recordFaultedZones records a fault on the given servers, or on the links to them: for the zone of each server it keeps the
+// time of the first fault.
+func (f *fleet) recordFaultedZones(servers []int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, j := range servers {
-		if z := f.servers[j].Spec.Zone; f.recs.Fleet.Faulted[z] == 0 {
-			f.recs.Fleet.Faulted[z] = max(f.rec.Since(), 1)
+		if z := f.servers[j].Spec.Zone; f.records.Fleet.Faulted[z] == 0 {
+			f.records.Fleet.Faulted[z] = max(f.recorder.Since(), 1)
 		}
 	}
 }
 
-// signalAll sends an event's signal to the nodes, agents and replicas that it names.
+// signalAll sends the event's signal to the nodes, agents and replicas that the event selects, and opens or ends the exemptions
+// that belong to the signal. It returns the names of the processes that received the signal.
 func (f *fleet) signalAll(e Event) string {
 	var names []string
 	sig := signals[e.Do]
-	for _, i := range f.s.pick(e.Nodes, len(f.nodes)) {
+	for _, i := range f.s.resolveValid(e.Nodes, len(f.nodes)) {
 		n := f.nodes[i]
 		switch e.Do {
 		case "kill":
-			if f.drained(n) {
+			if f.drainTimeOver(n) {
 				break
 			}
 			f.exempt(i, "", "down "+n.info.Name)
-			f.leaveFront(n, seconds(f.s.Fleet.NoticeS))
+			f.removeFromFront(n, seconds(f.s.Fleet.NoticeS))
 		case "term":
-			f.drain(n)
+			f.drainAtFront(n)
 		case "stop":
 			f.exempt(i, "", "stopped "+n.info.Name)
 		}
@@ -113,13 +115,13 @@
 			names = append(names, n.info.Name)
 		}
 		if e.Do == "cont" {
-			f.endExemption("stopped "+n.info.Name, f.rec.Since())
+			f.endExemption("stopped "+n.info.Name, f.recorder.Since())
 		}
 	}
-	for _, i := range f.s.pick(e.Agents, len(f.nodes)) {
+	for _, i := range f.s.resolveValid(e.Agents, len(f.nodes)) {
 		if e.Do != "cont" && e.Do != "hup" {
 			f.exempt(i, "after-grace", "agent "+agentName(i))
-			f.silenced(i, e.Do)
+			f.recordSilenced(i, e.Do)
 		}
 		for _, a := range f.agentProcesses(i) {
 			if a.signal(sig) {
@@ -127,7 +129,7 @@
 			}
 		}
 		if e.Do == "cont" {
-			f.endExemption("agent "+agentName(i), f.rec.Since())
+			f.endExemption("agent "+agentName(i), f.recorder.Since())
 		}
 	}
 	for _, r := range f.replicas(e.Replicas) {
@@ -138,16 +140,16 @@
 			names = append(names, replicaName(r))
 		}
 		if e.Do == "cont" {
-			f.endExemption("replica "+replicaName(r), f.rec.Since())
+			f.endExemption("replica "+replicaName(r), f.recorder.Since())
 		}
 	}
 	return strings.Join(names, " ")
 }
 
-// restartAll starts those of an event's nodes, agents and replicas that have ended.
+// restartAll starts those of the event's nodes, agents and replicas that are not running. It returns their names.
 func (f *fleet) restartAll(e Event) string {
 	var names []string
-	for _, i := range f.s.pick(e.Nodes, len(f.nodes)) {
+	for _, i := range f.s.resolveValid(e.Nodes, len(f.nodes)) {
 		n := f.nodes[i]
 		if !n.wait(0) {
 			continue // still running
@@ -155,18 +157,18 @@
 		names = append(names, n.info.Name)
 		f.wg.Go(func() {
 			f.launch(n)
-			f.endExemption("down "+n.info.Name, f.rec.Since())
+			f.endExemption("down "+n.info.Name, f.recorder.Since())
 		})
 	}
-	for _, i := range f.s.pick(e.Agents, len(f.nodes)) {
+	for _, i := range f.s.resolveValid(e.Agents, len(f.nodes)) {
 		for _, a := range f.agentProcesses(i) {
-			if err := a.begin(f.opt.Dir, &f.agentCPU, &f.wg); err != nil {
+			if err := a.start(f.opt.Dir, &f.agentCPU, &f.wg); err != nil {
 				f.opt.Log.Warn("agent not started", "agent", a.name, "err", err)
 				continue
 			}
 			names = append(names, a.name)
 		}
-		f.endExemption("agent "+agentName(i), f.rec.Since())
+		f.endExemption("agent "+agentName(i), f.recorder.Since())
 	}
 	for _, r := range f.replicas(e.Replicas) {
 		if f.cluster.Pid(r) != 0 {
@@ -178,23 +180,23 @@
 		}
 		writePid(f.opt.Dir, f.cluster.Pid(r))
 		names = append(names, replicaName(r))
-		f.endExemption("replica "+replicaName(r), f.rec.Since())
+		f.endExemption("replica "+replicaName(r), f.recorder.Since())
 	}
 	return strings.Join(names, " ")
 }
 
-// heal takes every link's fault away.
+// heal removes the fault of every link, ends the exemptions for link faults and returns the number of links.
 func (f *fleet) heal() int {
 	count := f.net.Heal()
-	f.endExemption("cut ", f.rec.Since())
-	f.endExemption("deaf ", f.rec.Since())
-	f.endExemption("gossip ", f.rec.Since())
+	f.endExemption("cut ", f.recorder.Since())
+	f.endExemption("deaf ", f.recorder.Since())
+	f.endExemption("gossip ", f.recorder.Since())
 	return count
 }
 
-// leaveFront takes a node out of the front once the front notices, as PROTOCOL's front does after some seconds,
-// unless it has a new life by then.
-func (f *fleet) leaveFront(n *node, after time.Duration) {
+// removeFromFront removes a node from the front after a delay, the time that the front takes to notice that the node is down
+// (some seconds in PROTOCOL). It does nothing if a new incarnation of the node has started by then.
+func (f *fleet) removeFromFront(n *node, after time.Duration) {
 	incarnation := n.ended()
 	time.AfterFunc(after, func() {
 		if n.ended() == incarnation {
--- a/internal/lab/gossip.go
+++ b/internal/lab/gossip.go
@@ -16,33 +16,33 @@
 	"meadowsill/internal/membership"
 )
 
-// startGossip runs a member for each node (cmd/membership), reached by the others through a relay that carries TCP and
-// UDP, so that each way between two of them is a link: agent:n3 to agent:n4.
+// startGossip starts a member process (cmd/membership) for each node. The other members reach it through a relay for TCP and
+// UDP, so that each direction between two members is a link of its own, such as agent:n3 to agent:n4.
 func (f *fleet) startGossip() error {
 	var seeds []string
 	for i := range min(3, len(f.nodes)) {
-		seeds = append(seeds, f.place.relay(i))
+		seeds = append(seeds, f.addressBlock.relay(i))
 	}
 	for i, n := range f.nodes {
 		callers := map[string]string{}
 		for j := range f.nodes {
-			host, _, _ := net.SplitHostPort(f.place.member(j))
+			host, _, _ := net.SplitHostPort(f.addressBlock.member(j))
 			if j != i {
 				callers[host] = agentName(j)
 			}
 		}
-		relay, err := faults.OpenRelay(agentName(i), f.place.relay(i), f.place.member(i), callers, f.s.Seed*1000+uint64(i))
+		relay, err := faults.OpenRelay(agentName(i), f.addressBlock.relay(i), f.addressBlock.member(i), callers, f.s.Seed*1000+uint64(i))
 		if err != nil {
 			return err
 		}
 		f.net.AddRelay(relay)
-		f.recs.Links += len(callers)
-		host, _, _ := net.SplitHostPort(f.place.member(i))
+		f.records.Links += len(callers)
+		host, _, _ := net.SplitHostPort(f.addressBlock.member(i))
 		m := &process{name: "member:" + n.info.Name, bin: f.s.Fleet.MembershipBinary, env: os.Environ(),
-			args: []string{"run", "--name", n.info.Name, "--zone", n.info.Zone, "--bind", f.place.member(i), "--advertise", f.place.relay(i),
+			args: []string{"run", "--name", n.info.Name, "--zone", n.info.Zone, "--bind", f.addressBlock.member(i), "--advertise", f.addressBlock.relay(i),
 				"--http", host + ":9000"}}
 		for _, s := range seeds {
-			if s != f.place.relay(i) {
+			if s != f.addressBlock.relay(i) {
 				m.args = append(m.args, "--seed", s)
 			}
 		}
@@ -50,18 +50,19 @@
 			return err
 		}
 		f.members = append(f.members, m)
-		if err := m.begin(f.opt.Dir, &f.agentCPU, &f.wg); err != nil {
+		if err := m.start(f.opt.Dir, &f.agentCPU, &f.wg); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// watchViews keeps every change of what a member thinks of another, asked of each 4 times a second, until ctx ends.
+// watchViews polls each member 4 times a second and records every change of the state in which it sees another member, until
+// ctx ends.
 func (f *fleet) watchViews(ctx context.Context) {
 	for i := range f.members {
 		f.wg.Go(func() {
-			host, _, _ := net.SplitHostPort(f.place.member(i))
+			host, _, _ := net.SplitHostPort(f.addressBlock.member(i))
 			client := http.Client{Timeout: time.Second}
 			last := map[string]membership.State{}
 			for ; ctx.Err() == nil; stub.Sleep(ctx, 250*time.Millisecond) {
@@ -75,14 +76,14 @@
 				if err != nil {
 					continue
 				}
-				now := f.rec.Since()
+				now := f.recorder.Since()
 				for _, m := range v.Members {
 					if last[m.Name] == m.State {
 						continue
 					}
 					last[m.Name] = m.State
 					f.mu.Lock()
-					f.recs.Sightings = append(f.recs.Sightings, invariants.Sighting{By: i, Of: f.index(m.Name), State: string(m.State), At: now})
+					f.records.Sightings = append(f.records.Sightings, invariants.Sighting{By: i, Of: f.nodeIndex(m.Name), State: string(m.State), At: now})
 					f.mu.Unlock()
 				}
 			}
@@ -90,7 +91,7 @@
 	}
 }
 
-// agentProcesses are the processes that stand for a node's agent: discovery's agent, its member, or both.
+// agentProcesses returns the processes that act as node i's agent: discovery's agent, the node's member, or both.
 func (f *fleet) agentProcesses(i int) []*process {
 	var out []*process
 	if i < len(f.agents) {
@@ -102,17 +103,17 @@
 	return out
 }
 
-// silenced notes that a member can say nothing from now on.
-func (f *fleet) silenced(i int, how string) {
+// recordSilenced records that node i's member sends nothing from now on. how is the action that silenced it.
+func (f *fleet) recordSilenced(i int, how string) {
 	if i >= len(f.members) {
 		return
 	}
 	f.mu.Lock()
-	f.recs.Silenced = append(f.recs.Silenced, Silenced{Node: i, At: f.rec.Since(), How: how})
+	f.records.Silenced = append(f.records.Silenced, Silenced{Node: i, At: f.recorder.Since(), How: how})
 	f.mu.Unlock()
 }
 
-// Silenced is a member that was killed or stopped.
+// Silenced records that a member was killed, terminated or stopped.
 type Silenced struct {
 	Node int           `json:"node"`
 	At   time.Duration `json:"at"`
--- a/internal/lab/links_test.go
+++ b/internal/lab/links_test.go
@@ -8,16 +8,16 @@
 	"meadowsill/internal/lab/stub"
 )
 
-// four nodes, three servers and three replicas over two zones, with a link of each kind.
-func labelled(t *testing.T) *fleet {
+// newTestFleet returns a fleet of four nodes, three servers and three replicas over two zones, with a link of each kind.
+func newTestFleet(t *testing.T) *fleet {
 	t.Helper()
 	s, err := ParseScenario("x", []byte("[fleet]\nnodes = 4\nservers = 3\nzones = [\"a\", \"b\"]\ndiscovery = \"replicated\"\nregions = {north = [\"b\"]}\n"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	f := &fleet{s: s}
-	for i, name := range []string{"n0", "n1", "n2", "n3"} {
-		f.nodes = append(f.nodes, &node{i: i, info: &NodeInfo{Name: name, Zone: s.zone(i)}})
+	for index, name := range []string{"n0", "n1", "n2", "n3"} {
+		f.nodes = append(f.nodes, &node{index: index, info: &NodeInfo{Name: name, Zone: s.zone(index)}})
 	}
 	for j := range 3 {
 		f.servers = append(f.servers, &stub.AppServer{Spec: stub.ServerSpec{ID: serverID(j), Zone: s.zone(j)}})
@@ -29,9 +29,9 @@
 	return f
 }
 
-// Which links each pair of selectors names, by the ends it hits.
-func TestSelectorsNameEveryLink(t *testing.T) {
-	f := labelled(t)
+// TestSelectorsMatchLinks checks which links each pair of selectors matches, by the names of the links' ends.
+func TestSelectorsMatchLinks(t *testing.T) {
+	f := newTestFleet(t)
 	s0 := "server:" + serverID(0)
 	for _, c := range []struct{ a, b, want string }{
 		{"clients", "nodes:all", "clients-n1"},
@@ -50,7 +50,7 @@
 	} {
 		var hit []string
 		f.net.Each(func(l *faults.Link) bool {
-			if f.in(c.a, l.From) && f.in(c.b, l.To) || f.in(c.b, l.From) && f.in(c.a, l.To) {
+			if f.matches(c.a, l.From) && f.matches(c.b, l.To) || f.matches(c.b, l.From) && f.matches(c.a, l.To) {
 				hit = append(hit, l.From+"-"+l.To)
 			}
 			return false
@@ -61,7 +61,7 @@
 	}
 }
 
-func TestEventsAreCheckedWhenRead(t *testing.T) {
+func TestParseScenarioChecksEvents(t *testing.T) {
 	for text, want := range map[string]string{
 		`do = "kill"` + "\nnodes = \"zone:c\"":                       `"zone:c" is no zone or region`,
 		`do = "kill"` + "\nagents = \"0\"":                           `selector "0" is not one of 0--1`,
--- a/internal/lab/load/client.go
+++ b/internal/lab/load/client.go
@@ -18,77 +18,77 @@
 	"meadowsill/internal/lab/stub"
 )
 
-// client is all clients of the run: they keep their connections, and use them as long as they stay open.
+// client sends the requests of all clients of the run. Clients keep their connections and use them as long as they stay open.
 type client struct {
-	front Front
-	rec   *stub.Recorder
-	cross time.Duration
-	kept  *http.Transport
-	fresh *http.Transport // for what is sent once more, always on a new connection
+	front       Front
+	rec         *stub.Recorder
+	crossWindow time.Duration
+	pooled      *http.Transport
+	unpooled    *http.Transport // for requests that are sent once more, always on a new connection
 }
 
-var errNotDealt = errors.New("no new connections are dealt to this node")
+var errNoNewConns = errors.New("the front routes no new connections to this node")
 
-func newClient(cross time.Duration, front Front, rec *stub.Recorder) *client {
-	c := &client{front: front, rec: rec, cross: cross}
+func newClient(crossWindow time.Duration, front Front, rec *stub.Recorder) *client {
+	c := &client{front: front, rec: rec, crossWindow: crossWindow}
 	dial := func(ctx context.Context, network, addr string) (net.Conn, error) {
-		if !front.Deals(addr) {
-			return nil, errNotDealt
+		if !front.RoutesNewConns(addr) {
+			return nil, errNoNewConns
 		}
 		return (&net.Dialer{}).DialContext(ctx, network, addr)
 	}
-	c.kept = &http.Transport{MaxIdleConnsPerHost: 64, IdleConnTimeout: 30 * time.Second, DisableCompression: true, DialContext: dial}
-	c.fresh = &http.Transport{DisableKeepAlives: true, DisableCompression: true, DialContext: dial}
+	c.pooled = &http.Transport{MaxIdleConnsPerHost: 64, IdleConnTimeout: 30 * time.Second, DisableCompression: true, DialContext: dial}
+	c.unpooled = &http.Transport{DisableKeepAlives: true, DisableCompression: true, DialContext: dial}
 	return c
 }
 
-func (c *client) close() { c.kept.CloseIdleConnections() }
+func (c *client) close() { c.pooled.CloseIdleConnections() }
 
-// attempt is what was seen of one sending. The transport tells from goroutines of its own.
+// attempt records what was seen of one attempt. The transport reports from goroutines of its own, so mu guards the fields.
 type attempt struct {
-	mu       sync.Mutex
-	local    string
-	reused   bool
-	written  bool
-	answered bool
-	at       time.Duration // its last byte written
+	mu        sync.Mutex
+	local     string
+	reused    bool
+	written   bool
+	answered  bool
+	writtenAt time.Duration // when the request's last byte was written
 }
 
-func (t *attempt) trace(rec *stub.Recorder) *httptrace.ClientTrace {
-	set := func(f func()) { t.mu.Lock(); f(); t.mu.Unlock() }
+func (a *attempt) trace(rec *stub.Recorder) *httptrace.ClientTrace {
+	set := func(f func()) { a.mu.Lock(); f(); a.mu.Unlock() }
 	return &httptrace.ClientTrace{
 		GotConn: func(i httptrace.GotConnInfo) {
-			set(func() { t.reused, t.local = i.Reused, i.Conn.LocalAddr().String() })
+			set(func() { a.reused, a.local = i.Reused, i.Conn.LocalAddr().String() })
 		},
-		GotFirstResponseByte: func() { set(func() { t.answered = true }) },
+		GotFirstResponseByte: func() { set(func() { a.answered = true }) },
 		WroteRequest: func(i httptrace.WroteRequestInfo) {
 			if i.Err == nil {
-				set(func() { t.written, t.at = true, rec.Since() })
+				set(func() { a.written, a.writtenAt = true, rec.Since() })
 			}
 		}}
 }
 
-// send makes one request at a node that the front picks; false where it is dealt to none. A request that the close
-// of a kept connection crossed is sent once more on a new one, as PROTOCOL's clients do. A close that comes later did
-// not cross it: the node had the request, and lost it.
+// send sends one request to a node that the front picks, and returns false if the front routes it to none. If the close of a
+// reused connection crossed the request, send sends the request once more on a new connection, as PROTOCOL's clients do. A close
+// that came later did not cross the request: the node had received the request and lost it.
 func (c *client) send(rnd *rand.Rand, id, account string, class Class) (invariants.Sent, bool) {
 	c.rec.Sending(id)
 	s := invariants.Sent{ID: id, Class: class.Name, Account: account, At: c.rec.Since()}
-	tr := c.kept
+	tr := c.pooled
 	for range 8 {
 		node, addr, ok := c.front.Pick(rnd)
 		if !ok {
 			return s, false
 		}
 		var t attempt
-		status, err := c.once(tr, addr, id, account, class, &t)
-		if errors.Is(err, errNotDealt) {
+		status, err := c.roundTrip(tr, addr, id, account, class, &t)
+		if errors.Is(err, errNoNewConns) {
 			continue
 		}
 		s.Node, s.Done = node, c.rec.Since()
 		t.mu.Lock()
 		if t.written {
-			s.Taken, s.At = true, t.at
+			s.Taken, s.At = true, t.writtenAt
 		}
 		t.mu.Unlock()
 		if err == nil {
@@ -96,11 +96,11 @@
 			return s, true
 		}
 		s.Err = err.Error()
-		if t.answered || !broken(err) {
+		if t.answered || !connectionEnded(err) {
 			return s, true
 		}
-		if t.reused && tr == c.kept && s.Done-s.At <= c.cross && !c.front.Faulted(addr) {
-			tr, s.Taken = c.fresh, false
+		if t.reused && tr == c.pooled && s.Done-s.At <= c.crossWindow && !c.front.Faulted(addr) {
+			tr, s.Taken = c.unpooled, false
 			continue
 		}
 		if !t.reused && c.front.Refused(addr, t.local) {
@@ -112,16 +112,16 @@
 	return s, s.Err != ""
 }
 
-// broken says whether the connection ended, as against a wait that is over.
-func broken(err error) bool {
+// connectionEnded reports whether err means that the connection ended, in contrast to a timeout.
+func connectionEnded(err error) bool {
 	return errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, syscall.ECONNRESET) ||
 		errors.Is(err, syscall.EPIPE) || errors.Is(err, net.ErrClosed) || strings.Contains(err.Error(), "server closed idle connection")
 }
 
-func (c *client) once(tr *http.Transport, addr, id, account string, class Class, t *attempt) (int, error) {
+func (c *client) roundTrip(tr *http.Transport, addr, id, account string, class Class, t *attempt) (int, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), class.TimeLeft+2*time.Second)
 	defer cancel()
-	// An empty reader that is not NoBody: the same bytes go out, and the transport sends nothing again by itself.
+	// The body is an empty reader and not http.NoBody: the bytes sent are the same, but the transport does not retry by itself.
 	method, body := http.MethodGet, io.MultiReader()
 	if class.Post {
 		method, body = http.MethodPost, strings.NewReader("order "+id)
--- a/internal/lab/load/load.go
+++ b/internal/lab/load/load.go
@@ -1,6 +1,6 @@
-// Package load is the lab's open-loop load: requests arrive at a stated rate whatever the answers do, as clients
-// do (PROTOCOL, "Clients to nodes"), each with a new X-Correlation-Id, its class's method, an account and
-// X-Time-Left. It is bounded in count and time and stops by itself.
+// Package load generates the lab's open-loop load. Requests are sent at a given rate, whatever the answers are, as clients send
+// them (PROTOCOL, "Clients to nodes"). Each has a new X-Correlation-Id, the method of its class, an account and X-Time-Left. The
+// load is bounded in count and time, and stops by itself.
 package load
 
 import (
@@ -17,52 +17,55 @@
 // Class is one kind of request in the load.
 type Class struct {
 	Name     string
-	Share    float64       // of all requests
-	Post     bool          // unsafe to repeat: POST with a body
-	TimeLeft time.Duration // X-Time-Left, how long the client waits
+	Share    float64       // share of all requests, 0 to 1
+	Post     bool          // not safe to repeat: sent as POST with a body
+	TimeLeft time.Duration // value of X-Time-Left: how long the client waits
 }
 
-// Spec is the whole load.
+// Spec describes a load.
 type Spec struct {
-	Rate        float64 // requests a second, Poisson arrivals
+	Rate        float64 // requests per second, with Poisson arrivals
 	For         time.Duration
 	MaxRequests int
-	MaxInFlight int // more than this waiting are not sent, and counted as skipped
+	MaxInFlight int // requests beyond this number in flight are not sent, and count as skipped
 	Classes     []Class
 	Accounts    []string
 	Seed        uint64
-	Cross       time.Duration // a close that comes later than this after a request was written has not crossed it
+	CrossWindow time.Duration // a close later than this after the request was written did not cross the request
 }
 
-// Front is what the clients' front knows: which nodes it deals connections to, and at which address.
+// Front is the load balancer between the clients and the nodes. It decides which nodes receive connections, and at which
+// address.
 type Front interface {
 	Pick(r *rand.Rand) (node int, addr string, ok bool)
-	// Deals says whether new connections are dealt to the node at addr: not any more soon after its SIGTERM.
-	Deals(addr string) bool
-	// Faulted says whether a fault is on the node: then a close is the fault's, and crossed nothing.
+	// RoutesNewConns reports whether the front routes new connections to the node at addr. It stops doing so soon after the node
+	// was sent SIGTERM.
+	RoutesNewConns(addr string) bool
+	// Faulted reports whether the node at addr is under a fault. If so, a closed connection is an effect of the fault and is not
+	// taken for a close that crossed a request.
 	Faulted(addr string) bool
-	// Refused says whether the new connection from local to addr found nobody at the node.
+	// Refused reports whether the new connection from local to addr found no listener at the node.
 	Refused(addr, local string) bool
 }
 
-// Result is what the load saw.
+// Result is what a load sent and skipped.
 type Result struct {
 	Sent    []invariants.Sent
-	Skipped int // arrivals with no node dealt to, or over MaxInFlight
+	Skipped int // requests not sent, because the front had no node or MaxInFlight was reached
 }
 
-// Run sends the load until its time or count is over, then waits for every answer (at most the longest
-// TimeLeft and 5 s more).
+// Run sends the load until its time or its count is over, then waits for every answer, for at most the longest TimeLeft and
+// 5 s more.
 func Run(ctx context.Context, s Spec, front Front, rec *stub.Recorder) Result {
 	rnd := rand.New(rand.NewPCG(s.Seed, 0x10ad))
-	c := newClient(s.Cross, front, rec)
+	c := newClient(s.CrossWindow, front, rec)
 	defer c.close()
 	var (
-		mu      sync.Mutex
-		res     Result
-		wg      sync.WaitGroup
-		flying  = make(chan struct{}, max(s.MaxInFlight, 1))
-		longest time.Duration
+		mu       sync.Mutex
+		res      Result
+		wg       sync.WaitGroup
+		inFlight = make(chan struct{}, max(s.MaxInFlight, 1))
+		longest  time.Duration
 	)
 	for _, c := range s.Classes {
 		longest = max(longest, c.TimeLeft)
@@ -75,20 +78,20 @@
 			time.Sleep(d)
 		}
 		select {
-		case flying <- struct{}{}:
+		case inFlight <- struct{}{}:
 		default:
 			mu.Lock()
 			res.Skipped++
 			mu.Unlock()
 			continue
 		}
-		class := pick(rnd, s.Classes)
+		class := pickClass(rnd, s.Classes)
 		id := fmt.Sprintf("%016x", rnd.Uint64())
 		account := s.Accounts[rnd.IntN(len(s.Accounts))]
-		own := rand.New(rand.NewPCG(rnd.Uint64(), 0xc11e))
+		clientRand := rand.New(rand.NewPCG(rnd.Uint64(), 0xc11e))
 		wg.Go(func() {
-			defer func() { <-flying }()
-			sent, ok := c.send(own, id, account, class)
+			defer func() { <-inFlight }()
+			sent, ok := c.send(clientRand, id, account, class)
 			mu.Lock()
 			defer mu.Unlock()
 			if !ok {
@@ -109,7 +112,7 @@
 	return res
 }
 
-func pick(r *rand.Rand, cs []Class) Class {
+func pickClass(r *rand.Rand, cs []Class) Class {
 	x, sum := r.Float64(), 0.0
 	for _, c := range cs {
 		if sum += c.Share; x < sum {
--- a/internal/lab/needs.go
+++ b/internal/lab/needs.go
@@ -6,19 +6,21 @@
 	"meadowsill/internal/lab/bounds"
 )
 
-// What the parts of a lab run take, with some room: it is refused by them before it starts.
+// Resources that each part of a lab run takes, with some reserve. A run that needs more than the machine's limits is refused
+// before it starts.
 const (
 	labBytes         = 64 << 20
-	linkBytes        = 32 << 10 // a relay at rest; docs/lab.md, "What runs"
+	linkBytes        = 32 << 10 // an idle relay; docs/lab.md, "What runs"
 	nodeBytes        = 24 << 20
 	agentBytes       = 20 << 20
 	memberBytes      = 20 << 20
 	replicaBytes     = 64 << 20
-	spareDescriptors = 128 // of the lab: logs, listeners, probes
-	nodeDescriptors  = 4   // of the lab, for each node: its log, the front's connections
+	spareDescriptors = 128 // of the lab's process, for logs, listeners and probes
+	nodeDescriptors  = 4   // of the lab's process, for each node's log and its connections from the front
 )
 
-// needs reckons what a scenario takes. The lab's own process has the most descriptors: a listener for each relay.
+// needs estimates the resources that a scenario takes. The descriptors are those of the lab's own process, which has the most:
+// a listener for each relay.
 func (s *Scenario) needs() bounds.Needs {
 	links := s.Fleet.Nodes * (s.Fleet.Servers + 2)
 	processes := 1 + s.Fleet.Nodes
@@ -38,7 +40,7 @@
 		Descriptors: spareDescriptors + links + s.Fleet.Servers + nodeDescriptors*s.Fleet.Nodes}
 }
 
-// checkNeeds refuses a scenario that the machine does not bear.
+// checkNeeds returns an error if the scenario needs more than the limits allow.
 func (s *Scenario) checkNeeds(limits bounds.Limits) error {
 	if err := s.needs().Within(limits); err != nil {
 		return fmt.Errorf("scenario %s: fleet: %w", s.Name, err)
--- a/internal/lab/needs_test.go
+++ b/internal/lab/needs_test.go
@@ -9,7 +9,7 @@
 	"meadowsill/lab/scenarios"
 )
 
-// labLimits are those of a machine of 16 GB with 20,000 descriptors.
+// labLimits are the limits of a machine with 16 GB of memory and 20,000 descriptors.
 var labLimits = bounds.Limits{MemoryBytes: 8 << 30, Processes: bounds.MaxProcesses, Descriptors: 20_000, Ports: 28_000}
 
 func TestBundledScenariosAreWithinTheLimits(t *testing.T) {
@@ -25,8 +25,8 @@
 	}
 }
 
-// TestLargeFleetsAreRefusedByNeed has no bound on the count of nodes but what they take.
-func TestLargeFleetsAreRefusedByNeed(t *testing.T) {
+// TestFleetSizeIsLimitedByNeeds checks that the number of nodes is bounded only by the resources that the fleet needs.
+func TestFleetSizeIsLimitedByNeeds(t *testing.T) {
 	rows := []struct {
 		fleet, want string
 	}{
--- a/internal/lab/node.go
+++ b/internal/lab/node.go
@@ -13,23 +13,23 @@
 	"meadowsill/internal/lab/faults"
 )
 
-// node is one node process.
+// node is a node of the fleet: its process, and what the front knows of it.
 type node struct {
 	process
-	i         int
-	info      *NodeInfo
-	cfg       string
-	inFront   atomic.Bool  // the front knows it
-	dealt     atomic.Bool  // and deals new connections to it
-	termAt    atomic.Int64 // when this incarnation was sent SIGTERM, by the recorder; 0 if it was not
-	frontAddr string
-	clients   *faults.Link
+	index        int
+	info         *NodeInfo
+	cfg          string
+	inFront      atomic.Bool  // the front has the node; clients may use their connections to it
+	getsNewConns atomic.Bool  // the front also routes new connections to the node
+	termAt       atomic.Int64 // when this incarnation was sent SIGTERM, in ns on the recorder's clock; 0 if it was not
+	frontAddr    string
+	clients      *faults.Link
 }
 
-// nodeIP is the source address of node i's links, so that an app server can tell which node calls.
+// nodeIP returns the source address of node i's links. App servers identify the calling node by it.
 func nodeIP(i int) string { return fmt.Sprintf("127.1.%d.%d", i/250, i%250+1) }
 
-func nodeOf(remote string) int {
+func nodeByIP(remote string) int {
 	host, _, _ := net.SplitHostPort(remote)
 	var a, b, c, d int
 	if n, _ := fmt.Sscanf(host, "%d.%d.%d.%d", &a, &b, &c, &d); n != 4 || a != 127 || b != 1 {
@@ -38,16 +38,16 @@
 	return c*250 + d - 1
 }
 
-// configure writes the node's configuration: its list comes from discovery, its fleet intent, where the run has a
-// control plane, from its agent; both are relays.
-func (f *fleet) configure(n *node, discovery string) error {
+// writeConfig writes the node's configuration. The node gets the list of servers at the address discovery, which is that of a
+// relay. Where the run has a control plane, the node gets the fleet's intent from its agent through the same relay.
+func (f *fleet) writeConfig(n *node, discovery string) error {
 	settings := f.template()
 	settings["balancers"] = f.s.Fleet.Nodes
-	settings["slot_no"] = n.i
+	settings["slot_no"] = n.index
 	settings["zone"] = n.info.Zone
 	settings["failure_domains"] = f.s.Fleet.Zones
 	config := map[string]any{"name": n.info.Name, "listen": n.info.Listen, "discovery": discovery,
-		"seed": fmt.Sprintf("%x", f.s.Seed*7919+uint64(n.i)+1), "limits": map[string]any{"sockets": 4096, "memory_mb": 192},
+		"seed": fmt.Sprintf("%x", f.s.Seed*7919+uint64(n.index)+1), "limits": map[string]any{"sockets": 4096, "memory_mb": 192},
 		"settings": settings}
 	if f.s.Fleet.Control && f.s.Fleet.Follow {
 		config["fleet"] = map[string]any{"agent": discovery, "report_ms": 250, "catch_up_ms": 10000}
@@ -67,9 +67,9 @@
 	return os.WriteFile(n.cfg, raw, 0o644)
 }
 
-// launch starts an incarnation of the node and waits until it is ready, or its time for that is over.
+// launch starts an incarnation of the node and waits until the node is ready, for up to the scenario's ready_s.
 func (f *fleet) launch(n *node) {
-	if err := n.begin(f.opt.Dir, &f.cpu, &f.wg); err != nil {
+	if err := n.start(f.opt.Dir, &f.nodeCPU, &f.wg); err != nil {
 		f.opt.Log.Error("node did not start", "node", n.info.Name, "err", err)
 		n.info.NeverUp++
 		return
@@ -80,7 +80,7 @@
 	for end := time.Now().Add(seconds(f.s.Fleet.ReadyS)); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
 		select {
 		case <-exited:
-			f.opt.Log.Error("node ended before it was ready", "node", n.info.Name)
+			f.opt.Log.Error("node process exited before the node was ready", "node", n.info.Name)
 			n.info.NeverUp++
 			return
 		default:
@@ -89,13 +89,13 @@
 		if err == nil {
 			resp.Body.Close()
 			if resp.StatusCode == http.StatusOK {
-				n.info.ReadyAt = append(n.info.ReadyAt, f.rec.Since())
-				n.dealt.Store(true)
+				n.info.ReadyAt = append(n.info.ReadyAt, f.recorder.Since())
+				n.getsNewConns.Store(true)
 				n.inFront.Store(true)
 				return
 			}
 		}
 	}
-	f.opt.Log.Error("node never came up", "node", n.info.Name, "ready_s", f.s.Fleet.ReadyS)
+	f.opt.Log.Error("node was not ready in time", "node", n.info.Name, "ready_s", f.s.Fleet.ReadyS)
 	n.info.NeverUp++
 }
--- a/internal/lab/process.go
+++ b/internal/lab/process.go
@@ -12,39 +12,40 @@
 	"time"
 )
 
-// process is one program of the run, which may have several incarnations: a node, or a node's agent.
+// process is one program of the run: a node, a node's agent or a member. It may have several incarnations.
 type process struct {
-	name   string
-	bin    string
-	args   []string
-	env    []string
-	log    *os.File
-	mu     sync.Mutex
-	cmd    *exec.Cmd
-	exited chan struct{}
-	pids   []int
+	name    string
+	bin     string
+	args    []string
+	env     []string
+	logFile *os.File
+	mu      sync.Mutex
+	cmd     *exec.Cmd
+	exited  chan struct{}
+	pids    []int
 }
 
-// openLog gives the process a log that all its lives append to.
+// openLog opens the log file, to which all incarnations of the process append.
 func (p *process) openLog(path string) error {
 	if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
 		return err
 	}
 	fh, err := os.OpenFile(path, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o644)
-	p.log = fh
+	p.logFile = fh
 	return err
 }
 
-// begin starts an incarnation; its CPU is added to cpu once it has ended. dir holds the run's list of pids.
-func (p *process) begin(dir string, cpu *atomic.Int64, wg *sync.WaitGroup) error {
+// start starts an incarnation and appends its pid to the run's list of pids in dir. When the incarnation has ended, its CPU time
+// in ns is added to cpu.
+func (p *process) start(dir string, cpu *atomic.Int64, wg *sync.WaitGroup) error {
 	if !p.wait(0) {
 		return errors.New(p.name + " is still running")
 	}
 	cmd := exec.Command(p.bin, p.args...)
 	cmd.Env = p.env
-	cmd.Stdout = p.log
-	cmd.Stderr = p.log
-	// Children die with the lab, however it ends; each is ended by its own pid otherwise.
+	cmd.Stdout = p.logFile
+	cmd.Stderr = p.logFile
+	// The kernel kills the child when the lab ends, for whatever reason. Otherwise each child is ended by its own pid.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL, Setpgid: true}
 	if err := cmd.Start(); err != nil {
 		return err
@@ -73,7 +74,7 @@
 	}
 }
 
-// signal sends sig to the present life; false where none is running.
+// signal sends sig to the running incarnation. It returns false if none is running.
 func (p *process) signal(sig syscall.Signal) bool {
 	if p.wait(0) {
 		return false
@@ -83,10 +84,10 @@
 	return p.cmd.Process.Signal(sig) == nil
 }
 
-// ended is closed once the present life is over; nil where there was none.
+// ended returns a channel that is closed once the current incarnation has ended, or nil if there was none yet.
 func (p *process) ended() chan struct{} { p.mu.Lock(); defer p.mu.Unlock(); return p.exited }
 
-// wait waits up to d for the present life to end, and says whether none is running.
+// wait waits up to d for the current incarnation to end, and reports whether none is running.
 func (p *process) wait(d time.Duration) bool {
 	exited := p.ended()
 	if exited == nil {
@@ -105,7 +106,8 @@
 	}
 }
 
-// stopAll terms every process (one stopped is continued first) and kills what has not ended in limit.
+// stopAll sends every process SIGTERM, after SIGCONT in case it is stopped, and sends SIGKILL to those that have not ended within
+// limit.
 func stopAll(ps []*process, limit time.Duration) {
 	for _, p := range ps {
 		p.signal(syscall.SIGCONT)
--- a/internal/lab/renamed.go
+++ b/internal/lab/renamed.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// renamedKeys and renamedPrograms map what scenarios written for earlier builds name to its present name.
+// renamedKeys, renamedPrograms and renamedDiscoveries map names in scenarios written for earlier versions to the present names.
 var (
 	renamedKeys = map[string]string{
 		"fleet.listd_binary":   "fleet.discovery_binary",
@@ -16,7 +16,7 @@
 	renamedDiscoveries = map[string]string{"standin": "stub", "listd": "replicated"}
 )
 
-// unknownKey returns the error of a key that scenarios do not have, with the new name of one that was renamed.
+// unknownKey returns the error for a key that scenarios do not have. For a renamed key the error states the new name.
 func unknownKey(key string) error {
 	if now, ok := renamedKeys[key]; ok {
 		return fmt.Errorf("key %q was renamed: it is %q now", key, now)
@@ -24,7 +24,7 @@
 	return fmt.Errorf("unknown key %q", key)
 }
 
-// checkRenamed returns an error where the fleet names a program or a discovery by an earlier name.
+// checkRenamed returns an error if the fleet uses an earlier name for a program or for the kind of discovery.
 func (f *Fleet) checkRenamed() error {
 	for _, binary := range []string{f.NodeBinary, f.DiscoveryBinary, f.MembershipBinary} {
 		if now, ok := renamedPrograms[binary]; ok {
--- a/internal/lab/run.go
+++ b/internal/lab/run.go
@@ -19,7 +19,7 @@
 	"meadowsill/internal/lab/stub"
 )
 
-// Records is all that a run keeps: what went in, what happened, and what the checker found.
+// Records is everything that a run records: its scenario, what happened, and the breaches that the checker found.
 type Records struct {
 	Scenario  *Scenario              `json:"scenario"`
 	Sent      []invariants.Sent      `json:"sent"`
@@ -31,42 +31,42 @@
 	Nodes     []NodeInfo             `json:"nodes"`
 	Servers   []ServerInfo           `json:"servers"`
 	Skipped   int                    `json:"skipped"`
-	Fleet     *invariants.Fleet      `json:"fleet"` // what is known of zones, and of the control plane where there is one
+	Fleet     *invariants.Fleet      `json:"fleet"` // zones, and the control plane if the run has one
 	Onboarded []Onboarding           `json:"onboarded"`
-	Sightings []invariants.Sighting  `json:"sightings"` // what members thought of each other
+	Sightings []invariants.Sighting  `json:"sightings"` // the states in which members saw each other
 	Silenced  []Silenced             `json:"silenced"`
-	Bytes     map[string]int64       `json:"bytes"` // through the relays, both ways, by kind of link
+	Bytes     map[string]int64       `json:"bytes"` // through the relays, both directions together, by kind of link
 	Breaches  []invariants.Breach    `json:"breaches"`
 	CPU       CPU                    `json:"cpu"`
-	NoFile    [2]uint64              `json:"nofile"` // soft and hard limit on descriptors the lab ran with
+	NoFile    [2]uint64              `json:"nofile"` // the lab's soft and hard limits on descriptors
 	Links     int                    `json:"links"`
 }
 
-// Done is one event as it was carried out.
+// Done records one event of the timeline that was carried out.
 type Done struct {
 	At     time.Duration `json:"at"`
 	Do     string        `json:"do"`
 	Detail string        `json:"detail"`
 }
 
-// NodeInfo is one node process (or its several incarnations).
+// NodeInfo describes a node and its incarnations.
 type NodeInfo struct {
 	Name    string          `json:"name"`
 	Zone    string          `json:"zone"`
 	Listen  string          `json:"listen"`
 	Pids    []int           `json:"pids"`
 	ReadyAt []time.Duration `json:"ready_at"`
-	NeverUp int             `json:"never_up"` // lives that never answered /health/ready in time
+	NeverUp int             `json:"never_up"` // incarnations that did not answer /health/ready in time
 }
 
-// ServerInfo is one stub app server.
+// ServerInfo describes one stub app server.
 type ServerInfo struct {
 	ID     string `json:"id"`
 	Zone   string `json:"zone"`
 	Served int64  `json:"served"`
 }
 
-// CPU is seconds of CPU, the lab's own and that of every process it ended.
+// CPU is the CPU time, in seconds, of the lab's own process and of the processes that the lab started and that have ended.
 type CPU struct {
 	LabS      float64 `json:"lab_s"`
 	NodesS    float64 `json:"nodes_s"`
@@ -74,44 +74,46 @@
 	ReplicasS float64 `json:"replicas_s"`
 }
 
-// Onboarding is how a tenant's generation came to the nodes, from its PUT's answer on.
+// Onboarding records how long the nodes took to apply a tenant's generation. Its durations count from the answer to the PUT of
+// that generation.
 type Onboarding struct {
 	Tenant     string                   `json:"tenant"`
 	Generation uint64                   `json:"generation"`
 	At         time.Duration            `json:"at"`
 	Applied    map[string]time.Duration `json:"applied"` // by node
-	All        time.Duration            `json:"all"`     // every present node; 0 if it never was
+	All        time.Duration            `json:"all"`     // until every present node had applied it; 0 if that never happened
 }
 
-// Options are how a run is placed.
+// Options are the parts of a run that its scenario does not set.
 type Options struct {
-	Dir string // the run's directory: node logs, records, report
+	Dir string // the run's directory, for node logs, records and the report
 	Log *slog.Logger
 }
 
+// fleet is one run: its processes, stubs, links and records.
 type fleet struct {
-	s        *Scenario
-	opt      Options
-	rec      *stub.Recorder
-	place    *place
-	net      faults.Net
-	disc     lister
-	cluster  *discoverylab.Cluster // where the run is on discovery
-	servers  []*stub.AppServer
-	nodes    []*node
-	agents   []*process
-	members  []*process
-	mu       sync.Mutex
-	recs     Records
-	open     map[string]time.Duration // exemptions not yet closed, by what opened them
-	cpu      atomic.Int64             // node CPU in ns, of processes waited for
-	agentCPU atomic.Int64             // the same of agents
-	wg       sync.WaitGroup
-	over     atomic.Bool // the run is: nothing more is watched
+	s              *Scenario
+	opt            Options
+	recorder       *stub.Recorder
+	addressBlock   *addressBlock
+	net            faults.Net
+	discovery      discoveryService
+	cluster        *discoverylab.Cluster // discovery's replicas; nil with the stub
+	servers        []*stub.AppServer
+	nodes          []*node
+	agents         []*process
+	members        []*process
+	mu             sync.Mutex
+	records        Records
+	openExemptions map[string]time.Duration // by key, when each open exemption was opened
+	nodeCPU        atomic.Int64             // CPU time of node processes that have ended, in ns
+	agentCPU       atomic.Int64             // CPU time of agent and member processes that have ended, in ns
+	wg             sync.WaitGroup
+	finished       atomic.Bool // set when the run is over: nothing is watched any more
 }
 
-// Run carries out a scenario and gives its records, checked. The fleet is ended by the time it returns, and
-// every child process with it, also when ctx is cancelled.
+// Run carries out a scenario, checks its records and returns them. By the time Run returns, the fleet and every child process
+// have ended, also when ctx is cancelled.
 func Run(ctx context.Context, s *Scenario, opt Options) (*Records, error) {
 	f, err := newFleet(s, opt)
 	if err != nil {
@@ -121,11 +123,11 @@
 	if err := f.start(); err != nil {
 		return nil, err
 	}
-	opt.Log.Info("fleet up", "nodes", len(f.nodes), "servers", len(f.servers), "links", f.recs.Links)
+	opt.Log.Info("fleet up", "nodes", len(f.nodes), "servers", len(f.servers), "links", f.records.Links)
 	watched, stop := context.WithCancel(ctx)
 	defer stop()
 	if s.Fleet.Control {
-		f.watching(watched)
+		f.watchControlPlane(watched)
 	}
 	f.watchViews(watched)
 	var result load.Result
@@ -133,7 +135,7 @@
 	go func() {
 		defer close(loadDone)
 		if stub.Sleep(ctx, seconds(s.Load.FromS)) {
-			result = load.Run(ctx, f.loadSpec(), f, f.rec)
+			result = load.Run(ctx, f.loadSpec(), f, f.recorder)
 		}
 	}()
 	f.carryOutEvents(ctx)
@@ -141,18 +143,18 @@
 	if ctx.Err() != nil {
 		return nil, ctx.Err()
 	}
-	stub.Sleep(ctx, seconds(s.DurationS)-f.rec.Since())
-	end := f.rec.Since()
+	stub.Sleep(ctx, seconds(s.DurationS)-f.recorder.Since())
+	end := f.recorder.Since()
 	stop()
-	f.over.Store(true)
+	f.finished.Store(true)
 	f.end()
 	f.endExemptions(end)
-	f.record(result)
-	f.recs.Breaches = f.check()
-	return &f.recs, nil
+	f.recordResult(result)
+	f.records.Breaches = f.check()
+	return &f.records, nil
 }
 
-// newFleet makes the fleet of a run, unless the machine is too small for it. Nothing of it runs yet.
+// newFleet creates the fleet of a run and starts nothing. It returns an error if the machine is too small for the fleet.
 func newFleet(s *Scenario, opt Options) (*fleet, error) {
 	if err := os.MkdirAll(filepath.Join(opt.Dir, "nodes"), 0o755); err != nil {
 		return nil, err
@@ -160,10 +162,10 @@
 	if _, err := os.Stat(s.Fleet.NodeBinary); err != nil {
 		return nil, fmt.Errorf("node binary: %w (build it with the README's line)", err)
 	}
-	f := &fleet{s: s, opt: opt, rec: stub.NewRecorder(), open: map[string]time.Duration{}}
-	f.recs.Scenario = s
-	f.recs.Fleet = &invariants.Fleet{ServerZone: map[string]string{}, Faulted: map[string]time.Duration{}, Settings: map[string]bool{}}
-	f.recs.NoFile = raiseNoFile()
+	f := &fleet{s: s, opt: opt, recorder: stub.NewRecorder(), openExemptions: map[string]time.Duration{}}
+	f.records.Scenario = s
+	f.records.Fleet = &invariants.Fleet{ServerZone: map[string]string{}, Faulted: map[string]time.Duration{}, Settings: map[string]bool{}}
+	f.records.NoFile = raiseNoFile()
 	machine, err := bounds.ReadMachine()
 	if err != nil {
 		return nil, err
@@ -171,37 +173,37 @@
 	if err := s.checkNeeds(bounds.LimitsOf(machine)); err != nil {
 		return nil, err
 	}
-	if f.place, err = takePlace(); err != nil {
+	if f.addressBlock, err = reserveAddressBlock(); err != nil {
 		return nil, err
 	}
 	return f, nil
 }
 
-// carryOutEvents carries out the timeline, each event at its time, until ctx ends.
+// carryOutEvents carries out the events of the timeline, each at its time, until ctx ends.
 func (f *fleet) carryOutEvents(ctx context.Context) {
 	for _, e := range f.s.Events {
-		if !stub.Sleep(ctx, seconds(e.AtS)-f.rec.Since()) {
+		if !stub.Sleep(ctx, seconds(e.AtS)-f.recorder.Since()) {
 			return
 		}
-		detail, err := f.do(e)
+		detail, err := f.carryOut(e)
 		if err != nil {
 			detail = "error: " + err.Error()
 		}
-		f.opt.Log.Info("event", "do", e.Do, "at_s", f.rec.Since().Seconds(), "detail", detail)
+		f.opt.Log.Info("event", "do", e.Do, "at_s", f.recorder.Since().Seconds(), "detail", detail)
 		f.mu.Lock()
-		f.recs.Timeline = append(f.recs.Timeline, Done{f.rec.Since(), e.Do, detail})
+		f.records.Timeline = append(f.records.Timeline, Done{f.recorder.Since(), e.Do, detail})
 		f.mu.Unlock()
 	}
 }
 
-// record puts into the records what is known once the fleet has ended.
-func (f *fleet) record(result load.Result) {
-	r := &f.recs
-	r.Bytes = f.bytes()
+// recordResult adds to the records what is known only once the fleet has ended.
+func (f *fleet) recordResult(result load.Result) {
+	r := &f.records
+	r.Bytes = f.bytesByLinkKind()
 	r.Sent = result.Sent
 	r.Skipped = result.Skipped
-	r.Attempts = f.rec.Attempts()
-	r.Falls = f.rec.Falls()
+	r.Attempts = f.recorder.Attempts()
+	r.Falls = f.recorder.Falls()
 	for _, n := range f.nodes {
 		n.info.Pids = n.pids
 		r.Nodes = append(r.Nodes, *n.info)
@@ -213,7 +215,7 @@
 	syscall.Getrusage(syscall.RUSAGE_SELF, &self)
 	r.CPU = CPU{
 		LabS:    cpuSeconds(self),
-		NodesS:  time.Duration(f.cpu.Load()).Seconds(),
+		NodesS:  time.Duration(f.nodeCPU.Load()).Seconds(),
 		AgentsS: time.Duration(f.agentCPU.Load()).Seconds(),
 	}
 	if f.cluster != nil {
@@ -221,24 +223,24 @@
 	}
 }
 
-// check returns the breaches of the hard rules in the records.
+// check checks the records against the hard rules and returns the breaches.
 func (f *fleet) check() []invariants.Breach {
 	fragile := map[string]bool{}
 	for _, c := range f.classes() {
 		fragile[c.name] = c.fragile
 	}
-	controlled := f.fleetRun()
+	fleetRecords := f.completeFleetRecords()
 	if !f.s.Fleet.Control {
-		controlled = nil
+		fleetRecords = nil
 	}
-	r := &f.recs
+	r := &f.records
 	return invariants.Check(invariants.Run{
 		Sent:       r.Sent,
 		Attempts:   r.Attempts,
 		Changes:    r.Changes,
 		Exemptions: r.Excuses,
 		Falls:      r.Falls,
-		Fleet:      controlled,
+		Fleet:      fleetRecords,
 		Sightings:  r.Sightings,
 		Fragile:    fragile,
 		Grace:      time.Duration(f.setting("invariants", "drain_grace_ns")),
--- a/internal/lab/scenario.go
+++ b/internal/lab/scenario.go
@@ -1,5 +1,5 @@
-// Package lab runs a fleet of real node processes on loopback against the lab's stubs, with faults between
-// them, under a scenario's timeline, and keeps what happened for the invariant checker and the report.
+// Package lab runs a fleet of real node processes on loopback against the lab's stubs. A scenario's timeline sets faults on the
+// links between them. The package records what happened, for the invariant checker and the report.
 package lab
 
 import (
@@ -10,7 +10,7 @@
 	"github.com/BurntSushi/toml"
 )
 
-// Scenario is a lab run as a TOML file gives it (docs/lab.md). Times are in seconds from the run's start.
+// Scenario describes a lab run, as read from a TOML file (docs/lab.md). Times are in seconds from the run's start.
 type Scenario struct {
 	Name      string   `toml:"name"`
 	About     string   `toml:"about"`
@@ -20,29 +20,29 @@
 	Servers   Servers  `toml:"servers"`
 	Load      Load     `toml:"load"`
 	Events    []Event  `toml:"events"`
-	Checks    []string `toml:"expect_breaches"` // rules this scenario is meant to break (a test of the checker)
+	Checks    []string `toml:"expect_breaches"` // rules that this scenario is expected to break, as a test of the checker
 }
 
-// Fleet is the processes of the run.
+// Fleet describes the processes of a run.
 type Fleet struct {
 	Nodes            int                 `toml:"nodes"`
 	Servers          int                 `toml:"servers"`
 	Zones            []string            `toml:"zones"`
-	Regions          map[string][]string `toml:"regions"`        // zones by region; a zone is in one at most
-	ReadyS           float64             `toml:"ready_s"`        // how long a node may take to answer /health/ready
-	NoticeS          float64             `toml:"front_notice_s"` // how long the front goes on dealing to a node that died
+	Regions          map[string][]string `toml:"regions"`        // zones by region; a zone is in at most one region
+	ReadyS           float64             `toml:"ready_s"`        // how long a node may take until /health/ready answers 200
+	NoticeS          float64             `toml:"front_notice_s"` // how long the front goes on routing connections to a node that died
 	NodeBinary       string              `toml:"node_binary"`
-	Discovery        string              `toml:"discovery"` // "stub" (the lab's own) or "replicated" (replicas and an agent per node)
-	Replicas         int                 `toml:"replicas"`  // of discovery
+	Discovery        string              `toml:"discovery"` // "stub" (part of the lab) or "replicated" (replicas and one agent per node)
+	Replicas         int                 `toml:"replicas"`  // number of discovery's replicas
 	DiscoveryBinary  string              `toml:"discovery_binary"`
-	Control          bool                `toml:"control"` // the control plane of docs/fleet.md, on discovery
-	TTLMS            int                 `toml:"ttl_ms"`  // of its sessions
-	Follow           bool                `toml:"follow"`  // with control: nodes have the fleet block; false to see what they do without
-	Gossip           bool                `toml:"gossip"`  // a member for each node (cmd/membership)
+	Control          bool                `toml:"control"` // run the control plane of docs/fleet.md on discovery's replicas
+	TTLMS            int                 `toml:"ttl_ms"`  // lifetime of the control plane's sessions
+	Follow           bool                `toml:"follow"`  // with control: nodes are configured with the fleet block; false shows what they do without it
+	Gossip           bool                `toml:"gossip"`  // run a member for each node (cmd/membership)
 	MembershipBinary string              `toml:"membership_binary"`
 }
 
-// Servers is the make of every stub app server.
+// Servers describes the stub app servers, which are all alike.
 type Servers struct {
 	Capacity  int     `toml:"capacity"`
 	LatencyMS float64 `toml:"latency_ms"`
@@ -52,16 +52,16 @@
 	ColdS     float64 `toml:"cold_s"`
 }
 
-// Load is the open-loop load.
+// Load describes the open-loop load.
 type Load struct {
 	Rate        float64  `toml:"rate"`
 	MaxRequests int      `toml:"max_requests"`
-	Accounts    []string `toml:"accounts"` // tenants, in equal parts; the settings' where left out
+	Accounts    []string `toml:"accounts"` // tenants, each with an equal part of the load; by default those of the nodes' settings
 	FromS       float64  `toml:"from_s"`
 	ForS        float64  `toml:"for_s"`
 }
 
-// Event is one step of the timeline. Which fields count depends on Do:
+// Event is one step of the timeline. Do decides which fields apply:
 //
 //	kill, term, hup, restart, stop, cont   nodes, agents, replicas
 //	partition                              between (two selectors), or nodes with servers/zone
@@ -71,22 +71,22 @@
 //	degrade                                servers or zone, mode (healthy, slow, failing, reset, silent)
 //	restart-servers                        servers or zone, down_s
 //	list                                   servers or zone, state (ready, draining, gone)
-//	tenant                                 tenant, quota_per_s, burst: its next generation (fleet.control)
+//	tenant                                 tenant, quota_per_s, burst, for the tenant's next generation (needs fleet.control)
 //	tenant-delete                          tenant
-//	drift                                  nodes: settings of their own, by SIGHUP
+//	drift                                  nodes, which get deviating settings by SIGHUP (needs fleet.control)
 type Event struct {
 	AtS       float64   `toml:"at_s"`
 	Do        string    `toml:"do"`
-	Nodes     string    `toml:"nodes"`    // "0.7" a share from the first, "3" one, "0-4" a range, "all", "zone:NAME"
-	Servers   string    `toml:"servers"`  // the same, over servers
-	Agents    string    `toml:"agents"`   // the same, over the nodes' agents (discovery "replicated")
-	Replicas  string    `toml:"replicas"` // the same, over discovery's replicas; or "leader"
+	Nodes     string    `toml:"nodes"`    // "0.7" the first 0.7 of them, "3" one, "0-4" a range, "all", "zone:NAME"
+	Servers   string    `toml:"servers"`  // the same for servers
+	Agents    string    `toml:"agents"`   // the same for the nodes' agents (discovery "replicated")
+	Replicas  string    `toml:"replicas"` // the same for discovery's replicas; or "leader"
 	Zone      string    `toml:"zone"`
 	Between   [2]string `toml:"between"` // docs/lab.md, "between"
 	Mode      string    `toml:"mode"`
 	State     string    `toml:"state"`
 	DownS     float64   `toml:"down_s"`
-	Tenant    string    `toml:"tenant"` // its name
+	Tenant    string    `toml:"tenant"` // the tenant's name
 	Quota     float64   `toml:"quota_per_s"`
 	Burst     float64   `toml:"burst"`
 	DelayMS   float64   `toml:"delay_ms"`
@@ -95,20 +95,20 @@
 	Refuse    bool      `toml:"refuse"`
 	Blackhole bool      `toml:"blackhole"`
 	Duplicate bool      `toml:"duplicate"`
-	Loss      float64   `toml:"loss"`     // share of pieces and datagrams
-	Reorder   float64   `toml:"reorder"`  // share of datagrams
-	Truncate  int       `toml:"truncate"` // bytes a direction of a connection, or a datagram, may have
+	Loss      float64   `toml:"loss"`     // share of stream pieces and datagrams that are lost
+	Reorder   float64   `toml:"reorder"`  // share of datagrams that are reordered
+	Truncate  int       `toml:"truncate"` // limit in bytes for each direction of a connection, and for each datagram
 }
 
-// maxSlowStart is the settings' invariants.cold_ns: app servers are warm no later.
-const maxSlowStart = 8.7e9
+// maxSlowStartNS is invariants.cold_ns of the nodes' settings, in ns. App servers must be warm by then.
+const maxSlowStartNS = 8.7e9
 
 var actions = map[string]bool{"kill": true, "term": true, "hup": true, "restart": true, "stop": true, "cont": true,
 	"partition": true, "heal": true, "link": true, "degrade": true, "restart-servers": true, "list": true,
 	"tenant": true, "tenant-delete": true, "drift": true}
 
-// ParseScenario reads a scenario and fills in what it leaves out. A key it does not know, or a value it can't
-// use, is one plain error that names it.
+// ParseScenario reads a scenario and fills in the defaults. The error for an unknown key or an invalid value names that key or
+// value.
 func ParseScenario(name string, text []byte) (*Scenario, error) {
 	s := Scenario{
 		Seed:      1,
@@ -134,8 +134,8 @@
 	if err != nil {
 		return nil, fmt.Errorf("scenario %s: %w", name, err)
 	}
-	if un := md.Undecoded(); len(un) > 0 {
-		return nil, fmt.Errorf("scenario %s: %w", name, unknownKey(un[0].String()))
+	if undecoded := md.Undecoded(); len(undecoded) > 0 {
+		return nil, fmt.Errorf("scenario %s: %w", name, unknownKey(undecoded[0].String()))
 	}
 	if err := s.Fleet.checkRenamed(); err != nil {
 		return nil, fmt.Errorf("scenario %s: %w", name, err)
@@ -161,8 +161,8 @@
 		return nil, fmt.Errorf("scenario %s: fleet.zones is empty", name)
 	case s.checkRegions() != nil:
 		return nil, fmt.Errorf("scenario %s: %w", name, s.checkRegions())
-	case s.Servers.ColdS*1e9 > maxSlowStart:
-		return nil, fmt.Errorf("scenario %s: servers.cold_s %v is over the settings' %v", name, s.Servers.ColdS, maxSlowStart/1e9)
+	case s.Servers.ColdS*1e9 > maxSlowStartNS:
+		return nil, fmt.Errorf("scenario %s: servers.cold_s %v is over the settings' %v", name, s.Servers.ColdS, maxSlowStartNS/1e9)
 	case s.DurationS <= 0 || s.DurationS > 3600:
 		return nil, fmt.Errorf("scenario %s: duration_s %v is not within 0 to 3600", name, s.DurationS)
 	case s.Load.Rate <= 0 || s.Load.ForS <= 0 || s.Load.FromS+s.Load.ForS > s.DurationS:
--- a/internal/lab/selectors.go
+++ b/internal/lab/selectors.go
@@ -9,10 +9,10 @@
 	"strings"
 )
 
-// zone is the zone of the i-th node, agent, replica or server: they are spread over the zones in turn.
+// zone returns the zone of the i-th node, agent, replica or server. They are assigned to the zones in turn.
 func (s *Scenario) zone(i int) string { return s.Fleet.Zones[i%len(s.Fleet.Zones)] }
 
-// checkRegions says what is wrong with the regions.
+// checkRegions returns an error if a region names an unknown zone, or a zone that another region has.
 func (s *Scenario) checkRegions() error {
 	in := map[string]string{}
 	for _, name := range slices.Sorted(maps.Keys(s.Fleet.Regions)) {
@@ -29,9 +29,9 @@
 	return nil
 }
 
-// within says whether a zone falls under "zone:NAME", "not-zone:NAME" or "region:NAME", and whether that is what text
-// is, of zones and regions that the fleet has.
-func (s *Scenario) within(text, zone string) (hit, ok bool) {
+// zoneMatches reports whether zone matches the selector text: "zone:NAME", "not-zone:NAME" or "region:NAME". ok reports whether
+// text is such a selector and names a zone or region of the fleet.
+func (s *Scenario) zoneMatches(text, zone string) (hit, ok bool) {
 	kind, name, _ := strings.Cut(text, ":")
 	switch kind {
 	case "zone":
@@ -44,7 +44,7 @@
 	return false, false
 }
 
-// checkEvent says what is wrong with an event's selectors, shares or states.
+// checkEvent returns an error if an event has an invalid selector, share or state, or lacks something that its action needs.
 func (s *Scenario) checkEvent(e Event) error {
 	replicated := s.Fleet.Discovery == "replicated"
 	agents, replicas := s.agentCount(), s.replicaCount()
@@ -52,12 +52,12 @@
 		text  string
 		count int
 	}{{e.Nodes, s.Fleet.Nodes}, {e.Servers, s.Fleet.Servers}, {e.Agents, agents}} {
-		if _, err := s.selected(selector.text, selector.count); err != nil {
+		if _, err := s.resolveSelector(selector.text, selector.count); err != nil {
 			return err
 		}
 	}
 	if e.Replicas != "" && (e.Replicas != "leader" || !replicated) {
-		if _, err := s.selected(e.Replicas, replicas); err != nil {
+		if _, err := s.resolveSelector(e.Replicas, replicas); err != nil {
 			return err
 		}
 	}
@@ -84,7 +84,7 @@
 	return nil
 }
 
-// agentCount is how many agents the fleet has.
+// agentCount returns the number of agents in the fleet.
 func (s *Scenario) agentCount() int {
 	if s.Fleet.Discovery == "replicated" || s.Fleet.Gossip {
 		return s.Fleet.Nodes
@@ -92,7 +92,7 @@
 	return 0
 }
 
-// replicaCount is how many replicas the fleet has.
+// replicaCount returns the number of replicas in the fleet.
 func (s *Scenario) replicaCount() int {
 	if s.Fleet.Discovery == "replicated" {
 		return s.Fleet.Replicas
@@ -100,25 +100,25 @@
 	return 0
 }
 
-// checkLinkEnd says what is wrong with one of the two groups that an event's links are between.
+// checkLinkEnd returns an error if end, one of the two selectors of an event's "between", is invalid.
 func (s *Scenario) checkLinkEnd(end string) error {
 	kind, selector, _ := strings.Cut(end, ":")
 	var err error
 	switch kind {
 	case "clients", "discovery":
 	case "nodes":
-		_, err = s.selected(selector, s.Fleet.Nodes)
+		_, err = s.resolveSelector(selector, s.Fleet.Nodes)
 	case "servers":
-		_, err = s.selected(selector, s.Fleet.Servers)
+		_, err = s.resolveSelector(selector, s.Fleet.Servers)
 	case "agents":
-		_, err = s.selected(selector, s.agentCount())
+		_, err = s.resolveSelector(selector, s.agentCount())
 	case "replicas":
 		if selector != "leader" {
-			_, err = s.selected(selector, s.replicaCount())
+			_, err = s.resolveSelector(selector, s.replicaCount())
 		}
 	case "zone", "not-zone", "region":
 		if selector != "leader" || kind == "region" || s.Fleet.Discovery != "replicated" {
-			_, err = s.selected(end, s.Fleet.Nodes)
+			_, err = s.resolveSelector(end, s.Fleet.Nodes)
 		}
 	default:
 		err = fmt.Errorf("between: %q is none of clients, discovery and nodes:, servers:, agents:, replicas:, zone:, not-zone: or region: with a selector", end)
@@ -126,31 +126,32 @@
 	return err
 }
 
-// pick is selected for a selector known to be good.
-func (s *Scenario) pick(text string, n int) []int {
-	out, _ := s.selected(text, n)
+// resolveValid is resolveSelector for a selector that is known to be valid.
+func (s *Scenario) resolveValid(text string, n int) []int {
+	out, _ := s.resolveSelector(text, n)
 	return out
 }
 
-// selected reads a selector over n things spread over the zones in turn: as Select, and "zone:NAME", "not-zone:NAME"
-// and "region:NAME".
-func (s *Scenario) selected(text string, n int) ([]int, error) {
+// resolveSelector returns the indexes that a selector names among n items, which are assigned to the zones in turn. It takes
+// the selectors of Select and "zone:NAME", "not-zone:NAME" and "region:NAME".
+func (s *Scenario) resolveSelector(text string, n int) ([]int, error) {
 	if !strings.Contains(text, ":") {
 		return Select(text, n)
 	}
-	if _, ok := s.within(text, ""); !ok {
+	if _, ok := s.zoneMatches(text, ""); !ok {
 		return nil, fmt.Errorf("%q is no zone or region of the fleet's", text)
 	}
 	var out []int
 	for i := range n {
-		if hit, _ := s.within(text, s.zone(i)); hit {
+		if hit, _ := s.zoneMatches(text, s.zone(i)); hit {
 			out = append(out, i)
 		}
 	}
 	return out, nil
 }
 
-// Select reads a selector over n things: "" none, "all", "3" one, "2-5" a range, "0.7" a share from the first.
+// Select returns the indexes that a selector names among n items: "" none, "all", "3" one, "2-5" a range, "0.7" the first 0.7 of
+// the items, rounded.
 func Select(text string, n int) ([]int, error) {
 	var out []int
 	switch {
--- a/internal/lab/setup.go
+++ b/internal/lab/setup.go
@@ -13,7 +13,8 @@
 
 func serverID(j int) string { return fmt.Sprintf("s-%08x", 0x5e000000+j) }
 
-// raiseNoFile lifts the soft limit on descriptors to the hard one: 50 nodes by 100 servers are many links.
+// raiseNoFile raises the soft limit on descriptors to the hard limit and returns both. The lab needs many: each of 50 nodes has
+// a link to each of 100 servers.
 func raiseNoFile() [2]uint64 {
 	var l syscall.Rlimit
 	syscall.Getrlimit(syscall.RLIMIT_NOFILE, &l)
@@ -23,7 +24,8 @@
 	return [2]uint64{l.Cur, l.Max}
 }
 
-// The names of the groups at links' ends: "clients", "discovery" (the stub), "n3", "server:ID", "agent:n3", "r0".
+// agentName and replicaName return names of link ends. All the names of link ends are "clients", "discovery" (the stub), "n3",
+// "server:ID", "agent:n3" and "r0".
 func agentName(i int) string   { return fmt.Sprintf("agent:n%d", i) }
 func replicaName(i int) string { return fmt.Sprintf("r%d", i) }
 
@@ -33,11 +35,11 @@
 		return nil, fmt.Errorf("link %s to %s: %w", from, to, err)
 	}
 	f.net.Add(l)
-	f.recs.Links++
+	f.records.Links++
 	return l, nil
 }
 
-// start starts the app servers, discovery and the nodes, and waits until each node has started.
+// start starts the app servers, discovery and the nodes, and waits until each node is ready or has failed to become ready.
 func (f *fleet) start() error {
 	entries, err := f.startServers()
 	if err != nil {
@@ -66,7 +68,7 @@
 	return nil
 }
 
-// startServers starts the app servers and returns their entries of the list.
+// startServers starts the app servers and returns their entries for the list of servers.
 func (f *fleet) startServers() ([]stub.Entry, error) {
 	s := f.s
 	var entries []stub.Entry
@@ -82,7 +84,7 @@
 			IdleClose: seconds(s.Servers.IdleS),
 			SlowStart: f.slowStart(),
 		}
-		server, err := stub.NewAppServer(spec, "127.0.0.1:0", nodeOf, f.rec, s.Seed*1000+uint64(j))
+		server, err := stub.NewAppServer(spec, "127.0.0.1:0", nodeByIP, f.recorder, s.Seed*1000+uint64(j))
 		if err != nil {
 			return nil, fmt.Errorf("app server %d: %w", j, err)
 		}
@@ -92,80 +94,81 @@
 	return entries, nil
 }
 
-// startDiscovery starts the replicas, or the stub of discovery.
+// startDiscovery starts discovery: the replicas, or the stub.
 func (f *fleet) startDiscovery(entries []stub.Entry) error {
 	if f.s.Fleet.Discovery != "replicated" {
-		f.disc = stubList{stub.NewDiscovery(entries)}
+		f.discovery = stubDiscovery{stub.NewDiscovery(entries)}
 		return nil
 	}
 	var extra []string
 	if f.s.Fleet.Control {
-		path, err := f.fleetFile()
+		path, err := f.writeFleetFile()
 		if err != nil {
 			return err
 		}
 		extra = []string{"--fleet", path}
 	}
-	list, err := f.startReplicatedList(entries, extra...)
+	list, err := f.startReplicatedDiscovery(entries, extra...)
 	if err != nil {
 		return err
 	}
-	f.disc = list
+	f.discovery = list
 	f.cluster = list.cluster
 	return nil
 }
 
-// newNode opens the links of a node and writes its configuration.
-func (f *fleet) newNode(i int) (*node, error) {
+// newNode creates node i: it opens the node's links and writes its configuration. With replicated discovery it also starts the
+// node's agent.
+func (f *fleet) newNode(index int) (*node, error) {
 	s := f.s
-	n := &node{i: i, info: &NodeInfo{Name: fmt.Sprintf("n%d", i), Zone: s.Fleet.Zones[i%len(s.Fleet.Zones)]}}
+	n := &node{index: index, info: &NodeInfo{Name: fmt.Sprintf("n%d", index), Zone: s.Fleet.Zones[index%len(s.Fleet.Zones)]}}
 	addrs, err := f.linkServers(n)
 	if err != nil {
 		return nil, err
 	}
-	view, err := f.disc.View(n, func(id string) string { return addrs[id] })
+	view, err := f.discovery.View(n, func(id string) string { return addrs[id] })
 	if err != nil {
 		return nil, err
 	}
 	to := "discovery"
 	if f.cluster != nil {
-		to = agentName(i)
+		to = agentName(index)
 	}
-	list, err := f.link(n.info.Name, to, view, nodeIP(i), s.Seed+uint64(i))
+	list, err := f.link(n.info.Name, to, view, nodeIP(index), s.Seed+uint64(index))
 	if err != nil {
 		return nil, err
 	}
-	n.info.Listen = f.place.node(i)
-	clients, err := f.link("clients", n.info.Name, n.info.Listen, "", s.Seed+uint64(i)+7)
+	n.info.Listen = f.addressBlock.node(index)
+	clients, err := f.link("clients", n.info.Name, n.info.Listen, "", s.Seed+uint64(index)+7)
 	if err != nil {
 		return nil, err
 	}
 	n.frontAddr = clients.Addr
 	n.clients = clients
-	return n, f.configure(n, list.Addr)
+	return n, f.writeConfig(n, list.Addr)
 }
 
-// linkServers opens a node's links to the app servers and returns their addresses by the server's id.
+// linkServers opens a node's links to the app servers and returns the links' addresses by server id.
 func (f *fleet) linkServers(n *node) (map[string]string, error) {
 	addrs := map[string]string{}
 	for j, server := range f.servers {
-		l, err := f.link(n.info.Name, "server:"+server.Spec.ID, server.Addr, nodeIP(n.i), f.s.Seed+uint64(n.i*10000+j))
+		l, err := f.link(n.info.Name, "server:"+server.Spec.ID, server.Addr, nodeIP(n.index), f.s.Seed+uint64(n.index*10000+j))
 		if err != nil {
 			return nil, err
 		}
 		addrs[server.Spec.ID] = l.Addr
 		l.OnLost(func() {
-			attempt := invariants.UnreachableAttempt{Node: n.i, Server: server.Spec.ID, At: f.rec.Since()}
+			attempt := invariants.UnreachableAttempt{Node: n.index, Server: server.Spec.ID, At: f.recorder.Since()}
 			f.mu.Lock()
 			defer f.mu.Unlock()
-			f.recs.Fleet.UnreachableAttempts = append(f.recs.Fleet.UnreachableAttempts, attempt)
+			f.records.Fleet.UnreachableAttempts = append(f.records.Fleet.UnreachableAttempts, attempt)
 		})
 	}
 	return addrs, nil
 }
 
-// end terms every node and agent, kills what has not ended in 10 s, and closes links, stubs and replicas. It may
-// run twice.
+// end sends SIGTERM to every node, agent and member, sends SIGKILL to those that have not ended within 10 s, and closes the links,
+// the stubs and the replicas. It may be called twice.
 func (f *fleet) end() {
 	var nodes []*process
 	for _, n := range f.nodes {
@@ -177,19 +180,19 @@
 	stopAll(agents, 10*time.Second)
 	f.wg.Wait()
 	f.net.Close()
-	if f.disc != nil {
-		f.disc.Close()
+	if f.discovery != nil {
+		f.discovery.Close()
 	}
 	for _, s := range f.servers {
 		s.Stop()
 	}
 	for _, p := range append(nodes, agents...) {
-		if p.log != nil {
-			p.log.Close()
-			p.log = nil
+		if p.logFile != nil {
+			p.logFile.Close()
+			p.logFile = nil
 		}
 	}
-	if f.place != nil {
-		f.place.close()
+	if f.addressBlock != nil {
+		f.addressBlock.close()
 	}
 }
--- a/internal/lab/workload.go
+++ b/internal/lab/workload.go
@@ -22,11 +22,11 @@
 
 func (f *fleet) template() map[string]any { return Settings() }
 
-// Settings gives the nodes' settings that the runs begin with, as a copy to change.
+// Settings returns the nodes' settings that runs start with, as a new copy that the caller may change.
 func Settings() map[string]any {
 	var m map[string]any
 	if err := json.Unmarshal(settingsTemplate, &m); err != nil {
-		panic(err) // embedded, tested
+		panic(err) // settings.json is embedded, and a test decodes it
 	}
 	return m
 }
@@ -36,7 +36,7 @@
 	return v
 }
 
-// slowStart is the cold rule of the nodes' settings, with the scenario's time until a server is warm.
+// slowStart returns the slow-start rule of the nodes' settings, with the scenario's time until a server is warm.
 func (f *fleet) slowStart() stub.SlowStart {
 	set := func(name string) float64 { return f.setting("invariants", name) }
 	return stub.SlowStart{From: set("cold_from"), For: seconds(f.s.Servers.ColdS), Factor: set("overload_factor"),
@@ -50,7 +50,7 @@
 		out = append(out, class{name: m["name"].(string), fragile: m["effect"] == "fragile",
 			giveUp: time.Duration(m["give_up_ns"].(float64))})
 	}
-	// The shares of BRIEF: 57% schedule-view, 43% place-order.
+	// The shares of the load in BRIEF: 57% schedule-view, 43% place-order.
 	for i := range out {
 		out[i].fraction = 1 / float64(len(out))
 		if len(out) == 2 {
@@ -61,12 +61,12 @@
 }
 
 func (f *fleet) loadSpec() load.Spec {
-	cross := 100 * time.Millisecond
+	crossWindow := 100 * time.Millisecond
 	for _, e := range f.s.Events {
-		cross = max(cross, 100*time.Millisecond+2*seconds((e.DelayMS+e.JitterMS)/1000))
+		crossWindow = max(crossWindow, 100*time.Millisecond+2*seconds((e.DelayMS+e.JitterMS)/1000))
 	}
 	spec := load.Spec{
-		Cross:       cross,
+		CrossWindow: crossWindow,
 		Rate:        f.s.Load.Rate,
 		For:         seconds(f.s.Load.ForS),
 		MaxRequests: f.s.Load.MaxRequests,
@@ -82,7 +82,7 @@
 	return spec
 }
 
-// accounts are the tenants of the nodes' settings.
+// accounts returns the tenants of the nodes' settings.
 func (f *fleet) accounts() []string {
 	var out []string
 	for _, a := range f.template()["accounts"].([]any) {
@@ -91,7 +91,7 @@
 	return out
 }
 
-// Pick is the clients' front: a node at random among those it deals to.
+// Pick picks at random one of the nodes that the front has. It implements load.Front.
 func (f *fleet) Pick(r *rand.Rand) (int, string, bool) {
 	var up []*node
 	for _, n := range f.nodes {
@@ -103,10 +103,10 @@
 		return 0, "", false
 	}
 	n := up[r.IntN(len(up))]
-	return n.i, n.frontAddr, true
+	return n.index, n.frontAddr, true
 }
 
-func (f *fleet) at(addr string) *node {
+func (f *fleet) nodeAt(addr string) *node {
 	for _, n := range f.nodes {
 		if n.frontAddr == addr {
 			return n
@@ -115,20 +115,23 @@
 	return nil
 }
 
-// Deals, Faulted and Refused: see load.Front.
-func (f *fleet) Deals(addr string) bool { n := f.at(addr); return n != nil && n.dealt.Load() }
+// RoutesNewConns, Refused and Faulted implement load.Front.
+func (f *fleet) RoutesNewConns(addr string) bool {
+	n := f.nodeAt(addr)
+	return n != nil && n.getsNewConns.Load()
+}
 
 func (f *fleet) Refused(addr, local string) bool {
-	n := f.at(addr)
+	n := f.nodeAt(addr)
 	return n != nil && n.clients.Refused(local)
 }
 
 func (f *fleet) Faulted(addr string) bool {
-	n, now := f.at(addr), f.rec.Since()
+	n, now := f.nodeAt(addr), f.recorder.Since()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, e := range f.recs.Excuses {
-		if n != nil && e.Node == n.i && e.Rule != "after-grace" && (e.To < 0 || now <= e.To) {
+	for _, e := range f.records.Excuses {
+		if n != nil && e.Node == n.index && e.Rule != "after-grace" && (e.To < 0 || now <= e.To) {
 			return true
 		}
 	}
