--- a/internal/scale/bounds_test.go
+++ b/internal/scale/bounds_test.go
@@ -7,7 +7,7 @@
 	"meadowsill/internal/lab/bounds"
 )
 
-func planOf(t *testing.T, text string) *Plan {
+func mustParsePlan(t *testing.T, text string) *Plan {
 	t.Helper()
 	p, err := ParsePlan("test", []byte(text))
 	if err != nil {
@@ -16,15 +16,15 @@
 	return p
 }
 
-func TestCheckRefusesWhatPassesALimit(t *testing.T) {
-	p := planOf(t, goodPlan)
+func TestCheckRejectsAPlanOverALimit(t *testing.T) {
+	p := mustParsePlan(t, validPlan)
 	wide := bounds.Limits{MemoryBytes: 1 << 40, Processes: 1 << 20, Descriptors: 1 << 20, Ports: 1 << 20}
 	if err := Check(p, wide); err != nil {
 		t.Fatal(err)
 	}
 	rows := []struct {
-		narrow func(*bounds.Limits)
-		want   string
+		lower func(*bounds.Limits)
+		want  string
 	}{
 		{func(l *bounds.Limits) { l.MemoryBytes = 300 << 20 }, "MiB of memory, half of the machine's is 300 MiB"},
 		{func(l *bounds.Limits) { l.Processes = 6 }, "sizes[4]: nodes 128: needs 7 processes, at most 6"},
@@ -33,7 +33,7 @@
 	}
 	for _, row := range rows {
 		limits := wide
-		row.narrow(&limits)
+		row.lower(&limits)
 		err := Check(p, limits)
 		if err == nil || !strings.Contains(err.Error(), row.want) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%v, want one line with %q", err, row.want)
@@ -42,7 +42,7 @@
 }
 
 func TestNeedsGrowWithTheLoad(t *testing.T) {
-	p := planOf(t, goodPlan)
+	p := mustParsePlan(t, validPlan)
 	base := NeedsOf(p, p.Base)
 	for _, grow := range []func(*Load){
 		func(l *Load) { l.Nodes *= 100 },
--- a/internal/scale/change.go
+++ b/internal/scale/change.go
@@ -17,41 +17,43 @@
 // A change is waited for on every node for changeTimeout at most. A process is asked in calls of changeLook, so that others get
 // their turn; when a node came to a change is by the node's own account.
 const (
-	changeTimeout = 10 * time.Second
-	changeLook    = 100 * time.Millisecond
-	changeRest    = 20 * time.Millisecond
+	changeTimeout      = 10 * time.Second
+	inForceCallTimeout = 100 * time.Millisecond
+	retryPause         = 20 * time.Millisecond
 )
 
 // maxMicroseconds is the longest time that a histogram of changes holds.
-const maxMicroseconds = int64(time.Hour / time.Microsecond)
+const maxChangeMicroseconds = int64(time.Hour / time.Microsecond)
 
 // spread is how long changes took to come into force.
-type spread struct {
+type changeTimes struct {
 	took    *hdrhistogram.Histogram // of each pair of a node and a change, microseconds
 	longest time.Duration
 	worst   string // the node that came to a change last
 	missed  int    // pairs that did not come into force in time
 }
 
-func newSpread() *spread { return &spread{took: hdrhistogram.New(1, maxMicroseconds, 3)} }
+func newChangeTimes() *changeTimes {
+	return &changeTimes{took: hdrhistogram.New(1, maxChangeMicroseconds, 3)}
+}
 
 // take brings in what the nodes of one process came to after a put.
-func (s *spread) take(f hollow.InForce, put time.Time) {
-	s.missed += f.Nodes - f.Have
+func (c *changeTimes) add(f hollow.InForce, putAt time.Time) {
+	c.missed += f.Nodes - f.Have
 	for _, ns := range f.Times {
-		s.took.RecordValue(max(1, time.Unix(0, ns).Sub(put).Microseconds()))
+		c.took.RecordValue(max(1, time.Unix(0, ns).Sub(putAt).Microseconds()))
 	}
 	if f.Have == 0 {
 		return
 	}
-	if took := f.Last.Sub(put); took > s.longest {
-		s.longest, s.worst = took, f.Worst
+	if took := f.Last.Sub(putAt); took > c.longest {
+		c.longest, c.worst = took, f.Worst
 	}
 }
 
 // quantile is in seconds; ok is false where nothing came into force.
-func (s *spread) quantile(q float64) (value float64, ok bool) {
-	return float64(s.took.ValueAtQuantile(q)) / 1e6, s.took.TotalCount() > 0
+func (c *changeTimes) quantile(q float64) (value float64, ok bool) {
+	return float64(c.took.ValueAtQuantile(q)) / 1e6, c.took.TotalCount() > 0
 }
 
 // outcome is what a window's schedule came to.
@@ -62,17 +64,17 @@
 	refused  int
 	restarts int
 	replaced int
-	each     *spread // of the changes at a steady rate
-	burst    *spread // of those at once
+	steady   *changeTimes // of the changes at a steady rate
+	burst    *changeTimes // of those at once
 	// Seconds of each release, and restart of all replicas, until every node was up again.
 	releases   []float64
 	recoveries []float64
 }
 
-func newOutcome() *outcome { return &outcome{each: newSpread(), burst: newSpread()} }
+func newOutcome() *outcome { return &outcome{steady: newChangeTimes(), burst: newChangeTimes()} }
 
 // add changes the outcome.
-func (o *outcome) add(change func(o *outcome)) {
+func (o *outcome) update(change func(o *outcome)) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	change(o)
@@ -80,33 +82,33 @@
 
 // change puts a random tenant's next generation and waits until every node of its scope serves by it.
 func (w *window) change(ctx context.Context, random *rand.Rand, late bool) error {
-	spec, generation, put, err := w.tenants.change(ctx, random)
+	spec, generation, putAt, err := w.tenants.change(ctx, random)
 	if errors.Is(err, errConflict) {
-		w.seen.add(func(o *outcome) { o.refused++ })
+		w.measured.update(func(o *outcome) { o.refused++ })
 		return nil
 	}
 	if err != nil {
 		return fmt.Errorf("change: %w", err)
 	}
-	w.seen.add(func(o *outcome) {
+	w.measured.update(func(o *outcome) {
 		o.changes++
 		if late {
 			o.late++
 		}
 	})
-	return w.awaitInForce(ctx, spec, generation, put, w.seen.each)
+	return w.awaitInForce(ctx, spec, generation, putAt, w.measured.steady)
 }
 
 // awaitInForce waits until every node of a tenant's scope serves by a generation, and records when each did.
-func (w *window) awaitInForce(ctx context.Context, spec fleet.Spec, generation uint64, put time.Time, to *spread) error {
+func (w *window) awaitInForce(ctx context.Context, spec fleet.Spec, generation uint64, putAt time.Time, times *changeTimes) error {
 	each := make([]hollow.InForce, len(w.nodes.processes))
-	err := w.nodes.all(func(i int, h Hollow) (err error) {
+	err := w.nodes.callAll(func(i int, h Hollow) (err error) {
 		for {
-			each[i], err = h.InForce(spec.Name, spec.Service, generation, changeLook)
-			if err != nil || each[i].Have == each[i].Nodes || time.Since(put) > changeTimeout {
+			each[i], err = h.InForce(spec.Name, spec.Service, generation, inForceCallTimeout)
+			if err != nil || each[i].Have == each[i].Nodes || time.Since(putAt) > changeTimeout {
 				return err
 			}
-			if err := pause(ctx, changeRest); err != nil {
+			if err := pause(ctx, retryPause); err != nil {
 				return err
 			}
 		}
@@ -114,9 +116,9 @@
 	if err != nil {
 		return fmt.Errorf("tenant %s, generation %d: %w", spec.Name, generation, err)
 	}
-	w.seen.add(func(*outcome) {
+	w.measured.update(func(*outcome) {
 		for _, f := range each {
-			to.take(f, put)
+			times.add(f, putAt)
 		}
 	})
 	return nil
--- a/internal/scale/cores_test.go
+++ b/internal/scale/cores_test.go
@@ -18,7 +18,7 @@
 var coreSizes = []int{100, 400, 1600, 3200}
 
 // serversOf is a list of n app servers, at the revision n.
-func serversOf(t testing.TB, n int) *registry.State {
+func newServerList(t testing.TB, n int) *registry.State {
 	s := registry.New(1000)
 	for i := range n {
 		register(t, s, i, 1)
@@ -34,55 +34,55 @@
 }
 
 // intended is the fleet's state with n tenants over 16 services, every one committed, and the leader's judge.
-type intended struct {
-	state *control.State
-	judge *control.Controller
-	now   fleet.Time
-	rev   uint64
-	load  Load
+type coreFleet struct {
+	state      *control.State
+	controller *control.Controller
+	now        fleet.Time
+	revision   uint64
+	load       Load
 }
 
-func intendedOf(t testing.TB, n int) *intended {
+func newCoreFleet(t testing.TB, n int) *coreFleet {
 	set, err := control.ParseSettings("slots = 8")
 	if err != nil {
 		t.Fatal(err)
 	}
-	in := &intended{state: control.New(), load: Load{Tenants: n, Services: 16}}
-	in.judge = control.NewController(set, 0, in.state)
+	f := &coreFleet{state: control.New(), load: Load{Tenants: n, Services: 16}}
+	f.controller = control.NewController(set, 0, f.state)
 	for i := range n {
-		in.put(t, i, 0)
+		f.put(t, i, 0)
 	}
 	for range 5 {
-		in.step(t)
+		f.step(t)
 	}
-	return in
+	return f
 }
 
 // put proposes a tenant's next generation.
-func (in *intended) put(t testing.TB, tenant int, at uint64) {
-	spec := in.load.spec(tenant, at+1)
-	in.apply(t, control.Command{Tenants: &tenants.Command{Operation: tenants.Put, Name: spec.Name, Generation: at, Spec: &spec}})
+func (f *coreFleet) put(t testing.TB, tenant int, at uint64) {
+	spec := f.load.spec(tenant, at+1)
+	f.apply(t, control.Command{Tenants: &tenants.Command{Operation: tenants.Put, Name: spec.Name, Generation: at, Spec: &spec}})
 }
 
-func (in *intended) apply(t testing.TB, c control.Command) {
-	if _, err := in.state.Apply(c, func() uint64 { in.rev++; return in.rev }); err != nil {
+func (f *coreFleet) apply(t testing.TB, c control.Command) {
+	if _, err := f.state.Apply(c, func() uint64 { f.revision++; return f.revision }); err != nil {
 		t.Fatal(err)
 	}
 }
 
 // step has the judge decide, and carries it out.
-func (in *intended) step(t testing.TB) {
-	in.now += 100 * time.Millisecond
-	for _, c := range in.judge.Step(in.now, in.state, nil) {
-		in.apply(t, c)
-		in.judge.Resolved(c)
+func (f *coreFleet) step(t testing.TB) {
+	f.now += 100 * time.Millisecond
+	for _, c := range f.controller.Step(f.now, f.state, nil) {
+		f.apply(t, c)
+		f.controller.Resolved(c)
 	}
 }
 
 // report is that of a node which holds every tenant.
-func (in *intended) report() fleet.Report {
-	r := fleet.Report{Member: fleet.Member{Node: "h00000", Zone: "za", Incarnation: 1}, Sequence: 1, Revision: in.state.Revision, Ready: true}
-	for i := range in.load.Tenants {
+func (f *coreFleet) report() fleet.Report {
+	r := fleet.Report{Member: fleet.Member{Node: "h00000", Zone: "za", Incarnation: 1}, Sequence: 1, Revision: f.state.Revision, Ready: true}
+	for i := range f.load.Tenants {
 		r.Tenants = append(r.Tenants, fleet.TenantAck{Name: tenantName(i), UID: 1, Committed: 1, Digest: "0123456789abcdef"})
 	}
 	return r
@@ -99,9 +99,9 @@
 // coreCost is what one operation of a pure core costs at a size, in a unit that does not depend on the machine, and how its
 // exponent may be at most.
 type coreCost struct {
-	name string
-	most float64
-	cost func(t *testing.T, n int) float64
+	name        string
+	maxExponent float64
+	cost        func(t *testing.T, n int) float64
 }
 
 // allocationRuns is how many calls allocations are counted over.
@@ -113,67 +113,67 @@
 
 var coreCosts = []coreCost{
 	{"bytes of a watch's answer for one change, against servers", 0.1, func(t *testing.T, n int) float64 {
-		s := serversOf(t, n)
+		s := newServerList(t, n)
 		since := s.ListRevision
 		register(t, s, n/2, 2)
 		return jsonBytes(t, s.Read(since, true))
 	}},
 	{"items of a watch's answer for one change, against servers", 0.1, func(t *testing.T, n int) float64 {
-		s := serversOf(t, n)
+		s := newServerList(t, n)
 		since := s.ListRevision
 		register(t, s, n/2, 2)
 		return float64(len(s.Read(since, true).Servers))
 	}},
 	{"allocations of a watch's read for one change, against servers", 0.1, func(t *testing.T, n int) float64 {
-		s := serversOf(t, n)
+		s := newServerList(t, n)
 		since := s.ListRevision
 		register(t, s, n/2, 2)
 		return allocations(func() { s.Read(since, true) })
 	}},
 	{"bytes of the whole list, against servers", 1.1, func(t *testing.T, n int) float64 {
-		return jsonBytes(t, serversOf(t, n).Read(0, false))
+		return jsonBytes(t, newServerList(t, n).Read(0, false))
 	}},
 	{"allocations of a renewal, against servers", 0.1, func(t *testing.T, n int) float64 {
-		s := serversOf(t, n)
+		s := newServerList(t, n)
 		return 1 + allocations(func() { register(t, s, n/2, 1) })
 	}},
 	{"bytes of the list's snapshot, against servers", 1.1, func(t *testing.T, n int) float64 {
-		raw, err := serversOf(t, n).Snapshot(nil)
+		raw, err := newServerList(t, n).Snapshot(nil)
 		if err != nil {
 			t.Fatal(err)
 		}
 		return float64(len(raw))
 	}},
 	{"bytes of the intent for one change, against tenants", 0.1, func(t *testing.T, n int) float64 {
-		in := intendedOf(t, n)
-		since := in.state.Revision
-		in.put(t, n/2, 1)
-		return jsonBytes(t, in.state.Read(since, "h00000"))
+		f := newCoreFleet(t, n)
+		since := f.state.Revision
+		f.put(t, n/2, 1)
+		return jsonBytes(t, f.state.Read(since, "h00000"))
 	}},
 	{"items of the intent for one change, against tenants", 0.1, func(t *testing.T, n int) float64 {
-		in := intendedOf(t, n)
-		since := in.state.Revision
-		in.put(t, n/2, 1)
-		return float64(len(in.state.Read(since, "h00000").Items))
+		f := newCoreFleet(t, n)
+		since := f.state.Revision
+		f.put(t, n/2, 1)
+		return float64(len(f.state.Read(since, "h00000").Items))
 	}},
 	{"allocations of the intent's read for one change, against tenants", 0.1, func(t *testing.T, n int) float64 {
-		in := intendedOf(t, n)
-		since := in.state.Revision
-		in.put(t, n/2, 1)
-		return allocations(func() { in.state.Read(since, "h00000") })
+		f := newCoreFleet(t, n)
+		since := f.state.Revision
+		f.put(t, n/2, 1)
+		return allocations(func() { f.state.Read(since, "h00000") })
 	}},
 	{"bytes of the whole intent, against tenants", 1.1, func(t *testing.T, n int) float64 {
-		return jsonBytes(t, intendedOf(t, n).state.Read(0, "h00000"))
+		return jsonBytes(t, newCoreFleet(t, n).state.Read(0, "h00000"))
 	}},
 	{"bytes of a whole report, against tenants", 1.1, func(t *testing.T, n int) float64 {
-		return jsonBytes(t, intendedOf(t, n).report())
+		return jsonBytes(t, newCoreFleet(t, n).report())
 	}},
 	{"allocations of a step with nothing to decide, against tenants", 1.1, func(t *testing.T, n int) float64 {
-		in := intendedOf(t, n)
-		return 1 + allocations(func() { in.step(t) })
+		f := newCoreFleet(t, n)
+		return 1 + allocations(func() { f.step(t) })
 	}},
 	{"bytes of the fleet's snapshot, against tenants", 1.1, func(t *testing.T, n int) float64 {
-		raw, err := intendedOf(t, n).state.Snapshot()
+		raw, err := newCoreFleet(t, n).state.Snapshot()
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -183,20 +183,20 @@
 
 // TestCoresKeepTheirGrowth holds the exponents of what the pure cores cost, and shows of each check that it fails where the
 // cost is planted to grow by n^1.5 more.
-func TestCoresKeepTheirGrowth(t *testing.T) {
+func TestCoreCostsStayWithinTheirExponents(t *testing.T) {
 	for _, c := range coreCosts {
 		t.Run(c.name, func(t *testing.T) {
-			limit := GrowthLimit{Metric: Metric(c.name), Max: c.most}
-			var samples, planted []Sample
+			limit := GrowthLimit{Metric: Metric(c.name), Max: c.maxExponent}
+			var samples, inflated []Sample
 			for _, n := range coreSizes {
 				value := c.cost(t, n)
 				samples = append(samples, Sample{Size: float64(n), Value: value})
-				planted = append(planted, Sample{Size: float64(n), Value: value * math.Pow(float64(n)/float64(coreSizes[0]), 1.5)})
+				inflated = append(inflated, Sample{Size: float64(n), Value: value * math.Pow(float64(n)/float64(coreSizes[0]), 1.5)})
 			}
 			if err := limit.check(samples); err != nil {
 				t.Error(err)
 			}
-			if err := limit.check(planted); err == nil {
+			if err := limit.check(inflated); err == nil {
 				t.Error("a cost that is planted to grow by n^1.5 more is not found")
 			}
 		})
@@ -221,7 +221,7 @@
 // BenchmarkListRead is a watch's read of one change, by servers.
 func BenchmarkListRead(b *testing.B) {
 	benchmark(b, func(n int) func() {
-		s := serversOf(b, n)
+		s := newServerList(b, n)
 		since := s.ListRevision
 		register(b, s, n/2, 2)
 		return func() { s.Read(since, true) }
@@ -231,27 +231,27 @@
 // BenchmarkIntentRead is a watch's read of one change, by tenants.
 func BenchmarkIntentRead(b *testing.B) {
 	benchmark(b, func(n int) func() {
-		in := intendedOf(b, n)
-		since := in.state.Revision
-		in.put(b, n/2, 1)
-		return func() { in.state.Read(since, "h00000") }
+		f := newCoreFleet(b, n)
+		since := f.state.Revision
+		f.put(b, n/2, 1)
+		return func() { f.state.Read(since, "h00000") }
 	})
 }
 
 // BenchmarkStep is a step of the leader with nothing to decide, by tenants.
 func BenchmarkStep(b *testing.B) {
 	benchmark(b, func(n int) func() {
-		in := intendedOf(b, n)
-		return func() { in.step(b) }
+		f := newCoreFleet(b, n)
+		return func() { f.step(b) }
 	})
 }
 
 // BenchmarkSnapshot is a snapshot of the fleet's state, by tenants.
 func BenchmarkSnapshot(b *testing.B) {
 	benchmark(b, func(n int) func() {
-		in := intendedOf(b, n)
+		f := newCoreFleet(b, n)
 		return func() {
-			if _, err := in.state.Snapshot(); err != nil {
+			if _, err := f.state.Snapshot(); err != nil {
 				b.Fatal(err)
 			}
 		}
--- a/internal/scale/events.go
+++ b/internal/scale/events.go
@@ -45,9 +45,9 @@
 	}
 	switch e.Do {
 	case Burst:
-		return countWithin(key, e.Count, l.Tenants, "tenants")
+		return checkCount(key, e.Count, l.Tenants, "tenants")
 	case KillNodes:
-		return countWithin(key, e.Count, l.Nodes, "nodes")
+		return checkCount(key, e.Count, l.Nodes, "nodes")
 	case Release:
 		if !(e.Part > 0 && e.Part <= 1) {
 			return fmt.Errorf("%s.part: %v is not above 0 and up to 1", key, e.Part)
@@ -60,7 +60,7 @@
 }
 
 // countWithin checks an event's count.
-func countWithin(key string, count, maximum int, what string) error {
+func checkCount(key string, count, maximum int, what string) error {
 	if count < 1 || count > maximum {
 		return fmt.Errorf("%s.count: %d is not within 1 to the %d %s", key, count, maximum, what)
 	}
@@ -89,9 +89,9 @@
 	case Burst:
 		return w.burst(ctx, e.Count, random)
 	case Release:
-		return w.releaseAll(ctx, e.Part)
+		return w.releaseNodes(ctx, e.Part)
 	case KillNodes:
-		return w.rack(ctx, e, random)
+		return w.killRack(ctx, e, random)
 	case RestartReplicas:
 		return w.restartReplicas(ctx, seconds(e.DownS))
 	}
@@ -110,22 +110,22 @@
 // burstChange puts one tenant's next generation, again while it is not done with its last one, and waits for it.
 func (w *window) burstChange(ctx context.Context, tenant int) error {
 	for began := time.Now(); ; {
-		put := time.Now()
+		putAt := time.Now()
 		spec, generation, err := w.tenants.next(ctx, tenant)
 		switch {
 		case err == nil:
-			return w.awaitInForce(ctx, spec, generation, put, w.seen.burst)
-		case !errors.Is(err, errConflict) || put.Sub(began) > changeTimeout:
+			return w.awaitInForce(ctx, spec, generation, putAt, w.measured.burst)
+		case !errors.Is(err, errConflict) || putAt.Sub(began) > changeTimeout:
 			return err
 		}
-		if err := pause(ctx, changeRest); err != nil {
+		if err := pause(ctx, retryPause); err != nil {
 			return err
 		}
 	}
 }
 
 // releaseAll restarts every node, part of them at a time, the next part once all are up again.
-func (w *window) releaseAll(ctx context.Context, part float64) error {
+func (w *window) releaseNodes(ctx context.Context, part float64) error {
 	began := time.Now()
 	step := max(1, int(part*float64(w.nodes.members)))
 	for first := 0; first < w.nodes.members; first += step {
@@ -133,26 +133,26 @@
 		if err := w.restartNodes(first, count); err != nil {
 			return err
 		}
-		w.seen.add(func(o *outcome) { o.restarts += count })
+		w.measured.update(func(o *outcome) { o.restarts += count })
 		if err := w.awaitReady(ctx); err != nil {
 			return fmt.Errorf("after nodes %d to %d: %w", first, first+count-1, err)
 		}
 	}
-	w.seen.add(func(o *outcome) { o.releases = append(o.releases, time.Since(began).Seconds()) })
+	w.measured.update(func(o *outcome) { o.releases = append(o.releases, time.Since(began).Seconds()) })
 	return nil
 }
 
 // rack kills nodes of consecutive numbers and starts them again once their time is over.
-func (w *window) rack(ctx context.Context, e Event, random *rand.Rand) error {
+func (w *window) killRack(ctx context.Context, e Event, random *rand.Rand) error {
 	first := random.IntN(w.nodes.members - e.Count + 1)
-	w.seen.add(func(o *outcome) { o.restarts += e.Count })
-	if err := w.nodes.span(first, e.Count, Hollow.Kill); err != nil {
+	w.measured.update(func(o *outcome) { o.restarts += e.Count })
+	if err := w.nodes.callRange(first, e.Count, Hollow.Kill); err != nil {
 		return err
 	}
 	if err := pause(ctx, seconds(e.DownS)); err != nil {
 		return err
 	}
-	return w.nodes.span(first, e.Count, Hollow.Start)
+	return w.nodes.callRange(first, e.Count, Hollow.Start)
 }
 
 // restartReplicas kills all replicas and starts them again, and waits until every node is counted in once more. A node notices
@@ -165,7 +165,7 @@
 	if err := w.awaitReady(ctx); err != nil {
 		return err
 	}
-	w.seen.add(func(o *outcome) { o.recoveries = append(o.recoveries, time.Since(began).Seconds()) })
+	w.measured.update(func(o *outcome) { o.recoveries = append(o.recoveries, time.Since(began).Seconds()) })
 	return nil
 }
 
@@ -183,7 +183,7 @@
 		if time.Now().After(end) {
 			return fmt.Errorf("after %v s %d of %d nodes are ready", w.readyS, usage.Ready, w.nodes.members)
 		}
-		if err := pause(ctx, pollEvery); err != nil {
+		if err := pause(ctx, pollInterval); err != nil {
 			return err
 		}
 	}
--- a/internal/scale/events_test.go
+++ b/internal/scale/events_test.go
@@ -37,14 +37,14 @@
 
 func TestEventsAreCarriedOut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld()
-		r := w.play(t, t.Context(), eventsPlan)
+		f := newFakeFleet()
+		r := f.runSweep(t, t.Context(), eventsPlan)
 		if r.Partial != "" {
 			t.Fatal(r.Partial)
 		}
 		nodes := 25 + 50 + 75 + 100 + 125
-		if want := nodes + 5*25; w.killed != want || w.restarts != want {
-			t.Errorf("%d nodes killed, %d started again, want %d", w.killed, w.restarts, want)
+		if want := nodes + 5*25; f.killed != want || f.restarts != want {
+			t.Errorf("%d nodes killed, %d started again, want %d", f.killed, f.restarts, want)
 		}
 		for _, point := range r.Points {
 			repeat := point.Repeats[0]
@@ -64,11 +64,11 @@
 	})
 }
 
-func TestBurstTriesTenantsThatAreNotDone(t *testing.T) {
+func TestBurstRetriesTenantsInRollout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld()
-		w.conflicts = 150
-		r := w.play(t, t.Context(), eventsPlan)
+		f := newFakeFleet()
+		f.conflicts = 150
+		r := f.runSweep(t, t.Context(), eventsPlan)
 		if r.Partial != "" {
 			t.Fatal(r.Partial)
 		}
@@ -78,7 +78,7 @@
 	})
 }
 
-func TestEventsThatAreBad(t *testing.T) {
+func TestBadEvents(t *testing.T) {
 	rows := []struct{ event, want string }{
 		{`at_s = 1`, `events[0].do: "" is not one of`},
 		{`at_s = 1` + "\n" + `do = "explode"`, `events[0].do: "explode" is not one of`},
@@ -93,7 +93,7 @@
 		{`do = "burst"` + "\ncuont = 1", "unknown key"},
 	}
 	for _, row := range rows {
-		p, err := ParsePlan("x", []byte(goodPlan+"[[events]]\n"+row.event+"\n"))
+		p, err := ParsePlan("x", []byte(validPlan+"[[events]]\n"+row.event+"\n"))
 		if err == nil || !strings.Contains(err.Error(), row.want) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%q: %+v, %v, want one line with %q", row.event, p, err, row.want)
 		}
--- a/internal/scale/fit.go
+++ b/internal/scale/fit.go
@@ -79,8 +79,8 @@
 func standardError(x, y []float64, intercept, slope float64) float64 {
 	sum := 0.0
 	for i := range x {
-		off := y[i] - intercept - slope*x[i]
-		sum += off * off
+		deviation := y[i] - intercept - slope*x[i]
+		sum += deviation * deviation
 	}
 	if len(x) <= 2 {
 		return 0
--- a/internal/scale/fit_test.go
+++ b/internal/scale/fit_test.go
@@ -6,7 +6,7 @@
 )
 
 // grown gives samples of two repeats at each size, a little apart.
-func grown(sizes []float64, cost func(float64) float64) []Sample {
+func samplesOf(sizes []float64, cost func(float64) float64) []Sample {
 	var out []Sample
 	for _, size := range sizes {
 		out = append(out, Sample{size, cost(size) * 0.99}, Sample{size, cost(size) * 1.01})
@@ -17,7 +17,7 @@
 var fitSizes = []float64{16, 32, 64, 128, 256}
 
 func TestFitOfALine(t *testing.T) {
-	fit, ok := FitSamples(NodeBytes, grown(fitSizes, func(n float64) float64 { return 1000 + 50*n }))
+	fit, ok := FitSamples(NodeBytes, samplesOf(fitSizes, func(n float64) float64 { return 1000 + 50*n }))
 	if !ok || math.Abs(fit.Slope-50) > 1e-6 || math.Abs(fit.Intercept-1000) > 1e-6 {
 		t.Fatalf("%+v", fit)
 	}
@@ -29,12 +29,12 @@
 	}
 }
 
-func TestFitFlagsWhatGrowsFaster(t *testing.T) {
+func TestFitFlagsSuperlinearGrowth(t *testing.T) {
 	for _, row := range []struct {
 		exponent    float64
 		superlinear bool
 	}{{0, false}, {0.5, false}, {1, false}, {1.05, false}, {1.2, true}, {1.5, true}, {2, true}} {
-		fit, ok := FitSamples(NodeBytes, grown(fitSizes, func(n float64) float64 { return 3 * math.Pow(n, row.exponent) }))
+		fit, ok := FitSamples(NodeBytes, samplesOf(fitSizes, func(n float64) float64 { return 3 * math.Pow(n, row.exponent) }))
 		if !ok || math.Abs(fit.Exponent-row.exponent) > 1e-6 || fit.Superlinear != row.superlinear {
 			t.Errorf("n^%v: %+v", row.exponent, fit)
 		}
@@ -46,7 +46,7 @@
 
 // TestFitLeavesTheLargestOut has the largest size off the line: neither slope nor exponent may know of it.
 func TestFitLeavesTheLargestOut(t *testing.T) {
-	fit, ok := FitSamples(NodeBytes, grown(fitSizes, func(n float64) float64 {
+	fit, ok := FitSamples(NodeBytes, samplesOf(fitSizes, func(n float64) float64 {
 		if n == 256 {
 			return 1e6
 		}
@@ -59,10 +59,10 @@
 }
 
 func TestFitNeedsFourSizes(t *testing.T) {
-	if fit, ok := FitSamples(NodeBytes, grown(fitSizes[:3], func(n float64) float64 { return n })); ok {
+	if fit, ok := FitSamples(NodeBytes, samplesOf(fitSizes[:3], func(n float64) float64 { return n })); ok {
 		t.Errorf("of three sizes: %+v", fit)
 	}
-	fit, ok := FitSamples(NodeBytes, grown(fitSizes, func(float64) float64 { return 0 }))
+	fit, ok := FitSamples(NodeBytes, samplesOf(fitSizes, func(float64) float64 { return 0 }))
 	if !ok || fit.HasExponent || fit.Superlinear || fit.Error != 0 {
 		t.Errorf("of zeros: %+v, %v", fit, ok)
 	}
--- a/internal/scale/fleetrun.go
+++ b/internal/scale/fleetrun.go
@@ -28,13 +28,13 @@
 
 	closing sync.Mutex // held while processes are ended: close returns once they all are
 
-	mu      sync.Mutex
-	started []Hollow     // that are to be closed
-	running ControlPlane // the same; nil: none
+	mu           sync.Mutex
+	started      []Hollow     // that are to be closed
+	runningPlane ControlPlane // the same; nil: none
 }
 
 // pollEvery is how often it is looked whether nodes and servers are up. A look has every process collect its garbage.
-const pollEvery = 500 * time.Millisecond
+const pollInterval = 500 * time.Millisecond
 
 // measure starts everything, waits until it is up and settled, carries out the schedule, and gives the figures.
 func (f *fleetRun) measure(ctx context.Context) (Repeat, error) {
@@ -46,7 +46,7 @@
 	if err := f.startHollow(ctx); err != nil {
 		return Repeat{}, err
 	}
-	up, err := f.ready(ctx)
+	up, err := f.awaitReady(ctx)
 	if err != nil {
 		return Repeat{}, err
 	}
@@ -54,7 +54,7 @@
 	if err := pause(ctx, seconds(f.plan.SettleS)); err != nil {
 		return Repeat{}, err
 	}
-	w := &window{tenants: tenants, plane: f.plane, nodes: f.nodes, servers: f.servers, seed: f.seed, readyS: f.plan.ReadyS, seen: newOutcome()}
+	w := &window{tenants: tenants, plane: f.plane, nodes: f.nodes, servers: f.servers, seed: f.seed, readyS: f.plan.ReadyS, measured: newOutcome()}
 	before, err := f.sample()
 	if err != nil {
 		return Repeat{}, err
@@ -66,33 +66,33 @@
 	if err != nil {
 		return Repeat{}, err
 	}
-	values := valuesOf(f.load, before, after, w.seen)
+	values := valuesOf(f.load, before, after, w.measured)
 	values[StartupTime] = startup.Seconds()
 	values[StartupBytes] = float64(up.Calls[hollow.CallIntent].BytesIn+up.Calls[hollow.CallList].BytesIn) / float64(f.load.Nodes)
 	return Repeat{
 		Values:    values,
 		WindowS:   after.at.Sub(before.at).Seconds(),
-		Changes:   w.seen.changes,
-		Late:      w.seen.late,
-		Refused:   w.seen.refused,
-		Restarts:  w.seen.restarts,
-		Replaced:  w.seen.replaced,
-		WorstNode: w.seen.each.worst,
-		Histogram: encoded(w.seen.each.took),
+		Changes:   w.measured.changes,
+		Late:      w.measured.late,
+		Refused:   w.measured.refused,
+		Restarts:  w.measured.restarts,
+		Replaced:  w.measured.replaced,
+		WorstNode: w.measured.steady.worst,
+		Histogram: encodeHistogram(w.measured.steady.took),
 	}, nil
 }
 
 // startReplicas starts the replicas and puts the tenants: before there are nodes, each is in force at once.
-func (f *fleetRun) startReplicas(ctx context.Context) (*population, error) {
+func (f *fleetRun) startReplicas(ctx context.Context) (*tenantSet, error) {
 	plane, err := f.options.StartReplicas(ctx, f.dir, f.plan.Replicas, f.load.Nodes)
 	if err != nil {
 		return nil, fmt.Errorf("replicas: %w", err)
 	}
 	f.plane = plane
 	f.mu.Lock()
-	f.running = plane
+	f.runningPlane = plane
 	f.mu.Unlock()
-	tenants := &population{load: f.load, plane: plane, generations: make([]uint64, f.load.Tenants)}
+	tenants := &tenantSet{load: f.load, plane: plane, generations: make([]uint64, f.load.Tenants)}
 	if err := tenants.putAll(ctx); err != nil {
 		return nil, fmt.Errorf("tenants: %w", err)
 	}
@@ -115,13 +115,13 @@
 		defer f.mu.Unlock()
 		f.started = append(f.started, h)
 	}
-	servers := starting{
-		start:   f.options.StartHollow,
-		config:  config,
-		each:    f.plan.Hollow.ServersPerProcess,
-		members: f.load.Servers,
-		started: started,
-		fill: func(c *hollow.Config, process, first, count int) {
+	servers := starter{
+		start:      f.options.StartHollow,
+		config:     config,
+		perProcess: f.plan.Hollow.ServersPerProcess,
+		members:    f.load.Servers,
+		started:    started,
+		configure: func(c *hollow.Config, process, first, count int) {
 			c.FirstServer = first
 			c.Servers = count
 			c.Seed = f.seed*1000 + uint64(process)
@@ -131,13 +131,13 @@
 	if f.servers, err = servers.run(ctx); err != nil {
 		return err
 	}
-	nodes := starting{
-		start:   f.options.StartHollow,
-		config:  config,
-		each:    f.plan.Hollow.NodesPerProcess,
-		members: f.load.Nodes,
-		started: started,
-		fill: func(c *hollow.Config, process, first, count int) {
+	nodes := starter{
+		start:      f.options.StartHollow,
+		config:     config,
+		perProcess: f.plan.Hollow.NodesPerProcess,
+		members:    f.load.Nodes,
+		started:    started,
+		configure: func(c *hollow.Config, process, first, count int) {
 			c.FirstNode = first
 			c.Nodes = count
 			c.Seed = f.seed*1000 + 500 + uint64(process)
@@ -149,7 +149,7 @@
 }
 
 // ready waits until every node is counted in and every server registered, and gives the nodes' usage then.
-func (f *fleetRun) ready(ctx context.Context) (hollow.Usage, error) {
+func (f *fleetRun) awaitReady(ctx context.Context) (hollow.Usage, error) {
 	end := time.Now().Add(seconds(f.plan.ReadyS))
 	for {
 		nodes, err := f.nodes.usage()
@@ -167,7 +167,7 @@
 			return nodes, fmt.Errorf("after %v s %d of %d nodes are ready, %d of %d servers registered", f.plan.ReadyS,
 				nodes.Ready, f.load.Nodes, servers.Registered, f.load.Servers)
 		}
-		if err := pause(ctx, pollEvery); err != nil {
+		if err := pause(ctx, pollInterval); err != nil {
 			return nodes, err
 		}
 	}
@@ -191,8 +191,8 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var out []int
-	if f.running != nil {
-		out = f.running.PIDs()
+	if f.runningPlane != nil {
+		out = f.runningPlane.PIDs()
 	}
 	for _, h := range f.started {
 		out = append(out, h.PID())
@@ -205,8 +205,8 @@
 	f.closing.Lock()
 	defer f.closing.Unlock()
 	f.mu.Lock()
-	started, plane := f.started, f.running
-	f.started, f.running = nil, nil
+	started, plane := f.started, f.runningPlane
+	f.started, f.runningPlane = nil, nil
 	f.mu.Unlock()
 	(&group{processes: started}).close()
 	if plane != nil {
@@ -215,7 +215,7 @@
 }
 
 // encoded is a histogram as HdrHistogram's libraries exchange it, "" where it has none.
-func encoded(h *hdrhistogram.Histogram) string {
+func encodeHistogram(h *hdrhistogram.Histogram) string {
 	if h.TotalCount() == 0 {
 		return ""
 	}
--- a/internal/scale/growth_test.go
+++ b/internal/scale/growth_test.go
@@ -8,23 +8,23 @@
 )
 
 // TestOverLimitsFindsPlantedCost plays a sweep on the double for each exponent that is planted.
-func TestOverLimitsFindsPlantedCost(t *testing.T) {
+func TestOverLimitsFindsExcessGrowth(t *testing.T) {
 	for _, row := range []struct {
-		planted, most float64
-		over          bool
+		exponent, maximum float64
+		over              bool
 	}{{0, 0.1, false}, {0.5, 0.1, true}, {1, 1.1, false}, {1.5, 1.1, true}, {1.5, 0.1, true}} {
 		synctest.Test(t, func(t *testing.T) {
-			w := newWorld()
-			w.bytes = func(nodes, _ int) float64 { return 1000 * math.Pow(float64(nodes), row.planted) }
-			lines := w.play(t, t.Context(), runPlan).OverLimits([]GrowthLimit{{NodeBytes, row.most}})
+			f := newFakeFleet()
+			f.bytesPerS = func(nodes, _ int) float64 { return 1000 * math.Pow(float64(nodes), row.exponent) }
+			lines := f.runSweep(t, t.Context(), runPlan).OverLimits([]GrowthLimit{{NodeBytes, row.maximum}})
 			if over := len(lines) == 1; over != row.over || len(lines) > 1 {
-				t.Errorf("planted n^%v, limit %v: %q", row.planted, row.most, lines)
+				t.Errorf("planted n^%v, limit %v: %q", row.exponent, row.maximum, lines)
 			}
 		})
 	}
 }
 
-func TestOverLimitsWantsAWholeSweep(t *testing.T) {
+func TestOverLimitsRequiresACompleteSweep(t *testing.T) {
 	r := resultsOf(func(n float64) float64 { return n })
 	r.Sweep.Sizes = fitSizes
 	if lines := r.OverLimits([]GrowthLimit{{NodeBytes, 1.1}}); len(lines) != 0 {
--- a/internal/scale/hollow/config.go
+++ b/internal/scale/hollow/config.go
@@ -16,11 +16,11 @@
 
 // Bounds of a Config.
 const (
-	maxNodes    = 10_000  // of one process
-	maxServers  = 200_000 // of one process
-	maxNumber   = 1 << 22 // of a node or server: a server's address is made of it
-	maxServices = 100_000
-	maxRequests = 10_000 // a second, of one node
+	maxNodes        = 10_000  // of one process
+	maxServers      = 200_000 // of one process
+	maxNumber       = 1 << 22 // of a node or server: a server's address is made of it
+	maxServices     = 100_000
+	maxRequestsPerS = 10_000 // a second, of one node
 )
 
 // decodeConfig reads the first line of a process's input. An error is one line that names the key.
@@ -40,17 +40,17 @@
 // validate gives the first fault of a Config, which names its key.
 func (c *Config) validate() error {
 	for _, bounded := range []struct {
-		key   string
-		value int
-		most  int
+		key     string
+		value   int
+		maximum int
 	}{
 		{"first_node", c.FirstNode, maxNumber - maxNodes}, {"nodes", c.Nodes, maxNodes},
 		{"first_server", c.FirstServer, maxNumber - maxServers}, {"servers", c.Servers, maxServers},
 		{"services", c.Services, maxServices}, {"per_node", c.PerNode, fleet.MaxScopeServices},
 		{"active_tenants", c.ActiveTenants, math.MaxInt32},
 	} {
-		if bounded.value < 0 || bounded.value > bounded.most {
-			return fmt.Errorf("config: %s: %d, must be 0 to %d", bounded.key, bounded.value, bounded.most)
+		if bounded.value < 0 || bounded.value > bounded.maximum {
+			return fmt.Errorf("config: %s: %d, must be 0 to %d", bounded.key, bounded.value, bounded.maximum)
 		}
 	}
 	for _, address := range c.Replicas {
@@ -69,8 +69,8 @@
 		return fmt.Errorf("config: per_node: %d of %d services", c.PerNode, c.Services)
 	case c.Nodes > 0 && c.Dir == "":
 		return errors.New("config: dir: missing")
-	case !(c.RequestsPerS >= 0 && c.RequestsPerS <= maxRequests):
-		return fmt.Errorf("config: requests_per_s: %v, must be 0 to %d", c.RequestsPerS, maxRequests)
+	case !(c.RequestsPerS >= 0 && c.RequestsPerS <= maxRequestsPerS):
+		return fmt.Errorf("config: requests_per_s: %v, must be 0 to %d", c.RequestsPerS, maxRequestsPerS)
 	case c.Servers > 0 && (c.LeaseTTLMS < registry.MinTTLMS || c.LeaseTTLMS > registry.MaxTTLMS):
 		return fmt.Errorf("config: lease_ttl_ms: %d, must be %d to %d", c.LeaseTTLMS, registry.MinTTLMS, registry.MaxTTLMS)
 	}
@@ -92,8 +92,8 @@
 // serverPlace gives the service and the zone of the server of a number. The servers of one service go over the zones in turn.
 func (c *Config) serverPlace(number int) (service, zone string) {
 	services := max(1, c.Services)
-	of, within := number%services, number/services
-	return ServiceName(of), c.Zones[(of+within)%len(c.Zones)]
+	serviceNumber, index := number%services, number/services
+	return ServiceName(serviceNumber), c.Zones[(serviceNumber+index)%len(c.Zones)]
 }
 
 // scope gives the services that a node serves, sorted; none where it has no scope: PerNode of Services, drawn by the seed.
--- a/internal/scale/hollow/group.go
+++ b/internal/scale/hollow/group.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	stepEvery   = 25 * time.Millisecond // between two looks at what is due in the nodes' modules
-	atOnce      = 32                    // nodes or servers that a request starts or ends at the same time
-	inForceLook = 5 * time.Millisecond
+	advanceInterval     = 25 * time.Millisecond // between two looks at what is due in the nodes' modules
+	maxConcurrency      = 32                    // nodes or servers that a request starts or ends at the same time
+	inForcePollInterval = 5 * time.Millisecond
 )
 
 // group is all that one process runs.
@@ -38,9 +38,9 @@
 	}
 	drivers := min(runtime.GOMAXPROCS(0), max(1, cfg.Nodes))
 	for driver := range drivers {
-		g.loops.Go(func() { g.drive(driver, drivers) })
+		g.loops.Go(func() { g.driveModules(driver, drivers) })
 	}
-	if err := g.start(cfg.FirstNode, cfg.Nodes); err != nil {
+	if err := g.startNodes(cfg.FirstNode, cfg.Nodes); err != nil {
 		g.close()
 		return nil, err
 	}
@@ -50,7 +50,7 @@
 // close ends everything, without a goodbye of a node or a server.
 func (g *group) close() {
 	g.stop()
-	each(len(g.nodes), func(i int) error {
+	forEach(len(g.nodes), func(i int) error {
 		if n := g.nodes[i].Swap(nil); n != nil {
 			n.kill()
 		}
@@ -60,8 +60,8 @@
 }
 
 // drive has the modules of every so manieth node get what is due, until the group ends.
-func (g *group) drive(first, step int) {
-	for ticker := time.NewTicker(stepEvery); ; {
+func (g *group) driveModules(first, step int) {
+	for ticker := time.NewTicker(advanceInterval); ; {
 		select {
 		case <-g.ctx.Done():
 			ticker.Stop()
@@ -89,25 +89,25 @@
 }
 
 // start starts those of the nodes that are down.
-func (g *group) start(first, count int) error {
-	return each(count, func(i int) error {
-		place := &g.nodes[first-g.cfg.FirstNode+i]
-		if place.Load() != nil {
+func (g *group) startNodes(first, count int) error {
+	return forEach(count, func(i int) error {
+		entry := &g.nodes[first-g.cfg.FirstNode+i]
+		if entry.Load() != nil {
 			return nil
 		}
 		n, err := startNode(g.ctx, &g.cfg, g.state, first+i, g.log)
 		if err == nil {
-			place.Store(n)
+			entry.Store(n)
 		}
 		return err
 	})
 }
 
 // end ends those of the nodes that are up, by kill or leave.
-func (g *group) end(first, count int, how func(*node)) error {
-	return each(count, func(i int) error {
+func (g *group) stopNodes(first, count int, stop func(*node)) error {
+	return forEach(count, func(i int) error {
 		if n := g.nodes[first-g.cfg.FirstNode+i].Swap(nil); n != nil {
-			how(n)
+			stop(n)
 		}
 		return nil
 	})
@@ -121,40 +121,40 @@
 		return Reply{Usage: &usage}
 	case OpInForce:
 		if r.Tenant == "" {
-			return failure(fmt.Errorf("in_force: tenant: missing"))
+			return errorReply(fmt.Errorf("in_force: tenant: missing"))
 		}
 		inForce := g.inForce(ctx, r)
 		return Reply{InForce: &inForce}
 	case OpKill, OpLeave, OpStart:
-		if err := within(r, g.cfg.FirstNode, g.cfg.Nodes, "nodes"); err != nil {
-			return failure(err)
+		if err := checkRange(r, g.cfg.FirstNode, g.cfg.Nodes, "nodes"); err != nil {
+			return errorReply(err)
 		}
 		switch r.Op {
 		case OpKill:
-			return failure(g.end(r.First, r.Count, (*node).kill))
+			return errorReply(g.stopNodes(r.First, r.Count, (*node).kill))
 		case OpLeave:
-			return failure(g.end(r.First, r.Count, (*node).leave))
+			return errorReply(g.stopNodes(r.First, r.Count, (*node).leave))
 		}
-		return failure(g.start(r.First, r.Count))
+		return errorReply(g.startNodes(r.First, r.Count))
 	case OpReplace:
-		if err := within(r, g.cfg.FirstServer, g.cfg.Servers, "servers"); err != nil {
-			return failure(err)
+		if err := checkRange(r, g.cfg.FirstServer, g.cfg.Servers, "servers"); err != nil {
+			return errorReply(err)
 		}
-		return failure(g.servers.replace(ctx, r.First, r.Count))
+		return errorReply(g.servers.replace(ctx, r.First, r.Count))
 	}
-	return failure(fmt.Errorf("op: unknown %.40q", r.Op))
+	return errorReply(fmt.Errorf("op: unknown %.40q", r.Op))
 }
 
 // within checks that a request's numbers are this process's.
-func within(r Request, first, count int, what string) error {
+func checkRange(r Request, first, count int, kind string) error {
 	if r.Count < 1 || r.First < first || r.First-first+r.Count > count {
-		return fmt.Errorf("%s: first, count: %d, %d: this process has %d %s from %d on", r.Op, r.First, r.Count, count, what, first)
+		return fmt.Errorf("%s: first, count: %d, %d: this process has %d %s from %d on", r.Op, r.First, r.Count, count, kind, first)
 	}
 	return nil
 }
 
 // failure is a reply with an error, or none.
-func failure(err error) Reply {
+func errorReply(err error) Reply {
 	if err == nil {
 		return Reply{}
 	}
@@ -162,21 +162,21 @@
 }
 
 // each does something for 0 to count-1, some at the same time, and gives the first error.
-func each(count int, do func(i int) error) error {
-	var all sync.WaitGroup
+func forEach(count int, do func(i int) error) error {
+	var workers sync.WaitGroup
 	var next atomic.Int64
-	var first atomic.Pointer[error]
-	for range min(atOnce, count) {
-		all.Go(func() {
+	var firstErr atomic.Pointer[error]
+	for range min(maxConcurrency, count) {
+		workers.Go(func() {
 			for i := int(next.Add(1)) - 1; i < count; i = int(next.Add(1)) - 1 {
 				if err := do(i); err != nil {
-					first.CompareAndSwap(nil, &err)
+					firstErr.CompareAndSwap(nil, &err)
 				}
 			}
 		})
 	}
-	all.Wait()
-	if err := first.Load(); err != nil {
+	workers.Wait()
+	if err := firstErr.Load(); err != nil {
 		return *err
 	}
 	return nil
--- a/internal/scale/hollow/hollow_test.go
+++ b/internal/scale/hollow/hollow_test.go
@@ -25,9 +25,9 @@
 )
 
 const (
-	nodes   = 8
-	servers = 40
-	limit   = 90 * time.Second // for a condition that comes in a second or two on an idle machine
+	nodes            = 8
+	servers          = 40
+	conditionTimeout = 90 * time.Second // for a condition that comes in a second or two on an idle machine
 )
 
 // TestMain lets the test's own binary be the hollow process: so that has the race detector where the test does.
@@ -67,7 +67,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(cluster.Close)
-	if _, err := cluster.Leader(limit, -1); err != nil {
+	if _, err := cluster.Leader(conditionTimeout, -1); err != nil {
 		t.Fatal(err)
 	}
 	binary, err := os.Executable()
@@ -102,7 +102,7 @@
 // await waits for a condition on the process's usage.
 func (r *run) await(what string, holds func(hollow.Usage) bool) {
 	r.t.Helper()
-	for end := time.Now().Add(limit); ; time.Sleep(50 * time.Millisecond) {
+	for end := time.Now().Add(conditionTimeout); ; time.Sleep(50 * time.Millisecond) {
 		usage := r.usage()
 		if holds(usage) {
 			return
@@ -117,7 +117,7 @@
 func (r *run) put(name, service string, generation uint64) {
 	r.t.Helper()
 	body := map[string]any{"generation": generation, "spec": fleet.Spec{Name: name, Service: service, Quota: fleet.Quota{Rate: 100, Burst: 100}}}
-	for end := time.Now().Add(limit); ; time.Sleep(50 * time.Millisecond) {
+	for end := time.Now().Add(conditionTimeout); ; time.Sleep(50 * time.Millisecond) {
 		code, text, unknown, err := simulated.Call(r.cluster.HTTP, http.MethodPut, "/fleet/v1/tenants/"+name, body)
 		if err == nil && (code == http.StatusOK || unknown) {
 			return
@@ -131,7 +131,7 @@
 // inForce waits until a tenant's generation is in force on so many nodes, and no fewer are asked.
 func (r *run) inForce(tenant string, generation uint64, want int) hollow.InForce {
 	r.t.Helper()
-	seen, err := r.process.InForce(tenant, "", generation, limit)
+	seen, err := r.process.InForce(tenant, "", generation, conditionTimeout)
 	if err != nil || seen.Nodes != want || seen.Have != want {
 		r.t.Fatalf("%s at %d: %+v, %v; want %d nodes", tenant, generation, seen, err, want)
 	}
@@ -210,7 +210,7 @@
 	}
 	r.await("every server registered", func(u hollow.Usage) bool { return u.Registered == servers && u.Behind == 0 })
 	r.checkUsage()
-	r.checkRefusals()
+	r.checkRejections()
 
 	pid := r.process.PID()
 	if err := r.process.Close(); err != nil {
@@ -234,7 +234,7 @@
 	for i := range 4 {
 		name, service := fmt.Sprint("tenant-", i), hollow.ServiceName(i)
 		r.put(name, service, 0)
-		seen, err := r.process.InForce(name, service, 1, limit)
+		seen, err := r.process.InForce(name, service, 1, conditionTimeout)
 		if err != nil || seen.Have != seen.Nodes || seen.Nodes == nodes {
 			t.Errorf("%s of %s: %+v, %v", name, service, seen, err)
 		}
@@ -265,8 +265,8 @@
 	}
 }
 
-// checkRefusals expects one line on a request that can't be carried out, and that it changes nothing.
-func (r *run) checkRefusals() {
+// checkRejections expects one line on a request that can't be carried out, and that it changes nothing.
+func (r *run) checkRejections() {
 	r.t.Helper()
 	for what, err := range map[string]error{
 		"a node of another process": r.process.Kill(99, 2),
--- a/internal/scale/hollow/intent.go
+++ b/internal/scale/hollow/intent.go
@@ -19,18 +19,18 @@
 	for ctx.Err() == nil {
 		requested := time.Now()
 		intent, err := n.fetchIntent(ctx)
-		came := time.Now()
+		receivedAt := time.Now()
 		if err == nil {
 			err = n.mirror.Merge(intent)
 		}
 		wait := intentPause
 		if err != nil {
-			n.fault(ctx, "intent", err)
-			wait = maxCallPause
+			n.recordFailure(ctx, "intent", err)
+			wait = failedCallPause
 		} else {
-			n.applyIntent(came, intent.CaughtUp)
-			if !n.mirror.Changed && came.Sub(requested) < intentPause {
-				wait = reportEvery
+			n.applyIntent(receivedAt, intent.CaughtUp)
+			if !n.mirror.Changed && receivedAt.Sub(requested) < intentPause {
+				wait = reportInterval
 			}
 		}
 		pause(ctx, wait)
@@ -53,47 +53,47 @@
 }
 
 // applyIntent has the module know of the mirror's last answer.
-func (n *node) applyIntent(came time.Time, complete bool) {
+func (n *node) applyIntent(receivedAt time.Time, complete bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for _, event := range n.mirror.Events(time.Since(came)) {
-		n.module.tell(event)
+	for _, event := range n.mirror.Events(time.Since(receivedAt)) {
+		n.module.deliver(event)
 		if tenant, ok := event.(policy.TenantUpdate); ok {
-			n.takeTenant(tenant)
+			n.recordTenant(tenant)
 		}
 	}
 	n.revision = n.mirror.Revision
-	n.held = n.mirror.LeaseLeft > 0
+	n.sessionHeld = n.mirror.LeaseLeft > 0
 	n.items = len(n.mirror.Items)
-	n.fleet.sawRevision(n.revision)
+	n.fleet.recordRevision(n.revision)
 	if n.mirror.Changed {
-		n.facts = nil
+		n.applied = nil
 	}
 	if complete {
-		n.sync()
+		n.markSynced()
 	}
 }
 
 // takeTenant notes by which generation the node now serves a tenant. The caller holds mu.
-func (n *node) takeTenant(tenant policy.TenantUpdate) {
+func (n *node) recordTenant(tenant policy.TenantUpdate) {
 	var generation uint64
 	if tenant.Committed != nil && !tenant.Removing && !tenant.Removed {
 		generation = tenant.Committed.Generation
 	}
-	if was, known := n.serving[tenant.Name]; !known || was.generation != generation {
+	if before, known := n.serving[tenant.Name]; !known || before.generation != generation {
 		n.serving[tenant.Name] = served{generation, time.Now()}
 	}
 	if len(n.services) > 0 && !tenant.Removed {
-		n.fleet.sawTenant(tenant.Name, n.mirror.Items[fleet.KeyTenant+tenant.Name].Body)
+		n.fleet.recordTenantService(tenant.Name, n.mirror.Items[fleet.KeyTenant+tenant.Name].Body)
 	}
 	n.setLoad(tenant.Name)
 }
 
 // sync has the module know, once, that it has all that was intended. The caller holds mu.
-func (n *node) sync() {
+func (n *node) markSynced() {
 	if !n.synced {
 		n.synced = true
-		n.module.tell(policy.FleetSynced{Revision: n.revision})
+		n.module.deliver(policy.FleetSynced{Revision: n.revision})
 	}
 }
 
@@ -103,13 +103,13 @@
 	m := n.module
 	at, had := slices.BinarySearchFunc(m.active, tenant, n.compareRank)
 	switch {
-	case n.loads(tenant) && !had:
+	case n.mayHaveLoad(tenant) && !had:
 		m.active = slices.Insert(m.active, at, tenant)
 		m.active = m.active[:min(len(m.active), n.cfg.ActiveTenants)]
-	case !n.loads(tenant) && had:
+	case !n.mayHaveLoad(tenant) && had:
 		m.active = m.active[:0]
 		for other := range n.serving {
-			if n.loads(other) {
+			if n.mayHaveLoad(other) {
 				m.active = append(m.active, other)
 			}
 		}
@@ -119,7 +119,7 @@
 }
 
 // loads says whether a tenant may have load at the node. The caller holds mu.
-func (n *node) loads(tenant string) bool {
+func (n *node) mayHaveLoad(tenant string) bool {
 	return n.serving[tenant].generation > 0 && n.serves(tenant)
 }
 
@@ -134,6 +134,6 @@
 }
 
 func (n *node) rank(tenant string) uint64 {
-	const spread = 0x9e3779b97f4a7c15 // odd: so that ranks of one node are in another order than of the next
-	return (xxhash.Sum64String(tenant) ^ xxhash.Sum64String(n.member.Node) ^ n.cfg.Seed) * spread
+	const multiplier = 0x9e3779b97f4a7c15 // odd: so that ranks of one node are in another order than of the next
+	return (xxhash.Sum64String(tenant) ^ xxhash.Sum64String(n.member.Node) ^ n.cfg.Seed) * multiplier
 }
--- a/internal/scale/hollow/list.go
+++ b/internal/scale/hollow/list.go
@@ -21,12 +21,12 @@
 		requested := time.Now()
 		list, err := n.fetchList(ctx, version)
 		if err != nil {
-			n.fault(ctx, "list", err)
+			n.recordFailure(ctx, "list", err)
 			pause(ctx, listPause)
 			continue
 		}
 		if list.Full || len(list.Servers) > 0 || list.Version != version {
-			n.takeList(list)
+			n.applyList(list)
 		} else if time.Since(requested) < listPause {
 			pause(ctx, listPause)
 		}
@@ -47,7 +47,7 @@
 var serverStates = map[string]policy.ServerState{"ready": policy.Ready, "draining": policy.Draining, "gone": policy.Removed}
 
 // takeList has the module know of a list or of its changes.
-func (n *node) takeList(list registry.Answer) {
+func (n *node) applyList(list registry.Answer) {
 	update := policy.EndpointUpdate{Kind: policy.EndpointsChanged, Version: list.Version}
 	if list.Full {
 		update.Kind = policy.EndpointsComplete
@@ -77,6 +77,6 @@
 		}
 	}
 	n.version = list.Version
-	n.module.tell(update)
-	n.facts = nil
+	n.module.deliver(update)
+	n.applied = nil
 }
--- a/internal/scale/hollow/module.go
+++ b/internal/scale/hollow/module.go
@@ -10,13 +10,13 @@
 )
 
 const (
-	minTick       = 100 * time.Millisecond // between the module's ticks; a real node's is 25 ms
-	patience      = 2 * time.Second        // of the model's clients
-	minAnswerTime = 5 * time.Millisecond   // of a server's answer
-	answerMean    = 15 * time.Millisecond  // over that, exponential
-	cancelTime    = time.Millisecond
-	maxAttempts   = 3
-	requestClass  = "browse"
+	minTick             = 100 * time.Millisecond // between the module's ticks; a real node's is 25 ms
+	clientTimeout       = 2 * time.Second        // of the model's clients
+	minAnswerTime       = 5 * time.Millisecond   // of a server's answer
+	meanExtraAnswerTime = 15 * time.Millisecond  // over that, exponential
+	cancelDelay         = time.Millisecond
+	maxAttempts         = 3
+	requestClass        = "browse"
 )
 
 // settings are those of a hollow node's module: one class of safe requests.
@@ -38,7 +38,7 @@
 		SendsRetryAfter:      true,
 		MaxRetryAfter:        time.Second,
 		Fleet:                true,
-		Classes:              []policy.Class{{Name: requestClass, PriorityWeight: 1, LatencyObjective: time.Second, Deadline: patience, Idempotency: policy.Idempotent}},
+		Classes:              []policy.Class{{Name: requestClass, PriorityWeight: 1, LatencyObjective: time.Second, Deadline: clientTimeout, Idempotency: policy.Idempotent}},
 	}
 }
 
@@ -46,11 +46,11 @@
 // Its caller holds the node's lock.
 type module struct {
 	*policy.Module
-	began  time.Time
-	base   policy.Time // the clock's reading at began: Unix time, as a node's
-	random *rand.Rand
-	rate   float64  // requests/s
-	active []string // tenants that have load; none: requests name no tenant
+	startedAt time.Time
+	base      policy.Time // the clock's reading at began: Unix time, as a node's
+	random    *rand.Rand
+	rate      float64  // requests/s
+	active    []string // tenants that have load; none: requests name no tenant
 
 	due      dueHeap
 	requests uint64
@@ -59,9 +59,9 @@
 
 // openRequest is a request that has attempts out, or no final answer.
 type openRequest struct {
-	ended []bool // by attempt
-	out   int    // attempts that have not ended
-	over  bool   // it has its final answer
+	ended       []bool // by attempt
+	outstanding int    // attempts that have not ended
+	answered    bool   // it has its final answer
 }
 
 // due is an event that the module gets at its time; none: the next request arrives.
@@ -73,26 +73,26 @@
 func newModule(cfg *Config, number int, incarnation uint64) *module {
 	now := time.Now()
 	m := &module{
-		Module: policy.New(settings(cfg, number), int64(cfg.Seed)*1000+int64(number)),
-		began:  now,
-		base:   time.Duration(now.UnixNano()),
-		random: rand.New(rand.NewPCG(cfg.Seed^incarnation, uint64(number))),
-		rate:   cfg.RequestsPerS,
-		open:   map[policy.RequestID]*openRequest{},
+		Module:    policy.New(settings(cfg, number), int64(cfg.Seed)*1000+int64(number)),
+		startedAt: now,
+		base:      time.Duration(now.UnixNano()),
+		random:    rand.New(rand.NewPCG(cfg.Seed^incarnation, uint64(number))),
+		rate:      cfg.RequestsPerS,
+		open:      map[policy.RequestID]*openRequest{},
 	}
 	if m.rate > 0 {
-		m.arriveNext(m.base)
+		m.scheduleArrival(m.base)
 	}
 	return m
 }
 
 // now reads the module's clock.
-func (m *module) now() policy.Time { return m.base + time.Since(m.began) }
+func (m *module) now() policy.Time { return m.base + time.Since(m.startedAt) }
 
 func (m *module) at(t policy.Time, e policy.Event) { heap.Push(&m.due, due{t, e}) }
 
 // arriveNext draws when the next request comes.
-func (m *module) arriveNext(after policy.Time) {
+func (m *module) scheduleArrival(after policy.Time) {
 	m.at(after+time.Duration(m.random.ExpFloat64()/m.rate*float64(time.Second)), nil)
 }
 
@@ -103,7 +103,7 @@
 		switch e := next.event.(type) {
 		case nil:
 			m.arrive(next.at)
-			m.arriveNext(next.at)
+			m.scheduleArrival(next.at)
 		case policy.AttemptEnded:
 			m.attemptEnded(next.at, e)
 		default:
@@ -114,12 +114,12 @@
 }
 
 // tell gives the module an event now.
-func (m *module) tell(e policy.Event) { m.handle(m.advance(), e) }
+func (m *module) deliver(e policy.Event) { m.handle(m.advance(), e) }
 
 // arrive makes a request of one of the active tenants.
 func (m *module) arrive(at policy.Time) {
 	m.requests++
-	e := policy.RequestArrived{ID: policy.RequestID(strconv.FormatUint(m.requests, 10)), Class: requestClass, Timeout: patience}
+	e := policy.RequestArrived{ID: policy.RequestID(strconv.FormatUint(m.requests, 10)), Class: requestClass, Timeout: clientTimeout}
 	if len(m.active) > 0 {
 		e.Tenant = m.active[m.random.IntN(len(m.active))]
 	}
@@ -134,16 +134,16 @@
 		return // it was cancelled
 	}
 	r.ended[e.Attempt] = true
-	r.out--
-	r.over = r.over || e.Code == policy.OK
-	e.Answered = r.over
+	r.outstanding--
+	r.answered = r.answered || e.Code == policy.OK
+	e.Answered = r.answered
 	m.handle(at, e)
-	m.forget(e.ID)
+	m.removeIfDone(e.ID)
 }
 
 // forget ends a request that has its final answer and no attempt out.
-func (m *module) forget(id policy.RequestID) {
-	if r := m.open[id]; r != nil && r.over && r.out == 0 {
+func (m *module) removeIfDone(id policy.RequestID) {
+	if r := m.open[id]; r != nil && r.answered && r.outstanding == 0 {
 		delete(m.open, id)
 	}
 }
@@ -155,7 +155,7 @@
 		case policy.Forward:
 			m.send(at, a)
 		case policy.CancelAttempt:
-			m.at(at+cancelTime, policy.AttemptEnded{ID: a.ID, Attempt: a.Attempt, Code: policy.Cancelled})
+			m.at(at+cancelDelay, policy.AttemptEnded{ID: a.ID, Attempt: a.Attempt, Code: policy.Cancelled})
 		case policy.Reject:
 			m.finish(a.ID)
 		case policy.Fail:
@@ -172,20 +172,20 @@
 	if r == nil {
 		return
 	}
-	took := minAnswerTime + time.Duration(m.random.ExpFloat64()*float64(answerMean))
+	took := minAnswerTime + time.Duration(m.random.ExpFloat64()*float64(meanExtraAnswerTime))
 	e := policy.AttemptEnded{ID: a.ID, Attempt: len(r.ended), Server: a.Server, Elapsed: took, Code: policy.OK}
 	if a.Timeout > 0 && took > a.Timeout {
 		e.Elapsed, e.Code = a.Timeout, policy.TimedOut
 	}
 	r.ended = append(r.ended, false)
-	r.out++
+	r.outstanding++
 	m.at(at+e.Elapsed, e)
 }
 
 func (m *module) finish(id policy.RequestID) {
 	if r := m.open[id]; r != nil {
-		r.over = true
-		m.forget(id)
+		r.answered = true
+		m.removeIfDone(id)
 	}
 }
 
--- a/internal/scale/hollow/node.go
+++ b/internal/scale/hollow/node.go
@@ -25,15 +25,15 @@
 	intentTimeout     = time.Second
 	intentPause       = 50 * time.Millisecond
 	listTimeout       = 3 * time.Second
-	reportEvery       = 250 * time.Millisecond
-	reportAtOnce      = 50 * time.Millisecond // where the answer wants more
+	reportInterval    = 250 * time.Millisecond
+	wantedReportDelay = 50 * time.Millisecond // where the answer wants more
 	maxReportInterval = time.Second           // between reports where nothing was seen
 	reportTimeout     = time.Second
 	leaveTimeout      = 500 * time.Millisecond
-	catchUp           = 10 * time.Second
+	catchUpTimeout    = 10 * time.Second
 	leavePause        = 100 * time.Millisecond // for the agent to carry the last report
 	callSlack         = time.Second
-	maxCallPause      = time.Second
+	failedCallPause   = time.Second
 )
 
 // node is one run of a hollow node's process, with the agent beside it.
@@ -44,7 +44,7 @@
 	services    []string
 	log         *slog.Logger
 	member      fleet.Member
-	began       time.Time
+	startedAt   time.Time
 	connections *connections
 	metrics     *prometheus.Registry
 	agent       http.Handler // of the intent and the reports
@@ -56,18 +56,18 @@
 
 	sequence uint64 // of the last report; the report loop's, then leave's
 
-	mu       sync.Mutex
-	module   *module
-	mirror   *agentclient.IntentMirror // changed by the intent loop alone
-	revision uint64                    // that the module has whole
-	items    int                       // of the mirror
-	synced   bool
-	held     bool // the newest answer said that the session is held
-	out      bool // the newest answer to a report said so
-	version  uint64
-	ready    map[policy.ServerID]bool
-	serving  map[string]served   // by tenant
-	facts    []fleet.AppliedItem // that the module holds; nil: to be read anew
+	mu          sync.Mutex
+	module      *module
+	mirror      *agentclient.IntentMirror // changed by the intent loop alone
+	revision    uint64                    // that the module has whole
+	items       int                       // of the mirror
+	synced      bool
+	sessionHeld bool // the newest answer said that the session is held
+	notReady    bool // the newest answer to a report said so
+	version     uint64
+	ready       map[policy.ServerID]bool
+	serving     map[string]served   // by tenant
+	applied     []fleet.AppliedItem // that the module holds; nil: to be read anew
 }
 
 // served says by which generation a node serves a tenant, 0 for none, and since when.
@@ -85,7 +85,7 @@
 		fleet:       state,
 		number:      number,
 		services:    scope(cfg, number),
-		began:       now,
+		startedAt:   now,
 		stop:        stop,
 		member:      fleet.Member{Node: NodeName(number), Zone: cfg.nodeZone(number), Incarnation: uint64(now.UnixNano())},
 		metrics:     prometheus.NewRegistry(),
@@ -104,13 +104,13 @@
 	n.loops.Go(func() { n.watchList(ctx) })
 	reportsCtx, stopReports := context.WithCancel(ctx)
 	n.stopReports = stopReports
-	n.reporting.Go(func() { n.reports(reportsCtx) })
+	n.reporting.Go(func() { n.reportLoop(reportsCtx) })
 	return n, nil
 }
 
 // startAgent starts the two halves of the node's agent, as the command discovery agent does.
 func (n *node) startAgent(ctx context.Context, log *slog.Logger) error {
-	half, err := fleetagent.Start(ctx, fleetagent.Config{
+	intentAgent, err := fleetagent.Start(ctx, fleetagent.Config{
 		Node:     n.member.Node,
 		Zone:     n.member.Zone,
 		Services: n.services,
@@ -123,7 +123,7 @@
 		return err
 	}
 	mux := http.NewServeMux()
-	half.Routes(mux)
+	intentAgent.Routes(mux)
 	n.agent = mux
 	list := listagent.New(n.cfg.Replicas, log)
 	list.Dial(n.connections.dial)
@@ -169,36 +169,36 @@
 }
 
 // reports sends them: at every turn while something is seen, at least each second, and at once where the answer wants more.
-func (n *node) reports(ctx context.Context) {
-	pause(ctx, rand.N(reportEvery))
-	var want []string
-	var last time.Time
-	since := policy.Time(0) // of the windows with nothing in them
+func (n *node) reportLoop(ctx context.Context) {
+	pause(ctx, rand.N(reportInterval))
+	var wantedKeys []string
+	var lastReport time.Time
+	idleSince := policy.Time(0) // of the windows with nothing in them
 	for ctx.Err() == nil {
-		wait := reportEvery
-		if len(want) > 0 {
-			wait = reportAtOnce
+		wait := reportInterval
+		if len(wantedKeys) > 0 {
+			wait = wantedReportDelay
 		}
 		if pause(ctx, wait); ctx.Err() != nil {
 			return
 		}
 		observed := n.observe()
-		if since != 0 {
-			observed.Window.Start = since
+		if idleSince != 0 {
+			observed.Window.Start = idleSince
 		}
-		if observed.Idle() && len(want) == 0 && time.Since(last) < maxReportInterval && n.isReady() {
-			since = observed.Window.Start
+		if observed.Idle() && len(wantedKeys) == 0 && time.Since(lastReport) < maxReportInterval && n.isReady() {
+			idleSince = observed.Window.Start
 			continue
 		}
-		since, last = 0, time.Now()
-		answer, err := n.report(ctx, observed, want, false)
-		if want = nil; err != nil {
-			n.fault(ctx, "report", err)
+		idleSince, lastReport = 0, time.Now()
+		answer, err := n.report(ctx, observed, wantedKeys, false)
+		if wantedKeys = nil; err != nil {
+			n.recordFailure(ctx, "report", err)
 			continue
 		}
-		want = answer.WantedKeys
+		wantedKeys = answer.WantedKeys
 		n.mu.Lock()
-		n.out = answer.NotReady
+		n.notReady = answer.NotReady
 		n.mu.Unlock()
 	}
 }
@@ -208,33 +208,33 @@
 func (n *node) observe() *agentclient.Observation {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if time.Since(n.began) >= catchUp {
-		n.sync()
+	if time.Since(n.startedAt) >= catchUpTimeout {
+		n.markSynced()
 	}
 	now := n.module.advance()
 	window := n.module.Window(now)
 	window.Start = max(window.Start, n.module.base)
-	if n.facts == nil {
-		n.facts = agentclient.AppliedItems(n.module.Applied(), n.began)
+	if n.applied == nil {
+		n.applied = agentclient.AppliedItems(n.module.Applied(), n.startedAt)
 	}
 	return &agentclient.Observation{
 		Window:        window,
-		Applied:       n.facts,
+		Applied:       n.applied,
 		Now:           now,
 		Revision:      n.revision,
 		ListVersion:   n.version,
 		Ready:         len(n.ready) > 0,
 		Synced:        n.synced,
-		SettingsSince: n.began,
+		SettingsSince: n.startedAt,
 	}
 }
 
 // report posts a report. One that leaves is the last.
-func (n *node) report(ctx context.Context, observed *agentclient.Observation, want []string, leaving bool) (answer fleet.ReportAnswer, err error) {
+func (n *node) report(ctx context.Context, observed *agentclient.Observation, wantedKeys []string, leaving bool) (answer fleet.ReportAnswer, err error) {
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
 	n.sequence++
-	r := observed.Report(n.member, n.sequence, want)
+	r := observed.Report(n.member, n.sequence, wantedKeys)
 	r.Services = n.services
 	if leaving {
 		r.Draining, r.Ready = true, false
@@ -257,11 +257,11 @@
 func (n *node) isReady() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.synced && n.held && !n.out
+	return n.synced && n.sessionHeld && !n.notReady
 }
 
 // fault counts and logs a call that gave nothing usable, unless the run ends.
-func (n *node) fault(ctx context.Context, kind string, err error) {
+func (n *node) recordFailure(ctx context.Context, kind string, err error) {
 	if ctx.Err() != nil {
 		return
 	}
--- a/internal/scale/hollow/registrants.go
+++ b/internal/scale/hollow/registrants.go
@@ -20,13 +20,13 @@
 const (
 	serversPerWorker = 8
 	maxWorkers       = 1024                   // each has one connection
-	renewPart        = 3                      // a lease is renewed when 1/renewPart of it is over
+	renewalsPerLease = 3                      // a lease is renewed when 1/renewPart of it is over
 	registerTimeout  = 5 * time.Second        // for the answer to one call
-	registerPause    = 50 * time.Millisecond  // after a call that failed
+	retryPause       = 50 * time.Millisecond  // after a call that failed
 	replaceTimeout   = 30 * time.Second       // for one server to be replaced
 	serverPort       = 10_000                 // of a server's first address; its replacements' are the next ones
 	serverPorts      = 50_000                 // that it goes through
-	lateAfter        = 100 * time.Millisecond // a worker that is later than this does not wait for its next turn
+	maxRoundDelay    = 100 * time.Millisecond // a worker that is later than this does not wait for its next turn
 )
 
 // registrants are the hollow app servers of a process. Each worker holds the leases of some of them, one call after another
@@ -44,11 +44,11 @@
 type server struct {
 	number int
 
-	mu          sync.Mutex // held during its calls
-	replacement int        // addresses it has had before
-	startedMS   int64
-	registered  bool
-	renewed     atomic.Int64 // when the last call that extended its lease began, Unix ns
+	mu           sync.Mutex // held during its calls
+	replacements int        // addresses it has had before
+	startedMS    int64
+	registered   bool
+	renewedAt    atomic.Int64 // when the last call that extended its lease began, Unix ns
 }
 
 func newRegistrants(cfg *Config, state *fleetState, log *slog.Logger) *registrants {
@@ -67,7 +67,7 @@
 // registered counts the servers whose lease is held, as far as they can know.
 func (r *registrants) registered() (count int) {
 	for _, s := range r.servers {
-		if s.renewed.Load() > time.Now().UnixNano()-r.cfg.LeaseTTLMS*int64(time.Millisecond) {
+		if s.renewedAt.Load() > time.Now().UnixNano()-r.cfg.LeaseTTLMS*int64(time.Millisecond) {
 			count++
 		}
 	}
@@ -79,12 +79,12 @@
 	connections := r.state.sockets.connections()
 	defer connections.close()
 	client := newClient(connections, 1)
-	period := time.Duration(r.cfg.LeaseTTLMS) * time.Millisecond / renewPart
-	every := period / time.Duration(len(r.servers))
-	turn := time.Now()
+	period := time.Duration(r.cfg.LeaseTTLMS) * time.Millisecond / renewalsPerLease
+	spacing := period / time.Duration(len(r.servers))
+	roundStart := time.Now()
 	for ctx.Err() == nil {
 		for i := worker; i < len(r.servers) && ctx.Err() == nil; i += r.workers {
-			due := turn.Add(time.Duration(i) * every)
+			due := roundStart.Add(time.Duration(i) * spacing)
 			if wait := time.Until(due); wait > 0 {
 				pause(ctx, wait)
 			}
@@ -95,8 +95,8 @@
 			}
 			s.mu.Unlock()
 		}
-		if turn = turn.Add(period); time.Since(turn) > lateAfter {
-			turn = time.Now()
+		if roundStart = roundStart.Add(period); time.Since(roundStart) > maxRoundDelay {
+			roundStart = time.Now()
 		}
 	}
 }
@@ -113,22 +113,22 @@
 }
 
 // errUnknown says that the lease is not held.
-var errUnknown = errors.New("no such registration")
+var errUnknownRegistration = errors.New("no such registration")
 
 // renewOrRegister extends a server's lease, or registers it where it has none. The caller holds its mu.
 func (r *registrants) renewOrRegister(ctx context.Context, client *http.Client, s *server) error {
 	began := time.Now()
-	err := errUnknown
+	err := errUnknownRegistration
 	if s.registered {
 		err = r.post(ctx, client, "renew", renewal{ID: ServerName(s.number), TTLMS: r.cfg.LeaseTTLMS})
 	}
-	if errors.Is(err, errUnknown) {
+	if errors.Is(err, errUnknownRegistration) {
 		s.registered = false
 		err = r.register(ctx, client, s)
 	}
 	if err == nil {
 		s.registered = true
-		s.renewed.Store(began.UnixNano())
+		s.renewedAt.Store(began.UnixNano())
 	}
 	return err
 }
@@ -149,7 +149,7 @@
 func (r *registrants) register(ctx context.Context, client *http.Client, s *server) error {
 	service, zone := r.cfg.serverPlace(s.number)
 	return r.post(ctx, client, "register", registration{TTLMS: r.cfg.LeaseTTLMS,
-		Entry: registry.Entry{ID: ServerName(s.number), Addr: ServerAddress(s.number, s.replacement), Zone: zone, Kind: service, State: "ready", Weight: 1, StartedMS: s.startedMS}})
+		Entry: registry.Entry{ID: ServerName(s.number), Addr: ServerAddress(s.number, s.replacements), Zone: zone, Kind: service, State: "ready", Weight: 1, StartedMS: s.startedMS}})
 }
 
 // ServerAddress is where the server of a number would listen after so many replacements; nothing of this package does.
@@ -165,18 +165,18 @@
 		return err
 	}
 	for range 2 * len(r.cfg.Replicas) {
-		at := int(r.leader.Load())
+		current := int(r.leader.Load())
 		var leader string
-		leader, err = r.attempt(ctx, client, r.cfg.Replicas[at], operation, raw)
-		if err == nil || errors.Is(err, errUnknown) || ctx.Err() != nil {
+		leader, err = r.attempt(ctx, client, r.cfg.Replicas[current], operation, raw)
+		if err == nil || errors.Is(err, errUnknownRegistration) || ctx.Err() != nil {
 			return err
 		}
-		if next := slices.Index(r.cfg.Replicas, leader); next >= 0 && next != at {
-			r.leader.CompareAndSwap(int64(at), int64(next))
+		if next := slices.Index(r.cfg.Replicas, leader); next >= 0 && next != current {
+			r.leader.CompareAndSwap(int64(current), int64(next))
 			continue
 		}
-		r.leader.CompareAndSwap(int64(at), int64((at+1)%len(r.cfg.Replicas)))
-		pause(ctx, registerPause)
+		r.leader.CompareAndSwap(int64(current), int64((current+1)%len(r.cfg.Replicas)))
+		pause(ctx, retryPause)
 	}
 	return err
 }
@@ -198,7 +198,7 @@
 	case err != nil:
 		return "", err
 	case response.StatusCode == http.StatusNotFound:
-		return "", errUnknown
+		return "", errUnknownRegistration
 	case response.StatusCode != http.StatusOK:
 		return response.Header.Get("X-Leader"), fmt.Errorf("%s: status %d: %.100q", operation, response.StatusCode, bytes.TrimSpace(text))
 	}
@@ -206,13 +206,13 @@
 }
 
 // persist makes a call until it is carried out, also while there is no leader, or ctx ends.
-func (r *registrants) persist(ctx context.Context, call func() error) error {
+func (r *registrants) retry(ctx context.Context, call func() error) error {
 	for {
 		err := call()
-		if err == nil || errors.Is(err, errUnknown) || ctx.Err() != nil {
+		if err == nil || errors.Is(err, errUnknownRegistration) || ctx.Err() != nil {
 			return err
 		}
-		pause(ctx, registerPause)
+		pause(ctx, retryPause)
 	}
 }
 
@@ -220,22 +220,22 @@
 func (r *registrants) replace(ctx context.Context, first, count int) error {
 	connections := r.state.sockets.connections()
 	defer connections.close()
-	client := newClient(connections, atOnce)
-	return each(count, func(i int) error {
+	client := newClient(connections, maxConcurrency)
+	return forEach(count, func(i int) error {
 		ctx, cancel := context.WithTimeout(ctx, replaceTimeout)
 		defer cancel()
 		s := r.servers[first-r.cfg.FirstServer+i]
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		err := r.persist(ctx, func() error { return r.post(ctx, client, "deregister", renewal{ID: ServerName(s.number)}) })
-		if err != nil && !errors.Is(err, errUnknown) {
+		err := r.retry(ctx, func() error { return r.post(ctx, client, "deregister", renewal{ID: ServerName(s.number)}) })
+		if err != nil && !errors.Is(err, errUnknownRegistration) {
 			return fmt.Errorf("replace: %s: %w", ServerName(s.number), err)
 		}
 		s.registered = false
-		s.replacement++
+		s.replacements++
 		s.startedMS = time.Now().UnixMilli()
-		s.renewed.Store(0)
-		if err := r.persist(ctx, func() error { return r.renewOrRegister(ctx, client, s) }); err != nil {
+		s.renewedAt.Store(0)
+		if err := r.retry(ctx, func() error { return r.renewOrRegister(ctx, client, s) }); err != nil {
 			return fmt.Errorf("replace: %s: %w", ServerName(s.number), err)
 		}
 		return nil
--- a/internal/scale/hollow/relay.go
+++ b/internal/scale/hollow/relay.go
@@ -37,14 +37,14 @@
 			if err != nil {
 				return
 			}
-			m.running.Go(func() { m.pass(client, replica) })
+			m.running.Go(func() { m.forward(client, replica) })
 		}
 	})
 	return listener.Addr().String(), nil
 }
 
 // pass carries one connection until either end closes it.
-func (m *Meter) pass(client net.Conn, replica string) {
+func (m *Meter) forward(client net.Conn, replica string) {
 	defer client.Close()
 	upstream, err := net.DialTimeout("tcp", replica, dialTimeout)
 	if err != nil {
--- a/internal/scale/hollow/serve.go
+++ b/internal/scale/hollow/serve.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	lineLimit  = 1 << 20 // bytes of a line of the protocol
-	errorLimit = 500     // bytes of an error in a Reply
+	maxLineBytes  = 1 << 20 // bytes of a line of the protocol
+	maxErrorBytes = 500     // bytes of an error in a Reply
 )
 
 // Serve is the loop of a hollow process: it reads a Config from in, runs what that says, and answers it and each Request on out. It
@@ -44,7 +44,7 @@
 		g, err = newGroup(ctx, cfg, log)
 	}
 	if err != nil {
-		return errors.Join(err, reply(failure(err)))
+		return errors.Join(err, reply(errorReply(err)))
 	}
 	defer g.close()
 	for err = reply(Reply{}); err == nil; {
@@ -64,19 +64,19 @@
 	decoder := json.NewDecoder(bytes.NewReader(line))
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(&r); err != nil {
-		return failure(fmt.Errorf("request: %w", err))
+		return errorReply(fmt.Errorf("request: %w", err))
 	}
 	return g.do(ctx, r)
 }
 
 // readLines gives the lines of in one by one, and what ended them. It calls over at their end.
-func readLines(ctx context.Context, in io.Reader, over func()) (lines <-chan []byte, ended func() error) {
+func readLines(ctx context.Context, in io.Reader, onEnd func()) (lines <-chan []byte, ended func() error) {
 	out := make(chan []byte)
 	result := make(chan error, 1)
 	go func() {
-		defer over()
+		defer onEnd()
 		scanner := bufio.NewScanner(in)
-		scanner.Buffer(nil, lineLimit)
+		scanner.Buffer(nil, maxLineBytes)
 		for scanner.Scan() {
 			select {
 			case out <- bytes.Clone(scanner.Bytes()):
@@ -105,5 +105,5 @@
 		}
 		return r
 	}, text)
-	return text[:min(len(text), errorLimit)]
+	return text[:min(len(text), maxErrorBytes)]
 }
--- a/internal/scale/hollow/sockets.go
+++ b/internal/scale/hollow/sockets.go
@@ -17,9 +17,9 @@
 
 // requestLines are the beginnings of the requests of each kind of call. A connection carries one call at a time, and net/http
 // begins a call's request with a write of its own: so the kind of a connection's bytes is that of the last such write.
-var requestLines = []struct {
-	begin string
-	call  Call
+var requestPrefixes = []struct {
+	prefix string
+	call   Call
 }{
 	{"GET /fleet/v1/intent", CallIntent},
 	{"GET /registry/instances", CallList},
@@ -28,7 +28,7 @@
 }
 
 // differenceLine begins the request of a report that is sent as a difference.
-const differenceLine = "POST /fleet/v1/report/difference"
+const differencePrefix = "POST /fleet/v1/report/difference"
 
 // sockets counts what goes over every connection of the process, by kind of call.
 type sockets struct {
@@ -48,7 +48,7 @@
 
 func newSockets() *sockets {
 	s := &sockets{counts: map[Call]*counter{}}
-	for _, line := range requestLines {
+	for _, line := range requestPrefixes {
 		s.counts[line.call] = &counter{}
 	}
 	return s
@@ -80,7 +80,7 @@
 	dialer := net.Dialer{Timeout: dialTimeout}
 	inner, err := dialer.DialContext(ctx, network, address)
 	if err != nil {
-		c.failed()
+		c.recordFailure()
 		return nil, err
 	}
 	return c.add(inner), nil
@@ -112,7 +112,7 @@
 }
 
 // failed counts a call that failed, unless its owner has ended.
-func (c *connections) failed() {
+func (c *connections) recordFailure() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !c.ended {
@@ -125,9 +125,9 @@
 	net.Conn
 	owner *connections
 
-	mu      sync.Mutex
-	count   *counter // of the call that is open, or was last; nil before the first
-	waiting bool     // no answer to it has begun
+	mu             sync.Mutex
+	count          *counter // of the call that is open, or was last; nil before the first
+	awaitingAnswer bool     // no answer to it has begun
 
 	// That call is a report, and sent as a difference.
 	report     bool
@@ -138,13 +138,13 @@
 func (c *countedConn) Write(b []byte) (int, error) {
 	c.mu.Lock()
 	body := b
-	for _, line := range requestLines {
-		if bytes.HasPrefix(b, []byte(line.begin)) {
+	for _, line := range requestPrefixes {
+		if bytes.HasPrefix(b, []byte(line.prefix)) {
 			c.count = c.owner.sockets.counts[line.call]
 			c.report = line.call == CallReport
-			c.waiting = true
+			c.awaitingAnswer = true
 			c.count.calls.Add(1)
-			if c.difference = bytes.HasPrefix(b, []byte(differenceLine)); c.difference {
+			if c.difference = bytes.HasPrefix(b, []byte(differencePrefix)); c.difference {
 				c.owner.sockets.differences.Add(1)
 			}
 			_, body, _ = bytes.Cut(b, []byte("\r\n\r\n"))
@@ -173,25 +173,25 @@
 func (c *countedConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.mu.Lock()
-	count, first := c.count, c.waiting && (n > 0 || err != nil)
+	count, first := c.count, c.awaitingAnswer && (n > 0 || err != nil)
 	if first {
-		c.waiting = false
+		c.awaitingAnswer = false
 	}
 	c.mu.Unlock()
 	if count != nil {
 		count.in.Add(uint64(n))
 	}
-	if first && !answersWell(b[:n]) {
-		c.owner.failed()
+	if first && !isSuccess(b[:n]) {
+		c.owner.recordFailure()
 	}
 	if err != nil && !errors.Is(err, io.EOF) {
-		c.forget()
+		c.untrack()
 	}
 	return n, err
 }
 
 // answersWell says whether an answer's first bytes tell of success.
-func answersWell(first []byte) bool {
+func isSuccess(first []byte) bool {
 	_, after, _ := bytes.Cut(first, []byte(" "))
 	status, err := strconv.Atoi(string(after[:min(3, len(after))]))
 	return err == nil && status < 400
@@ -199,11 +199,11 @@
 
 // Close ends the connection.
 func (c *countedConn) Close() error {
-	c.forget()
+	c.untrack()
 	return c.Conn.Close()
 }
 
-func (c *countedConn) forget() {
+func (c *countedConn) untrack() {
 	c.owner.mu.Lock()
 	defer c.owner.mu.Unlock()
 	delete(c.owner.open, c)
--- a/internal/scale/hollow/state.go
+++ b/internal/scale/hollow/state.go
@@ -23,7 +23,7 @@
 }
 
 // sawRevision notes a revision that a node has.
-func (s *fleetState) sawRevision(revision uint64) {
+func (s *fleetState) recordRevision(revision uint64) {
 	for {
 		newest := s.newest.Load()
 		if revision <= newest || s.newest.CompareAndSwap(newest, revision) {
@@ -33,7 +33,7 @@
 }
 
 // sawTenant notes a tenant's service, by the body of its item.
-func (s *fleetState) sawTenant(name string, body json.RawMessage) {
+func (s *fleetState) recordTenantService(name string, body json.RawMessage) {
 	var tenant fleet.Tenant
 	if json.Unmarshal(body, &tenant) != nil {
 		return
--- a/internal/scale/hollow/parts_test.go
+++ b/internal/scale/hollow/units_test.go
@@ -106,7 +106,7 @@
 }
 
 // The traffic model's requests arrive at their rate, and go by the tenants with load; each ends.
-func TestModelledTraffic(t *testing.T) {
+func TestTrafficModel(t *testing.T) {
 	t.Parallel()
 	const rate, seconds, tenants = 50, 20, 3
 	m := newModule(&Config{Nodes: 1, Zones: []string{"z"}, RequestsPerS: rate, Seed: 1}, 0, 1)
@@ -114,14 +114,14 @@
 	for i := range 5 {
 		servers = append(servers, policy.Server{ID: policy.ServerID(i + 1), Name: ServerName(i), Zone: "z", Weight: 1})
 	}
-	m.tell(policy.EndpointUpdate{Kind: policy.EndpointsComplete, Version: 1, Servers: servers})
+	m.deliver(policy.EndpointUpdate{Kind: policy.EndpointsComplete, Version: 1, Servers: servers})
 	for i := range tenants {
 		name := fmt.Sprint("t", i)
-		m.tell(policy.TenantUpdate{Name: name, UID: 1, Revision: 1, Committed: &policy.TenantRules{Generation: 1, Rate: 1e6, Burst: 1e6}})
+		m.deliver(policy.TenantUpdate{Name: name, UID: 1, Revision: 1, Committed: &policy.TenantRules{Generation: 1, Rate: 1e6, Burst: 1e6}})
 		m.active = append(m.active, name)
 	}
-	m.tell(policy.FleetSynced{Revision: 1})
-	m.began = m.began.Add(-seconds * time.Second)
+	m.deliver(policy.FleetSynced{Revision: 1})
+	m.startedAt = m.startedAt.Add(-seconds * time.Second)
 	window := m.Window(m.advance())
 	arrived, attempts := 0, 0
 	for _, tenant := range window.Tenants {
@@ -144,8 +144,8 @@
 // An error is one line of bounded length.
 func TestOneLine(t *testing.T) {
 	t.Parallel()
-	got := oneLine("a\nb\x00" + strings.Repeat("c", 2*errorLimit))
-	if len(got) != errorLimit || !strings.HasPrefix(got, "a b c") {
+	got := oneLine("a\nb\x00" + strings.Repeat("c", 2*maxErrorBytes))
+	if len(got) != maxErrorBytes || !strings.HasPrefix(got, "a b c") {
 		t.Errorf("%q", got)
 	}
 }
--- a/internal/scale/hollow/usage.go
+++ b/internal/scale/hollow/usage.go
@@ -19,7 +19,7 @@
 		ReportBytes: g.state.sockets.reportBytes.Load(),
 		Registered:  g.servers.registered(),
 		Goroutines:  runtime.NumGoroutine(),
-		CPU:         processorTime(),
+		CPU:         cpuTime(),
 		RSSBytes:    residentBytes(),
 		CopyBytes:   g.state.copyBytes.Load(),
 	}
@@ -49,7 +49,7 @@
 }
 
 // processorTime is what the process has taken, user and system.
-func processorTime() time.Duration {
+func cpuTime() time.Duration {
 	var used unix.Rusage
 	if unix.Getrusage(unix.RUSAGE_SELF, &used) != nil {
 		return 0
@@ -87,45 +87,45 @@
 	if r.Service != "" {
 		g.state.setService(r.Tenant, r.Service)
 	}
-	for end := time.Now().Add(r.Wait); ; pause(ctx, inForceLook) {
-		seen := g.lookInForce(r.Tenant, r.Generation)
-		if seen.Have == seen.Nodes || ctx.Err() != nil || time.Now().After(end) {
-			return seen
+	for end := time.Now().Add(r.Wait); ; pause(ctx, inForcePollInterval) {
+		result := g.checkInForce(r.Tenant, r.Generation)
+		if result.Have == result.Nodes || ctx.Err() != nil || time.Now().After(end) {
+			return result
 		}
 	}
 }
 
-func (g *group) lookInForce(tenant string, generation uint64) InForce {
-	var seen InForce
+func (g *group) checkInForce(tenant string, generation uint64) InForce {
+	var result InForce
 	lacking := ""
 	for _, n := range g.running() {
 		n.mu.Lock()
-		now, known := n.serving[tenant]
-		has := now.generation >= generation
+		state, known := n.serving[tenant]
+		reached := state.generation >= generation
 		if generation == 0 {
-			has = now.generation == 0 && n.synced
+			reached = state.generation == 0 && n.synced
 		}
 		inScope := n.serves(tenant)
 		n.mu.Unlock()
 		if !inScope {
 			continue
 		}
-		seen.Nodes++
-		if !has {
+		result.Nodes++
+		if !reached {
 			lacking = n.member.Node
 			continue
 		}
-		seen.Have++
+		result.Have++
 		if !known {
 			continue // it never had the tenant
 		}
-		seen.Times = append(seen.Times, now.since.UnixNano())
-		if now.since.After(seen.Last) {
-			seen.Last, seen.Worst = now.since, n.member.Node
+		result.Times = append(result.Times, state.since.UnixNano())
+		if state.since.After(result.Last) {
+			result.Last, result.Worst = state.since, n.member.Node
 		}
 	}
 	if lacking != "" {
-		seen.Worst = lacking
+		result.Worst = lacking
 	}
-	return seen
+	return result
 }
--- a/internal/scale/load.go
+++ b/internal/scale/load.go
@@ -41,7 +41,7 @@
 	min     float64
 	max     float64
 	integer bool
-	of      func(*Load) float64
+	get     func(*Load) float64
 	set     func(*Load, float64)
 }
 
@@ -52,7 +52,7 @@
 		min:     minimum,
 		max:     maximum,
 		integer: true,
-		of:      func(l *Load) float64 { return float64(*field(l)) },
+		get:     func(l *Load) float64 { return float64(*field(l)) },
 		set:     func(l *Load, v float64) { *field(l) = int(v) },
 	}
 }
@@ -60,7 +60,7 @@
 // rateBound is the bound of something a second.
 func rateBound(key Dimension, maximum float64, field func(*Load) *float64) bound {
 	return bound{key: key, max: maximum,
-		of:  func(l *Load) float64 { return *field(l) },
+		get: func(l *Load) float64 { return *field(l) },
 		set: func(l *Load, v float64) { *field(l) = v }}
 }
 
@@ -106,7 +106,7 @@
 // check compares a load with the bounds, and its keys with each other.
 func (l Load) check(prefix string) error {
 	for _, b := range loadBounds {
-		if err := b.check(prefix+string(b.key), b.of(&l)); err != nil {
+		if err := b.check(prefix+string(b.key), b.get(&l)); err != nil {
 			return err
 		}
 	}
--- a/internal/scale/operator.go
+++ b/internal/scale/operator.go
@@ -27,9 +27,9 @@
 
 // Bounds of an operator's call.
 const (
-	proposeWithin = 30 * time.Second
-	proposeRest   = 20 * time.Millisecond
-	answerLimit   = 1 << 20
+	proposeTimeout    = 30 * time.Second
+	proposeRetryPause = 20 * time.Millisecond
+	maxAnswerBytes    = 1 << 20
 )
 
 // errConflict says that a tenant is at another generation than the proposal names, or not done with its last one.
@@ -53,24 +53,24 @@
 	if err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(ctx, proposeWithin)
+	ctx, cancel := context.WithTimeout(ctx, proposeTimeout)
 	defer cancel()
-	unknown := false
+	outcomeUnknown := false
 	for {
 		status, text, err := o.put(ctx, spec.Name, body)
 		switch {
-		case err == nil && status == http.StatusOK, err == nil && status == http.StatusConflict && unknown:
+		case err == nil && status == http.StatusOK, err == nil && status == http.StatusConflict && outcomeUnknown:
 			return nil
 		case err == nil && status == http.StatusConflict:
 			return fmt.Errorf("tenant %s: %w: %s", spec.Name, errConflict, text)
 		case err == nil && status < http.StatusInternalServerError:
 			return fmt.Errorf("tenant %s: %d: %s", spec.Name, status, text)
 		}
-		unknown = unknown || err != nil
+		outcomeUnknown = outcomeUnknown || err != nil
 		select {
 		case <-ctx.Done():
 			return fmt.Errorf("tenant %s: no leader answers: %w", spec.Name, errors.Join(context.Cause(ctx), err))
-		case <-time.After(proposeRest):
+		case <-time.After(proposeRetryPause):
 		}
 	}
 }
@@ -78,28 +78,28 @@
 // put makes one attempt at the replica that is taken for the leader.
 func (o *operator) put(ctx context.Context, name string, body []byte) (status int, text []byte, err error) {
 	o.mu.Lock()
-	at := o.leader
+	current := o.leader
 	o.mu.Unlock()
-	address := "http://" + o.replicas[at] + "/fleet/v1/tenants/" + url.PathEscape(name)
+	address := "http://" + o.replicas[current] + "/fleet/v1/tenants/" + url.PathEscape(name)
 	req, err := http.NewRequestWithContext(ctx, http.MethodPut, address, bytes.NewReader(body))
 	if err != nil {
 		return 0, nil, err
 	}
 	resp, err := o.client.Do(req)
 	if err != nil {
-		o.follow(at, "")
+		o.switchLeader(current, "")
 		return 0, nil, err
 	}
 	defer resp.Body.Close()
-	text, err = io.ReadAll(io.LimitReader(resp.Body, answerLimit))
+	text, err = io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes))
 	if resp.StatusCode == http.StatusServiceUnavailable {
-		o.follow(at, resp.Header.Get("X-Leader"))
+		o.switchLeader(current, resp.Header.Get("X-Leader"))
 	}
 	return resp.StatusCode, bytes.TrimSpace(text), err
 }
 
 // follow turns from a replica to the one it names, or to the next.
-func (o *operator) follow(from int, leader string) {
+func (o *operator) switchLeader(from int, leader string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.leader != from {
--- a/internal/scale/operator_test.go
+++ b/internal/scale/operator_test.go
@@ -15,7 +15,7 @@
 )
 
 // replicaDouble is an HTTP server that answers by a function, and its address without the scheme.
-func replicaDouble(t *testing.T, answer http.HandlerFunc) string {
+func newFakeReplica(t *testing.T, answer http.HandlerFunc) string {
 	t.Helper()
 	srv := httptest.NewServer(answer)
 	t.Cleanup(srv.Close)
@@ -24,7 +24,7 @@
 
 func TestOperatorFollowsTheLeader(t *testing.T) {
 	var got atomic.Pointer[proposal]
-	leader := replicaDouble(t, func(w http.ResponseWriter, r *http.Request) {
+	leader := newFakeReplica(t, func(w http.ResponseWriter, r *http.Request) {
 		var p proposal
 		if err := json.NewDecoder(r.Body).Decode(&p); err != nil || r.Method != http.MethodPut {
 			http.Error(w, "bad", http.StatusBadRequest)
@@ -32,7 +32,7 @@
 		}
 		got.Store(&p)
 	})
-	follower := replicaDouble(t, func(w http.ResponseWriter, _ *http.Request) {
+	follower := newFakeReplica(t, func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("X-Leader", leader)
 		http.Error(w, "not the leader", http.StatusServiceUnavailable)
 	})
@@ -50,14 +50,14 @@
 	}
 }
 
-func TestOperatorRefusals(t *testing.T) {
+func TestOperatorRejections(t *testing.T) {
 	rows := []struct {
 		name     string
 		status   int
 		conflict bool
 	}{{"conflict", http.StatusConflict, true}, {"bad request", http.StatusBadRequest, false}}
 	for _, row := range rows {
-		o := newOperator([]string{replicaDouble(t, func(w http.ResponseWriter, _ *http.Request) { http.Error(w, "no", row.status) })})
+		o := newOperator([]string{newFakeReplica(t, func(w http.ResponseWriter, _ *http.Request) { http.Error(w, "no", row.status) })})
 		err := o.propose(t.Context(), 1, fleet.Spec{Name: "a"})
 		if err == nil || errors.Is(err, errConflict) != row.conflict {
 			t.Errorf("%s: %v", row.name, err)
@@ -67,9 +67,9 @@
 }
 
 // TestOperatorTakesItsOwnConflict has the first attempt carried out and its answer lost.
-func TestOperatorTakesItsOwnConflict(t *testing.T) {
+func TestOperatorAcceptsItsOwnConflict(t *testing.T) {
 	var attempts atomic.Int64
-	o := newOperator([]string{replicaDouble(t, func(w http.ResponseWriter, _ *http.Request) {
+	o := newOperator([]string{newFakeReplica(t, func(w http.ResponseWriter, _ *http.Request) {
 		if attempts.Add(1) == 1 {
 			panic(http.ErrAbortHandler)
 		}
@@ -82,7 +82,7 @@
 }
 
 func TestOperatorEndsWithItsContext(t *testing.T) {
-	o := newOperator([]string{replicaDouble(t, func(w http.ResponseWriter, _ *http.Request) {
+	o := newOperator([]string{newFakeReplica(t, func(w http.ResponseWriter, _ *http.Request) {
 		http.Error(w, "no leader", http.StatusServiceUnavailable)
 	})})
 	defer o.close()
--- a/internal/scale/plan_test.go
+++ b/internal/scale/plan_test.go
@@ -7,15 +7,15 @@
 	"meadowsill/lab/sweeps"
 )
 
-const goodPlan = `
+const validPlan = `
 dimension = "nodes"
 sizes = [8, 16, 32, 64, 128]
 [base]
 tenants = 50
 `
 
-func TestPlanFillsIn(t *testing.T) {
-	p, err := ParsePlan("mine", []byte(goodPlan))
+func TestPlanDefaults(t *testing.T) {
+	p, err := ParsePlan("mine", []byte(validPlan))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -51,11 +51,11 @@
 }
 
 // TestPlanRefuses has one row for each way in which a file can be bad; the error is one line that names the key.
-func TestPlanRefuses(t *testing.T) {
+func TestBadPlans(t *testing.T) {
 	rows := []struct{ name, text, want string }{
 		{"no TOML", `sizes = [`, "sweep x:"},
-		{"unknown key", goodPlan + "nodules = 3\n", `unknown key "base.nodules"`},
-		{"unknown table", goodPlan + "[other]\na = 1\n", `unknown key "other`},
+		{"unknown key", validPlan + "nodules = 3\n", `unknown key "base.nodules"`},
+		{"unknown table", validPlan + "[other]\na = 1\n", `unknown key "other`},
 		{"no dimension", `sizes = [8, 16, 32, 64, 128]`, "dimension: is missing"},
 		{"no such dimension", `dimension = "mice"` + "\nsizes = [8, 16, 32, 64, 128]", `dimension: "mice"`},
 		{"a key that is no dimension", `dimension = "tenants_per_service"` + "\nsizes = [8, 16, 32, 64, 128]", `dimension: "tenants_per_service"`},
@@ -68,21 +68,21 @@
 		{"not ascending", `dimension = "nodes"` + "\nsizes = [8, 16, 16, 64, 128]", "sizes[2]: 16 is not above the one before, 16"},
 		{"steps too long", `dimension = "nodes"` + "\nsizes = [8, 16, 32, 64, 1024]", "sizes[4]: 1024 is 16.00 times"},
 		{"steps too short", `dimension = "nodes"` + "\nsizes = [8, 16, 32, 33, 64]", "sizes[3]: 33 is 1.03 times"},
-		{"base size 0", strings.Replace(goodPlan, "tenants = 50", "tenants = 0", 1), "base.tenants: 0 is not within"},
-		{"base size below 0", strings.Replace(goodPlan, "tenants = 50", "services = -1", 1), "base.services: -1 is not within"},
-		{"base over the bound", strings.Replace(goodPlan, "tenants = 50", "servers = 100001", 1), "base.servers: 100001 is not within"},
-		{"rate below 0", strings.Replace(goodPlan, "tenants = 50", "changes_per_s = -1.0", 1), "base.changes_per_s: -1 is not within"},
-		{"rate no number", strings.Replace(goodPlan, "tenants = 50", "changes_per_s = nan", 1), "base.changes_per_s: NaN"},
-		{"scope over services", strings.Replace(goodPlan, "tenants = 50", "services = 4\nper_node = 5", 1), "base.per_node: 5 is over services, 4"},
-		{"too many routes", strings.Replace(goodPlan, "tenants = 50", "tenants = 2\nroutes = 129", 1), "base.routes: 129 is over 64"},
-		{"no repeats", "repeats = 0\n" + goodPlan, "repeats: 0"},
-		{"no replicas", "replicas = 0\n" + goodPlan, "replicas: 0"},
-		{"no zones", "zones = []\n" + goodPlan, "zones: is empty"},
-		{"no window", "measure_s = 0\n" + goodPlan, "measure_s: 0"},
-		{"no end", "limit_s = 1e9\n" + goodPlan, "limit_s: 1e+09"},
-		{"nodes a process", goodPlan + "[hollow]\nnodes_per_process = 0\n", "hollow.nodes_per_process: 0"},
-		{"lease", goodPlan + "[hollow]\nlease_ttl_ms = 1\n", "hollow.lease_ttl_ms: 1"},
-		{"another type", goodPlan + "servers = \"many\"\n", "servers"},
+		{"base size 0", strings.Replace(validPlan, "tenants = 50", "tenants = 0", 1), "base.tenants: 0 is not within"},
+		{"base size below 0", strings.Replace(validPlan, "tenants = 50", "services = -1", 1), "base.services: -1 is not within"},
+		{"base over the bound", strings.Replace(validPlan, "tenants = 50", "servers = 100001", 1), "base.servers: 100001 is not within"},
+		{"rate below 0", strings.Replace(validPlan, "tenants = 50", "changes_per_s = -1.0", 1), "base.changes_per_s: -1 is not within"},
+		{"rate no number", strings.Replace(validPlan, "tenants = 50", "changes_per_s = nan", 1), "base.changes_per_s: NaN"},
+		{"scope over services", strings.Replace(validPlan, "tenants = 50", "services = 4\nper_node = 5", 1), "base.per_node: 5 is over services, 4"},
+		{"too many routes", strings.Replace(validPlan, "tenants = 50", "tenants = 2\nroutes = 129", 1), "base.routes: 129 is over 64"},
+		{"no repeats", "repeats = 0\n" + validPlan, "repeats: 0"},
+		{"no replicas", "replicas = 0\n" + validPlan, "replicas: 0"},
+		{"no zones", "zones = []\n" + validPlan, "zones: is empty"},
+		{"no window", "measure_s = 0\n" + validPlan, "measure_s: 0"},
+		{"no end", "limit_s = 1e9\n" + validPlan, "limit_s: 1e+09"},
+		{"nodes a process", validPlan + "[hollow]\nnodes_per_process = 0\n", "hollow.nodes_per_process: 0"},
+		{"lease", validPlan + "[hollow]\nlease_ttl_ms = 1\n", "hollow.lease_ttl_ms: 1"},
+		{"another type", validPlan + "servers = \"many\"\n", "servers"},
 	}
 	for _, row := range rows {
 		p, err := ParsePlan("x", []byte(row.text))
--- a/internal/scale/hollows.go
+++ b/internal/scale/processgroup.go
@@ -24,27 +24,27 @@
 
 // group is the hollow processes of one role: nodes, or servers.
 type group struct {
-	processes []Hollow
-	each      int // members of a process, of the last one at most
-	members   int
+	processes  []Hollow
+	perProcess int // members of a process, of the last one at most
+	members    int
 }
 
 // of is the process that has a member.
-func (g *group) of(member int) Hollow { return g.processes[member/g.each] }
+func (g *group) processOf(member int) Hollow { return g.processes[member/g.perProcess] }
 
 // span calls the processes that have members of consecutive numbers, each with its part of them.
-func (g *group) span(first, count int, call func(h Hollow, first, count int) error) error {
+func (g *group) callRange(first, count int, call func(h Hollow, first, count int) error) error {
 	var errs []error
 	for end := first + count; first < end; {
-		part := min(end, (first/g.each+1)*g.each) - first
-		errs = append(errs, call(g.of(first), first, part))
+		part := min(end, (first/g.perProcess+1)*g.perProcess) - first
+		errs = append(errs, call(g.processOf(first), first, part))
 		first += part
 	}
 	return errors.Join(errs...)
 }
 
 // all calls every process at once, and gives the first error.
-func (g *group) all(call func(i int, h Hollow) error) error {
+func (g *group) callAll(call func(i int, h Hollow) error) error {
 	errs := make([]error, len(g.processes))
 	var done sync.WaitGroup
 	for i, h := range g.processes {
@@ -56,13 +56,13 @@
 
 // close ends every process.
 func (g *group) close() {
-	g.all(func(_ int, h Hollow) error { return h.Close() })
+	g.callAll(func(_ int, h Hollow) error { return h.Close() })
 }
 
 // usage sums what the processes have used; Behind is the largest.
 func (g *group) usage() (hollow.Usage, error) {
 	each := make([]hollow.Usage, len(g.processes))
-	err := g.all(func(i int, h Hollow) (err error) {
+	err := g.callAll(func(i int, h Hollow) (err error) {
 		each[i], err = h.Usage()
 		return err
 	})
@@ -102,21 +102,21 @@
 type StartHollow func(ctx context.Context, config hollow.Config) (Hollow, error)
 
 // starting is what a group is started from.
-type starting struct {
-	start   StartHollow
-	config  hollow.Config // of all processes; first, count and directory are filled in
-	each    int
-	members int
-	fill    func(c *hollow.Config, process, first, count int)
-	started func(h Hollow) // hears of every process
+type starter struct {
+	start      StartHollow
+	config     hollow.Config // of all processes; first, count and directory are filled in
+	perProcess int
+	members    int
+	configure  func(c *hollow.Config, process, first, count int)
+	started    func(h Hollow) // hears of every process
 }
 
 // run starts a group's processes one after the other. Where it fails, those that were started are left to the caller.
-func (s starting) run(ctx context.Context) (*group, error) {
-	g := &group{each: s.each, members: s.members}
-	for first := 0; first < s.members; first += s.each {
+func (s starter) run(ctx context.Context) (*group, error) {
+	g := &group{perProcess: s.perProcess, members: s.members}
+	for first := 0; first < s.members; first += s.perProcess {
 		config := s.config
-		s.fill(&config, len(g.processes), first, min(s.each, s.members-first))
+		s.configure(&config, len(g.processes), first, min(s.perProcess, s.members-first))
 		h, err := s.start(ctx, config)
 		if err != nil {
 			return nil, fmt.Errorf("hollow process %d: %w", len(g.processes), err)
--- a/internal/scale/replicas.go
+++ b/internal/scale/replicas.go
@@ -44,7 +44,7 @@
 type StartReplicas func(ctx context.Context, dir string, replicas, slots int) (ControlPlane, error)
 
 // leaderWithin is how long a leader is waited for.
-const leaderWithin = 30 * time.Second
+const leaderTimeout = 30 * time.Second
 
 // DiscoveryReplicas gives what starts discovery processes of a program.
 func DiscoveryReplicas(binary string) StartReplicas {
@@ -57,7 +57,7 @@
 		if err != nil {
 			return nil, err
 		}
-		if _, err := cluster.Leader(leaderWithin, -1); err != nil {
+		if _, err := cluster.Leader(leaderTimeout, -1); err != nil {
 			cluster.Close()
 			return nil, err
 		}
@@ -103,13 +103,13 @@
 			return err
 		}
 	}
-	_, err := p.cluster.Leader(leaderWithin, -1)
+	_, err := p.cluster.Leader(leaderTimeout, -1)
 	return err
 }
 
 // Sample reads every replica's accounts.
 func (p *discoveryPlane) Sample() (Replicas, error) {
-	leader, err := p.cluster.Leader(leaderWithin, -1)
+	leader, err := p.cluster.Leader(leaderTimeout, -1)
 	if err != nil {
 		return Replicas{}, err
 	}
--- a/internal/scale/results.go
+++ b/internal/scale/results.go
@@ -146,11 +146,11 @@
 	if err != nil {
 		return err
 	}
-	partial := path + ".new"
-	if err := os.WriteFile(partial, append(raw, '\n'), 0o644); err != nil {
+	temporary := path + ".new"
+	if err := os.WriteFile(temporary, append(raw, '\n'), 0o644); err != nil {
 		return err
 	}
-	return os.Rename(partial, path)
+	return os.Rename(temporary, path)
 }
 
 // ReadResults reads a results file. One of another format is refused.
--- a/internal/scale/results_test.go
+++ b/internal/scale/results_test.go
@@ -60,7 +60,7 @@
 	}
 }
 
-func TestTableNamesWhatIsSuperlinear(t *testing.T) {
+func TestTableMarksSuperlinearFits(t *testing.T) {
 	r := resultsOf(func(n float64) float64 { return n * n })
 	r.Partial = "interrupted"
 	var b strings.Builder
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -50,7 +50,7 @@
 	watcher := bounds.Watcher{Limits: options.Limits, PIDs: s.pids, Use: bounds.ProcessUse}
 	go watcher.Run(ctx, cancel)
 	if err := s.run(ctx); err != nil {
-		s.results.Partial = reason(err)
+		s.results.Partial = partialReason(err)
 	}
 	s.results.TookS = time.Since(s.results.Begun).Seconds()
 	s.results.FitAll()
@@ -58,7 +58,7 @@
 }
 
 // reason is why a sweep ended early, on one line.
-func reason(err error) string {
+func partialReason(err error) string {
 	if errors.Is(err, context.Canceled) && !errors.Is(err, bounds.ErrPartial) {
 		return "interrupted"
 	}
@@ -71,25 +71,25 @@
 	options Options
 	results *Results
 
-	mu   sync.Mutex
-	live func() []int // the present repeat's processes; nil between two
+	mu          sync.Mutex
+	currentPIDs func() []int // the present repeat's processes; nil between two
 }
 
 // pids gives the processes that run now.
 func (s *sweep) pids() []int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.live == nil {
+	if s.currentPIDs == nil {
 		return nil
 	}
-	return s.live()
+	return s.currentPIDs()
 }
 
 // watch sets whose processes are watched.
-func (s *sweep) watch(live func() []int) {
+func (s *sweep) setCurrentPIDs(currentPIDs func() []int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.live = live
+	s.currentPIDs = currentPIDs
 }
 
 // run measures every size once, then all again, as often as the plan says: so what else goes on at the machine falls on all
@@ -130,7 +130,7 @@
 	}
 	point := &s.results.Points[k]
 	point.Repeats = append(point.Repeats, repeat)
-	s.say("%s %s %v, repeat %d of %d: %.0f s%s", s.plan.Name, s.plan.Dimension, size, i+1, s.plan.Repeats,
+	s.printProgress("%s %s %v, repeat %d of %d: %.0f s%s", s.plan.Name, s.plan.Dimension, size, i+1, s.plan.Repeats,
 		time.Since(began).Seconds(), summary(repeat))
 	return err
 }
@@ -143,15 +143,15 @@
 	}
 	defer os.RemoveAll(dir)
 	f := &fleetRun{plan: s.plan, load: load, options: s.options, dir: dir, seed: s.plan.Seed*1000 + uint64(i)}
-	s.watch(f.pids)
-	defer s.watch(nil)
+	s.setCurrentPIDs(f.pids)
+	defer s.setCurrentPIDs(nil)
 	defer f.close()
 	defer context.AfterFunc(ctx, f.close)() // a call that waits at a process ends with it
 	return f.measure(ctx)
 }
 
 // say prints a line of progress.
-func (s *sweep) say(format string, args ...any) {
+func (s *sweep) printProgress(format string, args ...any) {
 	if s.options.Progress != nil {
 		fmt.Fprintf(s.options.Progress, format+"\n", args...)
 	}
--- a/internal/scale/run_test.go
+++ b/internal/scale/run_test.go
@@ -29,8 +29,8 @@
 
 func TestRunMeasuresEveryRole(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld()
-		r := w.play(t, t.Context(), runPlan)
+		f := newFakeFleet()
+		r := f.runSweep(t, t.Context(), runPlan)
 		if r.Partial != "" || len(r.Points) != 5 {
 			t.Fatalf("partial %q, %d points", r.Partial, len(r.Points))
 		}
@@ -55,61 +55,61 @@
 				t.Errorf("%s: %v, want %v", metric, got, value)
 			}
 		}
-		if w.alive != 0 || w.started == 0 {
-			t.Errorf("%d of %d are left", w.alive, w.started)
+		if f.running != 0 || f.started == 0 {
+			t.Errorf("%d of %d are left", f.running, f.started)
 		}
 	})
 }
 
-func TestRunRefusesBeforeAnythingStarts(t *testing.T) {
-	w := newWorld()
-	options := w.options(t)
+func TestRunRejectsAPlanBeforeStarting(t *testing.T) {
+	f := newFakeFleet()
+	options := f.options(t)
 	options.Limits.Processes = 3
-	if r, err := Run(t.Context(), planOf(t, runPlan), options); err == nil || w.started != 0 {
-		t.Errorf("%+v, %v, %d started", r, err, w.started)
+	if r, err := Run(t.Context(), mustParsePlan(t, runPlan), options); err == nil || f.started != 0 {
+		t.Errorf("%+v, %v, %d started", r, err, f.started)
 	}
-	p := planOf(t, runPlan)
+	p := mustParsePlan(t, runPlan)
 	p.Sizes[0] = 0
-	if r, err := Run(t.Context(), p, w.options(t)); err == nil || w.started != 0 {
-		t.Errorf("%+v, %v, %d started", r, err, w.started)
+	if r, err := Run(t.Context(), p, f.options(t)); err == nil || f.started != 0 {
+		t.Errorf("%+v, %v, %d started", r, err, f.started)
 	}
 }
 
 // TestRunEndsEarlyWithWhatItHas has one row for each way in which a sweep ends before its end.
-func TestRunEndsEarlyWithWhatItHas(t *testing.T) {
+func TestRunKeepsPartialResults(t *testing.T) {
 	rows := []struct {
 		name, text, want string
-		set              func(w *world, cancel func())
+		set              func(f *fakeFleet, cancel func())
 		points           int
 	}{
-		{"its time is over", "limit_s = 60\n" + runPlan, "limit_s, 60, is over", func(*world, func()) {}, 2},
-		{"interrupted", runPlan, "interrupted", func(_ *world, cancel func()) {
+		{"its time is over", "limit_s = 60\n" + runPlan, "limit_s, 60, is over", func(*fakeFleet, func()) {}, 2},
+		{"interrupted", runPlan, "interrupted", func(_ *fakeFleet, cancel func()) {
 			time.AfterFunc(130*time.Second, cancel)
 		}, 5},
-		{"interrupted in a call that waits", runPlan, "interrupted", func(w *world, cancel func()) {
-			w.hang = true
+		{"interrupted in a call that waits", runPlan, "interrupted", func(f *fakeFleet, cancel func()) {
+			f.hangs = true
 			time.AfterFunc(20*time.Second, cancel)
 		}, 0},
-		{"no replicas", runPlan, "nodes 8: replicas: no leader in 30 s", func(w *world, _ func()) { w.broken = "replicas" }, 1},
-		{"no hollow process", runPlan, "hollow process 0: no such program", func(w *world, _ func()) { w.broken = "hollow" }, 1},
-		{"never ready", runPlan, "after 60 s 0 of 8 nodes are ready, 16 of 16 servers registered", func(w *world, _ func()) { w.broken = "ready" }, 1},
+		{"no replicas", runPlan, "nodes 8: replicas: no leader in 30 s", func(f *fakeFleet, _ func()) { f.failingCall = "replicas" }, 1},
+		{"no hollow process", runPlan, "hollow process 0: no such program", func(f *fakeFleet, _ func()) { f.failingCall = "hollow" }, 1},
+		{"never ready", runPlan, "after 60 s 0 of 8 nodes are ready, 16 of 16 servers registered", func(f *fakeFleet, _ func()) { f.failingCall = "ready" }, 1},
 	}
 	for _, row := range rows {
 		t.Run(row.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				ctx, cancel := context.WithCancel(t.Context())
 				defer cancel()
-				w := newWorld()
-				row.set(w, cancel)
-				r := w.play(t, ctx, row.text)
+				f := newFakeFleet()
+				row.set(f, cancel)
+				r := f.runSweep(t, ctx, row.text)
 				if !strings.Contains(r.Partial, row.want) || strings.Contains(r.Partial, "\n") {
 					t.Errorf("partial: %q, want %q", r.Partial, row.want)
 				}
 				if len(r.Points) != row.points {
 					t.Errorf("%d points, want %d", len(r.Points), row.points)
 				}
-				if w.alive != 0 {
-					t.Errorf("%d are left", w.alive)
+				if f.running != 0 {
+					t.Errorf("%d are left", f.running)
 				}
 			})
 		})
@@ -117,11 +117,11 @@
 }
 
 // TestSizeThatFailsIsNotTriedAgain has three sizes measured as often as planned, the fourth once, and the fifth not at all.
-func TestSizeThatFailsIsNotTriedAgain(t *testing.T) {
+func TestFailedSizeIsNotRepeated(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld()
-		w.bearsNodes = 32
-		r := w.play(t, t.Context(), runPlan)
+		f := newFakeFleet()
+		f.maxReadyNodes = 32
+		r := f.runSweep(t, t.Context(), runPlan)
 		if !strings.Contains(r.Partial, "nodes 64: after 60 s 0 of 64 nodes are ready") || len(r.Points) != 4 {
 			t.Fatalf("partial %q, %d points", r.Partial, len(r.Points))
 		}
@@ -136,29 +136,29 @@
 	})
 }
 
-func TestRunEndsWhereALimitIsPassed(t *testing.T) {
+func TestRunEndsWhenALimitIsExceeded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld()
-		options := w.options(t)
+		f := newFakeFleet()
+		options := f.options(t)
 		options.Limits.MemoryBytes = 1
-		s := &sweep{plan: planOf(t, runPlan), options: options, results: &Results{}}
+		s := &sweep{plan: mustParsePlan(t, runPlan), options: options, results: &Results{}}
 		ctx, cancel := context.WithCancelCause(t.Context())
 		watcher := bounds.Watcher{Limits: options.Limits, PIDs: s.pids, Use: bounds.ProcessUse}
 		go watcher.Run(ctx, cancel)
-		if err := s.run(ctx); err == nil || !strings.Contains(reason(err), "MiB of memory") {
+		if err := s.run(ctx); err == nil || !strings.Contains(partialReason(err), "MiB of memory") {
 			t.Errorf("ended by %v", err)
 		}
-		if w.alive != 0 {
-			t.Errorf("%d are left", w.alive)
+		if f.running != 0 {
+			t.Errorf("%d are left", f.running)
 		}
 	})
 }
 
 func TestRunLeavesNoDataBehind(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld()
-		options := w.options(t)
-		if _, err := Run(t.Context(), planOf(t, runPlan), options); err != nil {
+		f := newFakeFleet()
+		options := f.options(t)
+		if _, err := Run(t.Context(), mustParsePlan(t, runPlan), options); err != nil {
 			t.Fatal(err)
 		}
 		if left, _ := os.ReadDir(options.Dir); len(left) != 0 {
@@ -167,11 +167,11 @@
 	})
 }
 
-func TestChangePassesOverTenantsThatAreNotDone(t *testing.T) {
+func TestChangeSkipsTenantsInRollout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld()
-		w.conflicts = 5
-		r := w.play(t, t.Context(), runPlan)
+		f := newFakeFleet()
+		f.conflicts = 5
+		r := f.runSweep(t, t.Context(), runPlan)
 		if r.Partial != "" {
 			t.Fatal(r.Partial)
 		}
@@ -180,9 +180,9 @@
 
 func TestSlowChangesAreLate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld()
-		w.takes = 2 * time.Second
-		r := w.play(t, t.Context(), runPlan)
+		f := newFakeFleet()
+		f.changeDelay = 2 * time.Second
+		r := f.runSweep(t, t.Context(), runPlan)
 		if repeat := r.Points[0].Repeats[0]; repeat.Changes != 10 || repeat.Late != 9 {
 			t.Errorf("%d changes, %d late, want 10 and 9", repeat.Changes, repeat.Late)
 		}
@@ -190,15 +190,15 @@
 }
 
 // TestSweepFlagsPlantedCost has the same sweep with a cost that grows as n^1.5, and one that does not grow.
-func TestSweepFlagsPlantedCost(t *testing.T) {
+func TestSweepFlagsSuperlinearCost(t *testing.T) {
 	for _, row := range []struct {
 		exponent    float64
 		superlinear bool
 	}{{0, false}, {1, false}, {1.5, true}} {
 		synctest.Test(t, func(t *testing.T) {
-			w := newWorld()
-			w.bytes = func(nodes, _ int) float64 { return 1000 * math.Pow(float64(nodes), row.exponent) }
-			fit, ok := w.play(t, t.Context(), runPlan).Fit(NodeBytes)
+			f := newFakeFleet()
+			f.bytesPerS = func(nodes, _ int) float64 { return 1000 * math.Pow(float64(nodes), row.exponent) }
+			fit, ok := f.runSweep(t, t.Context(), runPlan).Fit(NodeBytes)
 			if !ok || fit.Superlinear != row.superlinear || math.Abs(fit.Exponent-row.exponent) > 0.02 {
 				t.Errorf("planted n^%v: %+v", row.exponent, fit)
 			}
--- a/internal/scale/tenants.go
+++ b/internal/scale/tenants.go
@@ -16,7 +16,7 @@
 const putsAtOnce = 64
 
 // population is the tenants of a run and the generation that each is at.
-type population struct {
+type tenantSet struct {
 	load  Load
 	plane ControlPlane
 
@@ -49,7 +49,7 @@
 }
 
 // putAll puts the first generation of every tenant. The first that fails ends it.
-func (p *population) putAll(ctx context.Context) error {
+func (t *tenantSet) putAll(ctx context.Context) error {
 	next := make(chan int)
 	ctx, fail := context.WithCancelCause(ctx)
 	defer fail(nil)
@@ -57,16 +57,16 @@
 	for range putsAtOnce {
 		done.Go(func() {
 			for tenant := range next {
-				if err := p.plane.Propose(ctx, 0, p.load.spec(tenant, 1)); err != nil {
+				if err := t.plane.Propose(ctx, 0, t.load.spec(tenant, 1)); err != nil {
 					fail(err)
 				}
-				p.mu.Lock()
-				p.generations[tenant] = 1
-				p.mu.Unlock()
+				t.mu.Lock()
+				t.generations[tenant] = 1
+				t.mu.Unlock()
 			}
 		})
 	}
-	for tenant := range p.load.Tenants {
+	for tenant := range t.load.Tenants {
 		if ctx.Err() != nil {
 			break
 		}
@@ -78,34 +78,34 @@
 }
 
 // maxPlacementAttempts is how many tenants are tried for one change: one that is not done with its last generation is passed over.
-const maxPlacementAttempts = 20
+const maxChangeAttempts = 20
 
 // change proposes the next generation of a random tenant, and gives when it did.
-func (p *population) change(ctx context.Context, random *rand.Rand) (spec fleet.Spec, generation uint64, put time.Time, err error) {
-	for range maxPlacementAttempts {
-		put = time.Now()
-		spec, generation, err = p.next(ctx, random.IntN(p.load.Tenants))
+func (t *tenantSet) change(ctx context.Context, random *rand.Rand) (spec fleet.Spec, generation uint64, putAt time.Time, err error) {
+	for range maxChangeAttempts {
+		putAt = time.Now()
+		spec, generation, err = t.next(ctx, random.IntN(t.load.Tenants))
 		if !errors.Is(err, errConflict) {
-			return spec, generation, put, err
+			return spec, generation, putAt, err
 		}
-		if paused := pause(ctx, changeRest); paused != nil {
-			return spec, 0, put, paused
+		if pauseErr := pause(ctx, retryPause); pauseErr != nil {
+			return spec, 0, putAt, pauseErr
 		}
 	}
-	return spec, generation, put, err
+	return spec, generation, putAt, err
 }
 
 // next proposes a tenant's next generation.
-func (p *population) next(ctx context.Context, tenant int) (spec fleet.Spec, generation uint64, err error) {
-	p.mu.Lock()
-	at := p.generations[tenant]
-	p.mu.Unlock()
-	spec = p.load.spec(tenant, at+1)
-	if err := p.plane.Propose(ctx, at, spec); err != nil {
+func (t *tenantSet) next(ctx context.Context, tenant int) (spec fleet.Spec, generation uint64, err error) {
+	t.mu.Lock()
+	at := t.generations[tenant]
+	t.mu.Unlock()
+	spec = t.load.spec(tenant, at+1)
+	if err := t.plane.Propose(ctx, at, spec); err != nil {
 		return spec, 0, err
 	}
-	p.mu.Lock()
-	p.generations[tenant] = at + 1
-	p.mu.Unlock()
+	t.mu.Lock()
+	t.generations[tenant] = at + 1
+	t.mu.Unlock()
 	return spec, at + 1, nil
 }
--- a/internal/scale/values.go
+++ b/internal/scale/values.go
@@ -142,10 +142,10 @@
 		v[ChangesDone] = float64(seen.changes) / window
 		read := trafficBetween(before, after, hollow.CallIntent).BytesIn
 		v[ChangeBytes] = float64(read) / float64(l.Nodes) / float64(seen.changes)
-		v.addSpread(seen.each, ChangeP50, ChangeP99, ChangeMax, ChangeMissed)
+		v.addChangeTimes(seen.steady, ChangeP50, ChangeP99, ChangeMax, ChangeMissed)
 	}
 	if seen.burst.took.TotalCount() > 0 || seen.burst.missed > 0 {
-		v.addSpread(seen.burst, BurstP50, BurstP99, BurstMax, BurstMissed)
+		v.addChangeTimes(seen.burst, BurstP50, BurstP99, BurstMax, BurstMissed)
 	}
 	if len(seen.releases) > 0 {
 		v[ReleaseTime] = slices.Max(seen.releases)
@@ -156,11 +156,11 @@
 }
 
 // addSpread adds how long changes took.
-func (v Values) addSpread(s *spread, p50, p99, longest, missed Metric) {
-	v[missed] = float64(s.missed)
+func (v Values) addChangeTimes(times *changeTimes, p50, p99, longest, missed Metric) {
+	v[missed] = float64(times.missed)
 	for metric, q := range map[Metric]float64{p50: 50, p99: 99} {
-		if value, ok := s.quantile(q); ok {
-			v[metric], v[longest] = value, s.longest.Seconds()
+		if value, ok := times.quantile(q); ok {
+			v[metric], v[longest] = value, times.longest.Seconds()
 		}
 	}
 }
