--- a/internal/scale/hollow/config.go
+++ b/internal/scale/hollow/config.go
@@ -16,14 +16,14 @@
 
 // Bounds of a Config.
 const (
-	maxNodes        = 10_000  // of one process
-	maxServers      = 200_000 // of one process
-	maxNumber       = 1 << 22 // of a node or server: a server's address is made of it
+	maxNodes        = 10_000  // nodes per process
+	maxServers      = 200_000 // servers per process
+	maxNumber       = 1 << 22 // number of a node or server; a server's address is derived from its number
 	maxServices     = 100_000
-	maxRequestsPerS = 10_000 // a second, of one node
+	maxRequestsPerS = 10_000 // requests per second, per node
 )
 
-// decodeConfig reads the first line of a process's input. An error is one line that names the key.
+// decodeConfig decodes and validates the first line of a process's input. An error is one line that names the key.
 func decodeConfig(line []byte) (Config, error) {
 	var cfg Config
 	if len(bytes.TrimSpace(line)) == 0 {
@@ -37,7 +37,7 @@
 	return cfg, cfg.validate()
 }
 
-// validate gives the first fault of a Config, which names its key.
+// validate returns an error that names the key of the first invalid value of the Config.
 func (c *Config) validate() error {
 	for _, bounded := range []struct {
 		key     string
@@ -77,26 +77,29 @@
 	return nil
 }
 
-// NodeName is the name of the hollow node of a number.
+// NodeName returns the name of the hollow node with the given number.
 func NodeName(number int) string { return fmt.Sprintf("h%05d", number) }
 
-// ServerName is the id of the hollow app server of a number: 8 hexadecimal digits, which hold its number in the module.
+// ServerName returns the id of the hollow app server with the given number. The number is written as 8 hexadecimal digits, which
+// the module uses as the number of the server.
 func ServerName(number int) string { return fmt.Sprintf("s-%08x", number) }
 
-// ServiceName is the name of the service of a number.
+// ServiceName returns the name of the service with the given number.
 func ServiceName(number int) string { return fmt.Sprintf("svc-%03d", number) }
 
-// nodeZone is the zone of the node of a number.
+// nodeZone returns the zone of the node with the given number.
 func (c *Config) nodeZone(number int) string { return c.Zones[number%len(c.Zones)] }
 
-// serverPlace gives the service and the zone of the server of a number. The servers of one service go over the zones in turn.
+// serverPlace returns the service and the zone of the server with the given number. The servers of each service are assigned to the
+// zones in rotation.
 func (c *Config) serverPlace(number int) (service, zone string) {
 	services := max(1, c.Services)
 	serviceNumber, index := number%services, number/services
 	return ServiceName(serviceNumber), c.Zones[(serviceNumber+index)%len(c.Zones)]
 }
 
-// scope gives the services that a node serves, sorted; none where it has no scope: PerNode of Services, drawn by the seed.
+// scope returns the names of the services that a node serves, sorted: PerNode of the Services, drawn at random from the seed and
+// the node's number. If PerNode is 0, the node has no scope and the result is nil.
 func scope(cfg *Config, number int) []string {
 	if cfg.PerNode == 0 {
 		return nil
--- a/internal/scale/hollow/group.go
+++ b/internal/scale/hollow/group.go
@@ -11,19 +11,19 @@
 )
 
 const (
-	advanceInterval     = 25 * time.Millisecond // between two looks at what is due in the nodes' modules
-	maxConcurrency      = 32                    // nodes or servers that a request starts or ends at the same time
+	advanceInterval     = 25 * time.Millisecond // how often the due events of the nodes' modules are processed
+	maxConcurrency      = 32                    // nodes or servers that one request starts, stops or replaces concurrently
 	inForcePollInterval = 5 * time.Millisecond
 )
 
-// group is all that one process runs.
+// group holds the nodes and servers that one process runs.
 type group struct {
 	cfg     Config
 	log     *slog.Logger
 	ctx     context.Context
 	stop    context.CancelFunc
 	state   *fleetState
-	nodes   []atomic.Pointer[node] // by number from FirstNode on; nil: down
+	nodes   []atomic.Pointer[node] // indexed by number minus FirstNode; nil: the node is down
 	servers *registrants
 	loops   sync.WaitGroup
 }
@@ -47,7 +47,7 @@
 	return g, nil
 }
 
-// close ends everything, without a goodbye of a node or a server.
+// close stops all nodes and servers at once: nodes send no last report and servers do not deregister.
 func (g *group) close() {
 	g.stop()
 	forEach(len(g.nodes), func(i int) error {
@@ -59,7 +59,7 @@
 	g.loops.Wait()
 }
 
-// drive has the modules of every so manieth node get what is due, until the group ends.
+// driveModules processes the due events of every step-th node's module, starting with node first, until the group is closed.
 func (g *group) driveModules(first, step int) {
 	for ticker := time.NewTicker(advanceInterval); ; {
 		select {
@@ -78,7 +78,7 @@
 	}
 }
 
-// running gives the nodes that are up.
+// running returns the nodes that are up.
 func (g *group) running() (nodes []*node) {
 	for i := range g.nodes {
 		if n := g.nodes[i].Load(); n != nil {
@@ -88,7 +88,7 @@
 	return nodes
 }
 
-// start starts those of the nodes that are down.
+// startNodes starts those of count nodes from number first on that are down.
 func (g *group) startNodes(first, count int) error {
 	return forEach(count, func(i int) error {
 		entry := &g.nodes[first-g.cfg.FirstNode+i]
@@ -103,7 +103,7 @@
 	})
 }
 
-// end ends those of the nodes that are up, by kill or leave.
+// stopNodes stops those of count nodes from number first on that are up, by calling stop, which is kill or leave.
 func (g *group) stopNodes(first, count int, stop func(*node)) error {
 	return forEach(count, func(i int) error {
 		if n := g.nodes[first-g.cfg.FirstNode+i].Swap(nil); n != nil {
@@ -113,7 +113,7 @@
 	})
 }
 
-// do carries out a request.
+// do executes a request.
 func (g *group) do(ctx context.Context, r Request) Reply {
 	switch r.Op {
 	case OpUsage:
@@ -145,7 +145,7 @@
 	return errorReply(fmt.Errorf("op: unknown %.40q", r.Op))
 }
 
-// within checks that a request's numbers are this process's.
+// checkRange checks that the nodes or servers of a request belong to this process.
 func checkRange(r Request, first, count int, kind string) error {
 	if r.Count < 1 || r.First < first || r.First-first+r.Count > count {
 		return fmt.Errorf("%s: first, count: %d, %d: this process has %d %s from %d on", r.Op, r.First, r.Count, count, kind, first)
@@ -153,7 +153,7 @@
 	return nil
 }
 
-// failure is a reply with an error, or none.
+// errorReply returns a reply with the error's text, or an empty reply if err is nil.
 func errorReply(err error) Reply {
 	if err == nil {
 		return Reply{}
@@ -161,7 +161,8 @@
 	return Reply{Err: oneLine(err.Error())}
 }
 
-// each does something for 0 to count-1, some at the same time, and gives the first error.
+// forEach calls do for 0 to count-1, at most maxConcurrency at a time, and returns the first error. An error does not stop the
+// remaining calls.
 func forEach(count int, do func(i int) error) error {
 	var workers sync.WaitGroup
 	var next atomic.Int64
--- a/internal/scale/hollow/handler.go
+++ b/internal/scale/hollow/handler.go
@@ -1,8 +1,8 @@
 package hollow
 
-// A node calls its agent's handlers in the process. What that leaves out: the loopback connection between node and agent with
-// its descriptors and HTTP parsing, the agent's listener, and the time-outs of a node whose agent is slow to accept. The
-// messages are encoded and decoded as over a connection.
+// A hollow node calls its agent's HTTP handlers within the process. This leaves out the loopback connection between node and agent
+// with its descriptors and HTTP parsing, the agent's listener, and the timeouts of a node whose agent is slow to accept. Messages
+// are encoded and decoded as they would be over a connection.
 
 import (
 	"bytes"
@@ -11,7 +11,7 @@
 	"net/http"
 )
 
-// answer is what a handler wrote.
+// answer is an http.ResponseWriter that records what a handler writes.
 type answer struct {
 	header http.Header
 	status int
@@ -31,7 +31,7 @@
 	return a.body.Write(b)
 }
 
-// call has a handler answer a request and gives the body. An answer other than 200 is an error.
+// call passes a request to a handler and returns the body of its answer. A status other than 200 is an error.
 func call(ctx context.Context, handler http.Handler, method, target string, body []byte) ([]byte, error) {
 	request, err := http.NewRequestWithContext(ctx, method, "http://agent"+target, bytes.NewReader(body))
 	if err != nil {
@@ -40,10 +40,10 @@
 	a := &answer{header: http.Header{}}
 	handler.ServeHTTP(a, request)
 	if err := ctx.Err(); err != nil {
-		return nil, err // the handler has written nothing, or what nobody waits for
+		return nil, err // the handler has written nothing, or an answer that came too late
 	}
 	if a.status != http.StatusOK {
-		return nil, fmt.Errorf("the agent answers %d: %.200q", a.status, bytes.TrimSpace(a.body.Bytes()))
+		return nil, fmt.Errorf("the agent answered with status %d: %.200q", a.status, bytes.TrimSpace(a.body.Bytes()))
 	}
 	return a.body.Bytes(), nil
 }
--- a/internal/scale/hollow/intent.go
+++ b/internal/scale/hollow/intent.go
@@ -14,7 +14,7 @@
 	"meadowsill/policy"
 )
 
-// watchIntent follows the agent's intent and has the module know of it.
+// watchIntent polls the agent for the intent and delivers its changes to the module until ctx ends.
 func (n *node) watchIntent(ctx context.Context) {
 	for ctx.Err() == nil {
 		requested := time.Now()
@@ -52,7 +52,8 @@
 	return fleet.DecodeIntent(raw)
 }
 
-// applyIntent has the module know of the mirror's last answer.
+// applyIntent delivers the changes of the mirror's last answer to the module. receivedAt is when the answer arrived; complete says
+// that it brought the node up to date.
 func (n *node) applyIntent(receivedAt time.Time, complete bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -74,7 +75,7 @@
 	}
 }
 
-// takeTenant notes by which generation the node now serves a tenant. The caller holds mu.
+// recordTenant records the generation that the node now serves a tenant by. The caller holds mu.
 func (n *node) recordTenant(tenant policy.TenantUpdate) {
 	var generation uint64
 	if tenant.Committed != nil && !tenant.Removing && !tenant.Removed {
@@ -89,7 +90,7 @@
 	n.setLoad(tenant.Name)
 }
 
-// sync has the module know, once, that it has all that was intended. The caller holds mu.
+// markSynced tells the module, on the first call only, that the intent is complete. The caller holds mu.
 func (n *node) markSynced() {
 	if !n.synced {
 		n.synced = true
@@ -97,8 +98,8 @@
 	}
 }
 
-// setLoad has a tenant among those that the traffic model has load for, if the node serves it and it ranks among the first
-// ActiveTenants of the node's own order. The caller holds mu.
+// setLoad adds a tenant to those that the traffic model generates load for, or removes it. The tenant has load if the node serves it
+// and it ranks among the first ActiveTenants in the node's own order. The caller holds mu.
 func (n *node) setLoad(tenant string) {
 	m := n.module
 	at, had := slices.BinarySearchFunc(m.active, tenant, n.compareRank)
@@ -118,22 +119,22 @@
 	}
 }
 
-// loads says whether a tenant may have load at the node. The caller holds mu.
+// mayHaveLoad reports whether the node serves a tenant of its scope, which may therefore have load. The caller holds mu.
 func (n *node) mayHaveLoad(tenant string) bool {
 	return n.serving[tenant].generation > 0 && n.serves(tenant)
 }
 
-// serves says whether a tenant is in the node's scope.
+// serves reports whether a tenant is in the node's scope.
 func (n *node) serves(tenant string) bool {
 	return len(n.services) == 0 || fleet.Serves(n.services, n.fleet.serviceOf(tenant))
 }
 
-// compareRank is the order in which the node's tenants have load, drawn by the seed.
+// compareRank orders the tenants by their rank on this node, which depends on the seed. The first ones have load.
 func (n *node) compareRank(a, b string) int {
 	return cmp.Or(cmp.Compare(n.rank(a), n.rank(b)), cmp.Compare(a, b))
 }
 
 func (n *node) rank(tenant string) uint64 {
-	const multiplier = 0x9e3779b97f4a7c15 // odd: so that ranks of one node are in another order than of the next
+	const multiplier = 0x9e3779b97f4a7c15 // an odd multiplier makes the order of the ranks differ from node to node
 	return (xxhash.Sum64String(tenant) ^ xxhash.Sum64String(n.member.Node) ^ n.cfg.Seed) * multiplier
 }
--- a/internal/scale/hollow/list.go
+++ b/internal/scale/hollow/list.go
@@ -12,9 +12,9 @@
 	"meadowsill/policy"
 )
 
-const listPause = 50 * time.Millisecond // after an answer that came at once and was empty, or a call that failed
+const listPause = 50 * time.Millisecond // after an empty answer that came without delay, or a failed call
 
-// watchList follows the agent's list and has the module know of it.
+// watchList polls the agent for the endpoint list and delivers its changes to the module until ctx ends.
 func (n *node) watchList(ctx context.Context) {
 	var version uint64
 	for ctx.Err() == nil {
@@ -46,7 +46,7 @@
 
 var serverStates = map[string]policy.ServerState{"ready": policy.Ready, "draining": policy.Draining, "gone": policy.Removed}
 
-// takeList has the module know of a list or of its changes.
+// applyList delivers a complete list or the changes of a list to the module.
 func (n *node) applyList(list registry.Answer) {
 	update := policy.EndpointUpdate{Kind: policy.EndpointsChanged, Version: list.Version}
 	if list.Full {
--- a/internal/scale/hollow/module.go
+++ b/internal/scale/hollow/module.go
@@ -10,16 +10,16 @@
 )
 
 const (
-	minTick             = 100 * time.Millisecond // between the module's ticks; a real node's is 25 ms
-	clientTimeout       = 2 * time.Second        // of the model's clients
-	minAnswerTime       = 5 * time.Millisecond   // of a server's answer
-	meanExtraAnswerTime = 15 * time.Millisecond  // over that, exponential
+	minTick             = 100 * time.Millisecond // shortest time between timer events of the module; 25 ms on a real node
+	clientTimeout       = 2 * time.Second        // timeout of the modelled clients
+	minAnswerTime       = 5 * time.Millisecond   // shortest time that a server takes to answer
+	meanExtraAnswerTime = 15 * time.Millisecond  // mean of the exponentially distributed time beyond minAnswerTime
 	cancelDelay         = time.Millisecond
 	maxAttempts         = 3
 	requestClass        = "browse"
 )
 
-// settings are those of a hollow node's module: one class of safe requests.
+// settings returns the settings of a hollow node's module, with a single class of idempotent requests.
 func settings(cfg *Config, number int) policy.Settings {
 	return policy.Settings{
 		Nodes:                max(1, cfg.Nodes),
@@ -42,29 +42,29 @@
 	}
 }
 
-// module drives a policy.Module: it keeps its clock, its timer, and the modelled requests with the servers' answers to them.
-// Its caller holds the node's lock.
+// module drives a policy.Module: it provides the module's clock and timers, and models the requests and the servers' answers.
+// Callers of its methods hold the node's lock.
 type module struct {
 	*policy.Module
 	startedAt time.Time
-	base      policy.Time // the clock's reading at began: Unix time, as a node's
+	base      policy.Time // the clock's reading at startedAt, as Unix time like a real node's
 	random    *rand.Rand
-	rate      float64  // requests/s
-	active    []string // tenants that have load; none: requests name no tenant
+	rate      float64  // requests per second
+	active    []string // tenants that have load; if there are none, requests name no tenant
 
 	due      dueHeap
 	requests uint64
 	open     map[policy.RequestID]*openRequest
 }
 
-// openRequest is a request that has attempts out, or no final answer.
+// openRequest is a request that has attempts in flight or no final answer yet.
 type openRequest struct {
-	ended       []bool // by attempt
+	ended       []bool // indexed by attempt
 	outstanding int    // attempts that have not ended
-	answered    bool   // it has its final answer
+	answered    bool   // the request has its final answer
 }
 
-// due is an event that the module gets at its time; none: the next request arrives.
+// due is an event to be handled by the module at a given time; a nil event is the arrival of the next request.
 type due struct {
 	at    policy.Time
 	event policy.Event
@@ -86,17 +86,17 @@
 	return m
 }
 
-// now reads the module's clock.
+// now returns the time by the module's clock.
 func (m *module) now() policy.Time { return m.base + time.Since(m.startedAt) }
 
 func (m *module) at(t policy.Time, e policy.Event) { heap.Push(&m.due, due{t, e}) }
 
-// arriveNext draws when the next request comes.
+// scheduleArrival draws the arrival time of the next request from an exponential distribution, starting at after.
 func (m *module) scheduleArrival(after policy.Time) {
 	m.at(after+time.Duration(m.random.ExpFloat64()/m.rate*float64(time.Second)), nil)
 }
 
-// advance gives the module all that has become due, each event at its own time, and gives the time up to which it did.
+// advance processes all events that are due, each with its own time, and returns the time up to which it has done so.
 func (m *module) advance() (now policy.Time) {
 	for now = m.now(); len(m.due) > 0 && m.due[0].at <= now; {
 		next := heap.Pop(&m.due).(due)
@@ -113,10 +113,10 @@
 	return now
 }
 
-// tell gives the module an event now.
+// deliver has the module handle an event at the current time, after all events that are due.
 func (m *module) deliver(e policy.Event) { m.handle(m.advance(), e) }
 
-// arrive makes a request of one of the active tenants.
+// arrive models the arrival of a request of a random active tenant.
 func (m *module) arrive(at policy.Time) {
 	m.requests++
 	e := policy.RequestArrived{ID: policy.RequestID(strconv.FormatUint(m.requests, 10)), Class: requestClass, Timeout: clientTimeout}
@@ -127,11 +127,11 @@
 	m.handle(at, e)
 }
 
-// attemptEnded gives the module the end of an attempt.
+// attemptEnded has the module handle the end of an attempt, unless the attempt has ended before.
 func (m *module) attemptEnded(at policy.Time, e policy.AttemptEnded) {
 	r := m.open[e.ID]
 	if r == nil || r.ended[e.Attempt] {
-		return // it was cancelled
+		return // the attempt was cancelled, or its request is no longer open
 	}
 	r.ended[e.Attempt] = true
 	r.outstanding--
@@ -141,14 +141,14 @@
 	m.removeIfDone(e.ID)
 }
 
-// forget ends a request that has its final answer and no attempt out.
+// removeIfDone removes a request that has its final answer and no attempt in flight.
 func (m *module) removeIfDone(id policy.RequestID) {
 	if r := m.open[id]; r != nil && r.answered && r.outstanding == 0 {
 		delete(m.open, id)
 	}
 }
 
-// handle gives the module an event and does what it asks for.
+// handle passes an event to the module and carries out the actions that the module returns.
 func (m *module) handle(at policy.Time, e policy.Event) {
 	for _, action := range m.Handle(at, e) {
 		switch a := action.(type) {
@@ -166,7 +166,7 @@
 	}
 }
 
-// send has a server answer after a time drawn for it, or not within the attempt's time-out.
+// send models an attempt: the server answers after a random time, or the attempt times out first.
 func (m *module) send(at policy.Time, a policy.Forward) {
 	r := m.open[a.ID]
 	if r == nil {
@@ -189,17 +189,17 @@
 	}
 }
 
-// dueHeap has the soonest event first.
+// dueHeap is a min-heap of events by time.
 type dueHeap []due
 
 func (h dueHeap) Len() int           { return len(h) }
 func (h dueHeap) Less(i, j int) bool { return h[i].at < h[j].at }
 func (h dueHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
 
-// Push adds an event.
+// Push appends an event; it implements heap.Interface.
 func (h *dueHeap) Push(x any) { *h = append(*h, x.(due)) }
 
-// Pop takes the last event.
+// Pop removes and returns the last event; it implements heap.Interface.
 func (h *dueHeap) Pop() any {
 	last := (*h)[len(*h)-1]
 	*h = (*h)[:len(*h)-1]
--- a/internal/scale/hollow/node.go
+++ b/internal/scale/hollow/node.go
@@ -20,23 +20,23 @@
 	"meadowsill/policy"
 )
 
-// Times of a node, as package node has them.
+// Timeouts and intervals of a node, the same as those of package node.
 const (
 	intentTimeout     = time.Second
 	intentPause       = 50 * time.Millisecond
 	listTimeout       = 3 * time.Second
 	reportInterval    = 250 * time.Millisecond
-	wantedReportDelay = 50 * time.Millisecond // where the answer wants more
-	maxReportInterval = time.Second           // between reports where nothing was seen
+	wantedReportDelay = 50 * time.Millisecond // before the next report if the answer asks for more keys
+	maxReportInterval = time.Second           // between reports while the node observes no traffic
 	reportTimeout     = time.Second
 	leaveTimeout      = 500 * time.Millisecond
 	catchUpTimeout    = 10 * time.Second
-	leavePause        = 100 * time.Millisecond // for the agent to carry the last report
+	leavePause        = 100 * time.Millisecond // leaves the agent time to send the last report
 	callSlack         = time.Second
 	failedCallPause   = time.Second
 )
 
-// node is one run of a hollow node's process, with the agent beside it.
+// node is one incarnation of a hollow node, together with its agent.
 type node struct {
 	cfg         *Config
 	fleet       *fleetState
@@ -47,36 +47,36 @@
 	startedAt   time.Time
 	connections *connections
 	metrics     *prometheus.Registry
-	agent       http.Handler // of the intent and the reports
+	agent       http.Handler // serves the intent and takes the reports
 	list        http.Handler
 	stop        context.CancelFunc
 	stopReports context.CancelFunc
 	loops       sync.WaitGroup
 	reporting   sync.WaitGroup
 
-	sequence uint64 // of the last report; the report loop's, then leave's
+	sequence uint64 // sequence number of the last report; owned by the report loop, and by leave after the loop has ended
 
 	mu          sync.Mutex
 	module      *module
-	mirror      *agentclient.IntentMirror // changed by the intent loop alone
-	revision    uint64                    // that the module has whole
-	items       int                       // of the mirror
+	mirror      *agentclient.IntentMirror // only the intent loop changes it
+	revision    uint64                    // newest revision that the module has completely
+	items       int                       // number of items in the mirror
 	synced      bool
-	sessionHeld bool // the newest answer said that the session is held
-	notReady    bool // the newest answer to a report said so
+	sessionHeld bool // the newest answer to a watch of the intent says that the session is held
+	notReady    bool // the newest answer to a report says that the node is not ready
 	version     uint64
 	ready       map[policy.ServerID]bool
-	serving     map[string]served   // by tenant
-	applied     []fleet.AppliedItem // that the module holds; nil: to be read anew
+	serving     map[string]served   // keyed by tenant
+	applied     []fleet.AppliedItem // items that the module holds; nil: they have to be read again
 }
 
-// served says by which generation a node serves a tenant, 0 for none, and since when.
+// served is the generation by which a node serves a tenant (0: it does not serve the tenant), and the time since when.
 type served struct {
 	generation uint64
 	since      time.Time
 }
 
-// startNode starts a run of the node of a number. It ends with ctx, or by kill or leave.
+// startNode starts a new incarnation of the node with the given number. It runs until ctx ends or until kill or leave is called.
 func startNode(ctx context.Context, cfg *Config, state *fleetState, number int, log *slog.Logger) (*node, error) {
 	ctx, stop := context.WithCancel(ctx)
 	now := time.Now()
@@ -108,7 +108,7 @@
 	return n, nil
 }
 
-// startAgent starts the two halves of the node's agent, as the command discovery agent does.
+// startAgent starts both parts of the node's agent, for the intent and for the endpoint list, as the discovery agent command does.
 func (n *node) startAgent(ctx context.Context, log *slog.Logger) error {
 	intentAgent, err := fleetagent.Start(ctx, fleetagent.Config{
 		Node:     n.member.Node,
@@ -132,7 +132,8 @@
 	return nil
 }
 
-// copyBytes is what the run's agent says it has written to its durable copy; 0 of a build whose agent doesn't count it.
+// copyBytes returns how many bytes the agent has written to its durable copy, by the agent's metric. It is 0 in a build whose agent
+// doesn't have this metric.
 func (n *node) copyBytes() uint64 {
 	families, err := n.metrics.Gather()
 	if err != nil {
@@ -146,7 +147,7 @@
 	return 0
 }
 
-// kill ends the run at once, and its agent's connections.
+// kill stops the node at once and closes its agent's connections.
 func (n *node) kill() {
 	n.stop()
 	n.connections.close()
@@ -155,25 +156,26 @@
 	n.reporting.Wait()
 }
 
-// leave has the run say goodbye, as a drained node does, and ends it.
+// leave sends a last report that the node is draining, as a drained node does, and then stops the node.
 func (n *node) leave() {
 	n.stopReports()
 	n.reporting.Wait()
 	ctx, cancel := context.WithTimeout(context.Background(), leaveTimeout)
 	defer cancel()
 	if _, err := n.report(ctx, n.observe(), nil, true); err != nil {
-		n.log.Warn("the last report is not answered", "err", err)
+		n.log.Warn("last report was not answered", "err", err)
 	}
 	pause(ctx, leavePause)
 	n.kill()
 }
 
-// reports sends them: at every turn while something is seen, at least each second, and at once where the answer wants more.
+// reportLoop sends reports until ctx ends: one per reportInterval while there is traffic or the node is not ready, at least one per
+// maxReportInterval otherwise, and one after wantedReportDelay if the last answer asks for more keys.
 func (n *node) reportLoop(ctx context.Context) {
 	pause(ctx, rand.N(reportInterval))
 	var wantedKeys []string
 	var lastReport time.Time
-	idleSince := policy.Time(0) // of the windows with nothing in them
+	idleSince := policy.Time(0) // start of the first window without traffic since the last report; 0: there is none
 	for ctx.Err() == nil {
 		wait := reportInterval
 		if len(wantedKeys) > 0 {
@@ -203,8 +205,8 @@
 	}
 }
 
-// observe reads what a report is made of. What the module holds changes only by news of the intent and of the list: it is read,
-// and digested, after these alone, where a real node does both for each report.
+// observe collects the contents of a report. What the module holds changes only with the intent and the list. Therefore it is read
+// and its digests are computed only after such a change, while a real node does both for each report.
 func (n *node) observe() *agentclient.Observation {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -229,7 +231,7 @@
 	}
 }
 
-// report posts a report. One that leaves is the last.
+// report posts a report to the agent and returns the answer. leaving marks the last report of a node that leaves.
 func (n *node) report(ctx context.Context, observed *agentclient.Observation, wantedKeys []string, leaving bool) (answer fleet.ReportAnswer, err error) {
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
@@ -244,7 +246,7 @@
 		return answer, err
 	}
 	if len(raw) > fleet.MaxReportBytes {
-		return answer, fmt.Errorf("a report of %d bytes, at most %d", len(raw), fleet.MaxReportBytes)
+		return answer, fmt.Errorf("report has %d bytes, the limit is %d", len(raw), fleet.MaxReportBytes)
 	}
 	raw, err = call(ctx, n.agent, http.MethodPost, "/fleet/v1/report", raw)
 	if err == nil {
@@ -253,23 +255,23 @@
 	return answer, err
 }
 
-// isReady says whether the node has caught up and is counted in.
+// isReady reports whether the node has caught up, holds its session and is not taken out of the load balancer.
 func (n *node) isReady() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.synced && n.sessionHeld && !n.notReady
 }
 
-// fault counts and logs a call that gave nothing usable, unless the run ends.
+// recordFailure counts and logs a failed call to the agent, unless the node is being stopped.
 func (n *node) recordFailure(ctx context.Context, kind string, err error) {
 	if ctx.Err() != nil {
 		return
 	}
 	n.fleet.sockets.failures.Add(1)
-	n.log.Debug("the agent gives nothing usable", "call", kind, "err", err)
+	n.log.Debug("call to the agent failed", "call", kind, "err", err)
 }
 
-// pause waits for d or the end of ctx.
+// pause waits for the duration d or until ctx ends.
 func pause(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/internal/scale/hollow/process.go
+++ b/internal/scale/hollow/process.go
@@ -14,23 +14,23 @@
 	"time"
 )
 
-// closeTimeout is how long a process may take to end by itself.
+// closeTimeout is how long Close waits for a process to exit before it kills the process.
 const closeTimeout = 20 * time.Second
 
-// Process is a hollow process as its runner has it. Its calls are made one at a time; of several goroutines each waits its turn.
+// Process is the runner's handle on a hollow process. Several goroutines may use it: calls are made one at a time, the others wait.
 // A call fails once the process has ended.
 type Process struct {
 	command *exec.Cmd
-	ended   chan struct{} // closed once the process is gone and waited for
-	result  error         // of the wait
+	ended   chan struct{} // closed after the process has exited and its exit status has been collected
+	result  error         // error of command.Wait
 
 	mu      sync.Mutex
 	input   io.WriteCloser
 	replies *bufio.Reader
 }
 
-// Start runs the hollow subcommand of a fleetlab binary with a Config. The process ends with ctx, or by Close, or when the
-// caller's process does. What it logs goes to log.
+// Start runs the hollow subcommand of a fleetlab binary with a Config. The process runs until ctx ends, Close is called or the
+// calling process exits. Each line of its standard error goes to log.
 func Start(ctx context.Context, binary string, cfg Config, log *slog.Logger) (*Process, error) {
 	command := exec.CommandContext(ctx, binary, "hollow")
 	command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
@@ -59,10 +59,10 @@
 	return p, nil
 }
 
-// PID is the process's id.
+// PID returns the id of the process.
 func (p *Process) PID() int { return p.command.Process.Pid }
 
-// Usage gives the counters since the process's start.
+// Usage returns the resource use and the counters of the process since it started.
 func (p *Process) Usage() (Usage, error) {
 	reply, err := p.exchange(Request{Op: OpUsage})
 	if err != nil {
@@ -74,8 +74,9 @@
 	return *reply.Usage, nil
 }
 
-// InForce waits until a tenant of a service ("": none) is served by a generation, or a later one, on every node of its scope that
-// is up; or, of generation 0, is gone there; or until wait is over.
+// InForce waits until a tenant's generation, or a later one, is in force on every running node that has the tenant in its scope, or
+// until wait is over. For generation 0 it waits until these nodes no longer have the tenant. service is the tenant's service, "" if
+// it has none.
 func (p *Process) InForce(tenant, service string, generation uint64, wait time.Duration) (InForce, error) {
 	reply, err := p.exchange(Request{Op: OpInForce, Tenant: tenant, Service: service, Generation: generation, Wait: wait})
 	if err != nil {
@@ -87,16 +88,16 @@
 	return *reply.InForce, nil
 }
 
-// Kill ends nodes at once.
+// Kill stops nodes at once.
 func (p *Process) Kill(first, count int) error { return p.change(OpKill, first, count) }
 
-// Leave has nodes end their sessions and then ends them.
+// Leave has nodes send a last report that they are draining, and then stops them.
 func (p *Process) Leave(first, count int) error { return p.change(OpLeave, first, count) }
 
-// Start starts nodes again, as new incarnations. Those that are up stay as they are.
+// Start starts nodes again, as new incarnations. Nodes that are up keep running.
 func (p *Process) Start(first, count int) error { return p.change(OpStart, first, count) }
 
-// Replace has servers deregister and come back under new addresses.
+// Replace deregisters servers and registers them again under new addresses.
 func (p *Process) Replace(first, count int) error { return p.change(OpReplace, first, count) }
 
 func (p *Process) change(op Op, first, count int) error {
@@ -104,7 +105,7 @@
 	return err
 }
 
-// exchange writes one line and reads the reply to it.
+// exchange writes one line to the process and reads the reply. An error in the reply is returned as an error.
 func (p *Process) exchange(line any) (Reply, error) {
 	raw, err := json.Marshal(line)
 	if err != nil {
@@ -129,7 +130,7 @@
 	return reply, nil
 }
 
-// Close ends the process, by force where it takes too long, and gives how it ended.
+// Close ends the process by closing its input, kills it after closeTimeout, and returns the error of its exit.
 func (p *Process) Close() error {
 	p.input.Close()
 	select {
@@ -141,13 +142,13 @@
 	return p.result
 }
 
-// logLines logs what a process writes, line by line.
+// logLines is an io.Writer that logs the output of a process line by line.
 type logLines struct {
 	log  *slog.Logger
 	rest []byte
 }
 
-// Write takes the next bytes.
+// Write logs the lines that b completes and keeps an incomplete last line for the next call.
 func (l *logLines) Write(b []byte) (int, error) {
 	l.rest = append(l.rest, b...)
 	for {
--- a/internal/scale/hollow/registrants.go
+++ b/internal/scale/hollow/registrants.go
@@ -19,36 +19,36 @@
 
 const (
 	serversPerWorker = 8
-	maxWorkers       = 1024                   // each has one connection
-	renewalsPerLease = 3                      // a lease is renewed when 1/renewPart of it is over
-	registerTimeout  = 5 * time.Second        // for the answer to one call
-	retryPause       = 50 * time.Millisecond  // after a call that failed
-	replaceTimeout   = 30 * time.Second       // for one server to be replaced
-	serverPort       = 10_000                 // of a server's first address; its replacements' are the next ones
-	serverPorts      = 50_000                 // that it goes through
-	maxRoundDelay    = 100 * time.Millisecond // a worker that is later than this does not wait for its next turn
+	maxWorkers       = 1024                   // each worker has one connection
+	renewalsPerLease = 3                      // a lease is renewed after 1/renewalsPerLease of its TTL
+	registerTimeout  = 5 * time.Second        // timeout of one call
+	retryPause       = 50 * time.Millisecond  // after a failed call
+	replaceTimeout   = 30 * time.Second       // timeout for the replacement of one server
+	serverPort       = 10_000                 // port of a server's first address; each replacement has the next port
+	serverPorts      = 50_000                 // number of ports after which a server's ports start again at serverPort
+	maxRoundDelay    = 100 * time.Millisecond // a worker that is later than this starts its next round at once, without catching up
 )
 
-// registrants are the hollow app servers of a process. Each worker holds the leases of some of them, one call after another
-// over one connection, so that all together their calls are spread evenly over the renewal period.
+// registrants are the hollow app servers of a process. Each worker holds the leases of some of them and makes its calls one after
+// another over one connection. The calls of all workers are spread evenly over the renewal period.
 type registrants struct {
 	cfg     *Config
 	state   *fleetState
 	log     *slog.Logger
 	workers int
 	servers []*server
-	leader  atomic.Int64 // index of the replica that last took a call
+	leader  atomic.Int64 // index of the replica that calls are sent to first
 }
 
 // server is one hollow app server.
 type server struct {
 	number int
 
-	mu           sync.Mutex // held during its calls
-	replacements int        // addresses it has had before
+	mu           sync.Mutex // held during the server's calls
+	replacements int        // number of addresses that the server had before
 	startedMS    int64
 	registered   bool
-	renewedAt    atomic.Int64 // when the last call that extended its lease began, Unix ns
+	renewedAt    atomic.Int64 // start of the last call that extended the lease, Unix ns
 }
 
 func newRegistrants(cfg *Config, state *fleetState, log *slog.Logger) *registrants {
@@ -64,7 +64,8 @@
 	return r
 }
 
-// registered counts the servers whose lease is held, as far as they can know.
+// registered returns the number of servers whose lease is held: their last successful registration or renewal began less than a TTL
+// ago.
 func (r *registrants) registered() (count int) {
 	for _, s := range r.servers {
 		if s.renewedAt.Load() > time.Now().UnixNano()-r.cfg.LeaseTTLMS*int64(time.Millisecond) {
@@ -74,7 +75,7 @@
 	return count
 }
 
-// renew registers a worker's servers and renews their leases until ctx ends.
+// renew registers the servers of one worker and renews their leases until ctx ends.
 func (r *registrants) renew(ctx context.Context, worker int) {
 	connections := r.state.sockets.connections()
 	defer connections.close()
@@ -101,7 +102,7 @@
 	}
 }
 
-// newClient makes a client that has so many connections to a replica at most.
+// newClient returns an HTTP client with at most maximum connections to each replica.
 func newClient(connections *connections, maximum int) *http.Client {
 	return &http.Client{Timeout: registerTimeout, Transport: &http.Transport{
 		DialContext:         connections.dial,
@@ -112,10 +113,10 @@
 	}}
 }
 
-// errUnknown says that the lease is not held.
+// errUnknownRegistration is returned when a replica does not know the lease.
 var errUnknownRegistration = errors.New("no such registration")
 
-// renewOrRegister extends a server's lease, or registers it where it has none. The caller holds its mu.
+// renewOrRegister renews a server's lease, or registers the server if it has none. The caller holds the server's mu.
 func (r *registrants) renewOrRegister(ctx context.Context, client *http.Client, s *server) error {
 	began := time.Now()
 	err := errUnknownRegistration
@@ -133,13 +134,13 @@
 	return err
 }
 
-// registration is the body of a call that registers.
+// registration is the body of a register call.
 type registration struct {
 	registry.Entry
 	TTLMS int64 `json:"ttl_ms"`
 }
 
-// renewal is the body of a call on a lease that is held: to extend it, or without a TTL to end it.
+// renewal is the body of a call on a held lease: a renew call, or, without a TTL, a deregister call.
 type renewal struct {
 	ID    string `json:"id"`
 	TTLMS int64  `json:"ttl_ms,omitempty"`
@@ -152,13 +153,14 @@
 		Entry: registry.Entry{ID: ServerName(s.number), Addr: ServerAddress(s.number, s.replacements), Zone: zone, Kind: service, State: "ready", Weight: 1, StartedMS: s.startedMS}})
 }
 
-// ServerAddress is where the server of a number would listen after so many replacements; nothing of this package does.
+// ServerAddress returns the address of the server with the given number after that many replacements. Nothing in this package
+// listens on it.
 func ServerAddress(number, replacements int) string {
 	return fmt.Sprintf("127.%d.%d.%d:%d", 64+number>>16, number>>8&0xff, number&0xff, serverPort+replacements%serverPorts)
 }
 
-// post makes one call, at the replica that led last; it follows X-Leader, and goes on to the next replica where there is none.
-// It gives up when each has been asked twice.
+// post makes one call to the replica that is taken for the leader. If the replica names another leader in X-Leader, post tries that
+// one, otherwise the next replica after a pause. It gives up after two attempts per replica.
 func (r *registrants) post(ctx context.Context, client *http.Client, operation string, body any) error {
 	raw, err := json.Marshal(body)
 	if err != nil {
@@ -181,7 +183,7 @@
 	return err
 }
 
-// attempt makes one call at one replica; leader is where it says that the leader is.
+// attempt makes one call to one replica; leader is the leader's address if the replica names it in X-Leader.
 func (r *registrants) attempt(ctx context.Context, client *http.Client, replica, operation string, body []byte) (leader string, err error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+replica+"/registry/v1/"+operation, bytes.NewReader(body))
 	if err != nil {
@@ -205,7 +207,7 @@
 	return "", nil
 }
 
-// persist makes a call until it is carried out, also while there is no leader, or ctx ends.
+// retry repeats a call, also while there is no leader, until it succeeds, the lease is unknown or ctx ends.
 func (r *registrants) retry(ctx context.Context, call func() error) error {
 	for {
 		err := call()
@@ -216,7 +218,7 @@
 	}
 }
 
-// replace has servers deregister and come back under new addresses.
+// replace deregisters servers and registers them again under new addresses.
 func (r *registrants) replace(ctx context.Context, first, count int) error {
 	connections := r.state.sockets.connections()
 	defer connections.close()
--- a/internal/scale/hollow/relay.go
+++ b/internal/scale/hollow/relay.go
@@ -6,8 +6,8 @@
 	"sync"
 )
 
-// Meter counts what real agents send and get, in the way and by the kinds in which hollow nodes are counted: they reach the
-// replicas through its relays.
+// Meter counts the traffic of real agents, which connect to the replicas through its relays. It counts in the same way and by the
+// same kinds of call as for hollow nodes.
 type Meter struct {
 	sockets     *sockets
 	connections *connections
@@ -16,13 +16,13 @@
 	running     sync.WaitGroup
 }
 
-// NewMeter makes a Meter without relays.
+// NewMeter returns a Meter without relays.
 func NewMeter() *Meter {
 	s := newSockets()
 	return &Meter{sockets: s, connections: s.connections()}
 }
 
-// Relay opens a way to a replica and gives its address.
+// Relay opens a listener whose connections are forwarded to a replica, and returns its address.
 func (m *Meter) Relay(replica string) (string, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -43,7 +43,7 @@
 	return listener.Addr().String(), nil
 }
 
-// pass carries one connection until either end closes it.
+// forward copies the bytes of one connection in both directions until either end closes it.
 func (m *Meter) forward(client net.Conn, replica string) {
 	defer client.Close()
 	upstream, err := net.DialTimeout("tcp", replica, dialTimeout)
@@ -59,13 +59,13 @@
 	io.Copy(struct{ io.Writer }{counted}, struct{ io.Reader }{client})
 }
 
-// Traffic is what was counted so far, by kind of call.
+// Traffic returns the counts so far, by kind of call.
 func (m *Meter) Traffic() map[Call]Traffic { return m.sockets.traffic() }
 
-// ReportBytes is what the bodies of reports had so far.
+// ReportBytes returns the bytes of report bodies so far.
 func (m *Meter) ReportBytes() uint64 { return m.sockets.reportBytes.Load() }
 
-// Close ends every relay and its connections.
+// Close closes every relay and its connections.
 func (m *Meter) Close() {
 	m.mu.Lock()
 	for _, listener := range m.listeners {
--- a/internal/scale/hollow/serve.go
+++ b/internal/scale/hollow/serve.go
@@ -14,13 +14,13 @@
 )
 
 const (
-	maxLineBytes  = 1 << 20 // bytes of a line of the protocol
-	maxErrorBytes = 500     // bytes of an error in a Reply
+	maxLineBytes  = 1 << 20 // of the protocol between runner and hollow process
+	maxErrorBytes = 500     // of an error in a Reply
 )
 
-// Serve is the loop of a hollow process: it reads a Config from in, runs what that says, and answers it and each Request on out. It
-// ends without an error when in does or ctx; with one where the Config is bad, which the only Reply then says too, or out is
-// closed. A bad Request is answered with its error, and changes nothing.
+// Serve is the main loop of a hollow process: it reads a Config from in, starts the nodes and servers, and writes a Reply to the
+// Config and to each Request to out. It returns nil when in or ctx ends. It returns an error if the Config is bad, in which case the
+// only Reply has the same error, or if writing to out fails. A bad Request gets a Reply with an error and changes nothing.
 func Serve(ctx context.Context, in io.Reader, out io.Writer, log *slog.Logger) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -58,7 +58,7 @@
 	return err
 }
 
-// answer carries out a line's request.
+// answer decodes a request from a line, executes it and returns the reply.
 func (g *group) answer(ctx context.Context, line []byte) Reply {
 	var r Request
 	decoder := json.NewDecoder(bytes.NewReader(line))
@@ -69,7 +69,8 @@
 	return g.do(ctx, r)
 }
 
-// readLines gives the lines of in one by one, and what ended them. It calls over at their end.
+// readLines sends the lines of in to the returned channel one by one and calls onEnd after the last. ended returns the error that
+// ended the reading, nil at the end of in or while the reading goes on.
 func readLines(ctx context.Context, in io.Reader, onEnd func()) (lines <-chan []byte, ended func() error) {
 	out := make(chan []byte)
 	result := make(chan error, 1)
@@ -92,12 +93,12 @@
 		case err := <-result:
 			return err
 		default:
-			return nil // the caller's context ended
+			return nil // reading has not ended: the caller's context has
 		}
 	}
 }
 
-// oneLine keeps an error on one line of bounded length.
+// oneLine replaces control characters, such as line breaks, by spaces and cuts the text to maxErrorBytes.
 func oneLine(text string) string {
 	text = strings.Map(func(r rune) rune {
 		if unicode.IsControl(r) {
--- a/internal/scale/hollow/sockets.go
+++ b/internal/scale/hollow/sockets.go
@@ -12,11 +12,11 @@
 	"time"
 )
 
-// dialTimeout is that of the agent's command.
+// dialTimeout is the timeout of a connection attempt, the same as that of the agent command.
 const dialTimeout = 2 * time.Second
 
-// requestLines are the beginnings of the requests of each kind of call. A connection carries one call at a time, and net/http
-// begins a call's request with a write of its own: so the kind of a connection's bytes is that of the last such write.
+// requestPrefixes are the first bytes of a request of each kind of call. A connection carries one call at a time, and net/http
+// starts each request with a new write. Therefore the bytes of a connection belong to the call whose request line was written last.
 var requestPrefixes = []struct {
 	prefix string
 	call   Call
@@ -27,15 +27,15 @@
 	{"POST /registry/v1/", CallRegister},
 }
 
-// differenceLine begins the request of a report that is sent as a difference.
+// differencePrefix is the first bytes of a request with a report delta.
 const differencePrefix = "POST /fleet/v1/report/difference"
 
-// sockets counts what goes over every connection of the process, by kind of call.
+// sockets counts the traffic of all connections of the process, by kind of call.
 type sockets struct {
-	counts      map[Call]*counter // made at the start, read only
+	counts      map[Call]*counter // filled by newSockets, read-only afterwards
 	failures    atomic.Uint64
 	reportBytes atomic.Uint64
-	// of them, those sent as differences
+	// number of report deltas, and bytes of their bodies
 	differences     atomic.Uint64
 	differenceBytes atomic.Uint64
 }
@@ -54,7 +54,7 @@
 	return s
 }
 
-// traffic is what was counted so far.
+// traffic returns the counts so far, by kind of call.
 func (s *sockets) traffic() map[Call]Traffic {
 	all := map[Call]Traffic{}
 	for call, c := range s.counts {
@@ -63,7 +63,8 @@
 	return all
 }
 
-// connections are those of one owner, a node's run or a worker of the servers: they are cut off when it ends.
+// connections are the open connections of one owner, such as a node or a worker of the registrants. They are closed when the owner
+// is stopped.
 type connections struct {
 	sockets *sockets
 	mu      sync.Mutex
@@ -75,7 +76,7 @@
 	return &connections{sockets: s, open: map[*countedConn]bool{}}
 }
 
-// dial makes a counted connection; it is the Dial of the agents and of the servers' clients.
+// dial opens a counted connection. The agents and the registrants' HTTP clients use it as their dial function.
 func (c *connections) dial(ctx context.Context, network, address string) (net.Conn, error) {
 	dialer := net.Dialer{Timeout: dialTimeout}
 	inner, err := dialer.DialContext(ctx, network, address)
@@ -86,7 +87,7 @@
 	return c.add(inner), nil
 }
 
-// add has a connection counted. Where the owner has ended it is closed.
+// add returns a connection that counts the traffic of inner. If the owner has been stopped, add closes the connection.
 func (c *connections) add(inner net.Conn) *countedConn {
 	conn := &countedConn{Conn: inner, owner: c}
 	c.mu.Lock()
@@ -99,7 +100,7 @@
 	return conn
 }
 
-// close cuts every connection, as a killed process does, and lets no further one come.
+// close closes every connection, as the end of a killed process does, and prevents new ones.
 func (c *connections) close() {
 	c.mu.Lock()
 	c.ended = true
@@ -111,7 +112,7 @@
 	}
 }
 
-// failed counts a call that failed, unless its owner has ended.
+// recordFailure counts a failed call, unless the owner has been stopped.
 func (c *connections) recordFailure() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -120,21 +121,21 @@
 	}
 }
 
-// countedConn counts its bytes, and reads the requests' first lines and the answers' status.
+// countedConn is a connection that counts its bytes by kind of call and checks the status of the answers.
 type countedConn struct {
 	net.Conn
 	owner *connections
 
 	mu             sync.Mutex
-	count          *counter // of the call that is open, or was last; nil before the first
-	awaitingAnswer bool     // no answer to it has begun
+	count          *counter // counter for the kind of the current or last call; nil before the first call
+	awaitingAnswer bool     // no byte of the answer to the current call has been read
 
-	// That call is a report, and sent as a difference.
+	// report says that the current or last call is a report; difference says that it is a report delta.
 	report     bool
 	difference bool
 }
 
-// Write counts what is sent. A write that begins with a request line begins a call.
+// Write counts the bytes sent. A write that starts with one of the requestPrefixes starts a new call.
 func (c *countedConn) Write(b []byte) (int, error) {
 	c.mu.Lock()
 	body := b
@@ -168,8 +169,8 @@
 	return n, err
 }
 
-// Read counts what comes. The first bytes after a request are the answer's status line; a connection that ends in their place
-// is a failed call.
+// Read counts the bytes received. The first bytes after a request are the answer's status line. The call has failed if they are not
+// the status line of a success, or if the connection ends before them.
 func (c *countedConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.mu.Lock()
@@ -190,14 +191,14 @@
 	return n, err
 }
 
-// answersWell says whether an answer's first bytes tell of success.
+// isSuccess reports whether the first bytes of an answer have a status below 400.
 func isSuccess(first []byte) bool {
 	_, after, _ := bytes.Cut(first, []byte(" "))
 	status, err := strconv.Atoi(string(after[:min(3, len(after))]))
 	return err == nil && status < 400
 }
 
-// Close ends the connection.
+// Close closes the connection and removes it from its owner's open connections.
 func (c *countedConn) Close() error {
 	c.untrack()
 	return c.Conn.Close()
--- a/internal/scale/hollow/state.go
+++ b/internal/scale/hollow/state.go
@@ -8,21 +8,21 @@
 	"meadowsill/internal/fleet"
 )
 
-// fleetState is what the nodes of a process have seen of the fleet together, and the process's counts.
+// fleetState is the state that the nodes of a process share: what they have learned about the fleet, and the process's counters.
 type fleetState struct {
 	sockets   *sockets
-	newest    atomic.Uint64 // revision of the intent
-	copyBytes atomic.Uint64 // written to the durable copies of runs that have ended
+	newest    atomic.Uint64 // newest revision of the intent that a node has
+	copyBytes atomic.Uint64 // bytes that nodes which have been stopped wrote to their durable copies
 
 	mu       sync.Mutex
-	services map[string]string // by tenant, where it has one
+	services map[string]string // keyed by tenant; only tenants that have a service
 }
 
 func newFleetState() *fleetState {
 	return &fleetState{sockets: newSockets(), services: map[string]string{}}
 }
 
-// sawRevision notes a revision that a node has.
+// recordRevision raises newest to a revision that a node has.
 func (s *fleetState) recordRevision(revision uint64) {
 	for {
 		newest := s.newest.Load()
@@ -32,7 +32,7 @@
 	}
 }
 
-// sawTenant notes a tenant's service, by the body of its item.
+// recordTenantService records the service of a tenant, read from the body of the tenant's intent item.
 func (s *fleetState) recordTenantService(name string, body json.RawMessage) {
 	var tenant fleet.Tenant
 	if json.Unmarshal(body, &tenant) != nil {
@@ -56,7 +56,7 @@
 	s.services[tenant] = service
 }
 
-// serviceOf is a tenant's service, as last seen.
+// serviceOf returns the last known service of a tenant, "" if it has none.
 func (s *fleetState) serviceOf(tenant string) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/scale/hollow/usage.go
+++ b/internal/scale/hollow/usage.go
@@ -11,7 +11,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// usage is what the process has used and seen. It collects garbage first: the heap is what is live.
+// usage returns the process's resource use and counters. It runs the garbage collector before it reads the heap's size, so that
+// HeapBytes is the live heap.
 func (g *group) usage() Usage {
 	u := Usage{
 		Calls:       g.state.sockets.traffic(),
@@ -48,7 +49,7 @@
 	return u
 }
 
-// processorTime is what the process has taken, user and system.
+// cpuTime returns the user and system CPU time of the process.
 func cpuTime() time.Duration {
 	var used unix.Rusage
 	if unix.Getrusage(unix.RUSAGE_SELF, &used) != nil {
@@ -57,7 +58,7 @@
 	return time.Duration(used.Utime.Nano() + used.Stime.Nano())
 }
 
-// residentBytes is the resident set, from /proc.
+// residentBytes returns the size of the process's resident set, read from /proc.
 func residentBytes() uint64 {
 	raw, _ := os.ReadFile("/proc/self/statm")
 	fields := strings.Fields(string(raw))
@@ -68,8 +69,9 @@
 	return pages * uint64(os.Getpagesize())
 }
 
-// writtenBytes is what the process has caused to be written to disks, from /proc, for agents that don't count it. The durable
-// copies are the only files that it writes. It counts whole pages; of a file system in memory it is 0.
+// writtenBytes returns how many bytes the process has caused to be written to disk, read from /proc. It stands in for the agents'
+// count of durable copies in builds without that count: the process writes no other files. The kernel counts whole pages, and
+// nothing on an in-memory file system.
 func writtenBytes() uint64 {
 	raw, _ := os.ReadFile("/proc/self/io")
 	for line := range strings.Lines(string(raw)) {
@@ -81,8 +83,8 @@
 	return 0
 }
 
-// inForce waits until every node of a tenant's scope that is up serves it by the generation, or a later one; or until the wait
-// is over.
+// inForce waits until the generation, or a later one, is in force on every running node that has the tenant in its scope, or until
+// the request's wait is over.
 func (g *group) inForce(ctx context.Context, r Request) InForce {
 	if r.Service != "" {
 		g.state.setService(r.Tenant, r.Service)
@@ -117,7 +119,7 @@
 		}
 		result.Have++
 		if !known {
-			continue // it never had the tenant
+			continue // the node never had the tenant
 		}
 		result.Times = append(result.Times, state.since.UnixNano())
 		if state.since.After(result.Last) {
