--- a/internal/scale/bounds.go
+++ b/internal/scale/bounds.go
@@ -6,27 +6,27 @@
 	"meadowsill/internal/lab/bounds"
 )
 
-// What the parts of a run take, as measured on this build with some room (docs/scale.md, "Bounds"). They serve to refuse
-// in time; while a sweep runs, what is really used is watched (bounds.Watcher).
+// The resource needs of the parts of a run, with some headroom (docs/scale.md, "Bounds"), in bytes of memory unless stated otherwise.
+// They serve to reject a sweep before it starts; while it runs, bounds.Watcher watches the actual use.
 const (
 	replicaBytes             = 64 << 20 // a replica without a fleet
-	replicaTenantBytes       = 8 << 10  // a tenant at a replica: state, items, log and its answers on their way
-	replicaServerBytes       = 6 << 10  // a server at a replica
+	replicaTenantBytes       = 8 << 10  // per tenant at a replica: state, items, log and answers in flight
+	replicaServerBytes       = 6 << 10  // per server at a replica
 	replicaNodeBytes         = 128 << 10
-	processBytes             = 24 << 20 // a hollow process without nodes
+	processBytes             = 24 << 20 // a hollow process without nodes or servers
 	nodeBytes                = 512 << 10
-	nodeTenantBytes          = 12 << 10 // a tenant at a node: the agent's copy, the module and the report
-	leaderTenantBytes        = 3 << 10  // a node's report on a tenant at the leader
-	nodeServerBytes          = 3 << 10  // a server at a node: the agent's list and the module's
+	nodeTenantBytes          = 12 << 10 // per tenant at a node: the agent's copy, the module and the report
+	leaderTenantBytes        = 3 << 10  // per tenant in a node's report, at the leader
+	nodeServerBytes          = 3 << 10  // per server at a node: the agent's list and the module's
 	registrantBytes          = 24 << 10
 	runnerBytes              = 64 << 20
-	nodeConnections          = 4  // to replicas: the intent, the list, reports, one in change
+	nodeConnections          = 4  // connections of a node to replicas: the intent, the list, the reports, and one that is being replaced
 	registrantsPerConnection = 8  // registrants that share a connection
-	spareDescriptors         = 64 // of any process: its logs, stores, listeners
+	spareDescriptors         = 64 // descriptors of any process for logs, stores and listeners
 )
 
-// NeedsOf reckons what one point of a sweep takes. Every node is taken to hold every tenant and every server, as nodes without a
-// scope do.
+// NeedsOf estimates the resources that one point of a sweep needs. It assumes that every node holds every server and, without a
+// scope, every tenant.
 func NeedsOf(p *Plan, l Load) bounds.Needs {
 	nodeProcesses, serverProcesses := processCount(l.Nodes, p.Hollow.NodesPerProcess), processCount(l.Servers, p.Hollow.ServersPerProcess)
 	tenantsHeld := tenantsPerNode(l)
@@ -40,7 +40,7 @@
 		Descriptors: spareDescriptors + max(leaderConnections, processConnections), Ports: leaderConnections}
 }
 
-// tenantsPerNode is how many tenants a node of the load holds, at most.
+// tenantsPerNode returns how many tenants a node of the load holds, rounded up.
 func tenantsPerNode(l Load) int {
 	if l.PerNode == 0 {
 		return l.Tenants
@@ -48,10 +48,10 @@
 	return (l.Tenants*l.PerNode + l.Services - 1) / l.Services
 }
 
-// processesFor is how many processes hold count at so many each.
+// processCount returns how many processes are needed for count members with perProcess members each.
 func processCount(count, perProcess int) int { return (count + perProcess - 1) / perProcess }
 
-// Check refuses a plan of which a point would pass a limit. The error is one line.
+// Check returns an error of one line if a point of the plan needs more than the limits allow.
 func Check(p *Plan, limits bounds.Limits) error {
 	for i, size := range p.Sizes {
 		needs := NeedsOf(p, p.Base.At(p.Dimension, size))
--- a/internal/scale/change.go
+++ b/internal/scale/change.go
@@ -14,30 +14,30 @@
 	"meadowsill/internal/scale/hollow"
 )
 
-// A change is waited for on every node for changeTimeout at most. A process is asked in calls of changeLook, so that others get
-// their turn; when a node came to a change is by the node's own account.
+// A change may take up to changeTimeout to come into force on every node. A process is asked in calls that last inForceCallTimeout,
+// so that other callers get their turn in between. This does not affect the measured times: the nodes report them.
 const (
 	changeTimeout      = 10 * time.Second
 	inForceCallTimeout = 100 * time.Millisecond
 	retryPause         = 20 * time.Millisecond
 )
 
-// maxMicroseconds is the longest time that a histogram of changes holds.
+// maxChangeMicroseconds is the longest time that a histogram of changes can record.
 const maxChangeMicroseconds = int64(time.Hour / time.Microsecond)
 
-// spread is how long changes took to come into force.
+// changeTimes records how long changes took to come into force.
 type changeTimes struct {
-	took    *hdrhistogram.Histogram // of each pair of a node and a change, microseconds
+	took    *hdrhistogram.Histogram // one value per node and change, in microseconds
 	longest time.Duration
-	worst   string // the node that came to a change last
-	missed  int    // pairs that did not come into force in time
+	worst   string // the node on which the slowest change came into force last
+	missed  int    // pairs of a node and a change that did not come into force in time
 }
 
 func newChangeTimes() *changeTimes {
 	return &changeTimes{took: hdrhistogram.New(1, maxChangeMicroseconds, 3)}
 }
 
-// take brings in what the nodes of one process came to after a put.
+// add records when a change came into force on the nodes of one process; putAt is when the change was proposed.
 func (c *changeTimes) add(f hollow.InForce, putAt time.Time) {
 	c.missed += f.Nodes - f.Have
 	for _, ns := range f.Times {
@@ -51,12 +51,12 @@
 	}
 }
 
-// quantile is in seconds; ok is false where nothing came into force.
+// quantile returns the percentile q (0 to 100) in seconds; ok is false if no change came into force.
 func (c *changeTimes) quantile(q float64) (value float64, ok bool) {
 	return float64(c.took.ValueAtQuantile(q)) / 1e6, c.took.TotalCount() > 0
 }
 
-// outcome is what a window's schedule came to.
+// outcome is the result of a window's schedule: the counts and times of its changes and events.
 type outcome struct {
 	mu       sync.Mutex
 	changes  int
@@ -64,23 +64,23 @@
 	refused  int
 	restarts int
 	replaced int
-	steady   *changeTimes // of the changes at a steady rate
-	burst    *changeTimes // of those at once
-	// Seconds of each release, and restart of all replicas, until every node was up again.
+	steady   *changeTimes // of the changes made at a steady rate
+	burst    *changeTimes // of the changes made in bursts
+	// Seconds that each release, and each recovery after a restart of all replicas, took until every node was up again.
 	releases   []float64
 	recoveries []float64
 }
 
 func newOutcome() *outcome { return &outcome{steady: newChangeTimes(), burst: newChangeTimes()} }
 
-// add changes the outcome.
+// update calls change with the outcome's mutex held.
 func (o *outcome) update(change func(o *outcome)) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	change(o)
 }
 
-// change puts a random tenant's next generation and waits until every node of its scope serves by it.
+// change proposes the next generation of a random tenant and waits until it is in force on every node that has the tenant in scope.
 func (w *window) change(ctx context.Context, random *rand.Rand, late bool) error {
 	spec, generation, putAt, err := w.tenants.change(ctx, random)
 	if errors.Is(err, errConflict) {
@@ -99,7 +99,8 @@
 	return w.awaitInForce(ctx, spec, generation, putAt, w.measured.steady)
 }
 
-// awaitInForce waits until every node of a tenant's scope serves by a generation, and records when each did.
+// awaitInForce waits until a generation is in force on every node that has the tenant in its scope, for at most changeTimeout after
+// putAt, and records in times how long it took on each node.
 func (w *window) awaitInForce(ctx context.Context, spec fleet.Spec, generation uint64, putAt time.Time, times *changeTimes) error {
 	each := make([]hollow.InForce, len(w.nodes.processes))
 	err := w.nodes.callAll(func(i int, h Hollow) (err error) {
--- a/internal/scale/events.go
+++ b/internal/scale/events.go
@@ -12,30 +12,30 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Event is one thing that a plan has happen in every measured window, beside its rates.
+// Event is a single event, such as a release, that happens once in every measured window, in addition to the rates of the load.
 type Event struct {
-	AtS   float64 `toml:"at_s" json:"at_s"`             // from the window's start
+	AtS   float64 `toml:"at_s" json:"at_s"`             // seconds after the window's start
 	Do    Action  `toml:"do" json:"do"`                 //
-	Count int     `toml:"count" json:"count,omitempty"` // changes of a burst; nodes that are killed
-	Part  float64 `toml:"part" json:"part,omitempty"`   // of the nodes, restarted at a time in a release
+	Count int     `toml:"count" json:"count,omitempty"` // number of changes in a burst, or of nodes to kill
+	Part  float64 `toml:"part" json:"part,omitempty"`   // fraction of the nodes that a release restarts at a time
 	DownS float64 `toml:"down_s" json:"down_s,omitempty"`
 }
 
-// Action is what an Event does.
+// Action is the kind of an Event.
 type Action string
 
 // The actions of events.
 const (
-	Burst           Action = "burst"            // Count changes of different tenants at once
-	Release         Action = "release"          // every node restarted, Part of them at a time, each time until they are up again
-	KillNodes       Action = "kill"             // Count nodes of consecutive numbers (a rack) killed, and started again after DownS
-	RestartReplicas Action = "restart-replicas" // all replicas killed at once, and started again after DownS
+	Burst           Action = "burst"            // proposes Count changes of different tenants at once
+	Release         Action = "release"          // restarts every node, a fraction Part at a time, and waits each time until all are up
+	KillNodes       Action = "kill"             // kills Count nodes of consecutive numbers (a rack) and starts them again after DownS
+	RestartReplicas Action = "restart-replicas" // kills all replicas at once and starts them again after DownS
 )
 
-// maxDownSeconds is the longest that an event has something down.
+// maxDownSeconds is the upper bound of an event's DownS.
 const maxDownSeconds = 600
 
-// check compares an event with its bounds and the load. The sizes of a dimension are checked one by one.
+// check returns an error if a value of the event is out of bounds for the plan or the load. It is called once per size of a sweep.
 func (e Event) check(key string, p *Plan, l Load) error {
 	switch {
 	case !(e.AtS >= 0 && e.AtS < p.MeasureS):
@@ -59,7 +59,7 @@
 	return fmt.Errorf("%s.do: %q is not one of %s, %s, %s, %s", key, e.Do, Burst, Release, KillNodes, RestartReplicas)
 }
 
-// countWithin checks an event's count.
+// checkCount returns an error if an event's count is not within 1 to maximum.
 func checkCount(key string, count, maximum int, what string) error {
 	if count < 1 || count > maximum {
 		return fmt.Errorf("%s.count: %d is not within 1 to the %d %s", key, count, maximum, what)
@@ -67,7 +67,7 @@
 	return nil
 }
 
-// events carries out a plan's events, each at its time or, where the one before took longer, right after it.
+// events carries out a plan's events one after another, each at its time or, if the previous event takes longer, right after it.
 func (w *window) events(ctx context.Context, events []Event, start time.Time) error {
 	events = slices.Clone(events)
 	slices.SortStableFunc(events, func(a, b Event) int { return cmp.Compare(a.AtS, b.AtS) })
@@ -98,7 +98,7 @@
 	return nil
 }
 
-// burst puts the next generations of so many tenants at once and waits for all.
+// burst proposes the next generations of count random tenants at once and waits until all are in force.
 func (w *window) burst(ctx context.Context, count int, random *rand.Rand) error {
 	changes, ctx := errgroup.WithContext(ctx)
 	for _, tenant := range random.Perm(w.tenants.load.Tenants)[:count] {
@@ -107,7 +107,8 @@
 	return changes.Wait()
 }
 
-// burstChange puts one tenant's next generation, again while it is not done with its last one, and waits for it.
+// burstChange proposes the next generation of a tenant and waits until it is in force. It repeats the proposal while the rollout of
+// the tenant's previous generation is not complete.
 func (w *window) burstChange(ctx context.Context, tenant int) error {
 	for began := time.Now(); ; {
 		putAt := time.Now()
@@ -124,7 +125,7 @@
 	}
 }
 
-// releaseAll restarts every node, part of them at a time, the next part once all are up again.
+// releaseNodes restarts every node, a fraction part of them at a time, and waits until all nodes are up before the next ones.
 func (w *window) releaseNodes(ctx context.Context, part float64) error {
 	began := time.Now()
 	step := max(1, int(part*float64(w.nodes.members)))
@@ -142,7 +143,7 @@
 	return nil
 }
 
-// rack kills nodes of consecutive numbers and starts them again once their time is over.
+// killRack kills nodes of consecutive numbers and starts them again after the event's DownS.
 func (w *window) killRack(ctx context.Context, e Event, random *rand.Rand) error {
 	first := random.IntN(w.nodes.members - e.Count + 1)
 	w.measured.update(func(o *outcome) { o.restarts += e.Count })
@@ -155,8 +156,8 @@
 	return w.nodes.callRange(first, e.Count, Hollow.Start)
 }
 
-// restartReplicas kills all replicas and starts them again, and waits until every node is counted in once more. A node notices
-// by its lease, so this is looked at only after a leader is there again.
+// restartReplicas kills all replicas, starts them again and waits until every node is ready again. A node notices the outage only by
+// its lease, so the nodes are checked, and the time is measured, only once there is a leader again.
 func (w *window) restartReplicas(ctx context.Context, down time.Duration) error {
 	if err := w.plane.Restart(ctx, down); err != nil {
 		return err
@@ -169,7 +170,7 @@
 	return nil
 }
 
-// awaitReady waits until every node is counted in.
+// awaitReady waits until every node is ready.
 func (w *window) awaitReady(ctx context.Context) error {
 	end := time.Now().Add(seconds(w.readyS))
 	for {
--- a/internal/scale/fit.go
+++ b/internal/scale/fit.go
@@ -7,10 +7,10 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Superlinear is the exponent above which a cost is said to grow faster than what it is measured against.
+// Superlinear is the exponent above which a cost is said to grow faster than the dimension that it is measured against.
 const Superlinear = 1.1
 
-// minFittedPoints is how many sizes a fit is made of at least, the one that is predicted aside.
+// minFittedPoints is the minimum number of sizes that a fit is computed from, not counting the size that it predicts.
 const minFittedPoints = 3
 
 // Sample is one measured value at one size.
@@ -19,23 +19,23 @@
 	Value float64
 }
 
-// Fit is a straight line through samples of all sizes but the largest, the exponent of a power law through the same, and
-// the line's prediction of the largest.
+// Fit is a regression line through the samples of all sizes but the largest, the exponent of a power law fitted to the same samples,
+// and the line's prediction for the largest size.
 type Fit struct {
 	Metric      Metric  `json:"metric"`
 	Slope       float64 `json:"slope"`        // of the line, per unit of the dimension
 	Intercept   float64 `json:"intercept"`    // of the line
 	Residual    float64 `json:"residual"`     // standard error of the line, in the metric's unit
-	Exponent    float64 `json:"exponent"`     // slope of the logarithms; 0 where HasExponent is false
-	HasExponent bool    `json:"has_exponent"` // false where a value was 0 or below
+	Exponent    float64 `json:"exponent"`     // slope of the line through the logarithms; 0 if HasExponent is false
+	HasExponent bool    `json:"has_exponent"` // false if a value was 0 or below
 	Superlinear bool    `json:"superlinear"`  // Exponent is over Superlinear
 	Largest     float64 `json:"largest"`      // the size that was left out
-	Predicted   float64 `json:"predicted"`    // its value by the line
-	Measured    float64 `json:"measured"`     // its value as measured, the mean over its repeats
-	Error       float64 `json:"error"`        // (Predicted - Measured) / Measured; 0 where Measured is 0
+	Predicted   float64 `json:"predicted"`    // value that the line predicts for Largest
+	Measured    float64 `json:"measured"`     // value measured at Largest, the mean over its repeats
+	Error       float64 `json:"error"`        // (Predicted - Measured) / Measured; 0 if Measured is 0
 }
 
-// FitSamples fits the samples of one metric. ok is false where there are fewer than four sizes.
+// FitSamples fits the samples of one metric. ok is false if there are fewer than four sizes.
 func FitSamples(metric Metric, samples []Sample) (fit Fit, ok bool) {
 	sizes := distinctSizes(samples)
 	if len(sizes) < minFittedPoints+1 {
@@ -62,7 +62,7 @@
 	return fit, true
 }
 
-// Exponent is k of y = c * x^k, by a line through the logarithms. ok is false where a value is 0 or below.
+// Exponent returns k of y = c * x^k, the slope of a regression line through the logarithms. ok is false if a value is 0 or below.
 func Exponent(x, y []float64) (k float64, ok bool) {
 	logX, logY := make([]float64, len(x)), make([]float64, len(y))
 	for i := range x {
@@ -75,7 +75,7 @@
 	return k, !math.IsNaN(k) && !math.IsInf(k, 0)
 }
 
-// standardError is the residual standard error of a line with two parameters.
+// standardError returns the residual standard error of a line with two parameters; 0 if there are two points or fewer.
 func standardError(x, y []float64, intercept, slope float64) float64 {
 	sum := 0.0
 	for i := range x {
@@ -88,7 +88,7 @@
 	return math.Sqrt(sum / float64(len(x)-2))
 }
 
-// distinctSizes gives the sizes of the samples in ascending order.
+// distinctSizes returns the distinct sizes of the samples in ascending order.
 func distinctSizes(samples []Sample) []float64 {
 	var sizes []float64
 	for _, s := range samples {
--- a/internal/scale/fleetrun.go
+++ b/internal/scale/fleetrun.go
@@ -14,7 +14,7 @@
 	"meadowsill/internal/scale/hollow"
 )
 
-// fleetRun is the processes of one repeat: replicas, hollow nodes and hollow app servers.
+// fleetRun starts, measures and stops the processes of one repeat: replicas, hollow nodes and hollow app servers.
 type fleetRun struct {
 	plan    *Plan
 	load    Load
@@ -26,17 +26,18 @@
 	nodes   *group
 	servers *group
 
-	closing sync.Mutex // held while processes are ended: close returns once they all are
+	closing sync.Mutex // held while processes are closed, so that a second close returns only after all have ended
 
 	mu           sync.Mutex
-	started      []Hollow     // that are to be closed
-	runningPlane ControlPlane // the same; nil: none
+	started      []Hollow     // hollow processes that close has to close
+	runningPlane ControlPlane // replicas that close has to close; nil: none
 }
 
-// pollEvery is how often it is looked whether nodes and servers are up. A look has every process collect its garbage.
+// pollInterval is the interval between two checks whether nodes and servers are up. Each check makes every process run its garbage
+// collector.
 const pollInterval = 500 * time.Millisecond
 
-// measure starts everything, waits until it is up and settled, carries out the schedule, and gives the figures.
+// measure starts all processes, waits until they are up and have settled, carries out the schedule and returns the measured values.
 func (f *fleetRun) measure(ctx context.Context) (Repeat, error) {
 	tenants, err := f.startReplicas(ctx)
 	if err != nil {
@@ -82,7 +83,8 @@
 	}, nil
 }
 
-// startReplicas starts the replicas and puts the tenants: before there are nodes, each is in force at once.
+// startReplicas starts the replicas and proposes all tenants. It does so before there are nodes, when a tenant comes into force at
+// once.
 func (f *fleetRun) startReplicas(ctx context.Context) (*tenantSet, error) {
 	plane, err := f.options.StartReplicas(ctx, f.dir, f.plan.Replicas, f.load.Nodes)
 	if err != nil {
@@ -99,7 +101,7 @@
 	return tenants, nil
 }
 
-// startHollow starts the hollow processes, servers first.
+// startHollow starts the hollow processes of the servers, then those of the nodes.
 func (f *fleetRun) startHollow(ctx context.Context) (err error) {
 	config := hollow.Config{
 		Replicas:      f.plane.Addresses(),
@@ -148,7 +150,7 @@
 	return err
 }
 
-// ready waits until every node is counted in and every server registered, and gives the nodes' usage then.
+// awaitReady waits until every node is ready and every server is registered, and returns the usage of the nodes at that time.
 func (f *fleetRun) awaitReady(ctx context.Context) (hollow.Usage, error) {
 	end := time.Now().Add(seconds(f.plan.ReadyS))
 	for {
@@ -173,7 +175,7 @@
 	}
 }
 
-// sample reads the accounts of every role.
+// sample reads the resource use and counters of every role.
 func (f *fleetRun) sample() (s sample, err error) {
 	if s.nodes, err = f.nodes.usage(); err != nil {
 		return s, err
@@ -186,7 +188,7 @@
 	return s, err
 }
 
-// pids gives the processes that run now.
+// pids returns the ids of the processes that are running.
 func (f *fleetRun) pids() []int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -200,7 +202,7 @@
 	return out
 }
 
-// close ends every process that was started so far. It may be called again, and at the same time.
+// close ends every process that was started so far. It may be called repeatedly and concurrently.
 func (f *fleetRun) close() {
 	f.closing.Lock()
 	defer f.closing.Unlock()
@@ -214,7 +216,7 @@
 	}
 }
 
-// encoded is a histogram as HdrHistogram's libraries exchange it, "" where it has none.
+// encodeHistogram encodes a histogram in the exchange format of the HdrHistogram libraries; "" if the histogram is empty.
 func encodeHistogram(h *hdrhistogram.Histogram) string {
 	if h.TotalCount() == 0 {
 		return ""
@@ -223,10 +225,10 @@
 	if err != nil {
 		return ""
 	}
-	return string(raw) // in base64
+	return string(raw) // Encode returns base64
 }
 
-// summary is a repeat in a few words, for a line of progress.
+// summary describes a repeat for a line of progress output.
 func summary(r Repeat) string {
 	if r.Failed != "" {
 		return ", failed: " + r.Failed
@@ -235,7 +237,7 @@
 		r.Values[LeaderCPU], r.Values[NodeBytes], r.MachineLoad)
 }
 
-// oneLine keeps a message on one line.
+// oneLine replaces control characters, such as line breaks, by spaces.
 func oneLine(s string) string {
 	return strings.Map(func(r rune) rune {
 		if unicode.IsControl(r) {
--- a/internal/scale/growth.go
+++ b/internal/scale/growth.go
@@ -2,15 +2,15 @@
 
 import "fmt"
 
-// GrowthLimit is the largest exponent that a metric may have against the dimension of a sweep. It is for figures that do not
+// GrowthLimit is the largest exponent that a metric may have over the dimension of a sweep. It is meant for metrics that do not
 // depend on the machine: bytes, calls, items, allocations.
 type GrowthLimit struct {
 	Metric Metric
 	Max    float64
 }
 
-// OverLimits gives a line for each limit that the sweep's metrics do not keep, over all sizes, the largest among them. A metric
-// that was not measured at every size does not keep its limit.
+// OverLimits returns one line for each limit that a metric of the sweep exceeds. The exponents are computed over all sizes, including
+// the largest. A metric that was not measured at every size counts as over its limit, and a partial sweep adds a line of its own.
 func (r *Results) OverLimits(limits []GrowthLimit) []string {
 	var out []string
 	if r.Partial != "" {
@@ -29,7 +29,7 @@
 	return out
 }
 
-// check compares the exponent of samples with the limit.
+// check returns an error if the exponent of the samples is above the limit or can't be computed.
 func (g GrowthLimit) check(samples []Sample) error {
 	var x, y []float64
 	for _, s := range samples {
--- a/internal/scale/load.go
+++ b/internal/scale/load.go
@@ -5,21 +5,21 @@
 	"math"
 )
 
-// Load is the size of a fleet and what happens to it.
+// Load is the size of a fleet and the rates of changes, restarts and replacements in it.
 type Load struct {
 	Nodes             int     `toml:"nodes" json:"nodes"`
 	Servers           int     `toml:"servers" json:"servers"`
 	Services          int     `toml:"services" json:"services"`
 	PerNode           int     `toml:"per_node" json:"per_node"`                                 // services that a node serves; 0: all
-	Tenants           int     `toml:"tenants" json:"tenants"`                                   // in all
-	TenantsPerService int     `toml:"tenants_per_service" json:"tenants_per_service,omitempty"` // above 0: Tenants is Services times this
-	Routes            int     `toml:"routes" json:"routes"`                                     // in all, spread over the tenants
-	ChangesPerS       float64 `toml:"changes_per_s" json:"changes_per_s"`                       // next generations of tenants
-	RestartsPerS      float64 `toml:"restarts_per_s" json:"restarts_per_s"`                     // of nodes
-	ReplacementsPerS  float64 `toml:"replacements_per_s" json:"replacements_per_s"`             // of servers
+	Tenants           int     `toml:"tenants" json:"tenants"`                                   // total number
+	TenantsPerService int     `toml:"tenants_per_service" json:"tenants_per_service,omitempty"` // if above 0, Tenants is Services times this
+	Routes            int     `toml:"routes" json:"routes"`                                     // total number, spread over the tenants
+	ChangesPerS       float64 `toml:"changes_per_s" json:"changes_per_s"`                       // new generations of tenants per second
+	RestartsPerS      float64 `toml:"restarts_per_s" json:"restarts_per_s"`                     // node restarts per second
+	ReplacementsPerS  float64 `toml:"replacements_per_s" json:"replacements_per_s"`             // server replacements per second
 }
 
-// Dimension names what a sweep varies: a key of Load.
+// Dimension is the key of Load that a sweep varies.
 type Dimension string
 
 // The dimensions of sweeps.
@@ -35,7 +35,7 @@
 	Replacements Dimension = "replacements_per_s"
 )
 
-// bound is what a key of Load may be.
+// bound is the range of values that a key of Load may have, with the access to its field.
 type bound struct {
 	key     Dimension
 	min     float64
@@ -45,7 +45,7 @@
 	set     func(*Load, float64)
 }
 
-// integerBound is the bound of a count.
+// integerBound returns the bound of an integer field.
 func integerBound(key Dimension, minimum, maximum float64, field func(*Load) *int) bound {
 	return bound{
 		key:     key,
@@ -57,15 +57,15 @@
 	}
 }
 
-// rateBound is the bound of something a second.
+// rateBound returns the bound of a rate per second, which starts at 0.
 func rateBound(key Dimension, maximum float64, field func(*Load) *float64) bound {
 	return bound{key: key, max: maximum,
 		get: func(l *Load) float64 { return *field(l) },
 		set: func(l *Load, v float64) { *field(l) = v }}
 }
 
-// loadBounds are those of each key of Load, in the order of the file's keys. Nodes are bounded by the slots that a fleet may
-// have, the rest with room over the plan of docs/CAPACITY.md.
+// loadBounds are the bounds of the keys of Load, in the order of the keys in the file. The number of nodes is bounded by the slots
+// that a fleet may have; the other bounds leave headroom above the plan of docs/CAPACITY.md.
 var loadBounds = []bound{
 	integerBound(Nodes, 1, 4096, func(l *Load) *int { return &l.Nodes }),
 	integerBound(Servers, 1, 100_000, func(l *Load) *int { return &l.Servers }),
@@ -79,7 +79,7 @@
 	rateBound(Replacements, 10_000, func(l *Load) *float64 { return &l.ReplacementsPerS }),
 }
 
-// boundOf finds a dimension's bound.
+// boundOf returns the bound of a dimension. tenants_per_service is not a dimension: Load.At derives Tenants from it.
 func boundOf(d Dimension) (bound, bool) {
 	for _, b := range loadBounds {
 		if b.key == d && d != "tenants_per_service" {
@@ -89,7 +89,7 @@
 	return bound{}, false
 }
 
-// check compares one value with the bound.
+// check returns an error if a value is out of bounds.
 func (b bound) check(key string, v float64) error {
 	switch {
 	case math.IsNaN(v) || v < b.min || v > b.max:
@@ -100,10 +100,10 @@
 	return nil
 }
 
-// routesPerTenant is how many routes the schema of tenants allows.
+// routesPerTenant is the maximum number of routes that the tenant schema allows.
 const routesPerTenant = 64
 
-// check compares a load with the bounds, and its keys with each other.
+// check returns an error if a value of the load is out of bounds or its values contradict each other.
 func (l Load) check(prefix string) error {
 	for _, b := range loadBounds {
 		if err := b.check(prefix+string(b.key), b.get(&l)); err != nil {
@@ -119,7 +119,7 @@
 	return nil
 }
 
-// At is the load with one dimension at a size.
+// At returns the load with one dimension set to a size.
 func (l Load) At(d Dimension, size float64) Load {
 	if b, ok := boundOf(d); ok {
 		b.set(&l, size)
--- a/internal/scale/operator.go
+++ b/internal/scale/operator.go
@@ -16,23 +16,24 @@
 	"meadowsill/internal/fleet"
 )
 
-// operator calls the operators' API of the replicas' leader.
+// operator is a client of the operators' API, which the leader of the replicas serves.
 type operator struct {
 	replicas []string
 	client   *http.Client
 
 	mu     sync.Mutex // guards leader
-	leader int        // index of the replica that is asked first
+	leader int        // index of the replica that is taken for the leader
 }
 
-// Bounds of an operator's call.
+// The limits of an operator's call.
 const (
 	proposeTimeout    = 30 * time.Second
 	proposeRetryPause = 20 * time.Millisecond
 	maxAnswerBytes    = 1 << 20
 )
 
-// errConflict says that a tenant is at another generation than the proposal names, or not done with its last one.
+// errConflict is returned when a tenant is at another generation than the proposal names, or the rollout of its previous generation
+// is not complete.
 var errConflict = errors.New("conflict")
 
 func newOperator(replicas []string) *operator {
@@ -42,12 +43,12 @@
 
 // proposal is the body of a PUT of a tenant.
 type proposal struct {
-	Generation uint64     `json:"generation"` // the present one; 0: there is no such tenant
+	Generation uint64     `json:"generation"` // current generation of the tenant; 0: the tenant does not exist yet
 	Spec       fleet.Spec `json:"spec"`
 }
 
-// propose puts a tenant's next generation, following the leader. An attempt whose outcome is not known is made again; the conflict
-// that an earlier attempt of the same call causes is no error.
+// propose puts the next generation of a tenant, following the leader. An attempt with an unknown outcome is repeated. A conflict after
+// such an attempt counts as success, since the earlier attempt may have caused it.
 func (o *operator) propose(ctx context.Context, generation uint64, spec fleet.Spec) error {
 	body, err := json.Marshal(proposal{Generation: generation, Spec: spec})
 	if err != nil {
@@ -75,7 +76,7 @@
 	}
 }
 
-// put makes one attempt at the replica that is taken for the leader.
+// put makes one attempt to put a tenant at the replica that is taken for the leader.
 func (o *operator) put(ctx context.Context, name string, body []byte) (status int, text []byte, err error) {
 	o.mu.Lock()
 	current := o.leader
@@ -98,7 +99,8 @@
 	return resp.StatusCode, bytes.TrimSpace(text), err
 }
 
-// follow turns from a replica to the one it names, or to the next.
+// switchLeader replaces the replica that is taken for the leader, if it still is from: by the one that from names, or else by the
+// next one.
 func (o *operator) switchLeader(from int, leader string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -112,7 +114,7 @@
 	o.leader = (from + 1) % len(o.replicas)
 }
 
-// metrics reads a replica's metrics.
+// metrics fetches and parses a replica's metrics.
 func (o *operator) metrics(replica string) (ReplicaMetrics, error) {
 	resp, err := o.client.Get("http://" + replica + "/metrics")
 	if err != nil {
@@ -125,5 +127,5 @@
 	return parseMetrics(resp.Body)
 }
 
-// close gives back the connections.
+// close closes the idle connections.
 func (o *operator) close() { o.client.CloseIdleConnections() }
--- a/internal/scale/plan.go
+++ b/internal/scale/plan.go
@@ -8,17 +8,17 @@
 	"github.com/BurntSushi/toml"
 )
 
-// Plan is a sweep as its TOML file gives it (docs/scale.md). Times are in seconds.
+// Plan is the definition of a sweep, read from its TOML file (docs/scale.md). Times are in seconds.
 type Plan struct {
 	Name      string    `toml:"name" json:"name"`
 	About     string    `toml:"about" json:"about"`
 	Dimension Dimension `toml:"dimension" json:"dimension"`
 	Sizes     []float64 `toml:"sizes" json:"sizes"`
 	Repeats   int       `toml:"repeats" json:"repeats"`
-	ReadyS    float64   `toml:"ready_s" json:"ready_s"`     // the longest that nodes and servers may take to come up
-	SettleS   float64   `toml:"settle_s" json:"settle_s"`   // between that and the measured window
-	MeasureS  float64   `toml:"measure_s" json:"measure_s"` // the measured window
-	LimitS    float64   `toml:"limit_s" json:"limit_s"`     // the longest that the whole sweep may take
+	ReadyS    float64   `toml:"ready_s" json:"ready_s"`     // longest time that nodes and servers may take to come up
+	SettleS   float64   `toml:"settle_s" json:"settle_s"`   // time between their readiness and the measured window
+	MeasureS  float64   `toml:"measure_s" json:"measure_s"` // length of the measured window
+	LimitS    float64   `toml:"limit_s" json:"limit_s"`     // longest time that the whole sweep may take
 	Seed      uint64    `toml:"seed" json:"seed"`
 	Replicas  int       `toml:"replicas" json:"replicas"`
 	Zones     []string  `toml:"zones" json:"zones"`
@@ -27,13 +27,13 @@
 	Events    []Event   `toml:"events" json:"events,omitempty"`
 }
 
-// Grouping is how hollow nodes and servers share processes, and how they behave.
+// Grouping says how hollow nodes and servers are divided into processes, and how they behave.
 type Grouping struct {
 	NodesPerProcess   int     `toml:"nodes_per_process" json:"nodes_per_process"`
 	ServersPerProcess int     `toml:"servers_per_process" json:"servers_per_process"`
-	ActiveTenants     int     `toml:"active_tenants" json:"active_tenants"` // that a node's traffic is of
-	RequestsPerS      float64 `toml:"requests_per_s" json:"requests_per_s"` // of a node
-	LeaseTTLMS        int64   `toml:"lease_ttl_ms" json:"lease_ttl_ms"`     // of a server
+	ActiveTenants     int     `toml:"active_tenants" json:"active_tenants"` // tenants for which a node's traffic model generates load
+	RequestsPerS      float64 `toml:"requests_per_s" json:"requests_per_s"` // request rate of a node's traffic model
+	LeaseTTLMS        int64   `toml:"lease_ttl_ms" json:"lease_ttl_ms"`     // TTL of a server's lease
 }
 
 // Bounds of a plan.
@@ -43,11 +43,11 @@
 	maxRepeats      = 20
 	maxReplicas     = 7
 	maxLimitSeconds = 6 * 3600
-	minStep         = 1.25 // of a size to the one before
+	minStep         = 1.25 // ratio of a size to the previous one
 	maxStep         = 4.0
 )
 
-// defaultPlan is what a file that says nothing of it gets.
+// defaultPlan returns the values that a sweep file may leave out.
 func defaultPlan() Plan {
 	return Plan{
 		Repeats:  3,
@@ -69,7 +69,7 @@
 	}
 }
 
-// ParsePlan reads a sweep file and fills in what it leaves out. The error of a bad one is one line that names the key.
+// ParsePlan parses a sweep file, fills in the defaults and checks the plan. Its error is one line that names the key.
 func ParsePlan(name string, text []byte) (*Plan, error) {
 	p := defaultPlan()
 	meta, err := toml.NewDecoder(bytes.NewReader(text)).Decode(&p)
@@ -88,7 +88,7 @@
 	return &p, nil
 }
 
-// Check compares the plan with its bounds.
+// Check returns an error that names the first key whose value is out of bounds.
 func (p *Plan) Check() error {
 	if p.Dimension == "" {
 		return fmt.Errorf("dimension: is missing: one of the keys of base")
@@ -117,7 +117,7 @@
 	return nil
 }
 
-// checkLoad checks the load of one size, and the events with it.
+// checkLoad checks the load of one size, and the events against that load.
 func (p *Plan) checkLoad(l Load) error {
 	if err := l.check("base."); err != nil {
 		return err
@@ -130,7 +130,7 @@
 	return nil
 }
 
-// checkTimes checks repeats, replicas and the times.
+// checkTimes checks the numbers of repeats and replicas, the zones and the times.
 func (p *Plan) checkTimes() error {
 	switch {
 	case p.Repeats < 1 || p.Repeats > maxRepeats:
@@ -151,7 +151,7 @@
 	return nil
 }
 
-// checkGrouping checks how processes are shared.
+// checkGrouping checks the values of the hollow table.
 func (p *Plan) checkGrouping() error {
 	g := p.Hollow
 	switch {
@@ -169,7 +169,7 @@
 	return nil
 }
 
-// checkSizes checks the sizes: enough of them, in the dimension's bounds, in geometric steps upwards.
+// checkSizes checks that there are enough sizes, within the dimension's bounds and ascending in geometric steps.
 func (p *Plan) checkSizes(dimension bound) error {
 	if len(p.Sizes) < minSizes || len(p.Sizes) > maxSizes {
 		return fmt.Errorf("sizes: %d of them, %d to %d are needed", len(p.Sizes), minSizes, maxSizes)
@@ -194,5 +194,5 @@
 	return nil
 }
 
-// seconds makes a duration of a number of seconds.
+// seconds converts a number of seconds to a time.Duration.
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/internal/scale/plot.go
+++ b/internal/scale/plot.go
@@ -11,13 +11,13 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// plotWidth and plotHeight are the size of a plot.
+// The size of a plot.
 const (
 	plotWidth  = 6 * vg.Inch
 	plotHeight = 4 * vg.Inch
 )
 
-// Plot writes one plot for each fit to a directory, and gives the files' names.
+// Plot writes one plot for each fit to a directory and returns the names of the files.
 func (r *Results) Plot(dir string) ([]string, error) {
 	var names []string
 	for _, fit := range r.Fits {
@@ -34,7 +34,7 @@
 	return names, nil
 }
 
-// plotOf draws the samples of a metric and the line through them, on to the largest size.
+// plotOf draws the samples of a metric and the fitted line, extended to the largest size.
 func (r *Results) plotOf(fit Fit) (*plot.Plot, error) {
 	p := plot.New()
 	p.Title.Text = fmt.Sprintf("%s: %s (exponent %.2f)", r.Sweep.Name, fit.Metric, fit.Exponent)
--- a/internal/scale/processgroup.go
+++ b/internal/scale/processgroup.go
@@ -10,8 +10,8 @@
 	"meadowsill/internal/scale/hollow"
 )
 
-// Hollow is one hollow process (hollow.Process, or a test's double). First and count of a call are the numbers of the nodes or
-// servers by the whole fleet's count.
+// Hollow is one hollow process (hollow.Process, or a fake in tests). first and count select nodes or servers by their numbers in
+// the whole fleet.
 type Hollow interface {
 	Usage() (hollow.Usage, error)
 	InForce(tenant, service string, generation uint64, wait time.Duration) (hollow.InForce, error)
@@ -22,17 +22,17 @@
 	Close() error
 }
 
-// group is the hollow processes of one role: nodes, or servers.
+// group is the hollow processes of one role: nodes or servers.
 type group struct {
 	processes  []Hollow
-	perProcess int // members of a process, of the last one at most
+	perProcess int // nodes or servers per process; the last process may have fewer
 	members    int
 }
 
-// of is the process that has a member.
+// processOf returns the process that runs a member.
 func (g *group) processOf(member int) Hollow { return g.processes[member/g.perProcess] }
 
-// span calls the processes that have members of consecutive numbers, each with its part of them.
+// callRange applies a call to members of consecutive numbers: once per process that runs some of them, each time with these.
 func (g *group) callRange(first, count int, call func(h Hollow, first, count int) error) error {
 	var errs []error
 	for end := first + count; first < end; {
@@ -43,7 +43,7 @@
 	return errors.Join(errs...)
 }
 
-// all calls every process at once, and gives the first error.
+// callAll calls every process concurrently and joins the errors.
 func (g *group) callAll(call func(i int, h Hollow) error) error {
 	errs := make([]error, len(g.processes))
 	var done sync.WaitGroup
@@ -59,7 +59,7 @@
 	g.callAll(func(_ int, h Hollow) error { return h.Close() })
 }
 
-// usage sums what the processes have used; Behind is the largest.
+// usage returns the sum of the processes' usage; Behind is the largest of their values.
 func (g *group) usage() (hollow.Usage, error) {
 	each := make([]hollow.Usage, len(g.processes))
 	err := g.callAll(func(i int, h Hollow) (err error) {
@@ -73,7 +73,7 @@
 	return sum, err
 }
 
-// addUsage adds one process's usage to a sum.
+// addUsage adds the usage of one process to a sum.
 func addUsage(sum *hollow.Usage, u hollow.Usage) {
 	for call, t := range u.Calls {
 		s := sum.Calls[call]
@@ -98,20 +98,20 @@
 	sum.DifferenceBytes += u.DifferenceBytes
 }
 
-// StartHollow starts one hollow process. It ends when it is closed, or with this process.
+// StartHollow starts one hollow process. The process runs until it is closed or this process exits.
 type StartHollow func(ctx context.Context, config hollow.Config) (Hollow, error)
 
-// starting is what a group is started from.
+// starter starts the processes of a group.
 type starter struct {
 	start      StartHollow
-	config     hollow.Config // of all processes; first, count and directory are filled in
+	config     hollow.Config // shared by all processes; configure adds first, count, seed and directory
 	perProcess int
 	members    int
 	configure  func(c *hollow.Config, process, first, count int)
-	started    func(h Hollow) // hears of every process
+	started    func(h Hollow) // called with every process that was started
 }
 
-// run starts a group's processes one after the other. Where it fails, those that were started are left to the caller.
+// run starts the processes of a group one after another. If it fails, the caller has to close those that were started.
 func (s starter) run(ctx context.Context) (*group, error) {
 	g := &group{perProcess: s.perProcess, members: s.members}
 	for first := 0; first < s.members; first += s.perProcess {
--- a/internal/scale/replicametrics.go
+++ b/internal/scale/replicametrics.go
@@ -11,21 +11,21 @@
 	"github.com/prometheus/common/model"
 )
 
-// ReplicaMetrics are the counters of a replica's GET /metrics that a sweep uses.
+// ReplicaMetrics are the metrics from a replica's GET /metrics that a sweep uses.
 type ReplicaMetrics struct {
 	Step     Steps
-	Commands float64 // of the fleet's cores, whatever came of them
-	Reports  float64 // answered, whatever the answer
+	Commands float64 // commands of the fleet's cores, with any result
+	Reports  float64 // answered reports, with any result
 }
 
-// Steps is the histogram of the leader's steps.
+// Steps is the histogram of the times of the leader's steps.
 type Steps struct {
 	Count   float64
 	Sum     float64 // seconds
 	Buckets []StepBucket
 }
 
-// StepBucket counts the steps of up to Bound seconds.
+// StepBucket counts the steps that took at most Bound seconds.
 type StepBucket struct {
 	Bound float64
 	Count float64
@@ -38,7 +38,7 @@
 	reportsMetric  = "fleet_reports_total"
 )
 
-// parseMetrics reads Prometheus's text format. Metrics that are not there are 0.
+// parseMetrics parses the Prometheus text format. Missing metrics are 0.
 func parseMetrics(in io.Reader) (ReplicaMetrics, error) {
 	parser := expfmt.NewTextParser(model.UTF8Validation)
 	families, err := parser.TextToMetricFamilies(in)
@@ -56,7 +56,7 @@
 	return out, nil
 }
 
-// counterSum adds a counter's values over all its labels.
+// counterSum returns the sum of a counter's values over all label values.
 func counterSum(family *dto.MetricFamily) float64 {
 	sum := 0.0
 	for _, m := range family.GetMetric() {
@@ -65,7 +65,7 @@
 	return sum
 }
 
-// Since gives the steps after an earlier reading.
+// Since returns the steps since an earlier reading.
 func (s Steps) Since(before Steps) Steps {
 	out := Steps{Count: s.Count - before.Count, Sum: s.Sum - before.Sum, Buckets: slices.Clone(s.Buckets)}
 	for i := range out.Buckets {
@@ -76,7 +76,7 @@
 	return out
 }
 
-// Mean is a step's mean time in seconds; ok is false where there was none.
+// Mean returns the mean time of a step in seconds; ok is false if there was none.
 func (s Steps) Mean() (mean float64, ok bool) {
 	if s.Count <= 0 {
 		return 0, false
@@ -84,8 +84,8 @@
 	return s.Sum / s.Count, true
 }
 
-// Quantile is the upper bound of the bucket that the q-th step is in; ok is false where there is none, or it is over
-// every bound.
+// Quantile returns the upper bound, in seconds, of the bucket that holds the quantile q (0 to 1). ok is false if there were no steps
+// or the quantile lies above the highest finite bound.
 func (s Steps) Quantile(q float64) (bound float64, ok bool) {
 	if s.Count <= 0 {
 		return 0, false
--- a/internal/scale/replicas.go
+++ b/internal/scale/replicas.go
@@ -12,41 +12,41 @@
 	"meadowsill/internal/lab/discoverylab"
 )
 
-// ControlPlane is the replicas of a run.
+// ControlPlane is the set of replicas of a run.
 type ControlPlane interface {
-	Addresses() []string // of the replicas' HTTP
+	Addresses() []string // HTTP addresses of the replicas
 	PIDs() []int
-	Propose(ctx context.Context, generation uint64, spec fleet.Spec) error // the generation after the one given
-	Restart(ctx context.Context, down time.Duration) error                 // all replicas, at once; until one leads again
+	Propose(ctx context.Context, generation uint64, spec fleet.Spec) error // proposes the generation after the given one
+	Restart(ctx context.Context, down time.Duration) error                 // kills all replicas at once, starts them after down, awaits a leader
 	Sample() (Replicas, error)
 	Close()
 }
 
 // Replicas are the samples of all replicas at one moment.
 type Replicas struct {
-	Leader int // index of the one that leads
+	Leader int // index of the leader
 	Each   []ReplicaSample
 }
 
-// ReplicaSample is what one replica has used and done since its start.
+// ReplicaSample holds the resource use and counters of one replica since its start.
 type ReplicaSample struct {
 	PID           int
 	CPU           time.Duration
 	RSSBytes      uint64
-	RaftBytes     uint64 // over raft's links, both ways
-	LogBytes      uint64 // of the log's file, now
-	SnapshotBytes uint64 // of the newest snapshot
-	WrittenBytes  uint64 // to the disk
+	RaftBytes     uint64 // sent and received over Raft links
+	LogBytes      uint64 // current size of the log file
+	SnapshotBytes uint64 // size of the newest snapshot
+	WrittenBytes  uint64 // written to disk
 	Metrics       ReplicaMetrics
 }
 
-// StartReplicas starts the replicas of one run, with slots nodes at most, their data under dir.
+// StartReplicas starts the replicas of one run, for at most slots nodes, and keeps their data under dir.
 type StartReplicas func(ctx context.Context, dir string, replicas, slots int) (ControlPlane, error)
 
-// leaderWithin is how long a leader is waited for.
+// leaderTimeout is how long to wait for a leader.
 const leaderTimeout = 30 * time.Second
 
-// DiscoveryReplicas gives what starts discovery processes of a program.
+// DiscoveryReplicas returns a StartReplicas that runs processes of the given discovery binary.
 func DiscoveryReplicas(binary string) StartReplicas {
 	return func(ctx context.Context, dir string, replicas, slots int) (ControlPlane, error) {
 		settings := filepath.Join(dir, "fleet.toml")
@@ -65,16 +65,16 @@
 	}
 }
 
-// discoveryPlane is a control plane of discovery processes.
+// discoveryPlane is a ControlPlane of discovery processes.
 type discoveryPlane struct {
 	cluster  *discoverylab.Cluster
 	operator *operator
 }
 
-// Addresses gives the replicas' HTTP addresses.
+// Addresses returns the HTTP addresses of the replicas.
 func (p *discoveryPlane) Addresses() []string { return p.cluster.HTTP }
 
-// PIDs gives the replicas' process ids.
+// PIDs returns the process ids of the running replicas.
 func (p *discoveryPlane) PIDs() []int {
 	var out []int
 	for i := range p.cluster.HTTP {
@@ -85,7 +85,7 @@
 	return out
 }
 
-// Propose puts a tenant's next generation.
+// Propose puts the next generation of a tenant.
 func (p *discoveryPlane) Propose(ctx context.Context, generation uint64, spec fleet.Spec) error {
 	return p.operator.propose(ctx, generation, spec)
 }
@@ -107,7 +107,7 @@
 	return err
 }
 
-// Sample reads every replica's accounts.
+// Sample reads the resource use and counters of every replica.
 func (p *discoveryPlane) Sample() (Replicas, error) {
 	leader, err := p.cluster.Leader(leaderTimeout, -1)
 	if err != nil {
@@ -122,7 +122,7 @@
 	return out, nil
 }
 
-// sample reads one replica's accounts.
+// sample reads the resource use and counters of one replica.
 func (p *discoveryPlane) sample(i int) (ReplicaSample, error) {
 	pid, dir := p.cluster.Pid(i), p.cluster.Dirs[i]
 	metrics, err := p.operator.metrics(p.cluster.HTTP[i])
@@ -146,7 +146,7 @@
 	return s, nil
 }
 
-// newestSnapshot is the size of the newest of a replica's snapshots, 0 where there is none.
+// newestSnapshot returns the size in bytes of a replica's newest snapshot, 0 if there is none.
 func newestSnapshot(dir string) uint64 {
 	paths, _ := filepath.Glob(filepath.Join(dir, "snapshots", "*", "state.bin"))
 	var newest time.Time
@@ -159,7 +159,7 @@
 	return size
 }
 
-// Close ends the replicas.
+// Close stops the replicas.
 func (p *discoveryPlane) Close() {
 	p.operator.close()
 	p.cluster.Close()
--- a/internal/scale/results.go
+++ b/internal/scale/results.go
@@ -16,49 +16,49 @@
 // Format is the version of the results file.
 const Format = 1
 
-// resultsFile and histogramsFile are the names of a run directory's files.
+// The names of the files in a run's directory.
 const (
 	resultsFile    = "results.json"
 	histogramsFile = "histograms.json"
 )
 
-// Results are a sweep's figures.
+// Results are the results of a sweep: its measured points and the fits.
 type Results struct {
 	Format    int            `json:"format"`
-	Commit    string         `json:"commit"`       // of the program that measured
-	Discovery string         `json:"listd_commit"` // of the replicas' program
+	Commit    string         `json:"commit"`       // commit of the measuring program
+	Discovery string         `json:"listd_commit"` // commit of the replicas' program
 	Machine   bounds.Machine `json:"machine"`
 	Sweep     Plan           `json:"sweep"`
 	Begun     time.Time      `json:"begun"`
 	TookS     float64        `json:"took_s"`
-	Partial   string         `json:"partial,omitempty"` // why the sweep ended before its end; empty: it is complete
+	Partial   string         `json:"partial,omitempty"` // why the sweep ended early; empty: the sweep is complete
 	Points    []Point        `json:"points"`
 	Fits      []Fit          `json:"fits"`
 }
 
-// Point is what was measured at one size.
+// Point holds the measurements at one size.
 type Point struct {
 	Size    float64  `json:"size"`
 	Load    Load     `json:"load"`
 	Repeats []Repeat `json:"repeats"`
 }
 
-// Repeat is one run of one size.
+// Repeat holds the measurements of one run at one size.
 type Repeat struct {
 	Values      Values  `json:"values"`
-	WindowS     float64 `json:"window_s"`             // as it was measured
-	Changes     int     `json:"changes"`              // put and waited for
-	Late        int     `json:"late,omitempty"`       // of them, begun after their time, as the one before took so long
-	Refused     int     `json:"refused,omitempty"`    // changes not put, as every tenant that was tried was not done with its last one
-	Restarts    int     `json:"restarts,omitempty"`   // of nodes
-	Replaced    int     `json:"replaced,omitempty"`   // servers
-	WorstNode   string  `json:"worst_node,omitempty"` // that came to a change last
-	MachineLoad float64 `json:"machine_load"`         // the machine's load average at the window's end, of all that runs there
+	WindowS     float64 `json:"window_s"`             // actual length of the measured window, in seconds
+	Changes     int     `json:"changes"`              // changes that were proposed and waited for
+	Late        int     `json:"late,omitempty"`       // those of Changes that began late because the previous change took too long
+	Refused     int     `json:"refused,omitempty"`    // changes not made: every tenant tried was still rolling out its previous generation
+	Restarts    int     `json:"restarts,omitempty"`   // node restarts
+	Replaced    int     `json:"replaced,omitempty"`   // server replacements
+	WorstNode   string  `json:"worst_node,omitempty"` // node on which the slowest change came into force last
+	MachineLoad float64 `json:"machine_load"`         // load average of the whole machine at the window's end
 	Failed      string  `json:"failed,omitempty"`     // why there are no values
-	Histogram   string  `json:"-"`                    // of the changes, as HdrHistogram encodes it; in a file of its own
+	Histogram   string  `json:"-"`                    // times of the changes, encoded by HdrHistogram; stored in a separate file
 }
 
-// Samples gives the measured values of one metric over all sizes.
+// Samples returns the measured values of one metric over all sizes.
 func (r *Results) Samples(metric Metric) []Sample {
 	var out []Sample
 	for _, point := range r.Points {
@@ -71,7 +71,7 @@
 	return out
 }
 
-// Metrics gives the names of all that was measured, in order.
+// Metrics returns the names of all metrics that were measured, sorted.
 func (r *Results) Metrics() []Metric {
 	all := Values{}
 	for _, point := range r.Points {
@@ -84,7 +84,7 @@
 	return all.Names()
 }
 
-// FitAll makes the fits anew from the points.
+// FitAll replaces the fits by new ones, computed from the points.
 func (r *Results) FitAll() {
 	r.Fits = nil
 	for _, metric := range r.Metrics() {
@@ -94,7 +94,7 @@
 	}
 }
 
-// Fit finds the fit of a metric.
+// Fit returns the fit of a metric.
 func (r *Results) Fit(metric Metric) (Fit, bool) {
 	i := slices.IndexFunc(r.Fits, func(f Fit) bool { return f.Metric == metric })
 	if i < 0 {
@@ -103,7 +103,7 @@
 	return r.Fits[i], true
 }
 
-// Mean is a metric's mean over the repeats of a point; ok is false where it was not measured.
+// Mean returns the mean of a metric over the repeats of a point; ok is false if the metric was not measured.
 func (p Point) Mean(metric Metric) (mean float64, ok bool) {
 	var values []float64
 	for _, repeat := range p.Repeats {
@@ -117,14 +117,14 @@
 	return stat.Mean(values, nil), true
 }
 
-// histogram is one repeat's HdrHistogram in the file of histograms.
+// histogram is the HdrHistogram of one repeat, as stored in the histograms file.
 type histogram struct {
 	Size    float64 `json:"size"`
 	Repeat  int     `json:"repeat"`
 	Encoded string  `json:"encoded"`
 }
 
-// Write puts results.json, and the histograms in a file of their own, in a directory.
+// Write writes results.json and, in a separate file, the histograms to a directory.
 func (r *Results) Write(dir string) error {
 	var all []histogram
 	for _, point := range r.Points {
@@ -140,7 +140,7 @@
 	return writeJSON(filepath.Join(dir, histogramsFile), all)
 }
 
-// writeJSON writes a value to a file, completely or not at all.
+// writeJSON writes a value as JSON to a file. It replaces the file atomically, so that no incomplete file is left.
 func writeJSON(path string, v any) error {
 	raw, err := json.MarshalIndent(v, "", " ")
 	if err != nil {
@@ -153,7 +153,7 @@
 	return os.Rename(temporary, path)
 }
 
-// ReadResults reads a results file. One of another format is refused.
+// ReadResults reads a results file. It returns an error if the file has another format version.
 func ReadResults(path string) (*Results, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -13,20 +13,21 @@
 	"meadowsill/internal/lab/bounds"
 )
 
-// Options are what a sweep is run with.
+// Options are the settings that a sweep runs with, beside its plan.
 type Options struct {
-	Dir             string    // of the run: results, plots, the replicas' and agents' data while they run
-	Progress        io.Writer // a line for each repeat
-	Commit          string    // of this program
-	DiscoveryCommit string    // of the replicas' program
+	Dir             string    // directory of the run: results, plots, and the data of replicas and agents while they run
+	Progress        io.Writer // gets a line for each repeat; nil: none
+	Commit          string    // commit of this program
+	DiscoveryCommit string    // commit of the replicas' program
 	Machine         bounds.Machine
 	Limits          bounds.Limits
 	StartReplicas   StartReplicas
 	StartHollow     StartHollow
 }
 
-// Run carries out a sweep. It refuses one whose needs pass a limit before anything starts. One that is ended early, by a limit,
-// by its time, by ctx or by a point that fails, gives what it has, marked partial, and no error.
+// Run carries out a sweep. If the plan is bad or its needs exceed a limit, Run returns an error before anything starts. If the sweep
+// ends early, because of a limit, its maximum time, ctx or a failed point, Run returns the results so far, marked partial, and no
+// error.
 func Run(ctx context.Context, plan *Plan, options Options) (*Results, error) {
 	if err := plan.Check(); err != nil {
 		return nil, err
@@ -57,7 +58,7 @@
 	return s.results, nil
 }
 
-// reason is why a sweep ended early, on one line.
+// partialReason returns in one line why a sweep ended early.
 func partialReason(err error) string {
 	if errors.Is(err, context.Canceled) && !errors.Is(err, bounds.ErrPartial) {
 		return "interrupted"
@@ -65,17 +66,17 @@
 	return oneLine(err.Error())
 }
 
-// sweep is a sweep under way.
+// sweep is a running sweep.
 type sweep struct {
 	plan    *Plan
 	options Options
 	results *Results
 
 	mu          sync.Mutex
-	currentPIDs func() []int // the present repeat's processes; nil between two
+	currentPIDs func() []int // returns the process ids of the current repeat; nil between two repeats
 }
 
-// pids gives the processes that run now.
+// pids returns the ids of the processes that are running.
 func (s *sweep) pids() []int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -85,15 +86,15 @@
 	return s.currentPIDs()
 }
 
-// watch sets whose processes are watched.
+// setCurrentPIDs sets the function that returns the process ids to watch.
 func (s *sweep) setCurrentPIDs(currentPIDs func() []int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.currentPIDs = currentPIDs
 }
 
-// run measures every size once, then all again, as often as the plan says: so what else goes on at the machine falls on all
-// sizes. A size that fails is not measured again, nor those above it. The error says why the sweep is incomplete.
+// run measures every size once, then all sizes again, as often as the plan says. In this order other activity on the machine affects
+// all sizes. If a size fails, neither that size nor the larger ones are measured again. The error says why the sweep is incomplete.
 func (s *sweep) run(ctx context.Context) error {
 	sizes := s.plan.Sizes
 	var failed error
@@ -101,7 +102,7 @@
 		for k, size := range sizes {
 			err := s.measure(ctx, k, i)
 			if ctx.Err() != nil {
-				return context.Cause(ctx) // what was measured of this repeat is incomplete
+				return context.Cause(ctx) // the measurements of this repeat are incomplete
 			}
 			if err != nil {
 				failed = fmt.Errorf("%s %v: %w", s.plan.Dimension, size, err)
@@ -113,7 +114,7 @@
 	return failed
 }
 
-// measure measures a size once and puts it with the results.
+// measure measures a size once and adds the repeat to the results.
 func (s *sweep) measure(ctx context.Context, k, i int) error {
 	size, began := s.plan.Sizes[k], time.Now()
 	load := s.plan.Base.At(s.plan.Dimension, size)
@@ -135,7 +136,7 @@
 	return err
 }
 
-// repeat measures one size once, in a directory of its own that is taken away at the end.
+// repeat measures one size once, in a separate directory that it removes at the end.
 func (s *sweep) repeat(ctx context.Context, load Load, size float64, i int) (Repeat, error) {
 	dir := filepath.Join(s.options.Dir, fmt.Sprintf("data-%v-%d", size, i))
 	if err := os.MkdirAll(dir, 0o755); err != nil {
@@ -146,11 +147,11 @@
 	s.setCurrentPIDs(f.pids)
 	defer s.setCurrentPIDs(nil)
 	defer f.close()
-	defer context.AfterFunc(ctx, f.close)() // a call that waits at a process ends with it
+	defer context.AfterFunc(ctx, f.close)() // closing the processes ends calls that wait for one of them
 	return f.measure(ctx)
 }
 
-// say prints a line of progress.
+// printProgress prints a line of progress output.
 func (s *sweep) printProgress(format string, args ...any) {
 	if s.options.Progress != nil {
 		fmt.Fprintf(s.options.Progress, format+"\n", args...)
--- a/internal/scale/schedule.go
+++ b/internal/scale/schedule.go
@@ -8,26 +8,26 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// window is a schedule under way. Changes, restarts, replacements and events each go in a lane of their own, in which one
-// follows the other.
+// window carries out the schedule of a measured window. Changes, restarts, replacements and events run concurrently; those of one
+// kind run one after another.
 type window struct {
 	tenants  *tenantSet
 	plane    ControlPlane
 	nodes    *group
 	servers  *group
 	seed     uint64
-	readyS   float64 // the longest that nodes may take to be up again after an event
+	readyS   float64 // longest time that nodes may take to be ready again after an event, in seconds
 	measured *outcome
 }
 
-// lane is things that happen at a steady rate, the first after half of a space.
+// task is an operation that is repeated at a steady rate, the first time after half an interval.
 type task struct {
-	rate float64 // a second; 0: it is empty
+	rate float64 // runs per second; 0: the task never runs
 	do   func(ctx context.Context, random *rand.Rand, late bool) error
 }
 
-// run carries out a load's rates and a plan's events over a window of length d. It lasts d at least, and until the last thing
-// that began in it is over. The first error ends it.
+// run carries out the operations of a load's rates and the events of a plan over a window of length d. It takes at least d and lasts
+// until every operation that began in the window has ended. The first error ends it.
 func (w *window) run(ctx context.Context, l Load, events []Event, d time.Duration) error {
 	tasks := []task{{l.ChangesPerS, w.change}, {l.RestartsPerS, w.restart}, {l.ReplacementsPerS, w.replace}}
 	group, ctx := errgroup.WithContext(ctx)
@@ -41,8 +41,8 @@
 	return group.Wait()
 }
 
-// run does the lane's things until d after start. One whose time has passed, as the one before took so long, is late; those
-// that have not begun by the end are not done.
+// run repeats the task until d after start. A repetition is late if its time has passed because the previous one took too long.
+// Repetitions that have not begun by the end are left out.
 func (t task) run(ctx context.Context, random *rand.Rand, start time.Time, d time.Duration) error {
 	if t.rate <= 0 {
 		return nil
@@ -79,14 +79,14 @@
 	})
 }
 
-// replace has a random server come back under a new address.
+// replace replaces a random server: the server deregisters and registers again under a new address.
 func (w *window) replace(_ context.Context, random *rand.Rand, _ bool) error {
 	w.measured.update(func(o *outcome) { o.replaced++ })
 	server := random.IntN(w.servers.members)
 	return w.servers.processOf(server).Replace(server, 1)
 }
 
-// pause waits for d, or until ctx ends, with its cause.
+// pause waits for the duration d. If ctx ends first, pause returns its cause.
 func pause(ctx context.Context, d time.Duration) error {
 	if d <= 0 {
 		return context.Cause(ctx)
--- a/internal/scale/table.go
+++ b/internal/scale/table.go
@@ -7,7 +7,7 @@
 	"text/tabwriter"
 )
 
-// Table prints the results: the mean of each metric at each size, then the fits.
+// Table prints the mean of each metric at each size, then the fits, then the repeats that failed.
 func (r *Results) Table(out io.Writer) {
 	fmt.Fprintf(out, "sweep %s over %s, commit %.12s, discovery %.12s, %.0f s", r.Sweep.Name, r.Sweep.Dimension, r.Commit, r.Discovery, r.TookS)
 	if r.Partial != "" {
@@ -25,7 +25,7 @@
 	}
 }
 
-// measuredTable prints a row for each metric, a column for each size.
+// measuredTable prints a row for each metric with a column for each size.
 func (r *Results) measuredTable(out io.Writer) {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	defer w.Flush()
@@ -53,7 +53,7 @@
 	fmt.Fprintln(w)
 }
 
-// machineLoad is the mean of the repeats' load averages.
+// machineLoad returns the mean of the machine's load averages over the repeats.
 func (p Point) machineLoad() float64 {
 	sum := 0.0
 	for _, repeat := range p.Repeats {
@@ -84,5 +84,5 @@
 	}
 }
 
-// number gives four digits of a value.
+// number formats a value with four significant digits.
 func number(v float64) string { return strconv.FormatFloat(v, 'g', 4, 64) }
--- a/internal/scale/tenants.go
+++ b/internal/scale/tenants.go
@@ -12,23 +12,23 @@
 	"meadowsill/internal/scale/hollow"
 )
 
-// putsAtOnce is how many tenants are put at the same time before the nodes start.
+// putsAtOnce is how many tenants are put concurrently before the nodes start.
 const putsAtOnce = 64
 
-// population is the tenants of a run and the generation that each is at.
+// tenantSet is the tenants of a run with the current generation of each.
 type tenantSet struct {
 	load  Load
 	plane ControlPlane
 
 	mu          sync.Mutex
-	generations []uint64 // by tenant
+	generations []uint64 // indexed by tenant
 }
 
-// tenantName names tenant i.
+// tenantName returns the name of tenant i.
 func tenantName(i int) string { return fmt.Sprintf("tenant-%06d", i) }
 
-// spec is the specification of a tenant at a generation. Where nodes have a scope, tenants are spread evenly over the
-// services; routes are over the tenants. Each generation has a slightly higher quota than the one before.
+// spec returns the specification of a tenant at a generation. If nodes have a scope, the tenants are spread evenly over the services.
+// The routes are spread evenly over the tenants. Each generation has a slightly higher quota than the previous one.
 func (l Load) spec(tenant int, generation uint64) fleet.Spec {
 	rate := 100 + float64(generation)
 	s := fleet.Spec{Name: tenantName(tenant), Quota: fleet.Quota{Rate: rate, Burst: rate}}
@@ -48,7 +48,7 @@
 	return s
 }
 
-// putAll puts the first generation of every tenant. The first that fails ends it.
+// putAll puts the first generation of every tenant. The first failure ends it.
 func (t *tenantSet) putAll(ctx context.Context) error {
 	next := make(chan int)
 	ctx, fail := context.WithCancelCause(ctx)
@@ -77,10 +77,11 @@
 	return context.Cause(ctx)
 }
 
-// maxPlacementAttempts is how many tenants are tried for one change: one that is not done with its last generation is passed over.
+// maxChangeAttempts is how many random tenants are tried for one change. A tenant is skipped while the rollout of its previous
+// generation is not complete.
 const maxChangeAttempts = 20
 
-// change proposes the next generation of a random tenant, and gives when it did.
+// change proposes the next generation of a random tenant; putAt is when it sent the proposal.
 func (t *tenantSet) change(ctx context.Context, random *rand.Rand) (spec fleet.Spec, generation uint64, putAt time.Time, err error) {
 	for range maxChangeAttempts {
 		putAt = time.Now()
@@ -95,7 +96,7 @@
 	return spec, generation, putAt, err
 }
 
-// next proposes a tenant's next generation.
+// next proposes the next generation of a tenant.
 func (t *tenantSet) next(ctx context.Context, tenant int) (spec fleet.Spec, generation uint64, err error) {
 	t.mu.Lock()
 	at := t.generations[tenant]
--- a/internal/scale/values.go
+++ b/internal/scale/values.go
@@ -7,7 +7,7 @@
 	"meadowsill/internal/scale/hollow"
 )
 
-// sample is what every role has used up to one moment.
+// sample holds the resource use and counters of every role at one moment.
 type sample struct {
 	at       time.Time
 	replicas Replicas
@@ -15,7 +15,7 @@
 	servers  hollow.Usage
 }
 
-// valuesOf turns two samples and what happened between them into the figures of each role.
+// valuesOf computes the metrics of each role from two samples and the outcome of the schedule between them.
 func valuesOf(l Load, before, after sample, seen *outcome) Values {
 	v := Values{}
 	window := after.at.Sub(before.at).Seconds()
@@ -27,13 +27,14 @@
 	return v
 }
 
-// sameLeader says whether one process led at both ends; otherwise neither the leader's nor the followers' figures are of one role.
+// sameLeader reports whether the same process was the leader at both samples. If not, a replica changed its role in between, and
+// neither the leader's nor the followers' metrics describe one role.
 func sameLeader(before, after Replicas) bool {
 	lead := after.Leader
 	return before.Leader == lead && before.Each[lead].PID == after.Each[lead].PID
 }
 
-// addLeader adds the leader's figures.
+// addLeader adds the metrics of the leader.
 func (v Values) addLeader(before, after sample, window float64) {
 	if !sameLeader(before.replicas, after.replicas) {
 		return
@@ -63,7 +64,7 @@
 	v[LeaderHTTPOut] = float64(reports.BytesIn+registered.BytesIn) / window
 }
 
-// addFollowers adds the mean of the replicas that did not lead.
+// addFollowers adds the metrics of the followers, as the mean over them.
 func (v Values) addFollowers(before, after Replicas, window float64) {
 	followers := float64(len(after.Each) - 1)
 	if followers < 1 || !sameLeader(before, after) {
@@ -83,7 +84,7 @@
 	v[FollowerRaftBytes] = raft / window / followers
 }
 
-// addNodes adds the mean of the hollow nodes.
+// addNodes adds the metrics of the hollow nodes, as the mean over them.
 func (v Values) addNodes(l Load, before, after hollow.Usage, window float64) {
 	nodes := float64(l.Nodes)
 	v[NodeCPU] = (after.CPU - before.CPU).Seconds() / window / nodes
@@ -118,7 +119,7 @@
 	}
 }
 
-// addRegistrants adds the mean of the hollow app servers.
+// addRegistrants adds the metrics of the hollow app servers, as the mean over them.
 func (v Values) addRegistrants(l Load, before, after hollow.Usage, window float64) {
 	servers := float64(l.Servers)
 	t := trafficBetween(before, after, hollow.CallRegister)
@@ -129,14 +130,14 @@
 	v.addMean(RegistrantCall, t)
 }
 
-// addMean adds the bytes of one call, where there were any.
+// addMean adds the mean bytes per call as a metric, if there were any calls.
 func (v Values) addMean(metric Metric, t hollow.Traffic) {
 	if t.Calls > 0 {
 		v[metric] = float64(t.BytesIn+t.BytesOut) / float64(t.Calls)
 	}
 }
 
-// addChanges adds the times of changes and events.
+// addChanges adds the metrics of changes and events. For releases and recoveries it takes the longest.
 func (v Values) addChanges(l Load, before, after hollow.Usage, window float64, seen *outcome) {
 	if seen.changes > 0 {
 		v[ChangesDone] = float64(seen.changes) / window
@@ -155,7 +156,7 @@
 	}
 }
 
-// addSpread adds how long changes took.
+// addChangeTimes adds the percentiles and the maximum of the times of changes, and how many came too late.
 func (v Values) addChangeTimes(times *changeTimes, p50, p99, longest, missed Metric) {
 	v[missed] = float64(times.missed)
 	for metric, q := range map[Metric]float64{p50: 50, p99: 99} {
@@ -165,11 +166,11 @@
 	}
 }
 
-// trafficBetween is what went over the sockets for a call between two samples.
+// trafficBetween returns the traffic of one kind of call between two samples.
 func trafficBetween(before, after hollow.Usage, call hollow.Call) hollow.Traffic {
 	b, a := before.Calls[call], after.Calls[call]
 	return hollow.Traffic{Calls: a.Calls - b.Calls, BytesIn: a.BytesIn - b.BytesIn, BytesOut: a.BytesOut - b.BytesOut}
 }
 
-// difference of two readings of a counter.
+// difference returns the difference of two readings of a counter.
 func difference(before, after uint64) float64 { return float64(after) - float64(before) }
