--- a/internal/scale/cores_test.go
+++ b/internal/scale/cores_test.go
@@ -14,10 +14,10 @@
 	"meadowsill/internal/scale/hollow"
 )
 
-// coreSizes are those that the pure cores are measured at: of servers, or of tenants.
+// coreSizes are the numbers of servers or tenants that the costs of the pure cores are measured at.
 var coreSizes = []int{100, 400, 1600, 3200}
 
-// serversOf is a list of n app servers, at the revision n.
+// newServerList returns a list of n app servers, at revision n.
 func newServerList(t testing.TB, n int) *registry.State {
 	s := registry.New(1000)
 	for i := range n {
@@ -33,7 +33,8 @@
 	}
 }
 
-// intended is the fleet's state with n tenants over 16 services, every one committed, and the leader's judge.
+// coreFleet is the fleet's state together with the leader's controller. newCoreFleet fills it with n tenants over 16 services, all of
+// them committed.
 type coreFleet struct {
 	state      *control.State
 	controller *control.Controller
@@ -58,7 +59,7 @@
 	return f
 }
 
-// put proposes a tenant's next generation.
+// put proposes the next generation of a tenant; at is its current one.
 func (f *coreFleet) put(t testing.TB, tenant int, at uint64) {
 	spec := f.load.spec(tenant, at+1)
 	f.apply(t, control.Command{Tenants: &tenants.Command{Operation: tenants.Put, Name: spec.Name, Generation: at, Spec: &spec}})
@@ -70,7 +71,7 @@
 	}
 }
 
-// step has the judge decide, and carries it out.
+// step runs one step of the controller and applies its commands.
 func (f *coreFleet) step(t testing.TB) {
 	f.now += 100 * time.Millisecond
 	for _, c := range f.controller.Step(f.now, f.state, nil) {
@@ -79,7 +80,7 @@
 	}
 }
 
-// report is that of a node which holds every tenant.
+// report returns the report of a node that holds every tenant.
 func (f *coreFleet) report() fleet.Report {
 	r := fleet.Report{Member: fleet.Member{Node: "h00000", Zone: "za", Incarnation: 1}, Sequence: 1, Revision: f.state.Revision, Ready: true}
 	for i := range f.load.Tenants {
@@ -96,19 +97,19 @@
 	return float64(len(raw))
 }
 
-// coreCost is what one operation of a pure core costs at a size, in a unit that does not depend on the machine, and how its
-// exponent may be at most.
+// coreCost is the cost of one operation of a pure core as a function of the size, in a unit that does not depend on the machine, and
+// the largest exponent that it may have.
 type coreCost struct {
 	name        string
 	maxExponent float64
 	cost        func(t *testing.T, n int) float64
 }
 
-// allocationRuns is how many calls allocations are counted over.
+// allocationRuns is the number of calls over which allocations are counted.
 const allocationRuns = 200
 
-// allocations counts those of one call, the mean of many: a call that splits a node of a tree, or meets the collector, has more
-// than its neighbours. Those of a first call, which may fill buffers, are left out.
+// allocations returns the mean number of allocations per call over many calls, since a call that splits a tree node or coincides with
+// a garbage collection has more than others. It leaves out the first call, which may fill buffers.
 func allocations(f func()) float64 { return testing.AllocsPerRun(allocationRuns, f) }
 
 var coreCosts = []coreCost{
@@ -181,8 +182,8 @@
 	}},
 }
 
-// TestCoresKeepTheirGrowth holds the exponents of what the pure cores cost, and shows of each check that it fails where the
-// cost is planted to grow by n^1.5 more.
+// TestCoreCostsStayWithinTheirExponents checks the exponents of the costs of the pure cores. It also checks that each limit detects an
+// inflated cost, which grows by a factor of n^1.5 more.
 func TestCoreCostsStayWithinTheirExponents(t *testing.T) {
 	for _, c := range coreCosts {
 		t.Run(c.name, func(t *testing.T) {
@@ -197,13 +198,13 @@
 				t.Error(err)
 			}
 			if err := limit.check(inflated); err == nil {
-				t.Error("a cost that is planted to grow by n^1.5 more is not found")
+				t.Error("the limit does not detect a cost that grows by n^1.5 more")
 			}
 		})
 	}
 }
 
-// benchSizes are those of the benchmarks.
+// benchSizes are the numbers of servers or tenants in the benchmarks.
 var benchSizes = []int{400, 1600, 6400, 25_600}
 
 func benchmark(b *testing.B, prepare func(n int) func()) {
@@ -218,7 +219,7 @@
 	}
 }
 
-// BenchmarkListRead is a watch's read of one change, by servers.
+// BenchmarkListRead measures a watch's read of one change of the list, by number of servers.
 func BenchmarkListRead(b *testing.B) {
 	benchmark(b, func(n int) func() {
 		s := newServerList(b, n)
@@ -228,7 +229,7 @@
 	})
 }
 
-// BenchmarkIntentRead is a watch's read of one change, by tenants.
+// BenchmarkIntentRead measures a watch's read of one change of the intent, by number of tenants.
 func BenchmarkIntentRead(b *testing.B) {
 	benchmark(b, func(n int) func() {
 		f := newCoreFleet(b, n)
@@ -238,7 +239,7 @@
 	})
 }
 
-// BenchmarkStep is a step of the leader with nothing to decide, by tenants.
+// BenchmarkStep measures a step of the leader with nothing to decide, by number of tenants.
 func BenchmarkStep(b *testing.B) {
 	benchmark(b, func(n int) func() {
 		f := newCoreFleet(b, n)
@@ -246,7 +247,7 @@
 	})
 }
 
-// BenchmarkSnapshot is a snapshot of the fleet's state, by tenants.
+// BenchmarkSnapshot measures a snapshot of the fleet's state, by number of tenants.
 func BenchmarkSnapshot(b *testing.B) {
 	benchmark(b, func(n int) func() {
 		f := newCoreFleet(b, n)
--- a/internal/scale/events_test.go
+++ b/internal/scale/events_test.go
@@ -52,10 +52,10 @@
 				t.Errorf("size %v: %v", point.Size, repeat.Values)
 			}
 			if _, ok := repeat.Values[RecoveryTime]; !ok {
-				t.Errorf("size %v: no time of recovery", point.Size)
+				t.Errorf("size %v: no recovery time", point.Size)
 			}
 			if _, ok := repeat.Values[LeaderCPU]; ok {
-				t.Errorf("size %v: figures of a leader that was restarted", point.Size)
+				t.Errorf("size %v: metrics of a leader that was restarted", point.Size)
 			}
 			if repeat.Restarts != int(point.Size)+25 || repeat.Changes < 50 {
 				t.Errorf("size %v: %d restarts, %d changes", point.Size, repeat.Restarts, repeat.Changes)
@@ -73,7 +73,7 @@
 			t.Fatal(r.Partial)
 		}
 		if rejected := r.Points[0].Repeats[0].Refused; rejected != 7 {
-			t.Errorf("%d changes refused, want 7 of 20 tries each", rejected)
+			t.Errorf("%d changes refused, want 7, after 20 attempts each", rejected)
 		}
 	})
 }
--- a/internal/scale/fakes_test.go
+++ b/internal/scale/fakes_test.go
@@ -15,23 +15,24 @@
 	"meadowsill/internal/scale/hollow"
 )
 
-// world is a double of a fleet: replicas and hollow processes that cost what a test says, without any process.
+// fakeFleet is the state of fake replicas and hollow processes. They run within the test, without any process, and report costs that
+// the test sets.
 type fakeFleet struct {
 	mu            sync.Mutex
-	tenants       map[string]uint64 // by name, the generation in force
-	nodes         int               // of the present repeat
-	running       int               // doubles that are not closed
-	started       int               // in all
+	tenants       map[string]uint64 // generation in force, keyed by name
+	nodes         int               // of the current repeat
+	running       int               // fakes that are not closed
+	started       int               // fakes started so far
 	restarts      int
-	pid           int // of the replicas; another after they are restarted
+	pid           int // of the replicas; changes when they are restarted
 	killed        int
 	replaced      int
-	maxReadyNodes int                              // that become ready; 0: any number
-	conflicts     int                              // how many of the next proposals are refused
-	failingCall   string                           // a call that fails
-	hangs         bool                             // InForce lasts until the process is closed
-	changeDelay   time.Duration                    // from a proposal to in force
-	bytesPerS     func(nodes, tenants int) float64 // of a node, each second
+	maxReadyNodes int                              // with more nodes than this, none becomes ready; 0: no limit
+	conflicts     int                              // number of next proposals that fail with errConflict
+	failingCall   string                           // call that fails: replicas, hollow or ready
+	hangs         bool                             // InForce blocks until the process is closed
+	changeDelay   time.Duration                    // how long InForce takes
+	bytesPerS     func(nodes, tenants int) float64 // sent by a node
 	startedAt     time.Time
 }
 
@@ -40,7 +41,7 @@
 		bytesPerS: func(int, int) float64 { return 1000 }}
 }
 
-// fakePlane is the double of the replicas.
+// fakePlane is a fake ControlPlane.
 type fakePlane struct{ fake *fakeFleet }
 
 func (fake *fakeFleet) startReplicas(_ context.Context, _ string, _, slots int) (ControlPlane, error) {
@@ -95,7 +96,7 @@
 	p.fake.running--
 }
 
-// fakeHollow is the double of one hollow process.
+// fakeHollow is a fake of one hollow process.
 type fakeHollow struct {
 	fake   *fakeFleet
 	config hollow.Config
@@ -141,7 +142,7 @@
 		return hollow.InForce{}, fmt.Errorf("%s is at %d, asked for %d", tenant, has, generation)
 	}
 	if scoped := h.config.PerNode > 0; scoped != strings.HasPrefix(service, "svc-") {
-		return hollow.InForce{}, fmt.Errorf("%s is of service %q", tenant, service)
+		return hollow.InForce{}, fmt.Errorf("%s has service %q", tenant, service)
 	}
 	time.Sleep(changeDelay)
 	now := time.Now()
@@ -167,10 +168,10 @@
 	return h.checkNodes(first, count)
 }
 
-// has refuses nodes of another process.
+// checkNodes returns an error if not all of the nodes belong to this process.
 func (h *fakeHollow) checkNodes(first, count int) error {
 	if count < 1 || first < h.config.FirstNode || first+count > h.config.FirstNode+h.config.Nodes {
-		return fmt.Errorf("nodes %d to %d are not all of this process", first, first+count-1)
+		return fmt.Errorf("nodes %d to %d do not all belong to this process", first, first+count-1)
 	}
 	return nil
 }
@@ -180,7 +181,7 @@
 	defer h.fake.mu.Unlock()
 	h.fake.replaced++
 	if first < h.config.FirstServer || first >= h.config.FirstServer+h.config.Servers {
-		return fmt.Errorf("server %d is not of this process", first)
+		return fmt.Errorf("server %d does not belong to this process", first)
 	}
 	return nil
 }
@@ -197,7 +198,7 @@
 	return nil
 }
 
-// play runs a sweep on the double.
+// runSweep runs a sweep on the fake fleet.
 func (fake *fakeFleet) runSweep(t *testing.T, ctx context.Context, text string) *Results {
 	t.Helper()
 	r, err := Run(ctx, mustParsePlan(t, text), fake.options(t))
--- a/internal/scale/fit_test.go
+++ b/internal/scale/fit_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// grown gives samples of two repeats at each size, a little apart.
+// samplesOf returns the samples of two repeats at each size, 1 % below and above the cost.
 func samplesOf(sizes []float64, cost func(float64) float64) []Sample {
 	var out []Sample
 	for _, size := range sizes {
@@ -44,7 +44,7 @@
 	}
 }
 
-// TestFitLeavesTheLargestOut has the largest size off the line: neither slope nor exponent may know of it.
+// TestFitLeavesTheLargestOut checks that the largest size, which is off the line here, affects neither slope nor exponent.
 func TestFitLeavesTheLargestOut(t *testing.T) {
 	fit, ok := FitSamples(NodeBytes, samplesOf(fitSizes, func(n float64) float64 {
 		if n == 256 {
@@ -60,10 +60,10 @@
 
 func TestFitNeedsFourSizes(t *testing.T) {
 	if fit, ok := FitSamples(NodeBytes, samplesOf(fitSizes[:3], func(n float64) float64 { return n })); ok {
-		t.Errorf("of three sizes: %+v", fit)
+		t.Errorf("fit of three sizes: %+v", fit)
 	}
 	fit, ok := FitSamples(NodeBytes, samplesOf(fitSizes, func(float64) float64 { return 0 }))
 	if !ok || fit.HasExponent || fit.Superlinear || fit.Error != 0 {
-		t.Errorf("of zeros: %+v, %v", fit, ok)
+		t.Errorf("fit of zeros: %+v, %v", fit, ok)
 	}
 }
--- a/internal/scale/growth_test.go
+++ b/internal/scale/growth_test.go
@@ -7,7 +7,7 @@
 	"testing/synctest"
 )
 
-// TestOverLimitsFindsPlantedCost plays a sweep on the double for each exponent that is planted.
+// TestOverLimitsFindsExcessGrowth runs a sweep on the fake fleet with costs of known exponents.
 func TestOverLimitsFindsExcessGrowth(t *testing.T) {
 	for _, row := range []struct {
 		exponent, maximum float64
@@ -18,7 +18,7 @@
 			f.bytesPerS = func(nodes, _ int) float64 { return 1000 * math.Pow(float64(nodes), row.exponent) }
 			lines := f.runSweep(t, t.Context(), runPlan).OverLimits([]GrowthLimit{{NodeBytes, row.maximum}})
 			if over := len(lines) == 1; over != row.over || len(lines) > 1 {
-				t.Errorf("planted n^%v, limit %v: %q", row.exponent, row.maximum, lines)
+				t.Errorf("cost n^%v, limit %v: %q", row.exponent, row.maximum, lines)
 			}
 		})
 	}
--- a/internal/scale/hollow/hollow_test.go
+++ b/internal/scale/hollow/hollow_test.go
@@ -27,10 +27,10 @@
 const (
 	nodes            = 8
 	servers          = 40
-	conditionTimeout = 90 * time.Second // for a condition that comes in a second or two on an idle machine
+	conditionTimeout = 90 * time.Second // for conditions that are met within a second or two on an idle machine
 )
 
-// TestMain lets the test's own binary be the hollow process: so that has the race detector where the test does.
+// TestMain also lets the test binary run as the hollow process, so that the process has the race detector whenever the test does.
 func TestMain(m *testing.M) {
 	if len(os.Args) == 2 && os.Args[1] == "hollow" {
 		log := slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: slog.LevelError}))
@@ -43,14 +43,15 @@
 	os.Exit(m.Run())
 }
 
-// run is three replicas with a hollow process beside them.
+// run is a cluster of three replicas and a hollow process.
 type run struct {
 	t       *testing.T
 	cluster *discoverylab.Cluster
 	process *hollow.Process
 }
 
-// startRun starts the replicas and, with config, which gets the run's own members, the hollow process.
+// startRun starts the replicas and the hollow process. It fills in the members of config that depend on the run, such as the replicas'
+// addresses.
 func startRun(t *testing.T, config hollow.Config) *run {
 	t.Helper()
 	dir := t.TempDir()
@@ -108,12 +109,12 @@
 			return
 		}
 		if time.Now().After(end) {
-			r.t.Fatalf("not yet %s: %+v", what, usage)
+			r.t.Fatalf("condition not met in time: %s: %+v", what, usage)
 		}
 	}
 }
 
-// put has the leader take a tenant's generation, once it is through with the one before.
+// put puts the next generation of a tenant, and repeats this while the rollout of its previous generation is not complete.
 func (r *run) put(name, service string, generation uint64) {
 	r.t.Helper()
 	body := map[string]any{"generation": generation, "spec": fleet.Spec{Name: name, Service: service, Quota: fleet.Quota{Rate: 100, Burst: 100}}}
@@ -128,17 +129,17 @@
 	}
 }
 
-// inForce waits until a tenant's generation is in force on so many nodes, and no fewer are asked.
+// inForce waits until a tenant's generation is in force, and checks that exactly want nodes have the tenant in scope and serve it.
 func (r *run) inForce(tenant string, generation uint64, want int) hollow.InForce {
 	r.t.Helper()
 	seen, err := r.process.InForce(tenant, "", generation, conditionTimeout)
 	if err != nil || seen.Nodes != want || seen.Have != want {
-		r.t.Fatalf("%s at %d: %+v, %v; want %d nodes", tenant, generation, seen, err, want)
+		r.t.Fatalf("%s at generation %d: %+v, %v; want %d nodes", tenant, generation, seen, err, want)
 	}
 	return seen
 }
 
-// listed reads the addresses of the hollow servers on the list, by id.
+// listed reads the addresses of the hollow servers from the leader's list, keyed by id.
 func (r *run) listed() map[string]string {
 	r.t.Helper()
 	for _, address := range r.cluster.HTTP {
@@ -160,12 +161,12 @@
 		}
 		return addresses
 	}
-	r.t.Fatal("no replica gives a consistent list")
+	r.t.Fatal("no replica returns a consistent list")
 	return nil
 }
 
-// Nodes come up and hold sessions, servers hold leases, and tenants come into force on every node; nodes that are killed, leave and
-// start again, and servers that are replaced, do what they say; the process ends when its runner says so.
+// TestHollowProcess checks all operations of a hollow process: nodes come up and hold sessions, servers hold leases and tenants come
+// into force on every node; nodes can be killed, leave and start again; servers can be replaced; and Close ends the process.
 func TestHollowProcess(t *testing.T) {
 	t.Parallel()
 	r := startRun(t, hollow.Config{FirstNode: 100, Nodes: nodes, FirstServer: 1000, Servers: servers, Services: 4, ActiveTenants: 2, RequestsPerS: 20})
@@ -184,11 +185,11 @@
 	r.inForce("tenant-0", 2, nodes)
 	r.inForce("nobody", 0, nodes)
 	if seen, err := r.process.InForce("tenant-1", "", 7, 10*time.Millisecond); err != nil || seen.Have != 0 || seen.Nodes != nodes {
-		t.Errorf("a generation that is not: %+v, %v", seen, err)
+		t.Errorf("a generation that doesn't exist: %+v, %v", seen, err)
 	}
 
 	r.must(r.process.Kill(102, 2))
-	r.await("two killed", func(u hollow.Usage) bool { return u.Ready == nodes-2 })
+	r.await("two nodes killed", func(u hollow.Usage) bool { return u.Ready == nodes-2 })
 	r.must(r.process.Start(100, nodes))
 	r.await("back", func(u hollow.Usage) bool { return u.Ready == nodes })
 	r.inForce("tenant-0", 2, nodes)
@@ -214,22 +215,23 @@
 
 	pid := r.process.PID()
 	if err := r.process.Close(); err != nil {
-		t.Errorf("the end: %v", err)
+		t.Errorf("close: %v", err)
 	}
 	if err := syscall.Kill(pid, 0); !errors.Is(err, syscall.ESRCH) {
-		t.Errorf("process %d is still there: %v", pid, err)
+		t.Errorf("process %d still exists after Close: %v", pid, err)
 	}
 	if _, err := r.process.Usage(); err == nil {
-		t.Error("an ended process answers")
+		t.Error("Usage succeeds after the process has ended")
 	}
 }
 
-// Nodes with a scope hold the tenants of their services and no others, and are asked for these alone.
+// TestScopedNodes checks that nodes with a scope hold only the tenants of their services, and that InForce asks only nodes that have
+// the tenant in their scope.
 func TestScopedNodes(t *testing.T) {
 	t.Parallel()
 	r := startRun(t, hollow.Config{Nodes: nodes, Servers: servers, Services: 4, PerNode: 2, ActiveTenants: 2, RequestsPerS: 20})
 	r.await("ready", func(u hollow.Usage) bool { return u.Ready == nodes && u.Registered == servers })
-	leases := r.usage().Items // each node's own
+	leases := r.usage().Items // each node holds its own lease
 	want := 0
 	for i := range 4 {
 		name, service := fmt.Sprint("tenant-", i), hollow.ServiceName(i)
@@ -241,15 +243,15 @@
 		want += seen.Nodes
 	}
 	if want != 2*nodes {
-		t.Errorf("%d pairs of a node and a tenant in its scope, want %d", want, 2*nodes)
+		t.Errorf("%d pairs of a node and a tenant in its scope; want %d", want, 2*nodes)
 	}
-	r.await("each node with the tenants of its scope", func(u hollow.Usage) bool { return u.Items == leases+want && u.Ready == nodes })
+	r.await("each node holds the tenants of its scope", func(u hollow.Usage) bool { return u.Items == leases+want && u.Ready == nodes })
 	if err := r.process.Close(); err != nil {
-		t.Errorf("the end: %v", err)
+		t.Errorf("close: %v", err)
 	}
 }
 
-// checkUsage expects something of every counter.
+// checkUsage checks that every counter has a plausible value.
 func (r *run) checkUsage() {
 	r.t.Helper()
 	u := r.usage()
@@ -265,7 +267,7 @@
 	}
 }
 
-// checkRejections expects one line on a request that can't be carried out, and that it changes nothing.
+// checkRejections checks that a request that can't be carried out gets an error of one line and changes nothing.
 func (r *run) checkRejections() {
 	r.t.Helper()
 	for what, err := range map[string]error{
@@ -279,14 +281,15 @@
 		}
 	}
 	if _, err := r.process.InForce("", "", 1, 0); err == nil {
-		r.t.Error("in force without a tenant")
+		r.t.Error("InForce accepts a request without a tenant")
 	}
 	if u := r.usage(); u.Ready != nodes {
-		r.t.Errorf("after refusals: %+v", u)
+		r.t.Errorf("after rejected requests: %+v", u)
 	}
 }
 
-// A bad Config is one reply with one line that names the key, and the end.
+// TestBadConfig checks that a bad Config gets a single reply with an error of one line that names the key, and that Serve then
+// returns an error.
 func TestBadConfig(t *testing.T) {
 	t.Parallel()
 	good := `{"replicas":["127.0.0.1:1"],"nodes":1,"zones":["z"],"dir":"/nowhere"`
@@ -319,7 +322,8 @@
 	}
 }
 
-// A bad request is answered with one line, and the next one is carried out. The end of the input ends the loop.
+// TestBadRequests checks that a bad request gets an error, that the next request is carried out nevertheless, and that the end of the
+// input ends Serve.
 func TestBadRequests(t *testing.T) {
 	t.Parallel()
 	config := hollow.Config{Replicas: []string{"127.0.0.1:1"}, Nodes: 1, Zones: []string{"z"}, Dir: t.TempDir()}
--- a/internal/scale/hollow/inforce_test.go
+++ b/internal/scale/hollow/inforce_test.go
@@ -8,7 +8,7 @@
 	"meadowsill/internal/fleet"
 )
 
-// What is in force is looked for on the nodes of the tenant's scope that are up, and on no others.
+// TestInForceByScope checks that inForce considers exactly the running nodes that have the tenant in their scope.
 func TestInForceByScope(t *testing.T) {
 	t.Parallel()
 	start := time.Now()
@@ -29,11 +29,11 @@
 		last        time.Time
 		times       int
 	}{
-		"one lacks it":        {Request{Tenant: "a", Service: "svc-000", Generation: 3}, 3, 2, "h00003", at(30), 2},
-		"a later one counts":  {Request{Tenant: "a", Service: "svc-000", Generation: 2}, 3, 3, "h00001", at(30), 3},
-		"gone, or never had":  {Request{Tenant: "b", Generation: 0}, 3, 2, "h00001", at(20), 1},
-		"known by its intent": {Request{Tenant: "b", Generation: 1}, 3, 1, "h00003", at(5), 1},
-		"no service":          {Request{Tenant: "c", Generation: 1}, 4, 0, "h00003", time.Time{}, 0},
+		"one node lacks the generation": {Request{Tenant: "a", Service: "svc-000", Generation: 3}, 3, 2, "h00003", at(30), 2},
+		"a later generation counts":     {Request{Tenant: "a", Service: "svc-000", Generation: 2}, 3, 3, "h00001", at(30), 3},
+		"removed, or never held":        {Request{Tenant: "b", Generation: 0}, 3, 2, "h00001", at(20), 1},
+		"service known from the intent": {Request{Tenant: "b", Generation: 1}, 3, 1, "h00003", at(5), 1},
+		"tenant without a service":      {Request{Tenant: "c", Generation: 1}, 4, 0, "h00003", time.Time{}, 0},
 	} {
 		got := g.inForce(t.Context(), c.request)
 		if got.Nodes != c.nodes || got.Have != c.have || got.Worst != c.worst || !got.Last.Equal(c.last) || len(got.Times) != c.times {
@@ -42,7 +42,8 @@
 	}
 }
 
-// A node's load goes to the first tenants of its own order, and to others where those go.
+// TestLoadFollowsTenants checks that a node's load goes to the first tenants in its own order, and to the next ones after a tenant is
+// removed.
 func TestLoadFollowsTenants(t *testing.T) {
 	t.Parallel()
 	n := &node{cfg: &Config{ActiveTenants: 2}, fleet: newFleetState(), module: &module{}, serving: map[string]served{}, services: []string{"svc-000"}}
@@ -62,6 +63,6 @@
 		seen[name] = true
 	}
 	if len(seen) != 2 || seen[removed] || seen["elsewhere"] {
-		t.Errorf("after %s has gone: %v", removed, n.module.active)
+		t.Errorf("after the removal of %s: %v", removed, n.module.active)
 	}
 }
--- a/internal/scale/hollow/units_test.go
+++ b/internal/scale/hollow/units_test.go
@@ -15,8 +15,8 @@
 	"meadowsill/policy"
 )
 
-// What goes over a connection is counted by the call that it carries, also where one connection carries calls of several kinds;
-// bodies of reports are counted whole; an answer that tells of a failure is one.
+// TestSocketsCountByCall checks that traffic is counted by kind of call, also if one connection carries calls of several kinds, that
+// report bodies are counted completely, and that an answer with an error status counts as a failed call.
 func TestSocketsCountByCall(t *testing.T) {
 	t.Parallel()
 	const bodySize, answerSize = 20_000, 9_000
@@ -60,25 +60,25 @@
 	} {
 		c := counted[call]
 		if c.Calls != want.calls || c.BytesIn < want.in || c.BytesIn > want.in+want.calls*600 || c.BytesOut < want.out || c.BytesOut > want.out+want.calls*600 {
-			t.Errorf("%s: %+v, want %+v and the headers", call, c, want)
+			t.Errorf("%s: %+v, want %+v plus headers", call, c, want)
 		}
 	}
 	if got := s.reportBytes.Load(); got != 3*bodySize {
-		t.Errorf("bodies of reports: %d", got)
+		t.Errorf("bytes of report bodies: %d", got)
 	}
 	if got := s.failures.Load(); got != 1 {
 		t.Errorf("failures: %d", got)
 	}
 	connections.close()
 	if _, err := client.Get(server.URL + "/registry/instances"); err == nil {
-		t.Error("a call after the end")
+		t.Error("a call succeeds after the connections were closed")
 	}
 	if got := s.failures.Load(); got != 1 {
-		t.Errorf("failures after the end: %d", got)
+		t.Errorf("failures after the connections were closed: %d", got)
 	}
 }
 
-// A node's scope is drawn by the seed and the node's number, and is one that a report may carry.
+// TestScope checks that a node's scope depends only on the seed and the node's number, and that it is valid in a report.
 func TestScope(t *testing.T) {
 	t.Parallel()
 	cfg := &Config{Services: 550, PerNode: 12, Seed: 3}
@@ -91,7 +91,7 @@
 	}
 }
 
-// The servers of every service are spread over all zones.
+// TestServerPlaces checks that the servers of every service are spread over all zones.
 func TestServerPlaces(t *testing.T) {
 	t.Parallel()
 	cfg := &Config{Services: 4, Zones: []string{"a", "b", "c", "d"}}
@@ -105,7 +105,8 @@
 	}
 }
 
-// The traffic model's requests arrive at their rate, and go by the tenants with load; each ends.
+// TestTrafficModel checks that requests arrive at the configured rate, that they are spread over the tenants with load, and that each
+// of them ends.
 func TestTrafficModel(t *testing.T) {
 	t.Parallel()
 	const rate, seconds, tenants = 50, 20, 3
@@ -137,11 +138,11 @@
 		}
 	}
 	if want := rate * seconds; arrived < want/2 || arrived > want*2 || attempts < arrived-len(m.open) || len(m.open) > rate {
-		t.Errorf("%d arrived, want some %d; %d attempts, %d open", arrived, want, attempts, len(m.open))
+		t.Errorf("%d requests arrived, want about %d; %d attempts, %d open requests", arrived, want, attempts, len(m.open))
 	}
 }
 
-// An error is one line of bounded length.
+// TestOneLine checks that an error becomes one line of bounded length.
 func TestOneLine(t *testing.T) {
 	t.Parallel()
 	got := oneLine("a\nb\x00" + strings.Repeat("c", 2*maxErrorBytes))
--- a/internal/scale/operator_test.go
+++ b/internal/scale/operator_test.go
@@ -14,7 +14,7 @@
 	"meadowsill/internal/fleet"
 )
 
-// replicaDouble is an HTTP server that answers by a function, and its address without the scheme.
+// newFakeReplica starts an HTTP server with the given handler and returns its address without the scheme.
 func newFakeReplica(t *testing.T, answer http.HandlerFunc) string {
 	t.Helper()
 	srv := httptest.NewServer(answer)
@@ -46,7 +46,7 @@
 		t.Errorf("put %+v", p)
 	}
 	if o.leader != 2 {
-		t.Errorf("asks replica %d first", o.leader)
+		t.Errorf("replica %d is taken for the leader", o.leader)
 	}
 }
 
@@ -66,7 +66,8 @@
 	}
 }
 
-// TestOperatorTakesItsOwnConflict has the first attempt carried out and its answer lost.
+// TestOperatorAcceptsItsOwnConflict checks that propose succeeds if its first attempt took effect but the answer was lost, so that
+// the second attempt gets a conflict.
 func TestOperatorAcceptsItsOwnConflict(t *testing.T) {
 	var attempts atomic.Int64
 	o := newOperator([]string{newFakeReplica(t, func(w http.ResponseWriter, _ *http.Request) {
@@ -77,7 +78,7 @@
 	})})
 	defer o.close()
 	if err := o.propose(t.Context(), 1, fleet.Spec{Name: "a"}); err != nil || attempts.Load() != 2 {
-		t.Errorf("%v after %d tries", err, attempts.Load())
+		t.Errorf("%v after %d attempts", err, attempts.Load())
 	}
 }
 
@@ -89,7 +90,7 @@
 	ctx, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
 	defer cancel()
 	if err := o.propose(ctx, 1, fleet.Spec{Name: "a"}); err == nil {
-		t.Error("proposed without a leader")
+		t.Error("propose succeeds without a leader")
 	}
 }
 
@@ -123,12 +124,12 @@
 		}
 	}
 	if _, ok := m.Step.Since(m.Step).Mean(); ok {
-		t.Error("a mean of no steps")
+		t.Error("Mean returns a value for no steps")
 	}
 	if m, err := parseMetrics(strings.NewReader("")); err != nil || m.Commands != 0 {
-		t.Errorf("of a replica that has led never: %+v, %v", m, err)
+		t.Errorf("metrics of a replica that was never the leader: %+v, %v", m, err)
 	}
 	if _, err := parseMetrics(strings.NewReader("what is this")); err == nil {
-		t.Error("no metrics are taken for some")
+		t.Error("text that is no metrics is accepted")
 	}
 }
--- a/internal/scale/plan_test.go
+++ b/internal/scale/plan_test.go
@@ -20,7 +20,7 @@
 		t.Fatal(err)
 	}
 	if p.Name != "mine" || p.Repeats != 3 || p.Replicas != 3 || p.Base.Tenants != 50 || p.Base.Servers != 16 {
-		t.Errorf("filled in as %+v", p)
+		t.Errorf("plan with defaults: %+v", p)
 	}
 	if at := p.Base.At(p.Dimension, 64); at.Nodes != 64 || at.Tenants != 50 {
 		t.Errorf("at 64 nodes: %+v", at)
@@ -37,7 +37,7 @@
 func TestBundledSweeps(t *testing.T) {
 	names := sweeps.Names()
 	if len(names) < 5 {
-		t.Errorf("bundled: %v", names)
+		t.Errorf("bundled sweeps: %v", names)
 	}
 	for _, name := range names {
 		text, err := sweeps.Read(name)
@@ -50,15 +50,15 @@
 	}
 }
 
-// TestPlanRefuses has one row for each way in which a file can be bad; the error is one line that names the key.
+// TestBadPlans has one row for each kind of bad file. The error must be one line that names the key.
 func TestBadPlans(t *testing.T) {
 	rows := []struct{ name, text, want string }{
-		{"no TOML", `sizes = [`, "sweep x:"},
+		{"not TOML", `sizes = [`, "sweep x:"},
 		{"unknown key", validPlan + "nodules = 3\n", `unknown key "base.nodules"`},
 		{"unknown table", validPlan + "[other]\na = 1\n", `unknown key "other`},
 		{"no dimension", `sizes = [8, 16, 32, 64, 128]`, "dimension: is missing"},
 		{"no such dimension", `dimension = "mice"` + "\nsizes = [8, 16, 32, 64, 128]", `dimension: "mice"`},
-		{"a key that is no dimension", `dimension = "tenants_per_service"` + "\nsizes = [8, 16, 32, 64, 128]", `dimension: "tenants_per_service"`},
+		{"a key that is not a dimension", `dimension = "tenants_per_service"` + "\nsizes = [8, 16, 32, 64, 128]", `dimension: "tenants_per_service"`},
 		{"no sizes", `dimension = "nodes"`, "sizes: 0 of them"},
 		{"four sizes", `dimension = "nodes"` + "\nsizes = [8, 16, 32, 64]", "sizes: 4 of them"},
 		{"size 0", `dimension = "nodes"` + "\nsizes = [0, 16, 32, 64, 128]", "sizes[0]: 0 is not above 0"},
@@ -72,22 +72,22 @@
 		{"base size below 0", strings.Replace(validPlan, "tenants = 50", "services = -1", 1), "base.services: -1 is not within"},
 		{"base over the bound", strings.Replace(validPlan, "tenants = 50", "servers = 100001", 1), "base.servers: 100001 is not within"},
 		{"rate below 0", strings.Replace(validPlan, "tenants = 50", "changes_per_s = -1.0", 1), "base.changes_per_s: -1 is not within"},
-		{"rate no number", strings.Replace(validPlan, "tenants = 50", "changes_per_s = nan", 1), "base.changes_per_s: NaN"},
+		{"rate not a number", strings.Replace(validPlan, "tenants = 50", "changes_per_s = nan", 1), "base.changes_per_s: NaN"},
 		{"scope over services", strings.Replace(validPlan, "tenants = 50", "services = 4\nper_node = 5", 1), "base.per_node: 5 is over services, 4"},
 		{"too many routes", strings.Replace(validPlan, "tenants = 50", "tenants = 2\nroutes = 129", 1), "base.routes: 129 is over 64"},
 		{"no repeats", "repeats = 0\n" + validPlan, "repeats: 0"},
 		{"no replicas", "replicas = 0\n" + validPlan, "replicas: 0"},
 		{"no zones", "zones = []\n" + validPlan, "zones: is empty"},
 		{"no window", "measure_s = 0\n" + validPlan, "measure_s: 0"},
-		{"no end", "limit_s = 1e9\n" + validPlan, "limit_s: 1e+09"},
-		{"nodes a process", validPlan + "[hollow]\nnodes_per_process = 0\n", "hollow.nodes_per_process: 0"},
+		{"limit too long", "limit_s = 1e9\n" + validPlan, "limit_s: 1e+09"},
+		{"nodes per process", validPlan + "[hollow]\nnodes_per_process = 0\n", "hollow.nodes_per_process: 0"},
 		{"lease", validPlan + "[hollow]\nlease_ttl_ms = 1\n", "hollow.lease_ttl_ms: 1"},
-		{"another type", validPlan + "servers = \"many\"\n", "servers"},
+		{"wrong type", validPlan + "servers = \"many\"\n", "servers"},
 	}
 	for _, row := range rows {
 		p, err := ParsePlan("x", []byte(row.text))
 		if err == nil {
-			t.Errorf("%s: taken: %+v", row.name, p)
+			t.Errorf("%s: accepted: %+v", row.name, p)
 			continue
 		}
 		if !strings.Contains(err.Error(), row.want) || strings.Contains(err.Error(), "\n") {
--- a/internal/scale/results_test.go
+++ b/internal/scale/results_test.go
@@ -9,7 +9,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// resultsOf makes results with two repeats at each size and one metric.
+// resultsOf returns results with one metric and two repeats at each size.
 func resultsOf(cost func(float64) float64) *Results {
 	r := &Results{Format: Format, Commit: "0123456789", Sweep: Plan{Name: "test", Dimension: Nodes}}
 	for _, size := range fitSizes {
@@ -37,7 +37,7 @@
 	}
 	for i := range r.Points {
 		for k := range r.Points[i].Repeats {
-			r.Points[i].Repeats[k].Histogram = "" // in a file of its own
+			r.Points[i].Repeats[k].Histogram = "" // stored in a separate file
 		}
 	}
 	if d := cmp.Diff(r, again); d != "" {
--- a/internal/scale/run_test.go
+++ b/internal/scale/run_test.go
@@ -56,7 +56,7 @@
 			}
 		}
 		if f.running != 0 || f.started == 0 {
-			t.Errorf("%d of %d are left", f.running, f.started)
+			t.Errorf("%d of %d fakes are not closed", f.running, f.started)
 		}
 	})
 }
@@ -75,18 +75,18 @@
 	}
 }
 
-// TestRunEndsEarlyWithWhatItHas has one row for each way in which a sweep ends before its end.
+// TestRunKeepsPartialResults has one row for each way in which a sweep can end early.
 func TestRunKeepsPartialResults(t *testing.T) {
 	rows := []struct {
 		name, text, want string
 		set              func(f *fakeFleet, cancel func())
 		points           int
 	}{
-		{"its time is over", "limit_s = 60\n" + runPlan, "limit_s, 60, is over", func(*fakeFleet, func()) {}, 2},
+		{"maximum time is over", "limit_s = 60\n" + runPlan, "limit_s, 60, is over", func(*fakeFleet, func()) {}, 2},
 		{"interrupted", runPlan, "interrupted", func(_ *fakeFleet, cancel func()) {
 			time.AfterFunc(130*time.Second, cancel)
 		}, 5},
-		{"interrupted in a call that waits", runPlan, "interrupted", func(f *fakeFleet, cancel func()) {
+		{"interrupted during a blocking call", runPlan, "interrupted", func(f *fakeFleet, cancel func()) {
 			f.hangs = true
 			time.AfterFunc(20*time.Second, cancel)
 		}, 0},
@@ -109,14 +109,15 @@
 					t.Errorf("%d points, want %d", len(r.Points), row.points)
 				}
 				if f.running != 0 {
-					t.Errorf("%d are left", f.running)
+					t.Errorf("%d fakes are not closed", f.running)
 				}
 			})
 		})
 	}
 }
 
-// TestSizeThatFailsIsNotTriedAgain has three sizes measured as often as planned, the fourth once, and the fifth not at all.
+// TestFailedSizeIsNotRepeated checks that the three sizes below the failing one are measured as often as planned, the failing fourth
+// size once, and the fifth not at all.
 func TestFailedSizeIsNotRepeated(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFakeFleet()
@@ -149,7 +150,7 @@
 			t.Errorf("ended by %v", err)
 		}
 		if f.running != 0 {
-			t.Errorf("%d are left", f.running)
+			t.Errorf("%d fakes are not closed", f.running)
 		}
 	})
 }
@@ -162,7 +163,7 @@
 			t.Fatal(err)
 		}
 		if left, _ := os.ReadDir(options.Dir); len(left) != 0 {
-			t.Errorf("left: %v", left)
+			t.Errorf("files left in the run's directory: %v", left)
 		}
 	})
 }
@@ -189,7 +190,7 @@
 	})
 }
 
-// TestSweepFlagsPlantedCost has the same sweep with a cost that grows as n^1.5, and one that does not grow.
+// TestSweepFlagsSuperlinearCost runs the same sweep with costs that don't grow, grow linearly and grow as n^1.5.
 func TestSweepFlagsSuperlinearCost(t *testing.T) {
 	for _, row := range []struct {
 		exponent    float64
@@ -200,7 +201,7 @@
 			f.bytesPerS = func(nodes, _ int) float64 { return 1000 * math.Pow(float64(nodes), row.exponent) }
 			fit, ok := f.runSweep(t, t.Context(), runPlan).Fit(NodeBytes)
 			if !ok || fit.Superlinear != row.superlinear || math.Abs(fit.Exponent-row.exponent) > 0.02 {
-				t.Errorf("planted n^%v: %+v", row.exponent, fit)
+				t.Errorf("cost n^%v: %+v", row.exponent, fit)
 			}
 		})
 	}
