--- a/internal/scale/bounds.go
+++ b/internal/scale/bounds.go
@@ -25,14 +25,15 @@
 	spareDescriptors         = 64 // descriptors of any process for logs, stores and listeners
 )
 
-// NeedsOf estimates the resources that one point of a sweep needs. It assumes that every node holds every server and, without a
+// EstimateNeeds estimates the resources that one point of a sweep needs. It assumes that every node holds every server and, without a
 // scope, every tenant.
-func NeedsOf(p *Plan, l Load) bounds.Needs {
+func EstimateNeeds(p *Plan, l Load) bounds.Needs {
 	nodeProcesses, serverProcesses := processCount(l.Nodes, p.Hollow.NodesPerProcess), processCount(l.Servers, p.Hollow.ServersPerProcess)
 	tenantsHeld := tenantsPerNode(l)
 	node := uint64(nodeBytes + nodeTenantBytes*tenantsHeld + nodeServerBytes*l.Servers)
 	replica := uint64(replicaBytes + replicaTenantBytes*l.Tenants + replicaServerBytes*l.Servers + replicaNodeBytes*l.Nodes)
-	memory := uint64(runnerBytes) + uint64(p.Replicas)*replica + uint64(leaderTenantBytes*tenantsHeld*l.Nodes) + uint64(nodeProcesses+serverProcesses)*processBytes +
+	memory := uint64(runnerBytes) + uint64(p.Replicas)*replica + uint64(leaderTenantBytes*tenantsHeld*l.Nodes) +
+		uint64(nodeProcesses+serverProcesses)*processBytes +
 		uint64(l.Nodes)*node + uint64(l.Servers)*registrantBytes
 	leaderConnections := nodeConnections*l.Nodes + l.Servers/registrantsPerConnection
 	processConnections := max(nodeConnections*min(l.Nodes, p.Hollow.NodesPerProcess), min(l.Servers, p.Hollow.ServersPerProcess)/registrantsPerConnection)
@@ -54,7 +55,7 @@
 // Check returns an error of one line if a point of the plan needs more than the limits allow.
 func Check(p *Plan, limits bounds.Limits) error {
 	for i, size := range p.Sizes {
-		needs := NeedsOf(p, p.Base.At(p.Dimension, size))
+		needs := EstimateNeeds(p, p.Base.WithSize(p.Dimension, size))
 		if err := needs.Within(limits); err != nil {
 			return fmt.Errorf("sizes[%d]: %s %v: %w", i, p.Dimension, size, err)
 		}
--- a/internal/scale/bounds_test.go
+++ b/internal/scale/bounds_test.go
@@ -43,7 +43,7 @@
 
 func TestNeedsGrowWithTheLoad(t *testing.T) {
 	p := mustParsePlan(t, validPlan)
-	base := NeedsOf(p, p.Base)
+	base := EstimateNeeds(p, p.Base)
 	for _, grow := range []func(*Load){
 		func(l *Load) { l.Nodes *= 100 },
 		func(l *Load) { l.Servers *= 1000 },
@@ -51,13 +51,13 @@
 	} {
 		l := p.Base
 		grow(&l)
-		if needs := NeedsOf(p, l); needs.MemoryBytes <= base.MemoryBytes {
+		if needs := EstimateNeeds(p, l); needs.MemoryBytes <= base.MemoryBytes {
 			t.Errorf("%+v needs %d bytes, the base %d", l, needs.MemoryBytes, base.MemoryBytes)
 		}
 	}
 	l := p.Base
 	l.PerNode = 2
-	if needs := NeedsOf(p, l); needs.MemoryBytes >= base.MemoryBytes {
+	if needs := EstimateNeeds(p, l); needs.MemoryBytes >= base.MemoryBytes {
 		t.Errorf("nodes with a scope need %d bytes, without %d", needs.MemoryBytes, base.MemoryBytes)
 	}
 }
--- a/internal/scale/change.go
+++ b/internal/scale/change.go
@@ -29,7 +29,7 @@
 type changeTimes struct {
 	took    *hdrhistogram.Histogram // one value per node and change, in microseconds
 	longest time.Duration
-	worst   string // the node on which the slowest change came into force last
+	worst   string // node with the longest time, or one on which that change was not yet in force
 	missed  int    // pairs of a node and a change that did not come into force in time
 }
 
--- a/internal/scale/hollow/api.go
+++ b/internal/scale/hollow/api.go
@@ -90,8 +90,8 @@
 	CopyBytes   uint64           `json:"copy_bytes"`   // bytes written to durable copies
 	ReportBytes uint64           `json:"report_bytes"` // bytes of report bodies, without headers
 
-	Differences     uint64 `json:"differences"`      // reports that were sent as report deltas
-	DifferenceBytes uint64 `json:"difference_bytes"` // bytes of the bodies of these report deltas
+	ReportDeltas     uint64 `json:"differences"`      // reports that were sent as report deltas
+	ReportDeltaBytes uint64 `json:"difference_bytes"` // bytes of the bodies of these report deltas
 }
 
 // InForce says when a generation came into force on the nodes of this process that hold the tenant.
--- a/internal/scale/hollow/sockets.go
+++ b/internal/scale/hollow/sockets.go
@@ -27,8 +27,8 @@
 	{"POST /registry/v1/", CallRegister},
 }
 
-// differencePrefix is the first bytes of a request with a report delta.
-const differencePrefix = "POST /fleet/v1/report/difference"
+// deltaPrefix is the first bytes of a request with a report delta.
+const deltaPrefix = "POST /fleet/v1/report/difference"
 
 // sockets counts the traffic of all connections of the process, by kind of call.
 type sockets struct {
@@ -36,8 +36,8 @@
 	failures    atomic.Uint64
 	reportBytes atomic.Uint64
 	// number of report deltas, and bytes of their bodies
-	differences     atomic.Uint64
-	differenceBytes atomic.Uint64
+	reportDeltas     atomic.Uint64
+	reportDeltaBytes atomic.Uint64
 }
 
 type counter struct {
@@ -130,9 +130,9 @@
 	count          *counter // counter for the kind of the current or last call; nil before the first call
 	awaitingAnswer bool     // no byte of the answer to the current call has been read
 
-	// report says that the current or last call is a report; difference says that it is a report delta.
-	report     bool
-	difference bool
+	// report says that the current or last call is a report; delta says that it is a report delta.
+	report bool
+	delta  bool
 }
 
 // Write counts the bytes sent. A write that starts with one of the requestPrefixes starts a new call.
@@ -145,8 +145,8 @@
 			c.report = line.call == CallReport
 			c.awaitingAnswer = true
 			c.count.calls.Add(1)
-			if c.difference = bytes.HasPrefix(b, []byte(differencePrefix)); c.difference {
-				c.owner.sockets.differences.Add(1)
+			if c.delta = bytes.HasPrefix(b, []byte(deltaPrefix)); c.delta {
+				c.owner.sockets.reportDeltas.Add(1)
 			}
 			_, body, _ = bytes.Cut(b, []byte("\r\n\r\n"))
 			break
@@ -154,7 +154,7 @@
 	}
 	count := c.count
 	report := c.report
-	difference := c.difference
+	delta := c.delta
 	c.mu.Unlock()
 	n, err := c.Conn.Write(b)
 	if count != nil {
@@ -162,8 +162,8 @@
 	}
 	if report && err == nil {
 		c.owner.sockets.reportBytes.Add(uint64(len(body)))
-		if difference {
-			c.owner.sockets.differenceBytes.Add(uint64(len(body)))
+		if delta {
+			c.owner.sockets.reportDeltaBytes.Add(uint64(len(body)))
 		}
 	}
 	return n, err
--- a/internal/scale/hollow/usage.go
+++ b/internal/scale/hollow/usage.go
@@ -24,7 +24,7 @@
 		RSSBytes:    residentBytes(),
 		CopyBytes:   g.state.copyBytes.Load(),
 	}
-	u.Differences, u.DifferenceBytes = g.state.sockets.differences.Load(), g.state.sockets.differenceBytes.Load()
+	u.ReportDeltas, u.ReportDeltaBytes = g.state.sockets.reportDeltas.Load(), g.state.sockets.reportDeltaBytes.Load()
 	if entries, err := os.ReadDir("/proc/self/fd"); err == nil {
 		u.Descriptors = len(entries)
 	}
--- a/internal/scale/load.go
+++ b/internal/scale/load.go
@@ -79,7 +79,7 @@
 	rateBound(Replacements, 10_000, func(l *Load) *float64 { return &l.ReplacementsPerS }),
 }
 
-// boundOf returns the bound of a dimension. tenants_per_service is not a dimension: Load.At derives Tenants from it.
+// boundOf returns the bound of a dimension. tenants_per_service is not a dimension: Load.WithSize derives Tenants from it.
 func boundOf(d Dimension) (bound, bool) {
 	for _, b := range loadBounds {
 		if b.key == d && d != "tenants_per_service" {
@@ -119,8 +119,8 @@
 	return nil
 }
 
-// At returns the load with one dimension set to a size.
-func (l Load) At(d Dimension, size float64) Load {
+// WithSize returns the load with one dimension set to a size.
+func (l Load) WithSize(d Dimension, size float64) Load {
 	if b, ok := boundOf(d); ok {
 		b.set(&l, size)
 	}
--- a/internal/scale/metric.go
+++ b/internal/scale/metric.go
@@ -7,18 +7,18 @@
 
 // The metrics of the leader. The comments say what is measured where the name does not.
 const (
-	LeaderCPU       Metric = "leader.cpu_cores"            // CPU seconds per second
-	LeaderRSS       Metric = "leader.rss_bytes"            // at the window's end
-	LeaderStepMean  Metric = "leader.step_mean_s"          // time of one step, mean over the window
-	LeaderStepP99   Metric = "leader.step_p99_s"           // upper bound of the histogram bucket that holds the 99th percentile
-	LeaderCommands  Metric = "leader.commands_per_s"       // commands of the fleet's cores
-	LeaderReports   Metric = "leader.reports_per_s"        // answered reports
-	LeaderRaftBytes Metric = "leader.raft_bytes_per_s"     // to and from the other replicas
-	LeaderLogBytes  Metric = "leader.raft_log_bytes"       // size of the log file at the window's end
-	LeaderSnapBytes Metric = "leader.snapshot_bytes"       // size of the newest snapshot on disk at the window's end
-	LeaderWritten   Metric = "leader.bytes_written_per_s"  // bytes written to disk
-	LeaderHTTPIn    Metric = "leader.http_in_bytes_per_s"  // reports and registrations, all of which the leader serves
-	LeaderHTTPOut   Metric = "leader.http_out_bytes_per_s" // answers to reports and registrations
+	LeaderCPU           Metric = "leader.cpu_cores"            // CPU seconds per second
+	LeaderRSS           Metric = "leader.rss_bytes"            // at the window's end
+	LeaderStepMean      Metric = "leader.step_mean_s"          // time of one step, mean over the window
+	LeaderStepP99       Metric = "leader.step_p99_s"           // upper bound of the histogram bucket that holds the 99th percentile
+	LeaderCommands      Metric = "leader.commands_per_s"       // commands of the fleet's cores
+	LeaderReports       Metric = "leader.reports_per_s"        // answered reports
+	LeaderRaftBytes     Metric = "leader.raft_bytes_per_s"     // to and from the other replicas
+	LeaderLogBytes      Metric = "leader.raft_log_bytes"       // size of the log file at the window's end
+	LeaderSnapshotBytes Metric = "leader.snapshot_bytes"       // size of the newest snapshot on disk at the window's end
+	LeaderWritten       Metric = "leader.bytes_written_per_s"  // bytes written to disk
+	LeaderHTTPIn        Metric = "leader.http_in_bytes_per_s"  // reports and registrations, all of which the leader serves
+	LeaderHTTPOut       Metric = "leader.http_out_bytes_per_s" // answers to reports and registrations
 )
 
 // The metrics of the followers, each the mean over all followers.
--- a/internal/scale/operator.go
+++ b/internal/scale/operator.go
@@ -38,7 +38,7 @@
 
 func newOperator(replicas []string) *operator {
 	return &operator{replicas: replicas, client: &http.Client{Timeout: 10 * time.Second,
-		Transport: &http.Transport{MaxIdleConnsPerHost: putsAtOnce}}}
+		Transport: &http.Transport{MaxIdleConnsPerHost: maxConcurrentPuts}}}
 }
 
 // proposal is the body of a PUT of a tenant.
--- a/internal/scale/plan.go
+++ b/internal/scale/plan.go
@@ -106,11 +106,11 @@
 	if err := p.checkSizes(dimension); err != nil {
 		return err
 	}
-	if err := p.checkLoad(p.Base.At(p.Dimension, p.Sizes[0])); err != nil {
+	if err := p.checkLoad(p.Base.WithSize(p.Dimension, p.Sizes[0])); err != nil {
 		return err
 	}
 	for i, size := range p.Sizes {
-		if err := p.checkLoad(p.Base.At(p.Dimension, size)); err != nil {
+		if err := p.checkLoad(p.Base.WithSize(p.Dimension, size)); err != nil {
 			return fmt.Errorf("sizes[%d]: %v: %w", i, size, err)
 		}
 	}
--- a/internal/scale/plan_test.go
+++ b/internal/scale/plan_test.go
@@ -22,13 +22,13 @@
 	if p.Name != "mine" || p.Repeats != 3 || p.Replicas != 3 || p.Base.Tenants != 50 || p.Base.Servers != 16 {
 		t.Errorf("plan with defaults: %+v", p)
 	}
-	if at := p.Base.At(p.Dimension, 64); at.Nodes != 64 || at.Tenants != 50 {
+	if at := p.Base.WithSize(p.Dimension, 64); at.Nodes != 64 || at.Tenants != 50 {
 		t.Errorf("at 64 nodes: %+v", at)
 	}
 }
 
 func TestTenantsFollowServices(t *testing.T) {
-	l := Load{Services: 4, TenantsPerService: 25, Tenants: 1}.At(Services, 8)
+	l := Load{Services: 4, TenantsPerService: 25, Tenants: 1}.WithSize(Services, 8)
 	if l.Services != 8 || l.Tenants != 200 {
 		t.Errorf("%d services, %d tenants; want 8 and 200", l.Services, l.Tenants)
 	}
--- a/internal/scale/processgroup.go
+++ b/internal/scale/processgroup.go
@@ -94,8 +94,8 @@
 	sum.Failures += u.Failures
 	sum.CopyBytes += u.CopyBytes
 	sum.ReportBytes += u.ReportBytes
-	sum.Differences += u.Differences
-	sum.DifferenceBytes += u.DifferenceBytes
+	sum.ReportDeltas += u.ReportDeltas
+	sum.ReportDeltaBytes += u.ReportDeltaBytes
 }
 
 // StartHollow starts one hollow process. The process runs until it is closed or this process exits.
--- a/internal/scale/results.go
+++ b/internal/scale/results.go
@@ -52,7 +52,7 @@
 	Refused     int     `json:"refused,omitempty"`    // changes not made: every tenant tried was still rolling out its previous generation
 	Restarts    int     `json:"restarts,omitempty"`   // node restarts
 	Replaced    int     `json:"replaced,omitempty"`   // server replacements
-	WorstNode   string  `json:"worst_node,omitempty"` // node on which the slowest change came into force last
+	WorstNode   string  `json:"worst_node,omitempty"` // node with the longest time of a change, or one on which that change was not yet in force
 	MachineLoad float64 `json:"machine_load"`         // load average of the whole machine at the window's end
 	Failed      string  `json:"failed,omitempty"`     // why there are no values
 	Histogram   string  `json:"-"`                    // times of the changes, encoded by HdrHistogram; stored in a separate file
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -117,7 +117,7 @@
 // measure measures a size once and adds the repeat to the results.
 func (s *sweep) measure(ctx context.Context, k, i int) error {
 	size, began := s.plan.Sizes[k], time.Now()
-	load := s.plan.Base.At(s.plan.Dimension, size)
+	load := s.plan.Base.WithSize(s.plan.Dimension, size)
 	repeat, err := s.repeat(ctx, load, size, i)
 	if ctx.Err() != nil {
 		return context.Cause(ctx)
--- a/internal/scale/tenants.go
+++ b/internal/scale/tenants.go
@@ -12,8 +12,8 @@
 	"meadowsill/internal/scale/hollow"
 )
 
-// putsAtOnce is how many tenants are put concurrently before the nodes start.
-const putsAtOnce = 64
+// maxConcurrentPuts is how many tenants are put concurrently before the nodes start.
+const maxConcurrentPuts = 64
 
 // tenantSet is the tenants of a run with the current generation of each.
 type tenantSet struct {
@@ -54,7 +54,7 @@
 	ctx, fail := context.WithCancelCause(ctx)
 	defer fail(nil)
 	var done sync.WaitGroup
-	for range putsAtOnce {
+	for range maxConcurrentPuts {
 		done.Go(func() {
 			for tenant := range next {
 				if err := t.plane.Propose(ctx, 0, t.load.spec(tenant, 1)); err != nil {
--- a/internal/scale/values.go
+++ b/internal/scale/values.go
@@ -47,7 +47,7 @@
 	v[LeaderWritten] = difference(b.WrittenBytes, a.WrittenBytes) / window
 	v[LeaderLogBytes] = float64(a.LogBytes)
 	if a.SnapshotBytes > 0 {
-		v[LeaderSnapBytes] = float64(a.SnapshotBytes)
+		v[LeaderSnapshotBytes] = float64(a.SnapshotBytes)
 	}
 	v[LeaderCommands] = (a.Metrics.Commands - b.Metrics.Commands) / window
 	v[LeaderReports] = (a.Metrics.Reports - b.Metrics.Reports) / window
@@ -114,8 +114,8 @@
 	if reports := trafficBetween(before, after, hollow.CallReport).Calls; reports > 0 {
 		v[NodeReportBody] = difference(before.ReportBytes, after.ReportBytes) / float64(reports)
 	}
-	if differences := difference(before.Differences, after.Differences); differences > 0 {
-		v[NodeDifference] = difference(before.DifferenceBytes, after.DifferenceBytes) / differences
+	if differences := difference(before.ReportDeltas, after.ReportDeltas); differences > 0 {
+		v[NodeDifference] = difference(before.ReportDeltaBytes, after.ReportDeltaBytes) / differences
 	}
 }
 
