--- a/internal/scale/change.go
+++ b/internal/scale/change.go
@@ -14,47 +14,49 @@
 	"meadowsill/internal/scale/hollow"
 )
 
-// A change is waited for on every node for changeTimeout at most. A process is asked in calls of changeLook, so that others get
-// their turn; when a node came to a change is by the node's own account.
+// A change may take up to changeTimeout to come into force on every node. A process is asked in calls that last inForceCallTimeout,
+// so that other callers get their turn in between. This does not affect the measured times: the nodes report them.
 const (
-	changeTimeout = 10 * time.Second
-	changeLook    = 100 * time.Millisecond
-	changeRest    = 20 * time.Millisecond
+	changeTimeout      = 10 * time.Second
+	inForceCallTimeout = 100 * time.Millisecond
+	retryPause         = 20 * time.Millisecond
 )
 
-// maxMicroseconds is the longest time that a histogram of changes holds.
-const maxMicroseconds = int64(time.Hour / time.Microsecond)
+// maxChangeMicroseconds is the longest time that a histogram of changes can record.
+const maxChangeMicroseconds = int64(time.Hour / time.Microsecond)
 
-// spread is how long changes took to come into force.
-type spread struct {
-	took    *hdrhistogram.Histogram // of each pair of a node and a change, microseconds
+// changeTimes records how long changes took to come into force.
+type changeTimes struct {
+	took    *hdrhistogram.Histogram // one value per node and change, in microseconds
 	longest time.Duration
-	worst   string // the node that came to a change last
-	missed  int    // pairs that did not come into force in time
+	worst   string // node with the longest time, or one on which that change was not yet in force
+	missed  int    // pairs of a node and a change that did not come into force in time
 }
 
-func newSpread() *spread { return &spread{took: hdrhistogram.New(1, maxMicroseconds, 3)} }
+func newChangeTimes() *changeTimes {
+	return &changeTimes{took: hdrhistogram.New(1, maxChangeMicroseconds, 3)}
+}
 
-// take brings in what the nodes of one process came to after a put.
-func (s *spread) take(f hollow.InForce, put time.Time) {
-	s.missed += f.Nodes - f.Have
+// add records when a change came into force on the nodes of one process; putAt is when the change was proposed.
+func (c *changeTimes) add(f hollow.InForce, putAt time.Time) {
+	c.missed += f.Nodes - f.Have
 	for _, ns := range f.Times {
-		s.took.RecordValue(max(1, time.Unix(0, ns).Sub(put).Microseconds()))
+		c.took.RecordValue(max(1, time.Unix(0, ns).Sub(putAt).Microseconds()))
 	}
 	if f.Have == 0 {
 		return
 	}
-	if took := f.Last.Sub(put); took > s.longest {
-		s.longest, s.worst = took, f.Worst
+	if took := f.Last.Sub(putAt); took > c.longest {
+		c.longest, c.worst = took, f.Worst
 	}
 }
 
-// quantile is in seconds; ok is false where nothing came into force.
-func (s *spread) quantile(q float64) (value float64, ok bool) {
-	return float64(s.took.ValueAtQuantile(q)) / 1e6, s.took.TotalCount() > 0
+// quantile returns the percentile q (0 to 100) in seconds; ok is false if no change came into force.
+func (c *changeTimes) quantile(q float64) (value float64, ok bool) {
+	return float64(c.took.ValueAtQuantile(q)) / 1e6, c.took.TotalCount() > 0
 }
 
-// outcome is what a window's schedule came to.
+// outcome is the result of a window's schedule: the counts and times of its changes and events.
 type outcome struct {
 	mu       sync.Mutex
 	changes  int
@@ -62,51 +64,52 @@
 	refused  int
 	restarts int
 	replaced int
-	each     *spread // of the changes at a steady rate
-	burst    *spread // of those at once
-	// Seconds of each release, and restart of all replicas, until every node was up again.
+	steady   *changeTimes // of the changes made at a steady rate
+	burst    *changeTimes // of the changes made in bursts
+	// Seconds that each release, and each recovery after a restart of all replicas, took until every node was up again.
 	releases   []float64
 	recoveries []float64
 }
 
-func newOutcome() *outcome { return &outcome{each: newSpread(), burst: newSpread()} }
+func newOutcome() *outcome { return &outcome{steady: newChangeTimes(), burst: newChangeTimes()} }
 
-// add changes the outcome.
-func (o *outcome) add(change func(o *outcome)) {
+// update calls change with the outcome's mutex held.
+func (o *outcome) update(change func(o *outcome)) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	change(o)
 }
 
-// change puts a random tenant's next generation and waits until every node of its scope serves by it.
+// change proposes the next generation of a random tenant and waits until it is in force on every node that has the tenant in scope.
 func (w *window) change(ctx context.Context, random *rand.Rand, late bool) error {
-	spec, generation, put, err := w.tenants.change(ctx, random)
+	spec, generation, putAt, err := w.tenants.change(ctx, random)
 	if errors.Is(err, errConflict) {
-		w.seen.add(func(o *outcome) { o.refused++ })
+		w.measured.update(func(o *outcome) { o.refused++ })
 		return nil
 	}
 	if err != nil {
 		return fmt.Errorf("change: %w", err)
 	}
-	w.seen.add(func(o *outcome) {
+	w.measured.update(func(o *outcome) {
 		o.changes++
 		if late {
 			o.late++
 		}
 	})
-	return w.awaitInForce(ctx, spec, generation, put, w.seen.each)
+	return w.awaitInForce(ctx, spec, generation, putAt, w.measured.steady)
 }
 
-// awaitInForce waits until every node of a tenant's scope serves by a generation, and records when each did.
-func (w *window) awaitInForce(ctx context.Context, spec fleet.Spec, generation uint64, put time.Time, to *spread) error {
+// awaitInForce waits until a generation is in force on every node that has the tenant in its scope, for at most changeTimeout after
+// putAt, and records in times how long it took on each node.
+func (w *window) awaitInForce(ctx context.Context, spec fleet.Spec, generation uint64, putAt time.Time, times *changeTimes) error {
 	each := make([]hollow.InForce, len(w.nodes.processes))
-	err := w.nodes.all(func(i int, h Hollow) (err error) {
+	err := w.nodes.callAll(func(i int, h Hollow) (err error) {
 		for {
-			each[i], err = h.InForce(spec.Name, spec.Service, generation, changeLook)
-			if err != nil || each[i].Have == each[i].Nodes || time.Since(put) > changeTimeout {
+			each[i], err = h.InForce(spec.Name, spec.Service, generation, inForceCallTimeout)
+			if err != nil || each[i].Have == each[i].Nodes || time.Since(putAt) > changeTimeout {
 				return err
 			}
-			if err := pause(ctx, changeRest); err != nil {
+			if err := pause(ctx, retryPause); err != nil {
 				return err
 			}
 		}
@@ -114,9 +117,9 @@
 	if err != nil {
 		return fmt.Errorf("tenant %s, generation %d: %w", spec.Name, generation, err)
 	}
-	w.seen.add(func(*outcome) {
+	w.measured.update(func(*outcome) {
 		for _, f := range each {
-			to.take(f, put)
+			times.add(f, putAt)
 		}
 	})
 	return nil
--- a/internal/scale/fleetrun.go
+++ b/internal/scale/fleetrun.go
@@ -14,7 +14,7 @@
 	"meadowsill/internal/scale/hollow"
 )
 
-// fleetRun is the processes of one repeat: replicas, hollow nodes and hollow app servers.
+// fleetRun starts, measures and stops the processes of one repeat: replicas, hollow nodes and hollow app servers.
 type fleetRun struct {
 	plan    *Plan
 	load    Load
@@ -26,17 +26,18 @@
 	nodes   *group
 	servers *group
 
-	closing sync.Mutex // held while processes are ended: close returns once they all are
+	closing sync.Mutex // held while processes are closed, so that a second close returns only after all have ended
 
-	mu      sync.Mutex
-	started []Hollow     // that are to be closed
-	running ControlPlane // the same; nil: none
+	mu           sync.Mutex
+	started      []Hollow     // hollow processes that close has to close
+	runningPlane ControlPlane // replicas that close has to close; nil: none
 }
 
-// pollEvery is how often it is looked whether nodes and servers are up. A look has every process collect its garbage.
-const pollEvery = 500 * time.Millisecond
+// pollInterval is the interval between two checks whether nodes and servers are up. Each check makes every process run its garbage
+// collector.
+const pollInterval = 500 * time.Millisecond
 
-// measure starts everything, waits until it is up and settled, carries out the schedule, and gives the figures.
+// measure starts all processes, waits until they are up and have settled, carries out the schedule and returns the measured values.
 func (f *fleetRun) measure(ctx context.Context) (Repeat, error) {
 	tenants, err := f.startReplicas(ctx)
 	if err != nil {
@@ -46,7 +47,7 @@
 	if err := f.startHollow(ctx); err != nil {
 		return Repeat{}, err
 	}
-	up, err := f.ready(ctx)
+	up, err := f.awaitReady(ctx)
 	if err != nil {
 		return Repeat{}, err
 	}
@@ -54,7 +55,7 @@
 	if err := pause(ctx, seconds(f.plan.SettleS)); err != nil {
 		return Repeat{}, err
 	}
-	w := &window{tenants: tenants, plane: f.plane, nodes: f.nodes, servers: f.servers, seed: f.seed, readyS: f.plan.ReadyS, seen: newOutcome()}
+	w := &window{tenants: tenants, plane: f.plane, nodes: f.nodes, servers: f.servers, seed: f.seed, readyS: f.plan.ReadyS, measured: newOutcome()}
 	before, err := f.sample()
 	if err != nil {
 		return Repeat{}, err
@@ -66,40 +67,41 @@
 	if err != nil {
 		return Repeat{}, err
 	}
-	values := valuesOf(f.load, before, after, w.seen)
+	values := valuesOf(f.load, before, after, w.measured)
 	values[StartupTime] = startup.Seconds()
 	values[StartupBytes] = float64(up.Calls[hollow.CallIntent].BytesIn+up.Calls[hollow.CallList].BytesIn) / float64(f.load.Nodes)
 	return Repeat{
 		Values:    values,
 		WindowS:   after.at.Sub(before.at).Seconds(),
-		Changes:   w.seen.changes,
-		Late:      w.seen.late,
-		Refused:   w.seen.refused,
-		Restarts:  w.seen.restarts,
-		Replaced:  w.seen.replaced,
-		WorstNode: w.seen.each.worst,
-		Histogram: encoded(w.seen.each.took),
+		Changes:   w.measured.changes,
+		Late:      w.measured.late,
+		Refused:   w.measured.refused,
+		Restarts:  w.measured.restarts,
+		Replaced:  w.measured.replaced,
+		WorstNode: w.measured.steady.worst,
+		Histogram: encodeHistogram(w.measured.steady.took),
 	}, nil
 }
 
-// startReplicas starts the replicas and puts the tenants: before there are nodes, each is in force at once.
-func (f *fleetRun) startReplicas(ctx context.Context) (*population, error) {
+// startReplicas starts the replicas and proposes all tenants. It does so before there are nodes, when a tenant comes into force at
+// once.
+func (f *fleetRun) startReplicas(ctx context.Context) (*tenantSet, error) {
 	plane, err := f.options.StartReplicas(ctx, f.dir, f.plan.Replicas, f.load.Nodes)
 	if err != nil {
 		return nil, fmt.Errorf("replicas: %w", err)
 	}
 	f.plane = plane
 	f.mu.Lock()
-	f.running = plane
+	f.runningPlane = plane
 	f.mu.Unlock()
-	tenants := &population{load: f.load, plane: plane, generations: make([]uint64, f.load.Tenants)}
+	tenants := &tenantSet{load: f.load, plane: plane, generations: make([]uint64, f.load.Tenants)}
 	if err := tenants.putAll(ctx); err != nil {
 		return nil, fmt.Errorf("tenants: %w", err)
 	}
 	return tenants, nil
 }
 
-// startHollow starts the hollow processes, servers first.
+// startHollow starts the hollow processes of the servers, then those of the nodes.
 func (f *fleetRun) startHollow(ctx context.Context) (err error) {
 	config := hollow.Config{
 		Replicas:      f.plane.Addresses(),
@@ -115,13 +117,13 @@
 		defer f.mu.Unlock()
 		f.started = append(f.started, h)
 	}
-	servers := starting{
-		start:   f.options.StartHollow,
-		config:  config,
-		each:    f.plan.Hollow.ServersPerProcess,
-		members: f.load.Servers,
-		started: started,
-		fill: func(c *hollow.Config, process, first, count int) {
+	servers := starter{
+		start:      f.options.StartHollow,
+		config:     config,
+		perProcess: f.plan.Hollow.ServersPerProcess,
+		members:    f.load.Servers,
+		started:    started,
+		configure: func(c *hollow.Config, process, first, count int) {
 			c.FirstServer = first
 			c.Servers = count
 			c.Seed = f.seed*1000 + uint64(process)
@@ -131,13 +133,13 @@
 	if f.servers, err = servers.run(ctx); err != nil {
 		return err
 	}
-	nodes := starting{
-		start:   f.options.StartHollow,
-		config:  config,
-		each:    f.plan.Hollow.NodesPerProcess,
-		members: f.load.Nodes,
-		started: started,
-		fill: func(c *hollow.Config, process, first, count int) {
+	nodes := starter{
+		start:      f.options.StartHollow,
+		config:     config,
+		perProcess: f.plan.Hollow.NodesPerProcess,
+		members:    f.load.Nodes,
+		started:    started,
+		configure: func(c *hollow.Config, process, first, count int) {
 			c.FirstNode = first
 			c.Nodes = count
 			c.Seed = f.seed*1000 + 500 + uint64(process)
@@ -148,8 +150,8 @@
 	return err
 }
 
-// ready waits until every node is counted in and every server registered, and gives the nodes' usage then.
-func (f *fleetRun) ready(ctx context.Context) (hollow.Usage, error) {
+// awaitReady waits until every node is ready and every server is registered, and returns the usage of the nodes at that time.
+func (f *fleetRun) awaitReady(ctx context.Context) (hollow.Usage, error) {
 	end := time.Now().Add(seconds(f.plan.ReadyS))
 	for {
 		nodes, err := f.nodes.usage()
@@ -167,13 +169,13 @@
 			return nodes, fmt.Errorf("after %v s %d of %d nodes are ready, %d of %d servers registered", f.plan.ReadyS,
 				nodes.Ready, f.load.Nodes, servers.Registered, f.load.Servers)
 		}
-		if err := pause(ctx, pollEvery); err != nil {
+		if err := pause(ctx, pollInterval); err != nil {
 			return nodes, err
 		}
 	}
 }
 
-// sample reads the accounts of every role.
+// sample reads the resource use and counters of every role.
 func (f *fleetRun) sample() (s sample, err error) {
 	if s.nodes, err = f.nodes.usage(); err != nil {
 		return s, err
@@ -186,13 +188,13 @@
 	return s, err
 }
 
-// pids gives the processes that run now.
+// pids returns the ids of the processes that are running.
 func (f *fleetRun) pids() []int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var out []int
-	if f.running != nil {
-		out = f.running.PIDs()
+	if f.runningPlane != nil {
+		out = f.runningPlane.PIDs()
 	}
 	for _, h := range f.started {
 		out = append(out, h.PID())
@@ -200,13 +202,13 @@
 	return out
 }
 
-// close ends every process that was started so far. It may be called again, and at the same time.
+// close ends every process that was started so far. It may be called repeatedly and concurrently.
 func (f *fleetRun) close() {
 	f.closing.Lock()
 	defer f.closing.Unlock()
 	f.mu.Lock()
-	started, plane := f.started, f.running
-	f.started, f.running = nil, nil
+	started, plane := f.started, f.runningPlane
+	f.started, f.runningPlane = nil, nil
 	f.mu.Unlock()
 	(&group{processes: started}).close()
 	if plane != nil {
@@ -214,8 +216,8 @@
 	}
 }
 
-// encoded is a histogram as HdrHistogram's libraries exchange it, "" where it has none.
-func encoded(h *hdrhistogram.Histogram) string {
+// encodeHistogram encodes a histogram in the exchange format of the HdrHistogram libraries; "" if the histogram is empty.
+func encodeHistogram(h *hdrhistogram.Histogram) string {
 	if h.TotalCount() == 0 {
 		return ""
 	}
@@ -223,10 +225,10 @@
 	if err != nil {
 		return ""
 	}
-	return string(raw) // in base64
+	return string(raw) // Encode returns base64
 }
 
-// summary is a repeat in a few words, for a line of progress.
+// summary describes a repeat for a line of progress output.
 func summary(r Repeat) string {
 	if r.Failed != "" {
 		return ", failed: " + r.Failed
@@ -235,7 +237,7 @@
 		r.Values[LeaderCPU], r.Values[NodeBytes], r.MachineLoad)
 }
 
-// oneLine keeps a message on one line.
+// oneLine replaces control characters, such as line breaks, by spaces.
 func oneLine(s string) string {
 	return strings.Map(func(r rune) rune {
 		if unicode.IsControl(r) {
--- a/internal/scale/hollow/group.go
+++ b/internal/scale/hollow/group.go
@@ -11,19 +11,19 @@
 )
 
 const (
-	stepEvery   = 25 * time.Millisecond // between two looks at what is due in the nodes' modules
-	atOnce      = 32                    // nodes or servers that a request starts or ends at the same time
-	inForceLook = 5 * time.Millisecond
+	advanceInterval     = 25 * time.Millisecond // how often the due events of the nodes' modules are processed
+	maxConcurrency      = 32                    // nodes or servers that one request starts, stops or replaces concurrently
+	inForcePollInterval = 5 * time.Millisecond
 )
 
-// group is all that one process runs.
+// group holds the nodes and servers that one process runs.
 type group struct {
 	cfg     Config
 	log     *slog.Logger
 	ctx     context.Context
 	stop    context.CancelFunc
 	state   *fleetState
-	nodes   []atomic.Pointer[node] // by number from FirstNode on; nil: down
+	nodes   []atomic.Pointer[node] // indexed by number minus FirstNode; nil: the node is down
 	servers *registrants
 	loops   sync.WaitGroup
 }
@@ -38,19 +38,19 @@
 	}
 	drivers := min(runtime.GOMAXPROCS(0), max(1, cfg.Nodes))
 	for driver := range drivers {
-		g.loops.Go(func() { g.drive(driver, drivers) })
+		g.loops.Go(func() { g.driveModules(driver, drivers) })
 	}
-	if err := g.start(cfg.FirstNode, cfg.Nodes); err != nil {
+	if err := g.startNodes(cfg.FirstNode, cfg.Nodes); err != nil {
 		g.close()
 		return nil, err
 	}
 	return g, nil
 }
 
-// close ends everything, without a goodbye of a node or a server.
+// close stops all nodes and servers at once: nodes send no last report and servers do not deregister.
 func (g *group) close() {
 	g.stop()
-	each(len(g.nodes), func(i int) error {
+	forEach(len(g.nodes), func(i int) error {
 		if n := g.nodes[i].Swap(nil); n != nil {
 			n.kill()
 		}
@@ -59,9 +59,9 @@
 	g.loops.Wait()
 }
 
-// drive has the modules of every so manieth node get what is due, until the group ends.
-func (g *group) drive(first, step int) {
-	for ticker := time.NewTicker(stepEvery); ; {
+// driveModules processes the due events of every step-th node's module, starting with node first, until the group is closed.
+func (g *group) driveModules(first, step int) {
+	for ticker := time.NewTicker(advanceInterval); ; {
 		select {
 		case <-g.ctx.Done():
 			ticker.Stop()
@@ -78,7 +78,7 @@
 	}
 }
 
-// running gives the nodes that are up.
+// running returns the nodes that are up.
 func (g *group) running() (nodes []*node) {
 	for i := range g.nodes {
 		if n := g.nodes[i].Load(); n != nil {
@@ -88,32 +88,32 @@
 	return nodes
 }
 
-// start starts those of the nodes that are down.
-func (g *group) start(first, count int) error {
-	return each(count, func(i int) error {
-		place := &g.nodes[first-g.cfg.FirstNode+i]
-		if place.Load() != nil {
+// startNodes starts those of count nodes from number first on that are down.
+func (g *group) startNodes(first, count int) error {
+	return forEach(count, func(i int) error {
+		entry := &g.nodes[first-g.cfg.FirstNode+i]
+		if entry.Load() != nil {
 			return nil
 		}
 		n, err := startNode(g.ctx, &g.cfg, g.state, first+i, g.log)
 		if err == nil {
-			place.Store(n)
+			entry.Store(n)
 		}
 		return err
 	})
 }
 
-// end ends those of the nodes that are up, by kill or leave.
-func (g *group) end(first, count int, how func(*node)) error {
-	return each(count, func(i int) error {
+// stopNodes stops those of count nodes from number first on that are up, by calling stop, which is kill or leave.
+func (g *group) stopNodes(first, count int, stop func(*node)) error {
+	return forEach(count, func(i int) error {
 		if n := g.nodes[first-g.cfg.FirstNode+i].Swap(nil); n != nil {
-			how(n)
+			stop(n)
 		}
 		return nil
 	})
 }
 
-// do carries out a request.
+// do executes a request.
 func (g *group) do(ctx context.Context, r Request) Reply {
 	switch r.Op {
 	case OpUsage:
@@ -121,62 +121,63 @@
 		return Reply{Usage: &usage}
 	case OpInForce:
 		if r.Tenant == "" {
-			return failure(fmt.Errorf("in_force: tenant: missing"))
+			return errorReply(fmt.Errorf("in_force: tenant: missing"))
 		}
 		inForce := g.inForce(ctx, r)
 		return Reply{InForce: &inForce}
 	case OpKill, OpLeave, OpStart:
-		if err := within(r, g.cfg.FirstNode, g.cfg.Nodes, "nodes"); err != nil {
-			return failure(err)
+		if err := checkRange(r, g.cfg.FirstNode, g.cfg.Nodes, "nodes"); err != nil {
+			return errorReply(err)
 		}
 		switch r.Op {
 		case OpKill:
-			return failure(g.end(r.First, r.Count, (*node).kill))
+			return errorReply(g.stopNodes(r.First, r.Count, (*node).kill))
 		case OpLeave:
-			return failure(g.end(r.First, r.Count, (*node).leave))
+			return errorReply(g.stopNodes(r.First, r.Count, (*node).leave))
 		}
-		return failure(g.start(r.First, r.Count))
+		return errorReply(g.startNodes(r.First, r.Count))
 	case OpReplace:
-		if err := within(r, g.cfg.FirstServer, g.cfg.Servers, "servers"); err != nil {
-			return failure(err)
+		if err := checkRange(r, g.cfg.FirstServer, g.cfg.Servers, "servers"); err != nil {
+			return errorReply(err)
 		}
-		return failure(g.servers.replace(ctx, r.First, r.Count))
+		return errorReply(g.servers.replace(ctx, r.First, r.Count))
 	}
-	return failure(fmt.Errorf("op: unknown %.40q", r.Op))
+	return errorReply(fmt.Errorf("op: unknown %.40q", r.Op))
 }
 
-// within checks that a request's numbers are this process's.
-func within(r Request, first, count int, what string) error {
+// checkRange checks that the nodes or servers of a request belong to this process.
+func checkRange(r Request, first, count int, kind string) error {
 	if r.Count < 1 || r.First < first || r.First-first+r.Count > count {
-		return fmt.Errorf("%s: first, count: %d, %d: this process has %d %s from %d on", r.Op, r.First, r.Count, count, what, first)
+		return fmt.Errorf("%s: first, count: %d, %d: this process has %d %s from %d on", r.Op, r.First, r.Count, count, kind, first)
 	}
 	return nil
 }
 
-// failure is a reply with an error, or none.
-func failure(err error) Reply {
+// errorReply returns a reply with the error's text, or an empty reply if err is nil.
+func errorReply(err error) Reply {
 	if err == nil {
 		return Reply{}
 	}
 	return Reply{Err: oneLine(err.Error())}
 }
 
-// each does something for 0 to count-1, some at the same time, and gives the first error.
-func each(count int, do func(i int) error) error {
-	var all sync.WaitGroup
+// forEach calls do for 0 to count-1, at most maxConcurrency at a time, and returns the first error. An error does not stop the
+// remaining calls.
+func forEach(count int, do func(i int) error) error {
+	var workers sync.WaitGroup
 	var next atomic.Int64
-	var first atomic.Pointer[error]
-	for range min(atOnce, count) {
-		all.Go(func() {
+	var firstErr atomic.Pointer[error]
+	for range min(maxConcurrency, count) {
+		workers.Go(func() {
 			for i := int(next.Add(1)) - 1; i < count; i = int(next.Add(1)) - 1 {
 				if err := do(i); err != nil {
-					first.CompareAndSwap(nil, &err)
+					firstErr.CompareAndSwap(nil, &err)
 				}
 			}
 		})
 	}
-	all.Wait()
-	if err := first.Load(); err != nil {
+	workers.Wait()
+	if err := firstErr.Load(); err != nil {
 		return *err
 	}
 	return nil
--- a/internal/scale/hollow/list.go
+++ b/internal/scale/hollow/list.go
@@ -12,21 +12,21 @@
 	"meadowsill/policy"
 )
 
-const listPause = 50 * time.Millisecond // after an answer that came at once and was empty, or a call that failed
+const listPause = 50 * time.Millisecond // after an empty answer that came without delay, or a failed call
 
-// watchList follows the agent's list and has the module know of it.
+// watchList polls the agent for the endpoint list and delivers its changes to the module until ctx ends.
 func (n *node) watchList(ctx context.Context) {
 	var version uint64
 	for ctx.Err() == nil {
 		requested := time.Now()
 		list, err := n.fetchList(ctx, version)
 		if err != nil {
-			n.fault(ctx, "list", err)
+			n.recordFailure(ctx, "list", err)
 			pause(ctx, listPause)
 			continue
 		}
 		if list.Full || len(list.Servers) > 0 || list.Version != version {
-			n.takeList(list)
+			n.applyList(list)
 		} else if time.Since(requested) < listPause {
 			pause(ctx, listPause)
 		}
@@ -46,8 +46,8 @@
 
 var serverStates = map[string]policy.ServerState{"ready": policy.Ready, "draining": policy.Draining, "gone": policy.Removed}
 
-// takeList has the module know of a list or of its changes.
-func (n *node) takeList(list registry.Answer) {
+// applyList delivers a complete list or the changes of a list to the module.
+func (n *node) applyList(list registry.Answer) {
 	update := policy.EndpointUpdate{Kind: policy.EndpointsChanged, Version: list.Version}
 	if list.Full {
 		update.Kind = policy.EndpointsComplete
@@ -77,6 +77,6 @@
 		}
 	}
 	n.version = list.Version
-	n.module.tell(update)
-	n.facts = nil
+	n.module.deliver(update)
+	n.applied = nil
 }
--- a/internal/scale/hollow/node.go
+++ b/internal/scale/hollow/node.go
@@ -20,23 +20,23 @@
 	"meadowsill/policy"
 )
 
-// Times of a node, as package node has them.
+// Timeouts and intervals of a node, the same as those of package node.
 const (
 	intentTimeout     = time.Second
 	intentPause       = 50 * time.Millisecond
 	listTimeout       = 3 * time.Second
-	reportEvery       = 250 * time.Millisecond
-	reportAtOnce      = 50 * time.Millisecond // where the answer wants more
-	maxReportInterval = time.Second           // between reports where nothing was seen
+	reportInterval    = 250 * time.Millisecond
+	wantedReportDelay = 50 * time.Millisecond // before the next report if the answer asks for more keys
+	maxReportInterval = time.Second           // between reports while the node observes no traffic
 	reportTimeout     = time.Second
 	leaveTimeout      = 500 * time.Millisecond
-	catchUp           = 10 * time.Second
-	leavePause        = 100 * time.Millisecond // for the agent to carry the last report
+	catchUpTimeout    = 10 * time.Second
+	leavePause        = 100 * time.Millisecond // leaves the agent time to send the last report
 	callSlack         = time.Second
-	maxCallPause      = time.Second
+	failedCallPause   = time.Second
 )
 
-// node is one run of a hollow node's process, with the agent beside it.
+// node is one incarnation of a hollow node, together with its agent.
 type node struct {
 	cfg         *Config
 	fleet       *fleetState
@@ -44,39 +44,39 @@
 	services    []string
 	log         *slog.Logger
 	member      fleet.Member
-	began       time.Time
+	startedAt   time.Time
 	connections *connections
 	metrics     *prometheus.Registry
-	agent       http.Handler // of the intent and the reports
+	agent       http.Handler // serves the intent and takes the reports
 	list        http.Handler
 	stop        context.CancelFunc
 	stopReports context.CancelFunc
 	loops       sync.WaitGroup
 	reporting   sync.WaitGroup
 
-	sequence uint64 // of the last report; the report loop's, then leave's
+	sequence uint64 // sequence number of the last report; owned by the report loop, and by leave after the loop has ended
 
-	mu       sync.Mutex
-	module   *module
-	mirror   *agentclient.IntentMirror // changed by the intent loop alone
-	revision uint64                    // that the module has whole
-	items    int                       // of the mirror
-	synced   bool
-	held     bool // the newest answer said that the session is held
-	out      bool // the newest answer to a report said so
-	version  uint64
-	ready    map[policy.ServerID]bool
-	serving  map[string]served   // by tenant
-	facts    []fleet.AppliedItem // that the module holds; nil: to be read anew
+	mu          sync.Mutex
+	module      *module
+	mirror      *agentclient.IntentMirror // only the intent loop changes it
+	revision    uint64                    // newest revision that the module has completely
+	items       int                       // number of items in the mirror
+	synced      bool
+	sessionHeld bool // the newest answer to a watch of the intent says that the session is held
+	notReady    bool // the newest answer to a report says that the node is not ready
+	version     uint64
+	ready       map[policy.ServerID]bool
+	serving     map[string]served   // keyed by tenant
+	applied     []fleet.AppliedItem // items that the module holds; nil: they have to be read again
 }
 
-// served says by which generation a node serves a tenant, 0 for none, and since when.
+// served is the generation by which a node serves a tenant (0: it does not serve the tenant), and the time since when.
 type served struct {
 	generation uint64
 	since      time.Time
 }
 
-// startNode starts a run of the node of a number. It ends with ctx, or by kill or leave.
+// startNode starts a new incarnation of the node with the given number. It runs until ctx ends or until kill or leave is called.
 func startNode(ctx context.Context, cfg *Config, state *fleetState, number int, log *slog.Logger) (*node, error) {
 	ctx, stop := context.WithCancel(ctx)
 	now := time.Now()
@@ -85,7 +85,7 @@
 		fleet:       state,
 		number:      number,
 		services:    scope(cfg, number),
-		began:       now,
+		startedAt:   now,
 		stop:        stop,
 		member:      fleet.Member{Node: NodeName(number), Zone: cfg.nodeZone(number), Incarnation: uint64(now.UnixNano())},
 		metrics:     prometheus.NewRegistry(),
@@ -104,13 +104,13 @@
 	n.loops.Go(func() { n.watchList(ctx) })
 	reportsCtx, stopReports := context.WithCancel(ctx)
 	n.stopReports = stopReports
-	n.reporting.Go(func() { n.reports(reportsCtx) })
+	n.reporting.Go(func() { n.reportLoop(reportsCtx) })
 	return n, nil
 }
 
-// startAgent starts the two halves of the node's agent, as the command discovery agent does.
+// startAgent starts both parts of the node's agent, for the intent and for the endpoint list, as the discovery agent command does.
 func (n *node) startAgent(ctx context.Context, log *slog.Logger) error {
-	half, err := fleetagent.Start(ctx, fleetagent.Config{
+	intentAgent, err := fleetagent.Start(ctx, fleetagent.Config{
 		Node:     n.member.Node,
 		Zone:     n.member.Zone,
 		Services: n.services,
@@ -123,7 +123,7 @@
 		return err
 	}
 	mux := http.NewServeMux()
-	half.Routes(mux)
+	intentAgent.Routes(mux)
 	n.agent = mux
 	list := listagent.New(n.cfg.Replicas, log)
 	list.Dial(n.connections.dial)
@@ -132,7 +132,8 @@
 	return nil
 }
 
-// copyBytes is what the run's agent says it has written to its durable copy; 0 of a build whose agent doesn't count it.
+// copyBytes returns how many bytes the agent has written to its durable copy, by the agent's metric. It is 0 in a build whose agent
+// doesn't have this metric.
 func (n *node) copyBytes() uint64 {
 	families, err := n.metrics.Gather()
 	if err != nil {
@@ -146,7 +147,7 @@
 	return 0
 }
 
-// kill ends the run at once, and its agent's connections.
+// kill stops the node at once and closes its agent's connections.
 func (n *node) kill() {
 	n.stop()
 	n.connections.close()
@@ -155,86 +156,87 @@
 	n.reporting.Wait()
 }
 
-// leave has the run say goodbye, as a drained node does, and ends it.
+// leave sends a last report that the node is draining, as a drained node does, and then stops the node.
 func (n *node) leave() {
 	n.stopReports()
 	n.reporting.Wait()
 	ctx, cancel := context.WithTimeout(context.Background(), leaveTimeout)
 	defer cancel()
 	if _, err := n.report(ctx, n.observe(), nil, true); err != nil {
-		n.log.Warn("the last report is not answered", "err", err)
+		n.log.Warn("last report was not answered", "err", err)
 	}
 	pause(ctx, leavePause)
 	n.kill()
 }
 
-// reports sends them: at every turn while something is seen, at least each second, and at once where the answer wants more.
-func (n *node) reports(ctx context.Context) {
-	pause(ctx, rand.N(reportEvery))
-	var want []string
-	var last time.Time
-	since := policy.Time(0) // of the windows with nothing in them
+// reportLoop sends reports until ctx ends: one per reportInterval while there is traffic or the node is not ready, at least one per
+// maxReportInterval otherwise, and one after wantedReportDelay if the last answer asks for more keys.
+func (n *node) reportLoop(ctx context.Context) {
+	pause(ctx, rand.N(reportInterval))
+	var wantedKeys []string
+	var lastReport time.Time
+	idleSince := policy.Time(0) // start of the first window without traffic since the last report; 0: there is none
 	for ctx.Err() == nil {
-		wait := reportEvery
-		if len(want) > 0 {
-			wait = reportAtOnce
+		wait := reportInterval
+		if len(wantedKeys) > 0 {
+			wait = wantedReportDelay
 		}
 		if pause(ctx, wait); ctx.Err() != nil {
 			return
 		}
 		observed := n.observe()
-		if since != 0 {
-			observed.Window.Start = since
+		if idleSince != 0 {
+			observed.Window.Start = idleSince
 		}
-		if observed.Idle() && len(want) == 0 && time.Since(last) < maxReportInterval && n.isReady() {
-			since = observed.Window.Start
+		if observed.Idle() && len(wantedKeys) == 0 && time.Since(lastReport) < maxReportInterval && n.isReady() {
+			idleSince = observed.Window.Start
 			continue
 		}
-		since, last = 0, time.Now()
-		answer, err := n.report(ctx, observed, want, false)
-		if want = nil; err != nil {
-			n.fault(ctx, "report", err)
+		idleSince, lastReport = 0, time.Now()
+		answer, err := n.report(ctx, observed, wantedKeys, false)
+		if wantedKeys = nil; err != nil {
+			n.recordFailure(ctx, "report", err)
 			continue
 		}
-		want = answer.WantedKeys
+		wantedKeys = answer.WantedKeys
 		n.mu.Lock()
-		n.out = answer.NotReady
+		n.notReady = answer.NotReady
 		n.mu.Unlock()
 	}
 }
 
-// observe reads what a report is made of. What the module holds changes only by news of the intent and of the list: it is read,
-// and digested, after these alone, where a real node does both for each report.
+// observe collects the contents of a report. What the module holds changes only with the intent and the list. Therefore it is read
+// and its digests are computed only after such a change, while a real node does both for each report.
 func (n *node) observe() *agentclient.Observation {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if time.Since(n.began) >= catchUp {
-		n.sync()
+	if time.Since(n.startedAt) >= catchUpTimeout {
+		n.markSynced()
 	}
 	now := n.module.advance()
 	window := n.module.Window(now)
 	window.Start = max(window.Start, n.module.base)
-	if n.facts == nil {
-		n.facts = agentclient.AppliedItems(n.module.Applied(), n.began)
+	if n.applied == nil {
+		n.applied = agentclient.AppliedItems(n.module.Applied(), n.startedAt)
 	}
 	return &agentclient.Observation{
 		Window:        window,
-		Applied:       n.facts,
+		Applied:       n.applied,
 		Now:           now,
 		Revision:      n.revision,
 		ListVersion:   n.version,
 		Ready:         len(n.ready) > 0,
 		Synced:        n.synced,
-		SettingsSince: n.began,
+		SettingsSince: n.startedAt,
 	}
 }
 
-// report posts a report. One that leaves is the last.
-func (n *node) report(ctx context.Context, observed *agentclient.Observation, want []string, leaving bool) (answer fleet.ReportAnswer, err error) {
+// report posts a report to the agent and returns the answer. leaving marks the last report of a node that leaves.
+func (n *node) report(ctx context.Context, observed *agentclient.Observation, wantedKeys []string, leaving bool) (answer fleet.ReportAnswer, err error) {
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
 	n.sequence++
-	r := observed.Report(n.member, n.sequence, want)
+	r := observed.Report(n.member, n.sequence, wantedKeys)
 	r.Services = n.services
 	if leaving {
 		r.Draining, r.Ready = true, false
@@ -244,7 +246,7 @@
 		return answer, err
 	}
 	if len(raw) > fleet.MaxReportBytes {
-		return answer, fmt.Errorf("a report of %d bytes, at most %d", len(raw), fleet.MaxReportBytes)
+		return answer, fmt.Errorf("report has %d bytes, the limit is %d", len(raw), fleet.MaxReportBytes)
 	}
 	raw, err = call(ctx, n.agent, http.MethodPost, "/fleet/v1/report", raw)
 	if err == nil {
@@ -253,23 +255,23 @@
 	return answer, err
 }
 
-// isReady says whether the node has caught up and is counted in.
+// isReady reports whether the node has caught up, holds its session and is not taken out of the load balancer.
 func (n *node) isReady() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.synced && n.held && !n.out
+	return n.synced && n.sessionHeld && !n.notReady
 }
 
-// fault counts and logs a call that gave nothing usable, unless the run ends.
-func (n *node) fault(ctx context.Context, kind string, err error) {
+// recordFailure counts and logs a failed call to the agent, unless the node is being stopped.
+func (n *node) recordFailure(ctx context.Context, kind string, err error) {
 	if ctx.Err() != nil {
 		return
 	}
 	n.fleet.sockets.failures.Add(1)
-	n.log.Debug("the agent gives nothing usable", "call", kind, "err", err)
+	n.log.Debug("call to the agent failed", "call", kind, "err", err)
 }
 
-// pause waits for d or the end of ctx.
+// pause waits for the duration d or until ctx ends.
 func pause(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/internal/scale/hollow/sockets.go
+++ b/internal/scale/hollow/sockets.go
@@ -12,14 +12,14 @@
 	"time"
 )
 
-// dialTimeout is that of the agent's command.
+// dialTimeout is the timeout of a connection attempt, the same as that of the agent command.
 const dialTimeout = 2 * time.Second
 
-// requestLines are the beginnings of the requests of each kind of call. A connection carries one call at a time, and net/http
-// begins a call's request with a write of its own: so the kind of a connection's bytes is that of the last such write.
-var requestLines = []struct {
-	begin string
-	call  Call
+// requestPrefixes are the first bytes of a request of each kind of call. A connection carries one call at a time, and net/http
+// starts each request with a new write. Therefore the bytes of a connection belong to the call whose request line was written last.
+var requestPrefixes = []struct {
+	prefix string
+	call   Call
 }{
 	{"GET /fleet/v1/intent", CallIntent},
 	{"GET /registry/instances", CallList},
@@ -27,17 +27,17 @@
 	{"POST /registry/v1/", CallRegister},
 }
 
-// differenceLine begins the request of a report that is sent as a difference.
-const differenceLine = "POST /fleet/v1/report/difference"
+// deltaPrefix is the first bytes of a request with a report delta.
+const deltaPrefix = "POST /fleet/v1/report/difference"
 
-// sockets counts what goes over every connection of the process, by kind of call.
+// sockets counts the traffic of all connections of the process, by kind of call.
 type sockets struct {
-	counts      map[Call]*counter // made at the start, read only
+	counts      map[Call]*counter // filled by newSockets, read-only afterwards
 	failures    atomic.Uint64
 	reportBytes atomic.Uint64
-	// of them, those sent as differences
-	differences     atomic.Uint64
-	differenceBytes atomic.Uint64
+	// number of report deltas, and bytes of their bodies
+	reportDeltas     atomic.Uint64
+	reportDeltaBytes atomic.Uint64
 }
 
 type counter struct {
@@ -48,13 +48,13 @@
 
 func newSockets() *sockets {
 	s := &sockets{counts: map[Call]*counter{}}
-	for _, line := range requestLines {
+	for _, line := range requestPrefixes {
 		s.counts[line.call] = &counter{}
 	}
 	return s
 }
 
-// traffic is what was counted so far.
+// traffic returns the counts so far, by kind of call.
 func (s *sockets) traffic() map[Call]Traffic {
 	all := map[Call]Traffic{}
 	for call, c := range s.counts {
@@ -63,7 +63,8 @@
 	return all
 }
 
-// connections are those of one owner, a node's run or a worker of the servers: they are cut off when it ends.
+// connections are the open connections of one owner, such as a node or a worker of the registrants. They are closed when the owner
+// is stopped.
 type connections struct {
 	sockets *sockets
 	mu      sync.Mutex
@@ -75,18 +76,18 @@
 	return &connections{sockets: s, open: map[*countedConn]bool{}}
 }
 
-// dial makes a counted connection; it is the Dial of the agents and of the servers' clients.
+// dial opens a counted connection. The agents and the registrants' HTTP clients use it as their dial function.
 func (c *connections) dial(ctx context.Context, network, address string) (net.Conn, error) {
 	dialer := net.Dialer{Timeout: dialTimeout}
 	inner, err := dialer.DialContext(ctx, network, address)
 	if err != nil {
-		c.failed()
+		c.recordFailure()
 		return nil, err
 	}
 	return c.add(inner), nil
 }
 
-// add has a connection counted. Where the owner has ended it is closed.
+// add returns a connection that counts the traffic of inner. If the owner has been stopped, add closes the connection.
 func (c *connections) add(inner net.Conn) *countedConn {
 	conn := &countedConn{Conn: inner, owner: c}
 	c.mu.Lock()
@@ -99,7 +100,7 @@
 	return conn
 }
 
-// close cuts every connection, as a killed process does, and lets no further one come.
+// close closes every connection, as the end of a killed process does, and prevents new ones.
 func (c *connections) close() {
 	c.mu.Lock()
 	c.ended = true
@@ -111,8 +112,8 @@
 	}
 }
 
-// failed counts a call that failed, unless its owner has ended.
-func (c *connections) failed() {
+// recordFailure counts a failed call, unless the owner has been stopped.
+func (c *connections) recordFailure() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !c.ended {
@@ -120,32 +121,32 @@
 	}
 }
 
-// countedConn counts its bytes, and reads the requests' first lines and the answers' status.
+// countedConn is a connection that counts its bytes by kind of call and checks the status of the answers.
 type countedConn struct {
 	net.Conn
 	owner *connections
 
-	mu      sync.Mutex
-	count   *counter // of the call that is open, or was last; nil before the first
-	waiting bool     // no answer to it has begun
+	mu             sync.Mutex
+	count          *counter // counter for the kind of the current or last call; nil before the first call
+	awaitingAnswer bool     // no byte of the answer to the current call has been read
 
-	// That call is a report, and sent as a difference.
-	report     bool
-	difference bool
+	// report says that the current or last call is a report; delta says that it is a report delta.
+	report bool
+	delta  bool
 }
 
-// Write counts what is sent. A write that begins with a request line begins a call.
+// Write counts the bytes sent. A write that starts with one of the requestPrefixes starts a new call.
 func (c *countedConn) Write(b []byte) (int, error) {
 	c.mu.Lock()
 	body := b
-	for _, line := range requestLines {
-		if bytes.HasPrefix(b, []byte(line.begin)) {
+	for _, line := range requestPrefixes {
+		if bytes.HasPrefix(b, []byte(line.prefix)) {
 			c.count = c.owner.sockets.counts[line.call]
 			c.report = line.call == CallReport
-			c.waiting = true
+			c.awaitingAnswer = true
 			c.count.calls.Add(1)
-			if c.difference = bytes.HasPrefix(b, []byte(differenceLine)); c.difference {
-				c.owner.sockets.differences.Add(1)
+			if c.delta = bytes.HasPrefix(b, []byte(deltaPrefix)); c.delta {
+				c.owner.sockets.reportDeltas.Add(1)
 			}
 			_, body, _ = bytes.Cut(b, []byte("\r\n\r\n"))
 			break
@@ -153,7 +154,7 @@
 	}
 	count := c.count
 	report := c.report
-	difference := c.difference
+	delta := c.delta
 	c.mu.Unlock()
 	n, err := c.Conn.Write(b)
 	if count != nil {
@@ -161,49 +162,49 @@
 	}
 	if report && err == nil {
 		c.owner.sockets.reportBytes.Add(uint64(len(body)))
-		if difference {
-			c.owner.sockets.differenceBytes.Add(uint64(len(body)))
+		if delta {
+			c.owner.sockets.reportDeltaBytes.Add(uint64(len(body)))
 		}
 	}
 	return n, err
 }
 
-// Read counts what comes. The first bytes after a request are the answer's status line; a connection that ends in their place
-// is a failed call.
+// Read counts the bytes received. The first bytes after a request are the answer's status line. The call has failed if they are not
+// the status line of a success, or if the connection ends before them.
 func (c *countedConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.mu.Lock()
-	count, first := c.count, c.waiting && (n > 0 || err != nil)
+	count, first := c.count, c.awaitingAnswer && (n > 0 || err != nil)
 	if first {
-		c.waiting = false
+		c.awaitingAnswer = false
 	}
 	c.mu.Unlock()
 	if count != nil {
 		count.in.Add(uint64(n))
 	}
-	if first && !answersWell(b[:n]) {
-		c.owner.failed()
+	if first && !isSuccess(b[:n]) {
+		c.owner.recordFailure()
 	}
 	if err != nil && !errors.Is(err, io.EOF) {
-		c.forget()
+		c.untrack()
 	}
 	return n, err
 }
 
-// answersWell says whether an answer's first bytes tell of success.
-func answersWell(first []byte) bool {
+// isSuccess reports whether the first bytes of an answer have a status below 400.
+func isSuccess(first []byte) bool {
 	_, after, _ := bytes.Cut(first, []byte(" "))
 	status, err := strconv.Atoi(string(after[:min(3, len(after))]))
 	return err == nil && status < 400
 }
 
-// Close ends the connection.
+// Close closes the connection and removes it from its owner's open connections.
 func (c *countedConn) Close() error {
-	c.forget()
+	c.untrack()
 	return c.Conn.Close()
 }
 
-func (c *countedConn) forget() {
+func (c *countedConn) untrack() {
 	c.owner.mu.Lock()
 	defer c.owner.mu.Unlock()
 	delete(c.owner.open, c)
--- a/internal/scale/operator_test.go
+++ b/internal/scale/operator_test.go
@@ -14,8 +14,8 @@
 	"meadowsill/internal/fleet"
 )
 
-// replicaDouble is an HTTP server that answers by a function, and its address without the scheme.
-func replicaDouble(t *testing.T, answer http.HandlerFunc) string {
+// newFakeReplica starts an HTTP server with the given handler and returns its address without the scheme.
+func newFakeReplica(t *testing.T, answer http.HandlerFunc) string {
 	t.Helper()
 	srv := httptest.NewServer(answer)
 	t.Cleanup(srv.Close)
@@ -24,7 +24,7 @@
 
 func TestOperatorFollowsTheLeader(t *testing.T) {
 	var got atomic.Pointer[proposal]
-	leader := replicaDouble(t, func(w http.ResponseWriter, r *http.Request) {
+	leader := newFakeReplica(t, func(w http.ResponseWriter, r *http.Request) {
 		var p proposal
 		if err := json.NewDecoder(r.Body).Decode(&p); err != nil || r.Method != http.MethodPut {
 			http.Error(w, "bad", http.StatusBadRequest)
@@ -32,7 +32,7 @@
 		}
 		got.Store(&p)
 	})
-	follower := replicaDouble(t, func(w http.ResponseWriter, _ *http.Request) {
+	follower := newFakeReplica(t, func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("X-Leader", leader)
 		http.Error(w, "not the leader", http.StatusServiceUnavailable)
 	})
@@ -46,18 +46,18 @@
 		t.Errorf("put %+v", p)
 	}
 	if o.leader != 2 {
-		t.Errorf("asks replica %d first", o.leader)
+		t.Errorf("replica %d is taken for the leader", o.leader)
 	}
 }
 
-func TestOperatorRefusals(t *testing.T) {
+func TestOperatorRejections(t *testing.T) {
 	rows := []struct {
 		name     string
 		status   int
 		conflict bool
 	}{{"conflict", http.StatusConflict, true}, {"bad request", http.StatusBadRequest, false}}
 	for _, row := range rows {
-		o := newOperator([]string{replicaDouble(t, func(w http.ResponseWriter, _ *http.Request) { http.Error(w, "no", row.status) })})
+		o := newOperator([]string{newFakeReplica(t, func(w http.ResponseWriter, _ *http.Request) { http.Error(w, "no", row.status) })})
 		err := o.propose(t.Context(), 1, fleet.Spec{Name: "a"})
 		if err == nil || errors.Is(err, errConflict) != row.conflict {
 			t.Errorf("%s: %v", row.name, err)
@@ -66,10 +66,11 @@
 	}
 }
 
-// TestOperatorTakesItsOwnConflict has the first attempt carried out and its answer lost.
-func TestOperatorTakesItsOwnConflict(t *testing.T) {
+// TestOperatorAcceptsItsOwnConflict checks that propose succeeds if its first attempt took effect but the answer was lost, so that
+// the second attempt gets a conflict.
+func TestOperatorAcceptsItsOwnConflict(t *testing.T) {
 	var attempts atomic.Int64
-	o := newOperator([]string{replicaDouble(t, func(w http.ResponseWriter, _ *http.Request) {
+	o := newOperator([]string{newFakeReplica(t, func(w http.ResponseWriter, _ *http.Request) {
 		if attempts.Add(1) == 1 {
 			panic(http.ErrAbortHandler)
 		}
@@ -77,19 +78,19 @@
 	})})
 	defer o.close()
 	if err := o.propose(t.Context(), 1, fleet.Spec{Name: "a"}); err != nil || attempts.Load() != 2 {
-		t.Errorf("%v after %d tries", err, attempts.Load())
+		t.Errorf("%v after %d attempts", err, attempts.Load())
 	}
 }
 
 func TestOperatorEndsWithItsContext(t *testing.T) {
-	o := newOperator([]string{replicaDouble(t, func(w http.ResponseWriter, _ *http.Request) {
+	o := newOperator([]string{newFakeReplica(t, func(w http.ResponseWriter, _ *http.Request) {
 		http.Error(w, "no leader", http.StatusServiceUnavailable)
 	})})
 	defer o.close()
 	ctx, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
 	defer cancel()
 	if err := o.propose(ctx, 1, fleet.Spec{Name: "a"}); err == nil {
-		t.Error("proposed without a leader")
+		t.Error("propose succeeds without a leader")
 	}
 }
 
@@ -123,12 +124,12 @@
 		}
 	}
 	if _, ok := m.Step.Since(m.Step).Mean(); ok {
-		t.Error("a mean of no steps")
+		t.Error("Mean returns a value for no steps")
 	}
 	if m, err := parseMetrics(strings.NewReader("")); err != nil || m.Commands != 0 {
-		t.Errorf("of a replica that has led never: %+v, %v", m, err)
+		t.Errorf("metrics of a replica that was never the leader: %+v, %v", m, err)
 	}
 	if _, err := parseMetrics(strings.NewReader("what is this")); err == nil {
-		t.Error("no metrics are taken for some")
+		t.Error("text that is no metrics is accepted")
 	}
 }
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -13,20 +13,21 @@
 	"meadowsill/internal/lab/bounds"
 )
 
-// Options are what a sweep is run with.
+// Options are the settings that a sweep runs with, beside its plan.
 type Options struct {
-	Dir             string    // of the run: results, plots, the replicas' and agents' data while they run
-	Progress        io.Writer // a line for each repeat
-	Commit          string    // of this program
-	DiscoveryCommit string    // of the replicas' program
+	Dir             string    // directory of the run: results, plots, and the data of replicas and agents while they run
+	Progress        io.Writer // gets a line for each repeat; nil: none
+	Commit          string    // commit of this program
+	DiscoveryCommit string    // commit of the replicas' program
 	Machine         bounds.Machine
 	Limits          bounds.Limits
 	StartReplicas   StartReplicas
 	StartHollow     StartHollow
 }
 
-// Run carries out a sweep. It refuses one whose needs pass a limit before anything starts. One that is ended early, by a limit,
-// by its time, by ctx or by a point that fails, gives what it has, marked partial, and no error.
+// Run carries out a sweep. If the plan is bad or its needs exceed a limit, Run returns an error before anything starts. If the sweep
+// ends early, because of a limit, its maximum time, ctx or a failed point, Run returns the results so far, marked partial, and no
+// error.
 func Run(ctx context.Context, plan *Plan, options Options) (*Results, error) {
 	if err := plan.Check(); err != nil {
 		return nil, err
@@ -50,50 +51,50 @@
 	watcher := bounds.Watcher{Limits: options.Limits, PIDs: s.pids, Use: bounds.ProcessUse}
 	go watcher.Run(ctx, cancel)
 	if err := s.run(ctx); err != nil {
-		s.results.Partial = reason(err)
+		s.results.Partial = partialReason(err)
 	}
 	s.results.TookS = time.Since(s.results.Begun).Seconds()
 	s.results.FitAll()
 	return s.results, nil
 }
 
-// reason is why a sweep ended early, on one line.
-func reason(err error) string {
+// partialReason returns in one line why a sweep ended early.
+func partialReason(err error) string {
 	if errors.Is(err, context.Canceled) && !errors.Is(err, bounds.ErrPartial) {
 		return "interrupted"
 	}
 	return oneLine(err.Error())
 }
 
-// sweep is a sweep under way.
+// sweep is a running sweep.
 type sweep struct {
 	plan    *Plan
 	options Options
 	results *Results
 
-	mu   sync.Mutex
-	live func() []int // the present repeat's processes; nil between two
+	mu          sync.Mutex
+	currentPIDs func() []int // returns the process ids of the current repeat; nil between two repeats
 }
 
-// pids gives the processes that run now.
+// pids returns the ids of the processes that are running.
 func (s *sweep) pids() []int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.live == nil {
+	if s.currentPIDs == nil {
 		return nil
 	}
-	return s.live()
+	return s.currentPIDs()
 }
 
-// watch sets whose processes are watched.
-func (s *sweep) watch(live func() []int) {
+// setCurrentPIDs sets the function that returns the process ids to watch.
+func (s *sweep) setCurrentPIDs(currentPIDs func() []int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.live = live
+	s.currentPIDs = currentPIDs
 }
 
-// run measures every size once, then all again, as often as the plan says: so what else goes on at the machine falls on all
-// sizes. A size that fails is not measured again, nor those above it. The error says why the sweep is incomplete.
+// run measures every size once, then all sizes again, as often as the plan says. In this order other activity on the machine affects
+// all sizes. If a size fails, neither that size nor the larger ones are measured again. The error says why the sweep is incomplete.
 func (s *sweep) run(ctx context.Context) error {
 	sizes := s.plan.Sizes
 	var failed error
@@ -101,7 +102,7 @@
 		for k, size := range sizes {
 			err := s.measure(ctx, k, i)
 			if ctx.Err() != nil {
-				return context.Cause(ctx) // what was measured of this repeat is incomplete
+				return context.Cause(ctx) // the measurements of this repeat are incomplete
 			}
 			if err != nil {
 				failed = fmt.Errorf("%s %v: %w", s.plan.Dimension, size, err)
@@ -113,10 +114,10 @@
 	return failed
 }
 
-// measure measures a size once and puts it with the results.
+// measure measures a size once and adds the repeat to the results.
 func (s *sweep) measure(ctx context.Context, k, i int) error {
 	size, began := s.plan.Sizes[k], time.Now()
-	load := s.plan.Base.At(s.plan.Dimension, size)
+	load := s.plan.Base.WithSize(s.plan.Dimension, size)
 	repeat, err := s.repeat(ctx, load, size, i)
 	if ctx.Err() != nil {
 		return context.Cause(ctx)
@@ -130,12 +131,12 @@
 	}
 	point := &s.results.Points[k]
 	point.Repeats = append(point.Repeats, repeat)
-	s.say("%s %s %v, repeat %d of %d: %.0f s%s", s.plan.Name, s.plan.Dimension, size, i+1, s.plan.Repeats,
+	s.printProgress("%s %s %v, repeat %d of %d: %.0f s%s", s.plan.Name, s.plan.Dimension, size, i+1, s.plan.Repeats,
 		time.Since(began).Seconds(), summary(repeat))
 	return err
 }
 
-// repeat measures one size once, in a directory of its own that is taken away at the end.
+// repeat measures one size once, in a separate directory that it removes at the end.
 func (s *sweep) repeat(ctx context.Context, load Load, size float64, i int) (Repeat, error) {
 	dir := filepath.Join(s.options.Dir, fmt.Sprintf("data-%v-%d", size, i))
 	if err := os.MkdirAll(dir, 0o755); err != nil {
@@ -143,15 +144,15 @@
 	}
 	defer os.RemoveAll(dir)
 	f := &fleetRun{plan: s.plan, load: load, options: s.options, dir: dir, seed: s.plan.Seed*1000 + uint64(i)}
-	s.watch(f.pids)
-	defer s.watch(nil)
+	s.setCurrentPIDs(f.pids)
+	defer s.setCurrentPIDs(nil)
 	defer f.close()
-	defer context.AfterFunc(ctx, f.close)() // a call that waits at a process ends with it
+	defer context.AfterFunc(ctx, f.close)() // closing the processes ends calls that wait for one of them
 	return f.measure(ctx)
 }
 
-// say prints a line of progress.
-func (s *sweep) say(format string, args ...any) {
+// printProgress prints a line of progress output.
+func (s *sweep) printProgress(format string, args ...any) {
 	if s.options.Progress != nil {
 		fmt.Fprintf(s.options.Progress, format+"\n", args...)
 	}
--- a/internal/scale/tenants.go
+++ b/internal/scale/tenants.go
@@ -12,23 +12,23 @@
 	"meadowsill/internal/scale/hollow"
 )
 
-// putsAtOnce is how many tenants are put at the same time before the nodes start.
-const putsAtOnce = 64
+// maxConcurrentPuts is how many tenants are put concurrently before the nodes start.
+const maxConcurrentPuts = 64
 
-// population is the tenants of a run and the generation that each is at.
-type population struct {
+// tenantSet is the tenants of a run with the current generation of each.
+type tenantSet struct {
 	load  Load
 	plane ControlPlane
 
 	mu          sync.Mutex
-	generations []uint64 // by tenant
+	generations []uint64 // indexed by tenant
 }
 
-// tenantName names tenant i.
+// tenantName returns the name of tenant i.
 func tenantName(i int) string { return fmt.Sprintf("tenant-%06d", i) }
 
-// spec is the specification of a tenant at a generation. Where nodes have a scope, tenants are spread evenly over the
-// services; routes are over the tenants. Each generation has a slightly higher quota than the one before.
+// spec returns the specification of a tenant at a generation. If nodes have a scope, the tenants are spread evenly over the services.
+// The routes are spread evenly over the tenants. Each generation has a slightly higher quota than the previous one.
 func (l Load) spec(tenant int, generation uint64) fleet.Spec {
 	rate := 100 + float64(generation)
 	s := fleet.Spec{Name: tenantName(tenant), Quota: fleet.Quota{Rate: rate, Burst: rate}}
@@ -48,25 +48,25 @@
 	return s
 }
 
-// putAll puts the first generation of every tenant. The first that fails ends it.
-func (p *population) putAll(ctx context.Context) error {
+// putAll puts the first generation of every tenant. The first failure ends it.
+func (t *tenantSet) putAll(ctx context.Context) error {
 	next := make(chan int)
 	ctx, fail := context.WithCancelCause(ctx)
 	defer fail(nil)
 	var done sync.WaitGroup
-	for range putsAtOnce {
+	for range maxConcurrentPuts {
 		done.Go(func() {
 			for tenant := range next {
-				if err := p.plane.Propose(ctx, 0, p.load.spec(tenant, 1)); err != nil {
+				if err := t.plane.Propose(ctx, 0, t.load.spec(tenant, 1)); err != nil {
 					fail(err)
 				}
-				p.mu.Lock()
-				p.generations[tenant] = 1
-				p.mu.Unlock()
+				t.mu.Lock()
+				t.generations[tenant] = 1
+				t.mu.Unlock()
 			}
 		})
 	}
-	for tenant := range p.load.Tenants {
+	for tenant := range t.load.Tenants {
 		if ctx.Err() != nil {
 			break
 		}
@@ -77,35 +77,36 @@
 	return context.Cause(ctx)
 }
 
-// maxPlacementAttempts is how many tenants are tried for one change: one that is not done with its last generation is passed over.
-const maxPlacementAttempts = 20
+// maxChangeAttempts is how many random tenants are tried for one change. A tenant is skipped while the rollout of its previous
+// generation is not complete.
+const maxChangeAttempts = 20
 
-// change proposes the next generation of a random tenant, and gives when it did.
-func (p *population) change(ctx context.Context, random *rand.Rand) (spec fleet.Spec, generation uint64, put time.Time, err error) {
-	for range maxPlacementAttempts {
-		put = time.Now()
-		spec, generation, err = p.next(ctx, random.IntN(p.load.Tenants))
+// change proposes the next generation of a random tenant; putAt is when it sent the proposal.
+func (t *tenantSet) change(ctx context.Context, random *rand.Rand) (spec fleet.Spec, generation uint64, putAt time.Time, err error) {
+	for range maxChangeAttempts {
+		putAt = time.Now()
+		spec, generation, err = t.next(ctx, random.IntN(t.load.Tenants))
 		if !errors.Is(err, errConflict) {
-			return spec, generation, put, err
+			return spec, generation, putAt, err
 		}
-		if paused := pause(ctx, changeRest); paused != nil {
-			return spec, 0, put, paused
+		if pauseErr := pause(ctx, retryPause); pauseErr != nil {
+			return spec, 0, putAt, pauseErr
 		}
 	}
-	return spec, generation, put, err
+	return spec, generation, putAt, err
 }
 
-// next proposes a tenant's next generation.
-func (p *population) next(ctx context.Context, tenant int) (spec fleet.Spec, generation uint64, err error) {
-	p.mu.Lock()
-	at := p.generations[tenant]
-	p.mu.Unlock()
-	spec = p.load.spec(tenant, at+1)
-	if err := p.plane.Propose(ctx, at, spec); err != nil {
+// next proposes the next generation of a tenant.
+func (t *tenantSet) next(ctx context.Context, tenant int) (spec fleet.Spec, generation uint64, err error) {
+	t.mu.Lock()
+	at := t.generations[tenant]
+	t.mu.Unlock()
+	spec = t.load.spec(tenant, at+1)
+	if err := t.plane.Propose(ctx, at, spec); err != nil {
 		return spec, 0, err
 	}
-	p.mu.Lock()
-	p.generations[tenant] = at + 1
-	p.mu.Unlock()
+	t.mu.Lock()
+	t.generations[tenant] = at + 1
+	t.mu.Unlock()
 	return spec, at + 1, nil
 }
