--- a/cmd/membership/main.go
+++ b/cmd/membership/main.go
@@ -1,5 +1,5 @@
-// Command membership runs one member of the fleet's gossip on its own, for the lab and the tests: it serves its
-// view at /view (JSON) and metrics at /metrics, and leaves at SIGTERM (docs/membership.md).
+// Command membership runs one member of the fleet's gossip as a process of its own, for the lab and the tests. It serves its
+// view at /view (JSON) and its metrics at /metrics, and leaves the fleet at SIGTERM (docs/membership.md).
 //
 //	membership run --name m1 --bind 127.5.0.1:7946 --seed 127.5.0.2:7946 --http 127.5.0.1:9000
 package main
--- a/internal/membership/gossip.go
+++ b/internal/membership/gossip.go
@@ -14,42 +14,42 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// Config places a member. Bind must be a loopback host:port; so must Advertise, where others are to reach the member
-// at another address than that, as through a relay.
+// Config holds the settings of a member. Bind must be a loopback host:port. Advertise is needed only where the other members
+// reach this one at an address other than Bind, for example through a relay; it must be a loopback host:port too.
 type Config struct {
 	Name      string
 	Bind      string
 	Zone      string
 	Advertise string
 	Seeds     []string
-	// Of the Sizer.
+	// Stable and Hold are the settings of the Sizer.
 	Stable   time.Duration
 	Hold     time.Duration
 	Registry prometheus.Registerer
 	Log      *slog.Logger
 }
 
-// Gossip is a running member: memberlist and the view it keeps.
+// Gossip is a running member: its memberlist instance and the view that is built from it.
 type Gossip struct {
 	cfg         Config
 	ml          *memberlist.Memberlist
 	incarnation int64
-	mu          sync.Mutex // guards view, sizer and states
+	mu          sync.Mutex // guards view, sizer, states and lastLogged
 	view        View
 	sizer       Sizer
 	states      map[string]State
 	done        chan struct{}
-	events      chan struct{} // an event came: refresh now
+	events      chan struct{} // signals poll to refresh the view at once; holds one signal at most
 
 	members     *prometheus.GaugeVec
 	suspicions  prometheus.Counter
 	refutations prometheus.Counter
 	bytes       prometheus.Counter
 	errors      prometheus.Counter
-	lastLog     time.Time // of memberlist's complaints, which a peer sending garbage can make many
+	lastLogged  time.Time // when an error or warning of memberlist was last logged; a peer that sends garbage can cause many
 }
 
-// Write takes memberlist's own log: errors and warnings are counted, and logged at most once a second.
+// Write receives memberlist's own log. It counts errors and warnings, logs at most one of them a second, and drops all other lines.
 func (g *Gossip) Write(p []byte) (int, error) {
 	line := strings.TrimSpace(string(p))
 	if !strings.Contains(line, "[ERR]") && !strings.Contains(line, "[WARN]") {
@@ -57,12 +57,12 @@
 	}
 	g.errors.Inc()
 	g.mu.Lock()
-	quiet := time.Since(g.lastLog) < time.Second
-	if !quiet {
-		g.lastLog = time.Now()
+	suppressed := time.Since(g.lastLogged) < time.Second
+	if !suppressed {
+		g.lastLogged = time.Now()
 	}
 	g.mu.Unlock()
-	if !quiet {
+	if !suppressed {
 		g.cfg.Log.Warn("gossip", "memberlist", line)
 	}
 	return len(p), nil
@@ -73,7 +73,7 @@
 	Incarnation int64  `json:"incarnation"`
 }
 
-// delegate gives memberlist this member's meta and counts bytes of gossip it is handed.
+// delegate implements memberlist.Delegate. It provides this member's metadata and counts the bytes of the user messages received.
 type delegate struct{ g *Gossip }
 
 func (d delegate) NodeMeta(limit int) []byte {
@@ -88,46 +88,46 @@
 func (d delegate) LocalState(join bool) []byte                { return nil }
 func (d delegate) MergeRemoteState(buf []byte, join bool)     {}
 
-// events hears memberlist's verdicts on joins, leaves and deaths.
+// events implements memberlist.EventDelegate: memberlist reports joins, leaves, deaths and updates of members to it.
 type events struct{ g *Gossip }
 
-// memberlist calls these holding its own locks: they only note, and poll refreshes the view.
-func (e events) NotifyJoin(n *memberlist.Node)   { e.g.nudge() }
-func (e events) NotifyLeave(n *memberlist.Node)  { e.g.gone(n) }
-func (e events) NotifyUpdate(n *memberlist.Node) { e.g.nudge() }
+// memberlist calls the Notify methods while it holds its own locks, so they only record the event; poll refreshes the view.
+func (e events) NotifyJoin(n *memberlist.Node)   { e.g.requestRefresh() }
+func (e events) NotifyLeave(n *memberlist.Node)  { e.g.recordDeparture(n) }
+func (e events) NotifyUpdate(n *memberlist.Node) { e.g.requestRefresh() }
 
-func (g *Gossip) nudge() {
+func (g *Gossip) requestRefresh() {
 	select {
 	case g.events <- struct{}{}:
 	default:
 	}
 }
 
-// loopback reads a loopback host:port.
-func loopback(what, addr string) (string, int, error) {
+// parseLoopback splits a loopback host:port. Its errors name the setting key.
+func parseLoopback(key, addr string) (string, int, error) {
 	host, portText, err := net.SplitHostPort(addr)
 	if err != nil {
-		return "", 0, fmt.Errorf("membership %s: %w", what, err)
+		return "", 0, fmt.Errorf("membership %s: %w", key, err)
 	}
 	if ip := net.ParseIP(host); ip == nil || !ip.IsLoopback() {
-		return "", 0, fmt.Errorf("membership %s %s is not a loopback address", what, addr)
+		return "", 0, fmt.Errorf("membership %s %s is not a loopback address", key, addr)
 	}
 	port, err := strconv.Atoi(portText)
 	if err != nil {
-		return "", 0, fmt.Errorf("membership %s %s: %w", what, addr, err)
+		return "", 0, fmt.Errorf("membership %s %s: %w", key, addr, err)
 	}
 	return host, port, nil
 }
 
-// Start joins the fleet through the seeds (none: a fleet of one until others join).
+// Start starts a member and joins the fleet through the seeds. Without seeds the member is a fleet of one until others join.
 func Start(cfg Config) (*Gossip, error) {
-	host, port, err := loopback("bind", cfg.Bind)
+	host, port, err := parseLoopback("bind", cfg.Bind)
 	if err != nil {
 		return nil, err
 	}
-	known, knownPort := host, port
+	advertiseHost, advertisePort := host, port
 	if cfg.Advertise != "" {
-		if known, knownPort, err = loopback("advertise", cfg.Advertise); err != nil {
+		if advertiseHost, advertisePort, err = parseLoopback("advertise", cfg.Advertise); err != nil {
 			return nil, err
 		}
 	}
@@ -152,8 +152,9 @@
 		}
 	}
 	mc := memberlist.DefaultLANConfig()
-	// A herd is to be noticed in seconds (docs/membership.md, "How long"): a suspicion lasts 8 probe intervals at up to
-	// ten members (times log10 of their number beyond), whoever confirms it, and is never less than a pause of 3 s.
+	// The loss of many members at once must be detected within seconds (docs/membership.md, "How long"). A suspicion lasts
+	// 8 probe intervals with up to ten members, and that times log10 of their number with more. Confirmations by other
+	// members don't shorten it, so a member that is paused for 3 s is never declared dead.
 	mc.ProbeInterval = 400 * time.Millisecond
 	mc.ProbeTimeout = 250 * time.Millisecond
 	mc.TCPTimeout = 2 * time.Second
@@ -163,8 +164,8 @@
 	mc.Name = cfg.Name
 	mc.BindAddr = host
 	mc.BindPort = port
-	mc.AdvertiseAddr = known
-	mc.AdvertisePort = knownPort
+	mc.AdvertiseAddr = advertiseHost
+	mc.AdvertisePort = advertisePort
 	mc.Delegate = delegate{g}
 	mc.Events = events{g}
 	mc.LogOutput = g
@@ -175,7 +176,7 @@
 	if mc.Transport = transport; port == 0 {
 		mc.BindPort = transport.GetAutoBindPort()
 	}
-	if knownPort == 0 {
+	if advertisePort == 0 {
 		mc.AdvertisePort = mc.BindPort
 	}
 	if g.ml, err = memberlist.Create(mc); err != nil {
@@ -184,7 +185,7 @@
 	}
 	if len(cfg.Seeds) > 0 {
 		if _, err := g.ml.Join(cfg.Seeds); err != nil {
-			cfg.Log.Warn("no seed answered; alone until one does", "err", err)
+			cfg.Log.Warn("no seed answered; the member is alone until one does", "err", err)
 		}
 	}
 	g.refresh()
@@ -193,7 +194,7 @@
 	return g, nil
 }
 
-// poll notices suspicion, which memberlist tells no event of.
+// poll refreshes the view at every event and every 200 ms, because memberlist reports no event when a member turns suspect.
 func (g *Gossip) poll() {
 	t := time.NewTicker(200 * time.Millisecond)
 	defer t.Stop()
@@ -220,15 +221,15 @@
 	return Alive
 }
 
-// gone records a death or a leave, which Members no longer lists.
-func (g *Gossip) gone(n *memberlist.Node) {
+// recordDeparture records that a member died or left. memberlist's Members no longer lists such a member.
+func (g *Gossip) recordDeparture(n *memberlist.Node) {
 	g.mu.Lock()
 	g.states[n.Name] = state(n)
 	g.mu.Unlock()
-	g.nudge()
+	g.requestRefresh()
 }
 
-// refresh rebuilds the view from memberlist's members and the deaths and leaves heard.
+// refresh rebuilds the view from memberlist's list of members and the recorded deaths and leaves.
 func (g *Gossip) refresh() {
 	nodes := g.ml.Members()
 	g.mu.Lock()
@@ -288,7 +289,7 @@
 	}
 }
 
-// View gives a copy of the present view.
+// View returns a copy of the current view.
 func (g *Gossip) View() View {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -297,14 +298,14 @@
 	return v
 }
 
-// Leave says goodbye so that peers record "left", not "dead", and ends the member.
+// Leave announces the departure, so that the other members record this one as left and not as dead, and ends the member.
 func (g *Gossip) Leave(timeout time.Duration) error {
 	err := g.ml.Leave(timeout)
 	g.Close()
 	return err
 }
 
-// Close ends the member without a goodbye.
+// Close ends the member without announcing its departure.
 func (g *Gossip) Close() {
 	select {
 	case <-g.done:
--- a/internal/membership/rejoin.go
+++ b/internal/membership/rejoin.go
@@ -5,14 +5,15 @@
 	"time"
 )
 
-// How often a member calls one that it takes for dead. memberlist itself gossips to the dead for 30 s only, and then
-// only what is news: two sides of a split that have each taken the other for dead would stay apart for ever.
-const rejoinEvery = 2 * time.Second
+// rejoinInterval is the time between attempts to reach a member that is considered dead. memberlist gossips to dead members
+// for 30 s only, and sends them only what has changed. Without these attempts, two sides of a network split that each
+// consider the other dead would never join again.
+const rejoinInterval = 2 * time.Second
 
-// rejoin calls a dead member or a seed now and then, until the member ends. Whoever answers learns that it was taken for dead,
-// and refutes it.
+// rejoin contacts a dead member or a seed every rejoinInterval until this member ends. A member that answers learns that it
+// is considered dead, and refutes that.
 func (g *Gossip) rejoin() {
-	t := time.NewTicker(rejoinEvery)
+	t := time.NewTicker(rejoinInterval)
 	defer t.Stop()
 	for {
 		select {
@@ -20,26 +21,27 @@
 			return
 		case <-t.C:
 		}
-		if addr := g.lost(); addr != "" {
-			g.ml.Join([]string{addr}) // one that does not answer is tried again by chance
+		if addr := g.rejoinAddress(); addr != "" {
+			g.ml.Join([]string{addr}) // an error needs no handling: a later round may pick the same address again
 		}
 	}
 }
 
-// lost picks the address of a dead member by chance; a seed where this member is alone; empty where there is none.
-func (g *Gossip) lost() string {
+// rejoinAddress picks a random address among those of the dead members and, if no other member is alive, the seeds. It returns
+// the empty string if there are none.
+func (g *Gossip) rejoinAddress() string {
 	v := g.View()
-	var dead []string
+	var candidates []string
 	for _, m := range v.Members {
 		if m.State == Dead && m.Addr != "" {
-			dead = append(dead, m.Addr)
+			candidates = append(candidates, m.Addr)
 		}
 	}
 	if v.Alive <= 1 {
-		dead = append(dead, g.cfg.Seeds...)
+		candidates = append(candidates, g.cfg.Seeds...)
 	}
-	if len(dead) == 0 {
+	if len(candidates) == 0 {
 		return ""
 	}
-	return dead[rand.IntN(len(dead))]
+	return candidates[rand.IntN(len(candidates))]
 }
--- a/internal/membership/transport.go
+++ b/internal/membership/transport.go
@@ -9,27 +9,27 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// sourced is memberlist's transport, calling from the member's own address over TCP too, as it does over UDP: whoever
-// is called, a relay say, can tell who calls.
-type sourced struct {
+// sourceBoundTransport is memberlist's transport with outgoing TCP connections bound to the member's own address, as its UDP
+// datagrams are already. The receiver, for example a relay, can then tell which member connects to it.
+type sourceBoundTransport struct {
 	*memberlist.NetTransport
 	ip net.IP
 }
 
-func newTransport(host string, port int, out io.Writer) (*sourced, error) {
+func newTransport(host string, port int, out io.Writer) (*sourceBoundTransport, error) {
 	t, err := memberlist.NewNetTransport(&memberlist.NetTransportConfig{BindAddrs: []string{host}, BindPort: port, Logger: log.New(out, "", 0)})
 	if err != nil {
 		return nil, err
 	}
-	return &sourced{t, net.ParseIP(host)}, nil
+	return &sourceBoundTransport{t, net.ParseIP(host)}, nil
 }
 
-// DialTimeout and DialAddressTimeout: see memberlist.NodeAwareTransport.
-func (s *sourced) DialTimeout(addr string, limit time.Duration) (net.Conn, error) {
-	return s.DialAddressTimeout(memberlist.Address{Addr: addr}, limit)
+// DialTimeout connects to addr from the member's own address. It and DialAddressTimeout implement memberlist.NodeAwareTransport.
+func (t *sourceBoundTransport) DialTimeout(addr string, timeout time.Duration) (net.Conn, error) {
+	return t.DialAddressTimeout(memberlist.Address{Addr: addr}, timeout)
 }
 
-func (s *sourced) DialAddressTimeout(a memberlist.Address, limit time.Duration) (net.Conn, error) {
-	d := net.Dialer{Timeout: limit, LocalAddr: &net.TCPAddr{IP: s.ip}}
+func (t *sourceBoundTransport) DialAddressTimeout(a memberlist.Address, timeout time.Duration) (net.Conn, error) {
+	d := net.Dialer{Timeout: timeout, LocalAddr: &net.TCPAddr{IP: t.ip}}
 	return d.Dial("tcp", a.Addr)
 }
