--- a/internal/architecture/architecture_test.go
+++ b/internal/architecture/architecture_test.go
@@ -19,8 +19,8 @@
 	modulePath = "meadowsill/"
 )
 
-// tableRows returns the cells of every row of the page's tables with this head, without backticks.
-func tableRows(t *testing.T, head string) [][]string {
+// tableRows returns the cells of every row of the page's tables that have this header line. It removes the backticks in them.
+func tableRows(t *testing.T, header string) [][]string {
 	t.Helper()
 	text, err := os.ReadFile(page)
 	if err != nil {
@@ -30,7 +30,7 @@
 	inTable := false
 	for line := range strings.SplitSeq(string(text), "\n") {
 		switch {
-		case line == head:
+		case line == header:
 			inTable = true
 		case !strings.HasPrefix(line, "|"):
 			inTable = false
@@ -43,12 +43,12 @@
 		}
 	}
 	if len(rows) == 0 {
-		t.Fatalf("no table with the head %q", head)
+		t.Fatalf("the page has no table with the header %q", header)
 	}
 	return rows
 }
 
-// parsePackage parses the files of a package, those of its tests left out.
+// parsePackage parses the files of a package except its test files.
 func parsePackage(t *testing.T, dir string, mode parser.Mode) []*ast.File {
 	t.Helper()
 	paths, err := filepath.Glob(filepath.Join(root, dir, "*.go"))
@@ -69,7 +69,7 @@
 	return files
 }
 
-// functionNames returns the functions of a package, methods as Type.Method.
+// functionNames returns the names of the functions of a package, and those of its methods as Type.Method.
 func functionNames(t *testing.T, dir string) map[string]bool {
 	t.Helper()
 	names := map[string]bool{}
@@ -95,7 +95,7 @@
 	return names
 }
 
-func TestWaysNameFunctionsOfTheCode(t *testing.T) {
+func TestStepTablesNameExistingFunctions(t *testing.T) {
 	for _, row := range tableRows(t, "| step | package | function |") {
 		step, dir, function := row[0], row[1], row[2]
 		if !functionNames(t, dir)[function] {
@@ -104,7 +104,7 @@
 	}
 }
 
-// projectPackages returns the directories that have a package of the project.
+// projectPackages returns the sorted directories that contain a package of the project.
 func projectPackages(t *testing.T) []string {
 	t.Helper()
 	packages := map[string]bool{}
@@ -129,7 +129,7 @@
 	return sorted
 }
 
-// projectImports returns the packages of the project that a package imports, sorted.
+// projectImports returns the sorted directories of the project's packages that a package imports.
 func projectImports(t *testing.T, dir string) []string {
 	t.Helper()
 	imports := map[string]bool{}
@@ -172,28 +172,28 @@
 	for _, dir := range packages {
 		want, ok := listed[dir]
 		if !ok {
-			t.Errorf("the map has no package %s", dir)
+			t.Errorf("the package map lacks %s", dir)
 			continue
 		}
 		imports := projectImports(t, dir)
 		if !slices.Equal(imports, want) {
-			t.Errorf("%s imports %v, the map says %v", dir, imports, want)
+			t.Errorf("%s imports %v, but the package map lists %v", dir, imports, want)
 		}
 		for _, name := range imports {
 			if layers[name] >= layers[dir] {
-				t.Errorf("%s in layer %d imports %s in layer %d", dir, layers[dir], name, layers[name])
+				t.Errorf("%s in layer %d imports %s, which is in layer %d and not in a lower one", dir, layers[dir], name, layers[name])
 			}
 		}
 	}
 	for dir := range listed {
 		if !slices.Contains(packages, dir) {
-			t.Errorf("the map has a package %s that is not there", dir)
+			t.Errorf("the package map lists %s, which does not exist", dir)
 		}
 	}
 }
 
-// pureImports are standard packages that a pure package may not import.
-var pureImports = []string{"net", "net/http", "os", "os/exec", "os/signal", "syscall", "sync", "log", "log/slog"}
+// impureImports are packages of the standard library that a pure package must not import.
+var impureImports = []string{"net", "net/http", "os", "os/exec", "os/signal", "syscall", "sync", "log", "log/slog"}
 
 func TestPurePackagesDoNoIO(t *testing.T) {
 	pure := 0
@@ -208,13 +208,13 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				if slices.Contains(pureImports, path) {
-					t.Errorf("%s, which is pure, imports %s", row[1], path)
+				if slices.Contains(impureImports, path) {
+					t.Errorf("%s is marked as pure but imports %s", row[1], path)
 				}
 			}
 		}
 	}
 	if pure < 10 {
-		t.Errorf("%d packages are pure by the map", pure)
+		t.Errorf("the package map marks %d packages as pure, want at least 10", pure)
 	}
 }
--- a/internal/architecture/doc.go
+++ b/internal/architecture/doc.go
@@ -1,3 +1,3 @@
-// Package architecture holds docs/ARCHITECTURE.md to the code: the functions that its tables name exist, and its map of
-// packages has every package, with its imports and in an order in which none imports a higher layer.
+// Package architecture checks docs/ARCHITECTURE.md against the code: the functions that its tables name must exist, and its map
+// must list every package with its imports, in layers such that a package imports only packages of lower layers.
 package architecture
--- a/internal/ci/knownred_test.go
+++ b/internal/ci/knownred_test.go
@@ -1,4 +1,4 @@
-// Package ci has the checks of what .ci/run does with KNOWN-RED.txt.
+// Package ci tests .ci/known-red, which runs the tests and passes over those that KNOWN-RED.txt names.
 package ci
 
 import (
@@ -9,22 +9,23 @@
 	"testing"
 )
 
-// module is one package with a test that fails and one that does not, and one with a test of the same name.
-var module = map[string]string{
+// moduleFiles are the files of a module with two packages, by path. Package a has a test that fails and one that passes; package b
+// has a test with the name of the failing one, which passes.
+var moduleFiles = map[string]string{
 	"go.mod":      "module m\n\ngo 1.25\n",
 	"a/a_test.go": "package a\nimport \"testing\"\nfunc TestRed(t *testing.T) { t.Error(\"it is red\") }\nfunc TestRedder(t *testing.T) {}\n",
 	"b/b_test.go": "package b\nimport \"testing\"\nfunc TestRed(t *testing.T) {}\n",
 }
 
-// run gives what .ci/known-red prints for the module, with other files laid over it, and whether it fails.
-func run(t *testing.T, over map[string]string) (string, bool) {
+// runKnownRed runs .ci/known-red on moduleFiles, with extraFiles added or put in their place. It returns its output and whether it failed.
+func runKnownRed(t *testing.T, extraFiles map[string]string) (string, bool) {
 	t.Helper()
 	script, err := filepath.Abs("../../.ci/known-red")
 	if err != nil {
 		t.Fatal(err)
 	}
 	dir := t.TempDir()
-	for _, files := range []map[string]string{module, over} {
+	for _, files := range []map[string]string{moduleFiles, extraFiles} {
 		for name, text := range files {
 			path := filepath.Join(dir, name)
 			if err := os.MkdirAll(filepath.Dir(path), 0o700); err != nil {
@@ -41,36 +42,37 @@
 	return string(out), err != nil
 }
 
-// Just the tests that are named are passed over; they run all the same and are told of. All else fails as without.
+// Only the tests that KNOWN-RED.txt names don't count. They run all the same, and their outcome is printed. Every other failure
+// is a failure of the whole run, as it is without the file.
 func TestKnownRed(t *testing.T) {
 	t.Parallel()
 	const red = "a TestRed | it always fails | #22\n"
 	for name, c := range map[string]struct {
-		over  map[string]string
-		fails bool
-		want  []string
+		extraFiles map[string]string
+		fails      bool
+		want       []string
 	}{
-		"no file":           {nil, true, []string{"--- FAIL: TestRed", "FAIL\tm/a", "ok  \tm/b"}},
-		"named":             {map[string]string{"KNOWN-RED.txt": red}, false, []string{"ok  \tm/a", "ok  \tm/b", "known red: " + red, "TestRed fails", "it is red"}},
-		"no newline":        {map[string]string{"KNOWN-RED.txt": strings.TrimSpace(red)}, false, []string{"ok  \tm/a"}},
-		"one that passes":   {map[string]string{"KNOWN-RED.txt": red + "b TestRed | once | #22\n"}, false, []string{"TestRed fails", "TestRed passes"}},
-		"same name":         {map[string]string{"KNOWN-RED.txt": "b TestRed | once | #22\n"}, true, []string{"FAIL\tm/a", "ok  \tm/b"}},
-		"name that is part": {map[string]string{"KNOWN-RED.txt": "a TestRedder | once | #22\n"}, true, []string{"--- FAIL: TestRed", "TestRedder passes"}},
-		"does not build":    {map[string]string{"KNOWN-RED.txt": red, "b/b.go": "package b\nvar x int = \"\"\n"}, true, []string{"build failed"}},
+		"no file":                                {nil, true, []string{"--- FAIL: TestRed", "FAIL\tm/a", "ok  \tm/b"}},
+		"named":                                  {map[string]string{"KNOWN-RED.txt": red}, false, []string{"ok  \tm/a", "ok  \tm/b", "known red: " + red, "TestRed fails", "it is red"}},
+		"no newline":                             {map[string]string{"KNOWN-RED.txt": strings.TrimSpace(red)}, false, []string{"ok  \tm/a"}},
+		"named test that passes":                 {map[string]string{"KNOWN-RED.txt": red + "b TestRed | once | #22\n"}, false, []string{"TestRed fails", "TestRed passes"}},
+		"same name in another package":           {map[string]string{"KNOWN-RED.txt": "b TestRed | once | #22\n"}, true, []string{"FAIL\tm/a", "ok  \tm/b"}},
+		"name that starts with a failing test's": {map[string]string{"KNOWN-RED.txt": "a TestRedder | once | #22\n"}, true, []string{"--- FAIL: TestRed", "TestRedder passes"}},
+		"does not build":                         {map[string]string{"KNOWN-RED.txt": red, "b/b.go": "package b\nvar x int = \"\"\n"}, true, []string{"build failed"}},
 		"panic": {map[string]string{"KNOWN-RED.txt": red, "b/b_test.go": "package b\nimport \"testing\"\nfunc TestP(t *testing.T) { panic(1) }\n"},
 			true, []string{"panic: 1", "FAIL\tm/b"}},
-		"end of the package": {map[string]string{"KNOWN-RED.txt": red, "a/main_test.go": "package a\nimport (\"os\"; \"testing\")\nfunc TestMain(m *testing.M) { m.Run(); os.Exit(3) }\n"},
+		"test binary fails": {map[string]string{"KNOWN-RED.txt": red, "a/main_test.go": "package a\nimport (\"os\"; \"testing\")\nfunc TestMain(m *testing.M) { m.Run(); os.Exit(3) }\n"},
 			true, []string{"the tests of a can't be listed"}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			out, failed := run(t, c.over)
+			out, failed := runKnownRed(t, c.extraFiles)
 			if failed != c.fails {
-				t.Errorf("fails: %v, want %v", failed, c.fails)
+				t.Errorf("failed: %v, want %v", failed, c.fails)
 			}
 			for _, want := range c.want {
 				if !strings.Contains(out, want) {
-					t.Errorf("%q is not in what it prints", want)
+					t.Errorf("the output lacks %q", want)
 				}
 			}
 			if t.Failed() {
@@ -80,7 +82,8 @@
 	}
 }
 
-// A file that says something else than three tests with cause and issue fails with one plain line.
+// A KNOWN-RED.txt that isn't a list of at most three tests, each with cause and issue, fails with a message that says why, and no test
+// runs.
 func TestKnownRedBadFile(t *testing.T) {
 	t.Parallel()
 	const good = "b TestRed | once | #22\n"
@@ -108,15 +111,15 @@
 	} {
 		t.Run("", func(t *testing.T) {
 			t.Parallel()
-			out, failed := run(t, map[string]string{"KNOWN-RED.txt": text})
+			out, failed := runKnownRed(t, map[string]string{"KNOWN-RED.txt": text})
 			if !failed || !strings.Contains(out, "KNOWN-RED.txt: ") || !strings.Contains(out, want) || strings.Contains(out, "ok  \t") {
-				t.Errorf("%q: failed %v, want %q: %s", text, failed, want, out)
+				t.Errorf("%q: failed %v, want a failure with %q: %s", text, failed, want, out)
 			}
 		})
 	}
 }
 
-// README and .ci/run name one command.
+// README.md and .ci/run name the same test command.
 func TestOneCommand(t *testing.T) {
 	t.Parallel()
 	for _, path := range []string{"../../README.md", "../../.ci/run"} {
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -1,5 +1,5 @@
-// Package golden holds tests to bytes that were recorded once: what is sent to other processes or stored must stay the same
-// over changes of names in the code. It is for tests only.
+// Package golden compares the output of tests with recorded golden files, so that bytes that are sent to other processes or stored
+// don't change when a name in the code does. It is for use by tests only.
 package golden
 
 import (
@@ -16,7 +16,7 @@
 
 var update = flag.Bool("update", false, "record the golden files anew")
 
-// Check compares got with the file name below the test's testdata/golden. With -update it writes the file instead.
+// Check compares got with the golden file name under the test's testdata/golden. With -update it writes got to the file first.
 func Check(t *testing.T, name string, got []byte) {
 	t.Helper()
 	path := filepath.Join("testdata", "golden", name)
@@ -33,11 +33,12 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(got, want) {
-		t.Errorf("%s has changed: %s", name, firstDifference(got, want))
+		t.Errorf("%s differs from its golden file: %s", name, firstDifference(got, want))
 	}
 }
 
-// firstDifference returns the first line in which two texts differ.
+// firstDifference describes the first line in which two texts differ. If one text is the start of the other, it gives their numbers of
+// lines.
 func firstDifference(got, want []byte) string {
 	gotLines, wantLines := bytes.Split(got, []byte("\n")), bytes.Split(want, []byte("\n"))
 	for i := range min(len(gotLines), len(wantLines)) {
@@ -48,8 +49,8 @@
 	return fmt.Sprintf("%d lines, want %d", len(gotLines), len(wantLines))
 }
 
-// JSON fills a T, writes it as JSON and compares that with the file name.json. It also reads the file into another T, which
-// has to be written again to the same bytes.
+// JSON fills a T with Fill, encodes it as JSON and compares the result with the golden file name.json. It also decodes that JSON
+// into another T, which must be encoded to the same bytes again.
 func JSON[T any](t *testing.T, name string) {
 	t.Helper()
 	var filled T
@@ -74,17 +75,17 @@
 	return raw
 }
 
-// Fill sets every exported field that pointer leads to, each to another value than its zero.
+// Fill sets every exported field that can be reached from pointer to a value other than its zero value.
 func Fill(pointer any) {
 	f := filler{}
 	f.fill(reflect.ValueOf(pointer).Elem())
 }
 
-// filler counts the values that it has set, so that each differs from the others.
+// filler counts the values that it sets. It derives numbers and strings from the count, so that those of different fields differ.
 type filler struct{ count int }
 
-// recordedTime is the time that times are set to.
-var recordedTime = time.Date(2026, 12, 2, 23, 0, 0, 5, time.UTC)
+// filledTime is the value of every time that Fill sets.
+var filledTime = time.Date(2026, 12, 2, 23, 0, 0, 5, time.UTC)
 
 func (f *filler) fill(v reflect.Value) {
 	f.count++
@@ -93,7 +94,7 @@
 		v.SetBytes(fmt.Appendf(nil, `{"filled":%d}`, f.count))
 		return
 	case time.Time:
-		v.Set(reflect.ValueOf(recordedTime))
+		v.Set(reflect.ValueOf(filledTime))
 		return
 	}
 	switch v.Kind() {
--- a/internal/membership/gossip.go
+++ b/internal/membership/gossip.go
@@ -91,7 +91,8 @@
 // events implements memberlist.EventDelegate: memberlist reports joins, leaves, deaths and updates of members to it.
 type events struct{ g *Gossip }
 
-// memberlist calls the Notify methods while it holds its own locks, so they only record the event; poll refreshes the view.
+// NotifyJoin, NotifyLeave and NotifyUpdate only record the event, because memberlist calls them while it holds its own locks; poll
+// refreshes the view.
 func (e events) NotifyJoin(n *memberlist.Node)   { e.g.requestRefresh() }
 func (e events) NotifyLeave(n *memberlist.Node)  { e.g.recordDeparture(n) }
 func (e events) NotifyUpdate(n *memberlist.Node) { e.g.requestRefresh() }
--- a/internal/scale/calibrate/calibrate.go
+++ b/internal/scale/calibrate/calibrate.go
@@ -1,5 +1,6 @@
-// Package calibrate compares hollow nodes (package hollow) with real ones: real node processes with a real discovery agent process
-// each, and real requests, on the same schedule beside the same kind of replicas (docs/scale.md, "Calibration").
+// Package calibrate compares hollow nodes (package hollow) with real ones. The real ones are node processes with a discovery agent
+// process each, and serve real requests. Both kinds run the same schedule against the same kind of replicas (docs/scale.md,
+// "Calibration").
 package calibrate
 
 import (
@@ -19,47 +20,47 @@
 	"meadowsill/internal/scale/hollow"
 )
 
-// Plan is what both kinds of nodes go through.
+// Plan is the schedule that both kinds of nodes run.
 type Plan struct {
 	Nodes        int           `json:"nodes"`
 	Servers      int           `json:"servers"`
 	Tenants      int           `json:"tenants"`
-	RequestsPerS float64       `json:"requests_per_s"` // at each node
-	For          time.Duration `json:"for_ns"`         // of each of the two windows: nothing changes; tenants and servers do
+	RequestsPerS float64       `json:"requests_per_s"` // requests a second at each node
+	Window       time.Duration `json:"for_ns"`         // length of each of the two windows; only in the second one do tenants and servers change
 	Seed         uint64        `json:"seed"`
 }
 
-// Binaries are the programs that are run.
+// Binaries are the paths of the programs that Measure starts.
 type Binaries struct {
 	Fleetlab  string
 	Discovery string
 	Node      string
 }
 
-// Rates is what was counted in a window.
+// Rates are the figures of one window.
 type Rates struct {
 	Calls        map[hollow.Call]Traffic `json:"calls"`
-	ReportBytes  float64                 `json:"report_bytes"`   // of the bodies of reports, a node and second
-	CPU          float64                 `json:"cpu"`            // of one core a node: of a real node's agent, or of the hollow process
-	RSSBytes     float64                 `json:"rss_bytes"`      // a node, at the window's end: as CPU
-	LeaderCPU    float64                 `json:"leader_cpu"`     // of one core: of the replicas together
-	Behind       float64                 `json:"behind"`         // revisions that the last node lacks, the mean of the looks
-	InForceP50MS float64                 `json:"in_force_ms"`    // from a tenant's PUT until the leader knows that all nodes serve it
-	InForceMaxMS float64                 `json:"in_force_max"`   // the longest
-	Changes      int                     `json:"changes"`        // of tenants
-	Skipped      int                     `json:"skipped"`        // changes whose tenant's last one was not over
-	Replaced     int                     `json:"replaced"`       // servers
-	Seconds      float64                 `json:"window_seconds"` // as it was
+	ReportBytes  float64                 `json:"report_bytes"`   // bytes of report bodies, per node and second
+	CPU          float64                 `json:"cpu"`            // cores per node, used by a real node's agent or by the hollow process
+	RSSBytes     float64                 `json:"rss_bytes"`      // resident bytes per node at the window's end, of the same process as CPU
+	LeaderCPU    float64                 `json:"leader_cpu"`     // cores used by all replicas together
+	RevisionLag  float64                 `json:"behind"`         // revisions by which the last node is behind, the mean of the samples
+	InForceP50MS float64                 `json:"in_force_ms"`    // median time from a tenant's PUT until the leader knows that all nodes serve it
+	InForceMaxMS float64                 `json:"in_force_max"`   // the longest of these times
+	Changes      int                     `json:"changes"`        // changes of tenants
+	Skipped      int                     `json:"skipped"`        // changes left out because the tenant's previous change was not over
+	Replaced     int                     `json:"replaced"`       // servers replaced
+	Seconds      float64                 `json:"window_seconds"` // actual length of the window
 }
 
-// Traffic is one kind of call, a node and second.
+// Traffic is the traffic of one kind of call, per node and second.
 type Traffic struct {
 	Calls    float64 `json:"calls"`
 	BytesIn  float64 `json:"bytes_in"`
 	BytesOut float64 `json:"bytes_out"`
 }
 
-// Figures are those of one kind of nodes.
+// Figures are the results for one kind of nodes.
 type Figures struct {
 	Kind     string `json:"kind"` // real or hollow
 	Steady   Rates  `json:"steady"`
@@ -67,28 +68,28 @@
 }
 
 const (
-	readyTimeout = 2 * time.Minute
-	settle       = 5 * time.Second // before a window
-	turnEvery    = time.Second     // a change of a tenant, at every second one a replacement of a server
-	lookTurns    = 3               // between looks at the nodes' revisions
-	statusEvery  = 10 * time.Millisecond
-	callTimeout  = 10 * time.Second
-	leaseTTLMS   = 6000
-	services     = 4
-	replicas     = 3
+	readyTimeout       = 2 * time.Minute
+	settleTime         = 5 * time.Second // wait before each window
+	turnInterval       = time.Second     // a tenant changes at every turn, and a server is replaced at every second one
+	samplingTurns      = 3               // turns from one sample of the revision lag to the next
+	statusPollInterval = 10 * time.Millisecond
+	callTimeout        = 10 * time.Second
+	leaseTTLMS         = 6000
+	services           = 4
+	replicas           = 3
 )
 
 var zones = []string{"za", "zb", "zc"}
 
-// nodes are the nodes of one kind, as the schedule needs them.
+// nodes are all nodes of one kind, with the methods that the schedule needs.
 type nodes interface {
-	ready() (bool, error)     // every node is
-	counted() (counts, error) // so far
-	behind() (uint64, error)  // revisions that the last node lacks against the newest
+	ready() (bool, error)         // reports whether every node is ready
+	readCounts() (counts, error)  // returns the counts since the start
+	revisionLag() (uint64, error) // returns the number of revisions by which the last node is behind the newest
 	close() error
 }
 
-// counts are those since the start.
+// counts are totals since the nodes started.
 type counts struct {
 	calls       map[hollow.Call]hollow.Traffic
 	reportBytes uint64
@@ -96,9 +97,9 @@
 	rss         uint64 // bytes
 }
 
-// Measure runs the plan with nodes of a kind, real or hollow, their data under dir, which it makes. It ends every process that it
-// started.
-func Measure(ctx context.Context, kind string, bin Binaries, dir string, plan Plan, log *slog.Logger) (figures Figures, err error) {
+// Measure runs the plan with nodes of a kind, real or hollow. It creates dir and keeps their data there. It ends every process
+// that it started.
+func Measure(ctx context.Context, kind string, binaries Binaries, dir string, plan Plan, log *slog.Logger) (figures Figures, err error) {
 	if err := plan.validate(kind); err != nil {
 		return Figures{}, err
 	}
@@ -109,7 +110,7 @@
 	if err := os.WriteFile(settings, fmt.Appendf(nil, "slots = %d\n", plan.Nodes), 0o644); err != nil {
 		return Figures{}, err
 	}
-	cluster, err := discoverylab.Start(bin.Discovery, dir, replicas, "--fleet", settings)
+	cluster, err := discoverylab.Start(binaries.Discovery, dir, replicas, "--fleet", settings)
 	if err != nil {
 		return Figures{}, err
 	}
@@ -117,7 +118,7 @@
 	if _, err := cluster.Leader(readyTimeout, -1); err != nil {
 		return Figures{}, err
 	}
-	servers, err := hollow.Start(ctx, bin.Fleetlab, hollow.Config{
+	servers, err := hollow.Start(ctx, binaries.Fleetlab, hollow.Config{
 		Replicas:   cluster.HTTP,
 		Servers:    plan.Servers,
 		Services:   services,
@@ -129,23 +130,23 @@
 		return Figures{}, err
 	}
 	defer func() { err = errors.Join(err, servers.Close()) }()
-	r := &run{ctx: ctx, plan: plan, log: log.With("kind", kind), cluster: cluster, servers: servers}
-	if err := r.serversUp(); err != nil {
+	m := &measurement{ctx: ctx, plan: plan, log: log.With("kind", kind), cluster: cluster, servers: servers}
+	if err := m.waitForServers(); err != nil {
 		return Figures{}, err
 	}
 	if kind == Real {
-		r.nodes, err = startReal(ctx, r, bin, dir, cluster.Network.Number)
+		m.nodes, err = startReal(ctx, m, binaries, dir, cluster.Network.Number)
 	} else {
-		r.nodes, err = startHollow(ctx, r, bin, dir)
+		m.nodes, err = startHollow(ctx, m, binaries, dir)
 	}
 	if err != nil {
 		return Figures{}, err
 	}
-	defer func() { err = errors.Join(err, r.nodes.close()) }()
-	return r.schedule(kind)
+	defer func() { err = errors.Join(err, m.nodes.close()) }()
+	return m.schedule(kind)
 }
 
-// Kinds of nodes.
+// Real and Hollow are the kinds of nodes.
 const (
 	Real   = "real"
 	Hollow = "hollow"
@@ -163,168 +164,168 @@
 		return fmt.Errorf("tenants: %d, must be 1 to 1000", p.Tenants)
 	case !(p.RequestsPerS > 0 && p.RequestsPerS <= 100):
 		return fmt.Errorf("requests: %v, must be above 0 and at most 100", p.RequestsPerS)
-	case p.For < time.Second || p.For > 10*time.Minute:
-		return fmt.Errorf("for: %v, must be 1s to 10m", p.For)
+	case p.Window < time.Second || p.Window > 10*time.Minute:
+		return fmt.Errorf("for: %v, must be 1s to 10m", p.Window)
 	}
 	return nil
 }
 
-// run is one kind's measurement under way.
-type run struct {
+// measurement is a running measurement of one kind of nodes.
+type measurement struct {
 	ctx     context.Context
 	plan    Plan
 	log     *slog.Logger
 	cluster *discoverylab.Cluster
 	servers *hollow.Process
 	nodes   nodes
-	next    []uint64 // by tenant: the generation that its next PUT names
+	next    []uint64 // generation that the next PUT names, by tenant number
 }
 
-// tenantName is the name of the tenant of a number.
+// tenantName returns the name of the tenant with number i.
 func tenantName(i int) string { return fmt.Sprintf("tenant-%03d", i) }
 
-func (r *run) serversUp() error {
-	return r.await("every server registered", func() (bool, error) {
-		usage, err := r.servers.Usage()
-		return usage.Registered == r.plan.Servers, err
+func (m *measurement) waitForServers() error {
+	return m.waitFor("every server to be registered", func() (bool, error) {
+		usage, err := m.servers.Usage()
+		return usage.Registered == m.plan.Servers, err
 	})
 }
 
-// await looks until a condition holds, and gives up after readyTimeout.
-func (r *run) await(what string, holds func() (bool, error)) error {
+// waitFor polls a condition until it holds. It returns an error after readyTimeout.
+func (m *measurement) waitFor(what string, condition func() (bool, error)) error {
 	for end := time.Now().Add(readyTimeout); time.Now().Before(end); {
-		if ok, err := holds(); ok || err != nil {
+		if ok, err := condition(); ok || err != nil {
 			return err
 		}
-		if err := r.pause(100 * time.Millisecond); err != nil {
+		if err := m.pause(100 * time.Millisecond); err != nil {
 			return err
 		}
 	}
-	return fmt.Errorf("after %v: not yet %s", readyTimeout, what)
+	return fmt.Errorf("timed out after %v waiting for %s", readyTimeout, what)
 }
 
-func (r *run) pause(d time.Duration) error {
+func (m *measurement) pause(d time.Duration) error {
 	select {
-	case <-r.ctx.Done():
-		return r.ctx.Err()
+	case <-m.ctx.Done():
+		return m.ctx.Err()
 	case <-time.After(d):
 		return nil
 	}
 }
 
-// schedule waits until all is up, puts the tenants, and measures the two windows.
-func (r *run) schedule(kind string) (figures Figures, err error) {
-	if err := r.await("every node ready", r.nodes.ready); err != nil {
+// schedule waits until every node is ready, rolls out the tenants, and measures the two windows.
+func (m *measurement) schedule(kind string) (figures Figures, err error) {
+	if err := m.waitFor("every node to be ready", m.nodes.ready); err != nil {
 		return Figures{}, err
 	}
-	r.log.Info("ready")
-	r.next = make([]uint64, r.plan.Tenants)
-	for i := range r.plan.Tenants {
-		if _, err := r.roll(i); err != nil {
+	m.log.Info("ready")
+	m.next = make([]uint64, m.plan.Tenants)
+	for i := range m.plan.Tenants {
+		if _, err := m.rollOut(i); err != nil {
 			return Figures{}, err
 		}
 	}
-	r.log.Info("tenants in force", "tenants", r.plan.Tenants)
+	m.log.Info("all tenants in force", "tenants", m.plan.Tenants)
 	figures.Kind = kind
-	if figures.Steady, err = r.window(func(int) error { return nil }); err != nil {
+	if figures.Steady, err = m.window(func(int) error { return nil }); err != nil {
 		return figures, err
 	}
-	r.log.Info("steady window over")
-	changes := &changes{run: r}
-	if figures.Changing, err = r.window(changes.make); err != nil {
+	m.log.Info("steady window measured")
+	changeRunner := &changeRunner{measurement: m}
+	if figures.Changing, err = m.window(changeRunner.make); err != nil {
 		return figures, err
 	}
-	r.log.Info("changing window over")
-	return figures, changes.finish(&figures.Changing)
+	m.log.Info("changing window measured")
+	return figures, changeRunner.finish(&figures.Changing)
 }
 
-func ms(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
+func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// window has the nodes settle and counts for the plan's time. At each of its turns, which come at fixed times, it takes a step.
-func (r *run) window(step func(turn int) error) (rates Rates, err error) {
-	if err := r.pause(settle); err != nil {
+// window lets the nodes settle and then measures for the length of a window. It calls step at every turn; turns come at fixed times.
+func (m *measurement) window(step func(turn int) error) (rates Rates, err error) {
+	if err := m.pause(settleTime); err != nil {
 		return rates, err
 	}
 	began := time.Now()
-	before, err := r.nodes.counted()
+	before, err := m.nodes.readCounts()
 	if err != nil {
 		return rates, err
 	}
-	leadersBefore := r.replicasCPU()
-	looks := 0
-	for turn := 0; time.Duration(turn)*turnEvery < r.plan.For; turn++ {
-		if err := r.pause(time.Until(began.Add(time.Duration(turn) * turnEvery))); err != nil {
+	replicasCPUBefore := m.replicasCPU()
+	samples := 0
+	for turn := 0; time.Duration(turn)*turnInterval < m.plan.Window; turn++ {
+		if err := m.pause(time.Until(began.Add(time.Duration(turn) * turnInterval))); err != nil {
 			return rates, err
 		}
 		if err := step(turn); err != nil {
 			return rates, err
 		}
-		if turn%lookTurns != 0 {
+		if turn%samplingTurns != 0 {
 			continue
 		}
-		behind, err := r.nodes.behind()
+		revisionLag, err := m.nodes.revisionLag()
 		if err != nil {
 			return rates, err
 		}
-		rates.Behind += float64(behind)
-		looks++
+		rates.RevisionLag += float64(revisionLag)
+		samples++
 	}
-	if err := r.pause(time.Until(began.Add(r.plan.For))); err != nil {
+	if err := m.pause(time.Until(began.Add(m.plan.Window))); err != nil {
 		return rates, err
 	}
-	rates.Behind /= float64(max(1, looks))
-	after, err := r.nodes.counted()
+	rates.RevisionLag /= float64(max(1, samples))
+	after, err := m.nodes.readCounts()
 	rates.Seconds = time.Since(began).Seconds()
-	each := rates.Seconds * float64(r.plan.Nodes)
+	nodeSeconds := rates.Seconds * float64(m.plan.Nodes)
 	rates.Calls = map[hollow.Call]Traffic{}
 	for call, total := range after.calls {
-		was := before.calls[call]
-		rates.Calls[call] = Traffic{Calls: float64(total.Calls-was.Calls) / each, BytesIn: float64(total.BytesIn-was.BytesIn) / each,
-			BytesOut: float64(total.BytesOut-was.BytesOut) / each}
+		earlier := before.calls[call]
+		rates.Calls[call] = Traffic{Calls: float64(total.Calls-earlier.Calls) / nodeSeconds, BytesIn: float64(total.BytesIn-earlier.BytesIn) / nodeSeconds,
+			BytesOut: float64(total.BytesOut-earlier.BytesOut) / nodeSeconds}
 	}
-	rates.ReportBytes = float64(after.reportBytes-before.reportBytes) / each
-	rates.RSSBytes = float64(after.rss) / float64(r.plan.Nodes)
-	rates.CPU = (after.cpu - before.cpu).Seconds() / each
-	rates.LeaderCPU = (r.replicasCPU() - leadersBefore).Seconds() / rates.Seconds
+	rates.ReportBytes = float64(after.reportBytes-before.reportBytes) / nodeSeconds
+	rates.RSSBytes = float64(after.rss) / float64(m.plan.Nodes)
+	rates.CPU = (after.cpu - before.cpu).Seconds() / nodeSeconds
+	rates.LeaderCPU = (m.replicasCPU() - replicasCPUBefore).Seconds() / rates.Seconds
 	return rates, err
 }
 
-func (r *run) replicasCPU() (total time.Duration) {
+func (m *measurement) replicasCPU() (total time.Duration) {
 	for i := range replicas {
-		total += discoverylab.CPUTime(r.cluster.Pid(i))
+		total += discoverylab.CPUTime(m.cluster.Pid(i))
 	}
 	return total
 }
 
-// roll puts a tenant's next generation and waits until the leader knows that every node serves it and the rollout is over. It
-// gives the time from the PUT that was taken.
-func (r *run) roll(tenant int) (time.Duration, error) {
+// rollOut puts a tenant's next generation and waits until the leader knows that every node serves it and the rollout is over. It
+// returns the time from just before the PUT until then.
+func (m *measurement) rollOut(tenant int) (time.Duration, error) {
 	name := tenantName(tenant)
-	rate := 10 * r.plan.RequestsPerS * float64(r.plan.Nodes) * (1 + float64(r.next[tenant]%2))
-	put := tenantPut{Generation: r.next[tenant], Spec: fleet.Spec{Name: name, Quota: fleet.Quota{Rate: rate, Burst: rate}}}
+	rate := 10 * m.plan.RequestsPerS * float64(m.plan.Nodes) * (1 + float64(m.next[tenant]%2))
+	put := tenantPut{Generation: m.next[tenant], Spec: fleet.Spec{Name: name, Quota: fleet.Quota{Rate: rate, Burst: rate}}}
 	began := time.Now()
-	code, text, unknown, err := simulated.Call(r.cluster.HTTP, http.MethodPut, "/fleet/v1/tenants/"+name, put)
+	code, text, unknown, err := simulated.Call(m.cluster.HTTP, http.MethodPut, "/fleet/v1/tenants/"+name, put)
 	if err != nil {
 		return 0, err
 	}
 	if code != http.StatusOK && !unknown {
 		return 0, fmt.Errorf("put %s: %d %s", name, code, strings.TrimSpace(text))
 	}
-	r.next[tenant]++
+	m.next[tenant]++
 	for end := began.Add(readyTimeout); time.Now().Before(end); {
-		if settled, err := r.settled(name); err != nil {
+		if rolloutSettled, err := m.rolloutSettled(name); err != nil {
 			return 0, err
-		} else if settled {
+		} else if rolloutSettled {
 			return time.Since(began), nil
 		}
-		if err := r.pause(statusEvery); err != nil {
+		if err := m.pause(statusPollInterval); err != nil {
 			return 0, err
 		}
 	}
-	return 0, fmt.Errorf("%s: generation %d is not in force after %v", name, r.next[tenant], readyTimeout)
+	return 0, fmt.Errorf("%s: generation %d is not in force after %v", name, m.next[tenant], readyTimeout)
 }
 
-// tenantPut is the body of a tenant's PUT.
+// tenantPut is the body of a PUT request for a tenant.
 type tenantPut struct {
 	Generation uint64     `json:"generation"`
 	Spec       fleet.Spec `json:"spec"`
--- a/internal/scale/calibrate/calibrate_test.go
+++ b/internal/scale/calibrate/calibrate_test.go
@@ -12,7 +12,7 @@
 	"meadowsill/internal/scale/hollow"
 )
 
-// Both kinds go through the schedule, and each call that nodes make is counted for both.
+// Both kinds of nodes run the whole schedule, and every call that nodes make is counted for both.
 func TestMeasure(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
@@ -20,10 +20,10 @@
 	if out, err := build.CombinedOutput(); err != nil {
 		t.Fatalf("build: %v\n%s", err, out)
 	}
-	bin := calibrate.Binaries{Fleetlab: filepath.Join(dir, "fleetlab"), Discovery: filepath.Join(dir, "discovery"), Node: filepath.Join(dir, "balancer")}
-	plan := calibrate.Plan{Nodes: 2, Servers: 3, Tenants: 1, RequestsPerS: 5, For: 2 * time.Second, Seed: 1}
+	binaries := calibrate.Binaries{Fleetlab: filepath.Join(dir, "fleetlab"), Discovery: filepath.Join(dir, "discovery"), Node: filepath.Join(dir, "balancer")}
+	plan := calibrate.Plan{Nodes: 2, Servers: 3, Tenants: 1, RequestsPerS: 5, Window: 2 * time.Second, Seed: 1}
 	for _, kind := range []string{calibrate.Real, calibrate.Hollow} {
-		figures, err := calibrate.Measure(t.Context(), kind, bin, filepath.Join(dir, kind), plan, slog.New(slog.DiscardHandler))
+		figures, err := calibrate.Measure(t.Context(), kind, binaries, filepath.Join(dir, kind), plan, slog.New(slog.DiscardHandler))
 		if err != nil {
 			t.Fatalf("%s: %v", kind, err)
 		}
@@ -38,16 +38,16 @@
 	}
 }
 
-// A bad plan is one line that names the key.
+// A bad plan is rejected with an error that names the key.
 func TestBadPlan(t *testing.T) {
 	t.Parallel()
-	good := calibrate.Plan{Nodes: 2, Servers: 3, Tenants: 1, RequestsPerS: 5, For: 2 * time.Second}
+	good := calibrate.Plan{Nodes: 2, Servers: 3, Tenants: 1, RequestsPerS: 5, Window: 2 * time.Second}
 	for key, change := range map[string]func(*calibrate.Plan){
 		"nodes":    func(p *calibrate.Plan) { p.Nodes = 0 },
 		"servers":  func(p *calibrate.Plan) { p.Servers = 251 },
 		"tenants":  func(p *calibrate.Plan) { p.Tenants = -1 },
 		"requests": func(p *calibrate.Plan) { p.RequestsPerS = 0 },
-		"for":      func(p *calibrate.Plan) { p.For = time.Hour },
+		"for":      func(p *calibrate.Plan) { p.Window = time.Hour },
 	} {
 		plan := good
 		change(&plan)
@@ -57,6 +57,6 @@
 		}
 	}
 	if _, err := calibrate.Measure(t.Context(), "other", calibrate.Binaries{}, t.TempDir(), good, slog.New(slog.DiscardHandler)); err == nil {
-		t.Error("a kind that is not")
+		t.Error("an unknown kind was accepted")
 	}
 }
--- a/internal/scale/calibrate/changes.go
+++ b/internal/scale/calibrate/changes.go
@@ -8,26 +8,26 @@
 	"meadowsill/internal/lab/discoverylab"
 )
 
-// changes are those of the second window: a tenant's next generation at every turn, and a server replaced at every second one.
-// Each goes on by itself, so that turns come at their times however long a change takes.
-type changes struct {
-	run  *run
-	open sync.WaitGroup
+// changeRunner makes the changes of the second window: it puts a tenant's next generation at every turn, and replaces a server at
+// every second one. Each change runs in its own goroutine, so that the turns stay on time however long a change takes.
+type changeRunner struct {
+	measurement *measurement
+	running     sync.WaitGroup
 
-	mu       sync.Mutex
-	busy     map[int]bool // by tenant
-	took     []time.Duration
-	skipped  int
-	replaced int
-	err      error
+	mu         sync.Mutex
+	inProgress map[int]bool // tenants whose change is not over, by number
+	took       []time.Duration
+	skipped    int
+	replaced   int
+	err        error
 }
 
-// make begins the changes of a turn.
-func (c *changes) make(turn int) error {
-	c.open.Go(func() { c.roll(turn % c.run.plan.Tenants) })
-	if server := turn / 2; turn%2 == 0 && server < c.run.plan.Servers {
-		c.open.Go(func() {
-			err := c.run.servers.Replace(server, 1)
+// make starts the changes of a turn.
+func (c *changeRunner) make(turn int) error {
+	c.running.Go(func() { c.rollOut(turn % c.measurement.plan.Tenants) })
+	if server := turn / 2; turn%2 == 0 && server < c.measurement.plan.Servers {
+		c.running.Go(func() {
+			err := c.measurement.servers.Replace(server, 1)
 			c.mu.Lock()
 			defer c.mu.Unlock()
 			c.replaced++
@@ -37,33 +37,33 @@
 	return nil
 }
 
-// roll puts a tenant's next generation, unless its last one is not over.
-func (c *changes) roll(tenant int) {
+// rollOut puts a tenant's next generation, unless the tenant's previous change is not over.
+func (c *changeRunner) rollOut(tenant int) {
 	c.mu.Lock()
-	if c.busy == nil {
-		c.busy = map[int]bool{}
+	if c.inProgress == nil {
+		c.inProgress = map[int]bool{}
 	}
-	if c.busy[tenant] {
+	if c.inProgress[tenant] {
 		c.skipped++
 		c.mu.Unlock()
 		return
 	}
-	c.busy[tenant] = true
+	c.inProgress[tenant] = true
 	c.mu.Unlock()
-	took, err := c.run.roll(tenant)
+	took, err := c.measurement.rollOut(tenant)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	delete(c.busy, tenant)
+	delete(c.inProgress, tenant)
 	c.took = append(c.took, took)
 	c.err = errors.Join(c.err, err)
 }
 
-// finish waits for the changes that are open and puts what came of all into the window's rates.
-func (c *changes) finish(rates *Rates) error {
-	c.open.Wait()
+// finish waits for the changes that are still running, and writes the results of all changes to the window's rates.
+func (c *changeRunner) finish(rates *Rates) error {
+	c.running.Wait()
 	rates.Changes = len(c.took)
 	rates.Skipped = c.skipped
 	rates.Replaced = c.replaced
-	rates.InForceP50MS, rates.InForceMaxMS = ms(discoverylab.Quantile(c.took, 0.5)), ms(discoverylab.Quantile(c.took, 1))
+	rates.InForceP50MS, rates.InForceMaxMS = milliseconds(discoverylab.Quantile(c.took, 0.5)), milliseconds(discoverylab.Quantile(c.took, 1))
 	return c.err
 }
--- a/internal/scale/calibrate/kinds.go
+++ b/internal/scale/calibrate/kinds.go
@@ -26,39 +26,39 @@
 	"meadowsill/internal/scale/hollow"
 )
 
-// settled says whether the leader has a tenant's rollout at its end.
-func (r *run) settled(name string) (bool, error) {
+// rolloutSettled reports whether a tenant's rollout is over according to the leader.
+func (m *measurement) rolloutSettled(name string) (bool, error) {
 	var status struct {
 		Phase string `json:"phase"`
 	}
-	_, text, _, err := simulated.Call(r.cluster.HTTP, http.MethodGet, "/fleet/v1/tenants/"+name+"/status", nil)
+	_, text, _, err := simulated.Call(m.cluster.HTTP, http.MethodGet, "/fleet/v1/tenants/"+name+"/status", nil)
 	if err != nil {
 		return false, err
 	}
 	return json.Unmarshal([]byte(text), &status) == nil && status.Phase == "settled", nil
 }
 
-// hollowNodes are those of one hollow process.
+// hollowNodes are the nodes of one hollow process.
 type hollowNodes struct {
 	process *hollow.Process
 	count   int
 }
 
-func startHollow(ctx context.Context, r *run, bin Binaries, dir string) (nodes, error) {
-	process, err := hollow.Start(ctx, bin.Fleetlab, hollow.Config{
-		Replicas:      r.cluster.HTTP,
-		Nodes:         r.plan.Nodes,
+func startHollow(ctx context.Context, m *measurement, binaries Binaries, dir string) (nodes, error) {
+	process, err := hollow.Start(ctx, binaries.Fleetlab, hollow.Config{
+		Replicas:      m.cluster.HTTP,
+		Nodes:         m.plan.Nodes,
 		Services:      services,
 		Zones:         zones,
-		ActiveTenants: r.plan.Tenants,
-		RequestsPerS:  r.plan.RequestsPerS,
+		ActiveTenants: m.plan.Tenants,
+		RequestsPerS:  m.plan.RequestsPerS,
 		Dir:           filepath.Join(dir, "agents"),
-		Seed:          r.plan.Seed,
-	}, r.log)
+		Seed:          m.plan.Seed,
+	}, m.log)
 	if err != nil {
 		return nil, err
 	}
-	return &hollowNodes{process, r.plan.Nodes}, nil
+	return &hollowNodes{process, m.plan.Nodes}, nil
 }
 
 func (h *hollowNodes) ready() (bool, error) {
@@ -66,19 +66,19 @@
 	return usage.Ready == h.count, err
 }
 
-func (h *hollowNodes) counted() (counts, error) {
+func (h *hollowNodes) readCounts() (counts, error) {
 	usage, err := h.process.Usage()
 	return counts{usage.Calls, usage.ReportBytes, usage.CPU, usage.RSSBytes}, err
 }
 
-func (h *hollowNodes) behind() (uint64, error) {
+func (h *hollowNodes) revisionLag() (uint64, error) {
 	usage, err := h.process.Usage()
 	return usage.Behind, err
 }
 
 func (h *hollowNodes) close() error { return h.process.Close() }
 
-// realNodes are node processes, an agent process for each, and the servers and clients that they work for.
+// realNodes are node processes with an agent process each, the app servers that they use, and the clients that send them requests.
 type realNodes struct {
 	meter   *hollow.Meter
 	pairs   []pair
@@ -87,7 +87,7 @@
 	clients sync.WaitGroup
 }
 
-// pair is a node and its agent.
+// pair is a node process and its agent process.
 type pair struct {
 	agent      *exec.Cmd
 	node       *exec.Cmd
@@ -95,45 +95,45 @@
 	nodeListen string
 }
 
-func startReal(ctx context.Context, r *run, bin Binaries, dir string, network int) (nodes, error) {
+func startReal(ctx context.Context, m *measurement, binaries Binaries, dir string, network int) (nodes, error) {
 	ctx, stop := context.WithCancel(ctx)
 	n := &realNodes{meter: hollow.NewMeter(), stop: stop}
-	err := n.start(ctx, r, bin, dir, network)
+	err := n.start(ctx, m, binaries, dir, network)
 	if err != nil {
 		return nil, errors.Join(err, n.close())
 	}
 	return n, nil
 }
 
-func (n *realNodes) start(ctx context.Context, r *run, bin Binaries, dir string, network int) error {
-	for number := range r.plan.Servers {
+func (n *realNodes) start(ctx context.Context, m *measurement, binaries Binaries, dir string, network int) error {
+	for number := range m.plan.Servers {
 		for replacements := range 2 {
-			if err := n.serve(hollow.ServerAddress(number, replacements)); err != nil {
+			if err := n.startServer(hollow.ServerAddress(number, replacements)); err != nil {
 				return err
 			}
 		}
 	}
-	var routes []string
-	for _, replica := range r.cluster.HTTP {
-		via, err := n.meter.Relay(replica)
+	var replicaArgs []string
+	for _, replica := range m.cluster.HTTP {
+		relayAddress, err := n.meter.Relay(replica)
 		if err != nil {
 			return err
 		}
-		routes = append(routes, "--replica", replica, "--route", replica+"="+via)
+		replicaArgs = append(replicaArgs, "--replica", replica, "--route", replica+"="+relayAddress)
 	}
-	for i := range r.plan.Nodes {
-		if err := n.startPair(ctx, r, bin, dir, network, i, routes); err != nil {
+	for i := range m.plan.Nodes {
+		if err := n.startPair(ctx, m, binaries, dir, network, i, replicaArgs); err != nil {
 			return err
 		}
 	}
 	for i := range n.pairs {
-		n.clients.Go(func() { n.load(ctx, r.plan, i) })
+		n.clients.Go(func() { n.generateLoad(ctx, m.plan, i) })
 	}
 	return nil
 }
 
-// startPair starts a node and its agent.
-func (n *realNodes) startPair(ctx context.Context, r *run, bin Binaries, dir string, network, i int, routes []string) error {
+// startPair starts node number i and its agent.
+func (n *realNodes) startPair(ctx context.Context, m *measurement, binaries Binaries, dir string, network, i int, replicaArgs []string) error {
 	name, zone := fmt.Sprintf("n%03d", i), zones[i%len(zones)]
 	data := filepath.Join(dir, name)
 	if err := os.MkdirAll(data, 0o755); err != nil {
@@ -141,13 +141,13 @@
 	}
 	p := pair{agentAddr: fmt.Sprintf("127.7.%d.%d:9100", network, i+1), nodeListen: fmt.Sprintf("127.8.%d.%d:8080", network, i+1)}
 	var err error
-	args := append([]string{"agent", "--node", name, "--zone", zone, "--dir", data, "--listen", p.agentAddr}, routes...)
-	if p.agent, err = startLogged(ctx, filepath.Join(data, "agent.log"), nil, bin.Discovery, args...); err != nil {
+	args := append([]string{"agent", "--node", name, "--zone", zone, "--dir", data, "--listen", p.agentAddr}, replicaArgs...)
+	if p.agent, err = startLogged(ctx, filepath.Join(data, "agent.log"), nil, binaries.Discovery, args...); err != nil {
 		return err
 	}
 	n.pairs = append(n.pairs, p)
 	settings := lab.Settings()
-	settings["balancers"] = r.plan.Nodes
+	settings["balancers"] = m.plan.Nodes
 	settings["slot_no"] = i
 	settings["zone"] = zone
 	settings["failure_domains"] = zones
@@ -156,7 +156,7 @@
 		Name:      name,
 		Listen:    p.nodeListen,
 		Discovery: p.agentAddr,
-		Seed:      fmt.Sprintf("%x", r.plan.Seed+uint64(i)+1),
+		Seed:      fmt.Sprintf("%x", m.plan.Seed+uint64(i)+1),
 		Settings:  settings,
 		Fleet:     nodeFleet{Agent: p.agentAddr, ReportMS: 250, CatchUpMS: 10_000},
 	})
@@ -167,7 +167,7 @@
 	if err := os.WriteFile(file, raw, 0o644); err != nil {
 		return err
 	}
-	p.node, err = startLogged(ctx, filepath.Join(data, "node.log"), []string{"GW_CONFIG=" + file, "TMPDIR=" + data}, bin.Node)
+	p.node, err = startLogged(ctx, filepath.Join(data, "node.log"), []string{"GW_CONFIG=" + file, "TMPDIR=" + data}, binaries.Node)
 	n.pairs[i] = p
 	return err
 }
@@ -188,7 +188,7 @@
 	CatchUpMS int    `json:"catch_up_ms"`
 }
 
-// startLogged starts a process that ends with ctx or with this one, its output in a file.
+// startLogged starts a process that writes its output to logFile. The process is killed when ctx ends or this process does.
 func startLogged(ctx context.Context, logFile string, env []string, bin string, args ...string) (*exec.Cmd, error) {
 	out, err := os.Create(logFile)
 	if err != nil {
@@ -202,8 +202,9 @@
 	return cmd, cmd.Start()
 }
 
-// serve answers requests at an address as the hollow nodes' model has it: after 5 ms and an exponential time of 15 ms.
-func (n *realNodes) serve(address string) error {
+// startServer starts an app server at an address. As in the model of the hollow nodes, it answers a request after 5 ms plus an
+// exponentially distributed time with a mean of 15 ms.
+func (n *realNodes) startServer(address string) error {
 	server := &http.Server{Addr: address, Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		time.Sleep(5*time.Millisecond + time.Duration(rand.ExpFloat64()*float64(15*time.Millisecond)))
 		io.WriteString(w, "ok\n")
@@ -217,13 +218,13 @@
 	return nil
 }
 
-// load sends requests of every tenant to a node, Poisson arrivals, until ctx ends.
-func (n *realNodes) load(ctx context.Context, plan Plan, i int) {
+// generateLoad sends requests of randomly chosen tenants to node number i, with Poisson arrivals, until ctx ends.
+func (n *realNodes) generateLoad(ctx context.Context, plan Plan, i int) {
 	random := rand.New(rand.NewPCG(plan.Seed, uint64(i)))
 	client := http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 16}}
 	defer client.CloseIdleConnections()
-	var open sync.WaitGroup
-	defer open.Wait()
+	var running sync.WaitGroup
+	defer running.Wait()
 	for ctx.Err() == nil {
 		select {
 		case <-ctx.Done():
@@ -237,7 +238,7 @@
 		request.Header.Set("X-Account", tenantName(random.IntN(plan.Tenants)))
 		request.Header.Set("X-Time-Left", "2")
 		request.Header.Set("X-Correlation-Id", fmt.Sprintf("%016x", random.Uint64()))
-		open.Go(func() {
+		running.Go(func() {
 			if response, err := client.Do(request); err == nil {
 				io.Copy(io.Discard, response.Body)
 				response.Body.Close()
@@ -252,7 +253,7 @@
 	for _, p := range n.pairs {
 		response, err := client.Get("http://" + p.nodeListen + "/health/ready")
 		if err != nil {
-			return false, nil // it does not listen yet
+			return false, nil // the node doesn't listen yet
 		}
 		response.Body.Close()
 		if response.StatusCode != http.StatusOK {
@@ -262,7 +263,7 @@
 	return true, nil
 }
 
-func (n *realNodes) counted() (counts, error) {
+func (n *realNodes) readCounts() (counts, error) {
 	c := counts{calls: n.meter.Traffic(), reportBytes: n.meter.ReportBytes()}
 	for _, p := range n.pairs {
 		c.cpu += discoverylab.CPUTime(p.agent.Process.Pid)
@@ -271,8 +272,8 @@
 	return c, nil
 }
 
-// behind reads every agent's revision.
-func (n *realNodes) behind() (uint64, error) {
+// revisionLag reads the revision of every agent, and returns the difference between the newest and the oldest.
+func (n *realNodes) revisionLag() (uint64, error) {
 	var newest, oldest uint64
 	for i, p := range n.pairs {
 		response, err := client.Get("http://" + p.agentAddr + "/metrics")
@@ -296,7 +297,7 @@
 	return newest - oldest, nil
 }
 
-// metric reads a whole number of Prometheus text.
+// metric returns the value of a metric in Prometheus' text format as a whole number.
 func metric(text []byte, name string) (uint64, error) {
 	for lines := bufio.NewScanner(bytes.NewReader(text)); lines.Scan(); {
 		if value, ok := strings.CutPrefix(lines.Text(), name+" "); ok {
