--- a/cmd/fleetlab/capacity.go
+++ b/cmd/fleetlab/capacity.go
@@ -9,7 +9,7 @@
 	"meadowsill/internal/capacity"
 )
 
-// benchCommand is how the benchmarks are run that capacity measure reads, for each package with such ones.
+// benchCommand is the command that runs the benchmarks of a package whose output capacity measure reads.
 const benchCommand = "go test -run '^$' -bench Capacity -benchtime=20ms -count=3 %s"
 
 func capacityCmd() *cobra.Command {
@@ -49,7 +49,7 @@
 	return os.WriteFile(path, []byte(page), 0o644)
 }
 
-// capacityMeasureCmd renews the slopes of the benchmarks in the slopes file. Those of pages and sweeps stay.
+// capacityMeasureCmd renews the slopes in the slopes file that come from benchmarks. It keeps those that come from pages and sweeps.
 func capacityMeasureCmd(files *capacity.Files) *cobra.Command {
 	return &cobra.Command{Use: "measure BENCHMARKS", Short: "Renew the slopes from the output of the benchmarks", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
--- a/cmd/fleetlab/capacity_test.go
+++ b/cmd/fleetlab/capacity_test.go
@@ -12,7 +12,7 @@
 	"meadowsill/internal/lab/datapath"
 )
 
-// execute runs a command line in this process.
+// execute runs fleetlab with the given arguments in this process, and returns its output.
 func execute(args ...string) (string, error) {
 	var out bytes.Buffer
 	cmd := root()
@@ -31,45 +31,46 @@
 	pageFile   = "../../docs/CAPACITY.md"
 )
 
-// The page is renewed to itself, printed tables are those of the page, and a bad file changes nothing.
+// fleetlab capacity writes the committed page again byte for byte, prints the tables, and doesn't change the page if an input is bad.
 func TestCapacityCommand(t *testing.T) {
 	page, err := os.ReadFile(pageFile)
 	if err != nil {
 		t.Fatal(err)
 	}
-	copied := filepath.Join(t.TempDir(), "CAPACITY.md")
-	if err := os.WriteFile(copied, page, 0o644); err != nil {
+	pageCopy := filepath.Join(t.TempDir(), "CAPACITY.md")
+	if err := os.WriteFile(pageCopy, page, 0o644); err != nil {
 		t.Fatal(err)
 	}
-	if out, err := execute("capacity", "--before", beforeFile, "--datapath", runsFile, "--plan", planFile, "--slopes", slopesFile, "--write", copied); err != nil {
+	if out, err := execute("capacity", "--before", beforeFile, "--datapath", runsFile, "--plan", planFile, "--slopes", slopesFile, "--write", pageCopy); err != nil {
 		t.Fatalf("%v\n%s", err, out)
 	}
-	if again, _ := os.ReadFile(copied); !bytes.Equal(again, page) {
-		t.Error("the committed page is not what fleetlab capacity writes")
+	if reread, _ := os.ReadFile(pageCopy); !bytes.Equal(reread, page) {
+		t.Error("the committed page differs from what fleetlab capacity writes")
 	}
 	out, err := execute("capacity", "--before", beforeFile, "--datapath", runsFile, "--plan", planFile, "--slopes", slopesFile)
 	if err != nil || !strings.Contains(out, "## missing") {
 		t.Errorf("%v\n%s", err, out)
 	}
 	for name, args := range map[string][]string{
-		"no plan":       {"capacity", "--before", beforeFile, "--datapath", runsFile, "--plan", copied, "--slopes", slopesFile, "--write", copied},
-		"no slopes":     {"capacity", "--before", beforeFile, "--datapath", runsFile, "--plan", planFile, "--slopes", planFile, "--write", copied},
-		"no file":       {"capacity", "--before", beforeFile, "--datapath", runsFile, "--plan", copied + ".none", "--slopes", slopesFile, "--write", copied},
-		"other commit":  {"capacity", "--before", beforeFile, "--datapath", runsFile, "--plan", planFile, "--slopes", slopesFile, "--commit", "none", "--write", copied},
-		"no runs":       {"capacity", "--before", beforeFile, "--datapath", planFile, "--plan", planFile, "--slopes", slopesFile, "--write", copied},
-		"no benchmarks": {"capacity", "measure", copied, "--slopes", slopesFile, "--commit", "none"},
-		"no commit":     {"capacity", "measure", copied, "--slopes", slopesFile},
+		"no plan":       {"capacity", "--before", beforeFile, "--datapath", runsFile, "--plan", pageCopy, "--slopes", slopesFile, "--write", pageCopy},
+		"no slopes":     {"capacity", "--before", beforeFile, "--datapath", runsFile, "--plan", planFile, "--slopes", planFile, "--write", pageCopy},
+		"no file":       {"capacity", "--before", beforeFile, "--datapath", runsFile, "--plan", pageCopy + ".none", "--slopes", slopesFile, "--write", pageCopy},
+		"other commit":  {"capacity", "--before", beforeFile, "--datapath", runsFile, "--plan", planFile, "--slopes", slopesFile, "--commit", "none", "--write", pageCopy},
+		"no runs":       {"capacity", "--before", beforeFile, "--datapath", planFile, "--plan", planFile, "--slopes", slopesFile, "--write", pageCopy},
+		"no benchmarks": {"capacity", "measure", pageCopy, "--slopes", slopesFile, "--commit", "none"},
+		"no commit":     {"capacity", "measure", pageCopy, "--slopes", slopesFile},
 	} {
 		if out, err := execute(args...); err == nil || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s: %v\n%s", name, err, out)
 		}
 	}
-	if again, _ := os.ReadFile(copied); !bytes.Equal(again, page) {
+	if reread, _ := os.ReadFile(pageCopy); !bytes.Equal(reread, page) {
 		t.Error("a bad file changed the page")
 	}
 }
 
-// A short measurement of the data path serves through the node and ends with it; plans that can't be are refused in one line.
+// A short measurement of the data path gets answers directly and through the node. Plans that can't be carried out are rejected with one
+// line of error.
 func TestDatapathCommand(t *testing.T) {
 	lab, node := build(t)
 	out := t.TempDir()
--- a/cmd/fleetlab/cases_test.go
+++ b/cmd/fleetlab/cases_test.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// fleetRun is what the cases are judged by, in addition to the rules that the checker holds.
+// fleetRun has the results of a run that the tests of the cases check, in addition to the rules that the checker checks.
 type fleetRun struct {
-	ColdFalls int `json:"cold_falls"`
-	Onboarded []struct {
+	WarmingOverloads int `json:"cold_falls"`
+	Onboarded        []struct {
 		Generation uint64
 		Nodes      int
 		AllMS      float64 `json:"all_ms"`
@@ -33,9 +33,9 @@
 	}
 }
 
-// play runs a bundled scenario of a whole fleet: no rule may break, no app server fall, and nearly all that is not over a
-// quota be served.
-func play(t *testing.T, scenario string, served float64) (r fleetRun) {
+// runCase runs a bundled scenario with a whole fleet. It requires that no rule is broken, that no warming app server is overloaded,
+// that every node comes up, and that at least the share minServed of the requests is served: nearly all that are not over a quota.
+func runCase(t *testing.T, scenario string, minServed float64) (r fleetRun) {
 	t.Helper()
 	lab, node := build(t)
 	complete, dir := run(t, lab, node, scenario)
@@ -55,18 +55,18 @@
 	if err != nil || records.Fleet == nil || json.Unmarshal(*records.Fleet, &r.fleet) != nil {
 		t.Fatalf("records: %v", err)
 	}
-	if len(complete.Breaches) != 0 || r.ColdFalls != 0 || len(complete.NeverUp) != 0 {
-		t.Errorf("breaches %v, cold falls %d, never up %v (see %s)", complete.Breaches, r.ColdFalls, complete.NeverUp, dir)
+	if len(complete.Breaches) != 0 || r.WarmingOverloads != 0 || len(complete.NeverUp) != 0 {
+		t.Errorf("breaches %v, overloads of warming servers %d, never up %v (see %s)", complete.Breaches, r.WarmingOverloads, complete.NeverUp, dir)
 	}
-	if complete.Whole.Sent < 2000 || float64(complete.Whole.Served) < served*float64(complete.Whole.Sent) {
+	if complete.Whole.Sent < 2000 || float64(complete.Whole.Served) < minServed*float64(complete.Whole.Sent) {
 		t.Errorf("whole run: %+v", complete.Whole)
 	}
 	return r
 }
 
-// Zone b is cut off from the nodes of zone a alone: these leave it by one directive of their own, and nobody leaves anything else.
-func TestZoneCutOffFromOneOther(t *testing.T) {
-	r := play(t, "case-cut-off", 0.95)
+// Zone b is cut off from the nodes of zone a only. These nodes leave zone b by a directive for zone a, and no other zone is left.
+func TestZoneCutOffFromOneZone(t *testing.T) {
+	r := runCase(t, "case-cut-off", 0.95)
 	left := 0
 	for _, d := range r.fleet.Told {
 		if d.Phase == "left" && d.Key != "zone/b@a" {
@@ -80,10 +80,11 @@
 	}
 }
 
-// A quota is halved under a load over it, and a rollout runs while three of ten agents are cut off from the replicas: the checker holds
-// the sum of what is admitted; the smaller quota reaches every node, and the rollout goes on without those cut off.
+// A quota is halved while the load is above it, and a later rollout runs while three of ten agents are cut off from the replicas. The
+// checker checks the sum of the admitted requests. The smaller quota reaches every node, and the rollout goes on without the nodes
+// that are cut off.
 func TestQuotaHalvedAndRolloutInPartition(t *testing.T) {
-	r := play(t, "case-tenants", 0.5)
+	r := runCase(t, "case-tenants", 0.5)
 	if len(r.Onboarded) != 3 {
 		t.Fatalf("generations %+v", r.Onboarded)
 	}
@@ -94,10 +95,10 @@
 	}
 }
 
-// A node paused for 10 s is shown silent, and in step once it is back; another's file of its own is named. No other node is seen to drift
-// (the checker's D rules).
-func TestPausedNodeAndAnotherFile(t *testing.T) {
-	r := play(t, "case-drift", 0.85)
+// A node that is paused for 10 s is reported as silent, and as in step once it runs again. Another node, which has a file of its own,
+// is reported as overridden. The checker's D rules ensure that no other node is reported to drift.
+func TestPausedNodeAndNodeWithOwnFile(t *testing.T) {
+	r := runCase(t, "case-drift", 0.85)
 	silent, last := false, ""
 	for _, v := range r.fleet.Verdicts {
 		if v.Node == 2 {
@@ -106,9 +107,9 @@
 		}
 	}
 	if !silent || last != "in-step" {
-		t.Errorf("the paused node: silent %v, then %s", silent, last)
+		t.Errorf("the paused node: silent %v, last state %s, want silent and then in step", silent, last)
 	}
 	if len(r.Drifts) != 1 || r.Drifts[0].Node != "n5" || r.Drifts[0].State != "overridden" {
-		t.Errorf("the planted drift: %+v", r.Drifts)
+		t.Errorf("the planted drift: %+v, want n5 overridden", r.Drifts)
 	}
 }
--- a/cmd/fleetlab/hollow.go
+++ b/cmd/fleetlab/hollow.go
@@ -12,8 +12,8 @@
 	"meadowsill/internal/scale/hollow"
 )
 
-// hollowCmd runs hollow nodes and app servers for the scale runner, which starts it and speaks to it over its standard input
-// and output.
+// hollowCmd runs hollow nodes and app servers for the scale runner. The runner starts the command as a process and communicates
+// with it over its standard input and output.
 func hollowCmd() *cobra.Command {
 	return &cobra.Command{
 		Use:    "hollow",
--- a/cmd/fleetlab/hollow_test.go
+++ b/cmd/fleetlab/hollow_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// The subcommand of hollow nodes is there, unlisted, and answers a bad configuration with its one line.
+// The subcommand for hollow nodes exists, isn't listed in the help, and answers a bad configuration with an error that names the key.
 func TestHollowCommand(t *testing.T) {
 	t.Parallel()
 	var out bytes.Buffer
@@ -16,13 +16,13 @@
 	cmd.SetOut(&out)
 	cmd.SetErr(&out)
 	if err := cmd.Execute(); err == nil || !strings.Contains(err.Error(), "colour") || !strings.Contains(out.String(), `"err":"config:`) {
-		t.Errorf("a bad configuration: %v, %q", err, out.String())
+		t.Errorf("bad configuration: error %v, output %q", err, out.String())
 	}
 	out.Reset()
 	cmd = root()
 	cmd.SetArgs([]string{"--help"})
 	cmd.SetOut(&out)
 	if err := cmd.Execute(); err != nil || strings.Contains(out.String(), "\n  hollow ") {
-		t.Errorf("the help: %v, %q", err, out.String())
+		t.Errorf("help: error %v, output %q, want no hollow command in it", err, out.String())
 	}
 }
--- a/cmd/fleetlab/main.go
+++ b/cmd/fleetlab/main.go
@@ -1,14 +1,15 @@
-// Command fleetlab runs the project's fleet lab: real node processes on loopback against stub app servers
-// and discovery, with faults between them, under a scenario's timeline (docs/lab.md).
+// Command fleetlab runs the project's fleet lab. The lab runs real node processes on loopback with stub app servers and discovery,
+// and injects faults between them according to a scenario's timeline (docs/lab.md).
 //
-//	fleetlab list                 the bundled scenarios
-//	fleetlab run NAME|FILE.toml   one run; its directory holds node logs, records.json, report.json and plots
-//	fleetlab report RUN_DIR       the report again from a run's records
-//	fleetlab calibrate            hollow nodes of the scale tests against real ones
-//	fleetlab simulate             the fleet's pure cores with many nodes on seeded faults, in one process
-//	fleetlab scale NAME|FILE.toml how the control plane bears its size: a sweep over one dimension (docs/scale.md)
-//	fleetlab capacity             the tables of docs/CAPACITY.md from measured slopes
-//	fleetlab datapath             what a real node adds to a request, against the direct call
+//	fleetlab list                 lists the bundled scenarios
+//	fleetlab run NAME|FILE.toml   runs a scenario once; the run's directory holds node logs, records.json, report.json and plots
+//	fleetlab report RUN_DIR       writes the report of a run again from its records
+//	fleetlab discovery            measures discovery, or the fleet's control plane
+//	fleetlab calibrate            compares the hollow nodes of the scale tests with real ones
+//	fleetlab simulate             simulates the fleet's pure cores with many nodes under seeded faults, in one process
+//	fleetlab scale NAME|FILE.toml measures how the costs of the control plane grow along one dimension (docs/scale.md)
+//	fleetlab capacity             computes the tables of docs/CAPACITY.md from measured slopes
+//	fleetlab datapath             measures what a real node adds to a request, compared with a direct call
 package main
 
 import (
@@ -62,21 +63,21 @@
 		}}
 }
 
-// renamedScenarios are the bundled scenarios that had another name.
+// renamedScenarios maps the former name of a bundled scenario to its present name.
 var renamedScenarios = map[string]string{
 	"listd-small": "discovery-small",
 	"listd-links": "discovery-links",
 	"members":     "membership",
 }
 
-// load reads a scenario by bundled name or by path.
-func load(arg string) (*lab.Scenario, error) {
+// loadScenario reads a bundled scenario by its name, or a scenario file by its path.
+func loadScenario(arg string) (*lab.Scenario, error) {
 	text, err := scenarios.Read(arg)
 	name := arg
 	if err != nil {
 		if text, err = os.ReadFile(arg); err != nil {
-			if now, ok := renamedScenarios[arg]; ok {
-				return nil, fmt.Errorf("scenario %s was renamed: it is %s now", arg, now)
+			if newName, ok := renamedScenarios[arg]; ok {
+				return nil, fmt.Errorf("scenario %s was renamed: it is %s now", arg, newName)
 			}
 			return nil, fmt.Errorf("scenario %s: neither bundled (fleetlab list) nor a file: %w", arg, err)
 		}
@@ -91,7 +92,7 @@
 	var nodes int
 	cmd := &cobra.Command{Use: "run NAME|FILE.toml", Short: "Run a scenario and write its report", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			s, err := load(args[0])
+			s, err := loadScenario(args[0])
 			if err != nil {
 				return err
 			}
@@ -125,7 +126,7 @@
 			log.Info("run", "scenario", s.Name, "nodes", s.Fleet.Nodes, "servers", s.Fleet.Servers, "seed", s.Seed)
 			recs, err := lab.Run(ctx, s, lab.Options{Dir: dir, Log: log})
 			if err != nil {
-				log.Error("run ended", "err", err)
+				log.Error("scenario run failed", "err", err)
 				return err
 			}
 			raw, err := json.Marshal(recs)
@@ -209,7 +210,7 @@
 }
 
 func discoveryCmd() *cobra.Command {
-	var p discoverylab.Plan
+	var plan discoverylab.Plan
 	var out, binary string
 	var nodes int
 	cmd := &cobra.Command{Use: "discovery", Short: "Measure discovery: writes/s, fan-out, memory per watcher, failover, catch-up",
@@ -219,26 +220,26 @@
 				return err
 			}
 			log := slog.New(slog.NewJSONHandler(c.ErrOrStderr(), nil)).With("run", filepath.Base(dir))
-			var f any
+			var figures any
 			var err error
 			if nodes > 0 {
-				f, err = simulated.Measure(binary, dir, simulated.Plan{Nodes: nodes, Rollouts: 25, Tenants: 200, Drifts: 20, Losses: 5, Steady: 10 * time.Second}, log)
+				figures, err = simulated.Measure(binary, dir, simulated.Plan{Nodes: nodes, Rollouts: 25, Tenants: 200, Drifts: 20, Losses: 5, Steady: 10 * time.Second}, log)
 			} else {
-				f, err = discoverylab.Experiment(binary, dir, p, log)
+				figures, err = discoverylab.Experiment(binary, dir, plan, log)
 			}
-			if raw, _ := json.MarshalIndent(f, "", "  "); string(raw) != "null" {
+			if raw, _ := json.MarshalIndent(figures, "", "  "); string(raw) != "null" {
 				os.WriteFile(filepath.Join(dir, "figures.json"), raw, 0o644)
 				fmt.Fprintf(c.OutOrStdout(), "%s\n", raw)
 			}
 			return err
 		}}
 	cmd.Flags().IntVar(&nodes, "fleet", 0, "measure the fleet's control plane instead, with so many agents (docs/fleet.md)")
-	cmd.Flags().IntVar(&p.Replicas, "replicas", 3, "replicas")
-	cmd.Flags().IntVar(&p.Watchers, "watchers", 300, "watchers for the fan-out")
-	cmd.Flags().IntVar(&p.Kills, "kills", 10, "leader kills for failover")
-	cmd.Flags().IntVar(&p.Revisions, "revisions", 10000, "revisions a replica misses before its catch-up")
-	cmd.Flags().IntVar(&p.Writers, "writers", 16, "concurrent writers")
-	cmd.Flags().DurationVar(&p.WriteFor, "write-for", 3*time.Second, "how long writes/s is measured")
+	cmd.Flags().IntVar(&plan.Replicas, "replicas", 3, "replicas")
+	cmd.Flags().IntVar(&plan.Watchers, "watchers", 300, "watchers for the fan-out")
+	cmd.Flags().IntVar(&plan.Kills, "kills", 10, "leader kills for failover")
+	cmd.Flags().IntVar(&plan.Revisions, "revisions", 10000, "revisions a replica misses before its catch-up")
+	cmd.Flags().IntVar(&plan.Writers, "writers", 16, "concurrent writers")
+	cmd.Flags().DurationVar(&plan.WriteFor, "write-for", 3*time.Second, "how long writes/s is measured")
 	cmd.Flags().StringVar(&out, "out", "logs/lab", "where the run directory is made")
 	cmd.Flags().StringVar(&binary, "discovery-binary", "bin/discovery", "the discovery program")
 	return cmd
--- a/cmd/fleetlab/main_test.go
+++ b/cmd/fleetlab/main_test.go
@@ -14,7 +14,8 @@
 	"time"
 )
 
-// The lab and the node are built as the README's line builds them; the tests run them as processes.
+// build builds the programs that the tests run as processes, in the way that the README does. It returns the paths of the lab and
+// the node.
 func build(t *testing.T) (lab, node string) {
 	t.Helper()
 	dir := t.TempDir()
@@ -39,9 +40,9 @@
 		Rule, ID string
 		At       time.Duration
 	}
-	NeverUp   []string `json:"never_up"`
-	ColdFalls int      `json:"cold_falls"`
-	Zones     []struct {
+	NeverUp          []string `json:"never_up"`
+	WarmingOverloads int      `json:"cold_falls"`
+	Zones            []struct {
 		LeftMS   float64 `json:"left_ms"`
 		ServedMS float64 `json:"served_ms"`
 	} `json:"zones"`
@@ -69,14 +70,14 @@
 		"--membership-binary", filepath.Join(filepath.Dir(node), "membership"))
 	var stdout bytes.Buffer
 	cmd.Stdout, cmd.Stderr = &stdout, &stdout
-	guard := time.AfterFunc(3*time.Minute, func() { cmd.Process.Kill() })
-	defer guard.Stop()
+	killTimer := time.AfterFunc(3*time.Minute, func() { cmd.Process.Kill() })
+	defer killTimer.Stop()
 	if err := cmd.Run(); err != nil {
 		t.Fatalf("%s: %v\n%s", scenario, err, stdout.String())
 	}
 	dirs, _ := filepath.Glob(filepath.Join(out, "*"))
 	if len(dirs) != 1 {
-		t.Fatalf("run directories %v", dirs)
+		t.Fatalf("run directories: %v, want one", dirs)
 	}
 	raw, err := os.ReadFile(filepath.Join(dirs[0], "report.json"))
 	if err != nil {
@@ -94,7 +95,7 @@
 	return r, dirs[0]
 }
 
-// The CI's scenario: four nodes, a kill, a drain and a partition, with no rule broken and every section there.
+// The scenario that CI runs has four nodes, a kill, a drain and a partition. No rule is broken, and the report has every section.
 func TestSmallScenarioBreaksNoRule(t *testing.T) {
 	lab, node := build(t)
 	r, dir := run(t, lab, node, "small")
@@ -102,7 +103,7 @@
 		t.Errorf("breaches: %v (see %s)", r.Breaches, dir)
 	}
 	if len(r.Phases) != 6 || len(r.PerNode) != 4 || len(r.PerServer) != 6 || len(r.Plots) != 3 || len(r.NeverUp) != 0 {
-		t.Errorf("report lacks a section: %+v", r)
+		t.Errorf("the report lacks a section or has a wrong number of entries: %+v", r)
 	}
 	if r.Whole.Sent < 1000 || float64(r.Whole.Served) < 0.8*float64(r.Whole.Sent) || r.Whole.P99MS <= 0 {
 		t.Errorf("whole run: %+v", r.Whole)
@@ -113,8 +114,8 @@
 	}
 }
 
-// The same on discovery's replicas with an agent per node: a drain and a removal reach the nodes that discovery
-// can reach in time; two nodes cut off from it are updated at the heal.
+// The same fleet on replicas of discovery, with an agent per node. A drain and a removal reach the nodes that discovery can reach in
+// time; two nodes that are cut off from it are updated when the partition heals.
 func TestDiscoveryScenarioBreaksNoRule(t *testing.T) {
 	lab, node := build(t)
 	r, dir := run(t, lab, node, "discovery-small")
@@ -130,8 +131,8 @@
 	}
 }
 
-// Every link of discovery named and faulted: raft and agent links lossy, the leader and an agent killed and back, two
-// agents cut off from the replicas. Nothing breaks, and the CPU of agents and replicas is counted.
+// Faults are injected on every kind of link of discovery: Raft and agent links lose messages, the leader and an agent are killed and
+// restarted, and two agents are cut off from the replicas. No rule is broken, and the CPU time of agents and replicas is counted.
 func TestDiscoveryLinksAndProcessesAreFaulted(t *testing.T) {
 	lab, node := build(t)
 	r, dir := run(t, lab, node, "discovery-links")
@@ -149,8 +150,9 @@
 	}
 }
 
-// Members gossip through relays that carry UDP and TCP: two of six cut off from the others are taken for dead by them, and alive
-// again after the heal, under 5 % loss and jitter; one killed is seen dead by all; nobody else ever is.
+// Members gossip through relays that carry UDP and TCP. During a partition, two of six members and the other four consider each other
+// dead; after the heal, with 5 % loss and jitter, they consider each other alive again. A member that is killed is seen dead by all
+// others. Apart from that, no member is ever considered dead.
 func TestMembersGossipThroughRelays(t *testing.T) {
 	lab, node := build(t)
 	path := filepath.Join(t.TempDir(), "gossip.toml")
@@ -185,11 +187,11 @@
 		last[[2]int{s.By, s.Of}] = s.State
 	}
 	if across == 0 || within > 0 || last[[2]int{1, 5}] != "alive" || last[[2]int{4, 1}] != "alive" {
-		t.Errorf("dead across the split %d, within a side %d; at the end %v", across, within, last)
+		t.Errorf("sightings of dead members across the partition %d, within a side %d; last states %v", across, within, last)
 	}
 }
 
-// A relay that sends a request twice is caught by the checker, with the request's id.
+// The checker reports a relay that sends a request to a server twice, with the id of the request.
 func TestCheckerCatchesADuplicatedAttempt(t *testing.T) {
 	lab, node := build(t)
 	r, _ := run(t, lab, node, "duplicate")
@@ -203,19 +205,19 @@
 	}
 }
 
-// Drains are judged: a node that ends at SIGTERM with requests open loses them, and each is a breach; the same node
-// killed is the fault's cost; and a planned restart of real nodes loses nothing.
-func TestDrainsAreJudged(t *testing.T) {
+// A node that ends at SIGTERM with open requests loses them, and each of them is a breach. If the same node is killed, the lost requests
+// are the cost of the fault and no breaches. A planned restart of real nodes loses no request.
+func TestRequestsLostInADrainAreBreaches(t *testing.T) {
 	lab, node := build(t)
 	dir := t.TempDir()
-	rude := filepath.Join(dir, "rudenode")
-	if out, err := exec.Command("go", "build", "-o", rude, "./testdata/rudenode").CombinedOutput(); err != nil {
+	abruptNode := filepath.Join(dir, "rudenode")
+	if out, err := exec.Command("go", "build", "-o", abruptNode, "./testdata/rudenode").CombinedOutput(); err != nil {
 		t.Fatalf("build: %v\n%s", err, out)
 	}
 	for _, c := range []struct {
 		name, node, do string
 		breaches       bool
-	}{{"rude", rude, "term", true}, {"killed", rude, "kill", false}, {"polite", node, "term", false}} {
+	}{{"rude", abruptNode, "term", true}, {"killed", abruptNode, "kill", false}, {"polite", node, "term", false}} {
 		path := filepath.Join(dir, c.name+".toml")
 		os.WriteFile(path, []byte("duration_s = 9\n[fleet]\nnodes = 3\nservers = 3\n[load]\nrate = 120\n"+
 			"[[events]]\nat_s = 3\ndo = \""+c.do+"\"\nnodes = \"0-1\"\n[[events]]\nat_s = 5\ndo = \"restart\"\nnodes = \"0-1\"\n"), 0o644)
@@ -231,7 +233,7 @@
 	}
 }
 
-func TestBadScenarioKeyIsOnePlainError(t *testing.T) {
+func TestUnknownScenarioKeyIsAOneLineError(t *testing.T) {
 	lab, _ := build(t)
 	path := filepath.Join(t.TempDir(), "bad.toml")
 	os.WriteFile(path, []byte("duration_s = 5\n[fleet]\nnodez = 3\n"), 0o644)
@@ -241,7 +243,7 @@
 	}
 }
 
-// Ctrl-C in the middle of a run ends every node by its own pid: none is left behind.
+// Ctrl-C in the middle of a run makes the lab end every node by its process id, so that none is left running.
 func TestInterruptLeavesNoProcess(t *testing.T) {
 	if runtime.GOOS != "linux" {
 		t.Skip("reads /proc")
@@ -267,7 +269,7 @@
 	}
 	if len(pids) < 4 {
 		cmd.Process.Kill()
-		t.Fatalf("nodes started: %v", pids)
+		t.Fatalf("processes started: %v, want at least 4", pids)
 	}
 	cmd.Process.Signal(syscall.SIGINT)
 	done := make(chan error, 1)
@@ -276,7 +278,7 @@
 	case <-done:
 	case <-time.After(time.Minute):
 		cmd.Process.Kill()
-		t.Fatal("the lab did not end at SIGINT")
+		t.Fatal("the lab did not end within a minute of SIGINT")
 	}
 	for end := time.Now().Add(20 * time.Second); ; time.Sleep(100 * time.Millisecond) {
 		var left []int
@@ -289,13 +291,12 @@
 			return
 		}
 		if time.Now().After(end) {
-			t.Fatalf("left running: %v", left)
+			t.Fatalf("still running: %v", left)
 		}
 	}
 }
 
-// A node that never answers /health/ready, and one that ends at once: the lab reports both, does not hang,
-// and leaves neither running.
+// The lab reports nodes that never answer /health/ready. It doesn't hang, and leaves none of them running.
 func TestNodeThatNeverComesUpIsReported(t *testing.T) {
 	lab, _ := build(t)
 	dir := t.TempDir()
@@ -310,7 +311,7 @@
 	raw, _ := os.ReadFile(filepath.Join(runDir, "pids"))
 	for line := range strings.FieldsSeq(string(raw)) {
 		if st, err := os.ReadFile("/proc/" + line + "/stat"); err == nil && !strings.Contains(string(st), ") Z ") {
-			t.Errorf("left running: %s", line)
+			t.Errorf("still running: %s", line)
 		}
 	}
 }
--- a/cmd/fleetlab/scale.go
+++ b/cmd/fleetlab/scale.go
@@ -21,13 +21,13 @@
 	"meadowsill/lab/sweeps"
 )
 
-// defaultDiscovery is the discovery program that is built with this one.
-const defaultDiscovery = "bin/discovery"
+// defaultDiscoveryBinary is the path of the discovery program that is built together with this one.
+const defaultDiscoveryBinary = "bin/discovery"
 
-// scaleFlags are the flags of scale.
+// scaleFlags are the values of the flags of fleetlab scale.
 type scaleFlags struct {
 	out             string
-	discovery       string
+	discoveryBinary string
 	commit          string
 	discoveryCommit string
 	seed            uint64
@@ -41,7 +41,7 @@
 	cmd := &cobra.Command{Use: "scale NAME|FILE.toml", Short: "Measure how the control plane bears its size, over one dimension (docs/scale.md)",
 		Args: cobra.ExactArgs(1), RunE: func(c *cobra.Command, args []string) error { return runScale(c, args[0], flags) }}
 	cmd.Flags().StringVar(&flags.out, "out", "logs/scale", "where the run's directory is made")
-	cmd.Flags().StringVar(&flags.discovery, "discovery-binary", defaultDiscovery, "the discovery program")
+	cmd.Flags().StringVar(&flags.discoveryBinary, "discovery-binary", defaultDiscoveryBinary, "the discovery program")
 	cmd.Flags().StringVar(&flags.commit, "commit", "", "the commit of this program; by default as its build says")
 	cmd.Flags().StringVar(&flags.discoveryCommit, "discovery-commit", "", "the commit of the discovery program; by default as its build says; of the default program, --commit")
 	cmd.Flags().Uint64Var(&flags.seed, "seed", 0, "a seed other than the sweep's")
@@ -78,7 +78,7 @@
 		}}
 }
 
-// loadSweep reads a sweep by bundled name or by path.
+// loadSweep reads a bundled sweep by its name, or a sweep file by its path.
 func loadSweep(arg string) (*scale.Plan, error) {
 	text, err := sweeps.Read(arg)
 	name := arg
@@ -109,7 +109,7 @@
 	if err := scale.Check(plan, limits); err != nil {
 		return fmt.Errorf("sweep %s: %w", plan.Name, err)
 	}
-	if _, err := os.Stat(flags.discovery); err != nil {
+	if _, err := os.Stat(flags.discoveryBinary); err != nil {
 		return fmt.Errorf("--discovery-binary: %w", err)
 	}
 	self, err := os.Executable()
@@ -135,8 +135,8 @@
 		DiscoveryCommit: flags.replicasCommit(),
 		Machine:         machine,
 		Limits:          limits,
-		StartReplicas:   scale.DiscoveryReplicas(flags.discovery),
-		StartHollow:     hollowProcess(self, log),
+		StartReplicas:   scale.DiscoveryReplicas(flags.discoveryBinary),
+		StartHollow:     hollowStarter(self, log),
 	})
 	if err != nil {
 		return err
@@ -157,10 +157,10 @@
 	return nil
 }
 
-// hollowProcess starts hollow processes by this program's own subcommand.
-func hollowProcess(binary string, log *slog.Logger) scale.StartHollow {
+// hollowStarter returns a function that starts a hollow process, which is this program with the subcommand hollow.
+func hollowStarter(binary string, log *slog.Logger) scale.StartHollow {
 	return func(_ context.Context, config hollow.Config) (scale.Hollow, error) {
-		// The processes are ended by Close, not with the sweep's context: what they have used is read first.
+		// Close ends the processes, not the sweep's context, because their resource usage is read before they end.
 		process, err := hollow.Start(context.Background(), binary, config, log)
 		if err != nil {
 			return nil, err
@@ -169,7 +169,7 @@
 	}
 }
 
-// apply puts the flags over the sweep's own values.
+// apply overrides the sweep's own values with the flags that are set.
 func (f scaleFlags) apply(plan *scale.Plan) {
 	if f.seed != 0 {
 		plan.Seed = f.seed
@@ -185,10 +185,10 @@
 	}
 }
 
-// unknownCommit is what a build says that knows of none.
+// unknownCommit stands for the commit of a build that doesn't record one.
 const unknownCommit = "unknown"
 
-// ownCommit is this program's commit.
+// ownCommit returns the commit of this program: --commit, or the commit that its build recorded.
 func (f scaleFlags) ownCommit() string {
 	if f.commit != "" {
 		return f.commit
@@ -200,23 +200,24 @@
 	return commitOf(info)
 }
 
-// replicasCommit is the discovery program's commit.
+// replicasCommit returns the commit of the discovery program: --discovery-commit, or the commit that its build recorded. The default
+// program is built together with this one, so this program's commit stands in for a missing one.
 func (f scaleFlags) replicasCommit() string {
 	if f.discoveryCommit != "" {
 		return f.discoveryCommit
 	}
-	if info, err := buildinfo.ReadFile(f.discovery); err == nil {
+	if info, err := buildinfo.ReadFile(f.discoveryBinary); err == nil {
 		if commit := commitOf(info); commit != unknownCommit {
 			return commit
 		}
 	}
-	if f.discovery != defaultDiscovery {
+	if f.discoveryBinary != defaultDiscoveryBinary {
 		return unknownCommit
 	}
 	return f.ownCommit()
 }
 
-// commitOf reads the commit that a build was made of.
+// commitOf returns the commit that a build was made from.
 func commitOf(info *debug.BuildInfo) string {
 	for _, s := range info.Settings {
 		if s.Key == "vcs.revision" {
--- a/cmd/fleetlab/scale_test.go
+++ b/cmd/fleetlab/scale_test.go
@@ -14,7 +14,7 @@
 	"meadowsill/internal/scale"
 )
 
-// buildScale builds what a sweep runs.
+// buildScale builds the programs that a sweep runs, and returns their directory.
 func buildScale(t *testing.T) (dir string) {
 	t.Helper()
 	dir = t.TempDir()
@@ -25,7 +25,7 @@
 	return dir
 }
 
-// scaleCommand makes a command that runs a sweep with its results under out.
+// scaleCommand returns a command that runs a sweep with its results under out, and the buffer that receives its output.
 func scaleCommand(dir, sweep, out string, args ...string) (*exec.Cmd, *bytes.Buffer) {
 	cmd := exec.Command(filepath.Join(dir, "fleetlab"), append([]string{"scale", sweep, "--out", out,
 		"--discovery-binary", filepath.Join(dir, "discovery"), "--commit", "test"}, args...)...)
@@ -34,7 +34,7 @@
 	return cmd, &text
 }
 
-// resultsUnder reads the one run's results.
+// resultsUnder reads the results of the only run under out.
 func resultsUnder(t *testing.T, out string) *scale.Results {
 	t.Helper()
 	paths, _ := filepath.Glob(filepath.Join(out, "*", "results.json"))
@@ -48,9 +48,10 @@
 	return results
 }
 
-// smallSweeps are the CI's, each with the exponents that it holds: of bytes a call and of items, which don't depend on the
-// machine. A whole report and the intent have something of every tenant that the node holds. How many reports are whole goes by
-// the answers that are lost or late, so it does depend on the machine: against nodes the differences are held.
+// smallSweeps are the sweeps that CI runs, each with the largest exponents of growth that it allows. The limits are on bytes per call
+// and on items, which don't depend on the machine. A complete report and the intent contain data of every tenant that the node holds.
+// The number of complete reports depends on how many answers are lost or late, and so on the machine; the sweep over nodes
+// therefore limits the size of the report deltas.
 var smallSweeps = []struct {
 	name   string
 	limits []scale.GrowthLimit
@@ -62,9 +63,9 @@
 		{Metric: scale.NodeListCall, Max: 0.2}, {Metric: scale.NodeItems, Max: scale.Superlinear}, {Metric: scale.RegistrantCall, Max: 0.1}}},
 }
 
-// TestSmallSweepsKeepTheirGrowth runs the CI's sweeps on real replicas and hollow processes, and shows of each limit that it
-// finds a cost which is planted to grow by n^1.5 more.
-func TestSmallSweepsKeepTheirGrowth(t *testing.T) {
+// TestSmallSweepsStayWithinGrowthLimits runs the CI's sweeps with real replicas and hollow processes. It also shows for each limit
+// that a cost whose growth is raised by n^1.5 exceeds it.
+func TestSmallSweepsStayWithinGrowthLimits(t *testing.T) {
 	dir := buildScale(t)
 	for _, sweep := range smallSweeps {
 		t.Run(sweep.name, func(t *testing.T) {
@@ -78,9 +79,9 @@
 				t.Error(line)
 			}
 			for _, limit := range sweep.limits {
-				plant(results, limit.Metric)
+				raiseGrowth(results, limit.Metric)
 				if lines := results.OverLimits([]scale.GrowthLimit{limit}); len(lines) != 1 {
-					t.Errorf("%s: a cost that is planted to grow by n^1.5 more is not found", limit.Metric)
+					t.Errorf("%s: a cost whose growth is raised by n^1.5 does not exceed the limit", limit.Metric)
 				}
 			}
 			if t.Failed() {
@@ -90,8 +91,8 @@
 	}
 }
 
-// plant has a metric grow by n^1.5 more than it does.
-func plant(results *scale.Results, metric scale.Metric) {
+// raiseGrowth multiplies the values of a metric by n^1.5, where n is the size relative to the first size.
+func raiseGrowth(results *scale.Results, metric scale.Metric) {
 	for _, point := range results.Points {
 		for _, repeat := range point.Repeats {
 			repeat.Values[metric] *= math.Pow(point.Size/results.Points[0].Size, 1.5)
@@ -99,8 +100,8 @@
 	}
 }
 
-// TestScaleRefusesBadInput has nothing started, and no directory made, by a sweep that is bad.
-func TestScaleRefusesBadInput(t *testing.T) {
+// TestScaleRejectsBadSweeps checks that a bad sweep is rejected with one line of error before a directory for the run is made.
+func TestScaleRejectsBadSweeps(t *testing.T) {
 	t.Parallel()
 	file := filepath.Join(t.TempDir(), "bad.toml")
 	rows := []struct{ text, want string }{
@@ -124,12 +125,12 @@
 			t.Errorf("%v, want one line with %q", err, row.want)
 		}
 		if _, err := os.Stat(out); err == nil {
-			t.Errorf("%q: a directory was made", row.text)
+			t.Errorf("%q: a directory was made for the run", row.text)
 		}
 	}
 }
 
-// TestScaleListsItsSweeps has every bundled sweep in the list.
+// TestScaleListsItsSweeps checks that the list contains bundled sweeps.
 func TestScaleListsItsSweeps(t *testing.T) {
 	t.Parallel()
 	cmd := root()
@@ -141,7 +142,8 @@
 	}
 }
 
-// TestInterruptedScaleLeavesNoProcess interrupts a sweep once it has started hollow processes.
+// TestInterruptedScaleLeavesNoProcess interrupts a sweep once it has started a hollow process. The sweep must end all its processes and
+// write partial results.
 func TestInterruptedScaleLeavesNoProcess(t *testing.T) {
 	dir := buildScale(t)
 	out := t.TempDir()
@@ -161,14 +163,15 @@
 		t.Errorf("%v\n%s", err, text)
 	}
 	if left := processesOf(dir, ""); len(left) != 0 {
-		t.Errorf("left: %v", left)
+		t.Errorf("left running: %v", left)
 	}
 	if partial := resultsUnder(t, out).Partial; partial != "interrupted" {
 		t.Errorf("partial: %q", partial)
 	}
 }
 
-// processesOf gives the command lines of processes whose program is in a directory and whose first argument is as given.
+// processesOf returns the command lines of the processes whose program is in dir and whose first argument is argument, or any if argument
+// is empty.
 func processesOf(dir, argument string) []string {
 	var out []string
 	paths, _ := filepath.Glob("/proc/[0-9]*/cmdline")
--- a/cmd/fleetlab/scenario_names_test.go
+++ b/cmd/fleetlab/scenario_names_test.go
@@ -7,16 +7,16 @@
 	"meadowsill/lab/scenarios"
 )
 
-// A bundled scenario that was renamed gets one line that names the new one, which is bundled.
+// Loading a bundled scenario by its former name fails with one line that gives the new name, and a scenario of that name is bundled.
 func TestRenamedScenarioNamesTheNewOne(t *testing.T) {
-	for before, now := range renamedScenarios {
-		_, err := load(before)
-		want := "scenario " + before + " was renamed: it is " + now + " now"
+	for oldName, newName := range renamedScenarios {
+		_, err := loadScenario(oldName)
+		want := "scenario " + oldName + " was renamed: it is " + newName + " now"
 		if err == nil || err.Error() != want {
-			t.Errorf("%s: %v, want %q", before, err, want)
+			t.Errorf("%s: %v, want %q", oldName, err, want)
 		}
-		if !slices.Contains(scenarios.Names(), now) {
-			t.Errorf("%s is not bundled", now)
+		if !slices.Contains(scenarios.Names(), newName) {
+			t.Errorf("%s is not bundled", newName)
 		}
 	}
 }
--- a/cmd/fleetlab/simulate.go
+++ b/cmd/fleetlab/simulate.go
@@ -16,7 +16,7 @@
 	"meadowsill/internal/fleet/sim"
 )
 
-// simulateCmd simulates the fleet's cores on seeded schedules, in this process alone.
+// simulateCmd simulates the fleet's cores under seeded schedules of faults, all in this process.
 func simulateCmd() *cobra.Command {
 	var seeds, nodes, workers int
 	var first uint64
@@ -29,7 +29,7 @@
 				"any":    func(s uint64) sim.Plan { return sim.Draw(s, nodes) },
 				"calm":   func(s uint64) sim.Plan { return sim.Calm(s, nodes) },
 				"unrest": func(s uint64) sim.Plan { return sim.Unrest(s, nodes, length) },
-				"drift":  nil, "zones": nil, "tenants": nil, // their own worlds: simulateDrift, simulateCore
+				"drift":  nil, "zones": nil, "tenants": nil, // simulated by simulateDrift and simulateCore below
 			}
 			draw, ok := plans[kind]
 			if !ok || nodes < 6 || seeds < 1 || length <= 0 {
--- a/cmd/fleetlab/simulate_cores.go
+++ b/cmd/fleetlab/simulate_cores.go
@@ -11,18 +11,19 @@
 	zonesimulation "meadowsill/internal/fleet/zones/simulation"
 )
 
-// coreSimulations are the runs of one core by kind. How many nodes there are, and for how long, is the run's own choice.
+// coreSimulations are the simulations of one core, by kind. Each chooses its own number of nodes and its own duration.
 var coreSimulations = map[string]func(seed uint64) error{
 	"zones":   func(s uint64) error { return zonesimulation.Run(zonesimulation.Draw(s)) },
 	"tenants": func(s uint64) error { return tenantsimulation.Run(int64(s), 40) },
 }
 
-// simulateCore simulates seeds of a kind of coreSimulations. The error is the breach of the lowest seed.
+// simulateCore runs the simulation of a kind with as many consecutive seeds as seeds says, starting with first. The error is the breach
+// of the lowest seed.
 func simulateCore(ctx context.Context, out io.Writer, kind string, first uint64, seeds, workers int) error {
 	began := time.Now()
-	var mu sync.Mutex // guards next, broken and runs
+	var mu sync.Mutex // guards next, breaches and runs
 	next := 0
-	broken := map[uint64]error{}
+	breaches := map[uint64]error{}
 	runs := 0
 	var wg sync.WaitGroup
 	for range max(workers, 1) {
@@ -31,26 +32,26 @@
 				mu.Lock()
 				s := first + uint64(next)
 				next++
-				over := next > seeds || ctx.Err() != nil
+				finished := next > seeds || ctx.Err() != nil
 				mu.Unlock()
-				if over {
+				if finished {
 					return
 				}
 				err := coreSimulations[kind](s)
 				mu.Lock()
 				runs++
 				if err != nil {
-					broken[s] = err
+					breaches[s] = err
 				}
 				mu.Unlock()
 			}
 		})
 	}
 	wg.Wait()
-	fmt.Fprintf(out, "%d runs in %v: %d broke a rule\n", runs, time.Since(began).Round(time.Second), len(broken))
+	fmt.Fprintf(out, "%d runs in %v: %d broke a rule\n", runs, time.Since(began).Round(time.Second), len(breaches))
 	for i := range seeds {
-		if s := first + uint64(i); broken[s] != nil {
-			return fmt.Errorf("%w; again: fleetlab simulate --kind %s --seed %d --seeds 1", broken[s], kind, s)
+		if s := first + uint64(i); breaches[s] != nil {
+			return fmt.Errorf("%w; again: fleetlab simulate --kind %s --seed %d --seeds 1", breaches[s], kind, s)
 		}
 	}
 	return ctx.Err()
--- a/cmd/fleetlab/simulate_drift.go
+++ b/cmd/fleetlab/simulate_drift.go
@@ -12,17 +12,18 @@
 	driftplay "meadowsill/internal/fleet/drift/simulation"
 )
 
-// simulateDrift simulates the drift detector's core: seeds runs from first on, each of the given length. The error is the
-// first breach: a false alarm, or a plant that was missed.
+// simulateDrift simulates the core of the drift detector. It makes one run of the given length for each of as many consecutive seeds as
+// seeds says, starting with first. A false alarm and a planted drift that was not found are breaches; the error names the lowest seed
+// with a breach.
 func simulateDrift(ctx context.Context, out io.Writer, first uint64, seeds, nodes, workers int, length time.Duration) error {
-	const most = 0.05 // of the messages lost
+	const maxLoss = 0.05 // the largest share of messages that a run loses; the shares go from 0 to this in steps of a fifth
 	began, rules := time.Now(), driftplay.Rules{Bounds: drift.Defaults()}
-	todo, done := make(chan uint64), make(chan driftplay.Outcome)
+	seedQueue, outcomes := make(chan uint64), make(chan driftplay.Outcome)
 	go func() {
-		defer close(todo)
+		defer close(seedQueue)
 		for i := range seeds {
 			select {
-			case todo <- first + uint64(i):
+			case seedQueue <- first + uint64(i):
 			case <-ctx.Done():
 				return
 			}
@@ -31,21 +32,21 @@
 	var wg sync.WaitGroup
 	for range max(workers, 1) {
 		wg.Go(func() {
-			for s := range todo {
-				done <- driftplay.One(s, nodes, most*float64(s%6)/5, length, rules)
+			for s := range seedQueue {
+				outcomes <- driftplay.One(s, nodes, maxLoss*float64(s%6)/5, length, rules)
 			}
 		})
 	}
-	go func() { wg.Wait(); close(done) }()
-	took := map[bool][]time.Duration{}
+	go func() { wg.Wait(); close(outcomes) }()
+	detectionTimes := map[bool][]time.Duration{}
 	runs := 0
 	missed := 0
 	alarms := 0
 	var breaches []driftplay.Outcome
-	for o := range done {
+	for o := range outcomes {
 		runs++
 		if o.Found {
-			took[o.Stuck] = append(took[o.Stuck], o.Took)
+			detectionTimes[o.Stuck] = append(detectionTimes[o.Stuck], o.Took)
 		} else {
 			missed++
 			fmt.Fprintln(out, "missed:", o.Missed)
@@ -61,7 +62,7 @@
 	fmt.Fprintf(out, "%d plays of %d nodes in %v: %d plants found, %d missed, false alarms in %d\n", runs, nodes,
 		time.Since(began).Round(time.Second), runs-missed, missed, alarms)
 	for stuck, name := range map[bool]string{false: "other content or behaviour", true: "outstanding past the bound"} {
-		if d := took[stuck]; len(d) > 0 {
+		if d := detectionTimes[stuck]; len(d) > 0 {
 			slices.Sort(d)
 			fmt.Fprintf(out, "%s: named in %v at p50, %v at p99, %v at most, of %d\n", name, d[len(d)/2], d[len(d)*99/100], d[len(d)-1], len(d))
 		}
--- a/internal/ci/knownred_test.go
+++ b/internal/ci/knownred_test.go
@@ -17,7 +17,8 @@
 	"b/b_test.go": "package b\nimport \"testing\"\nfunc TestRed(t *testing.T) {}\n",
 }
 
-// runKnownRed runs .ci/known-red on moduleFiles, with extraFiles added or put in their place. It returns its output and whether it failed.
+// runKnownRed runs .ci/known-red on moduleFiles, with extraFiles added or in their place. It returns the output and whether the script
+// failed.
 func runKnownRed(t *testing.T, extraFiles map[string]string) (string, bool) {
 	t.Helper()
 	script, err := filepath.Abs("../../.ci/known-red")
@@ -52,13 +53,13 @@
 		fails      bool
 		want       []string
 	}{
-		"no file":                                {nil, true, []string{"--- FAIL: TestRed", "FAIL\tm/a", "ok  \tm/b"}},
-		"named":                                  {map[string]string{"KNOWN-RED.txt": red}, false, []string{"ok  \tm/a", "ok  \tm/b", "known red: " + red, "TestRed fails", "it is red"}},
-		"no newline":                             {map[string]string{"KNOWN-RED.txt": strings.TrimSpace(red)}, false, []string{"ok  \tm/a"}},
-		"named test that passes":                 {map[string]string{"KNOWN-RED.txt": red + "b TestRed | once | #22\n"}, false, []string{"TestRed fails", "TestRed passes"}},
-		"same name in another package":           {map[string]string{"KNOWN-RED.txt": "b TestRed | once | #22\n"}, true, []string{"FAIL\tm/a", "ok  \tm/b"}},
-		"name that starts with a failing test's": {map[string]string{"KNOWN-RED.txt": "a TestRedder | once | #22\n"}, true, []string{"--- FAIL: TestRed", "TestRedder passes"}},
-		"does not build":                         {map[string]string{"KNOWN-RED.txt": red, "b/b.go": "package b\nvar x int = \"\"\n"}, true, []string{"build failed"}},
+		"no file":        {nil, true, []string{"--- FAIL: TestRed", "FAIL\tm/a", "ok  \tm/b"}},
+		"named":          {map[string]string{"KNOWN-RED.txt": red}, false, []string{"ok  \tm/a", "ok  \tm/b", "known red: " + red, "TestRed fails", "it is red"}},
+		"no newline":     {map[string]string{"KNOWN-RED.txt": strings.TrimSpace(red)}, false, []string{"ok  \tm/a"}},
+		"passing test":   {map[string]string{"KNOWN-RED.txt": red + "b TestRed | once | #22\n"}, false, []string{"TestRed fails", "TestRed passes"}},
+		"other package":  {map[string]string{"KNOWN-RED.txt": "b TestRed | once | #22\n"}, true, []string{"FAIL\tm/a", "ok  \tm/b"}},
+		"longer name":    {map[string]string{"KNOWN-RED.txt": "a TestRedder | once | #22\n"}, true, []string{"--- FAIL: TestRed", "TestRedder passes"}},
+		"does not build": {map[string]string{"KNOWN-RED.txt": red, "b/b.go": "package b\nvar x int = \"\"\n"}, true, []string{"build failed"}},
 		"panic": {map[string]string{"KNOWN-RED.txt": red, "b/b_test.go": "package b\nimport \"testing\"\nfunc TestP(t *testing.T) { panic(1) }\n"},
 			true, []string{"panic: 1", "FAIL\tm/b"}},
 		"test binary fails": {map[string]string{"KNOWN-RED.txt": red, "a/main_test.go": "package a\nimport (\"os\"; \"testing\")\nfunc TestMain(m *testing.M) { m.Run(); os.Exit(3) }\n"},
