--- a/internal/fleet/sim/leader.go
+++ b/internal/fleet/sim/leader.go
@@ -10,7 +10,7 @@
 	"meadowsill/internal/fleet/zones"
 )
 
-// intent is one revision of what is intended; it is never changed.
+// intent is one immutable revision of the control plane's intent.
 type intent struct {
 	revision   uint64
 	directives map[string]zones.Entry
@@ -18,7 +18,7 @@
 	leases     map[string]fleet.QuotaLease // by node
 }
 
-// within is what a node of these services holds of it.
+// within returns the part of the intent that a node with these services holds; without services it is the whole intent.
 func (it *intent) within(services []string) *intent {
 	if len(services) == 0 {
 		return it
@@ -29,7 +29,7 @@
 	return &scoped
 }
 
-// control is the replicated state and the leader of the moment.
+// control is the replicated state of the control plane and its current leader.
 type control struct {
 	sim      *Sim
 	state    zones.State
@@ -38,17 +38,17 @@
 	revision uint64
 	intent   *intent
 
-	term             int // of the leader; 0 while there is none
+	term             int // the current leader's term; 0 while there is no leader
 	terms            int
 	clock            clock
 	zoneController   *zones.Controller
 	tenantController *tenants.Controller
-	leadSince        time.Duration            // by its clock
-	leases           map[string]time.Duration // until, by its clock
+	leadSince        time.Duration            // start of the leader's term, by the leader's clock
+	leases           map[string]time.Duration // by node: when its session's lease expires, by the leader's clock
 }
 
-// lead elects a new leader.
-func (c *control) lead() {
+// startTerm starts the term of a newly elected leader.
+func (c *control) startTerm() {
 	c.terms++
 	c.term, c.clock = c.terms, newClock(c.sim.random)
 	c.leadSince, c.leases = c.clock.read(c.sim.now), map[string]time.Duration{}
@@ -70,7 +70,7 @@
 		}
 	}
 	for _, cmd := range c.tenantController.Step(now, &c.tenants, c.present()) {
-		c.log(term, func() { c.applyTenants(cmd) })
+		c.propose(term, func() { c.applyTenants(cmd) })
 	}
 	commands := c.zoneController.Step(now, &c.state, c.sessions.List())
 	for _, cmd := range commands {
@@ -80,13 +80,14 @@
 		if s.hooks.command != nil {
 			s.hooks.command(&cmd)
 		}
-		c.log(term, func() { c.apply(cmd) })
+		c.propose(term, func() { c.apply(cmd) })
 	}
-	s.after(c.clock.lasts(100*time.Millisecond), func() { c.tick(term) })
+	s.after(c.clock.realDuration(100*time.Millisecond), func() { c.tick(term) })
 }
 
-// log applies a command a little later. One that is in raft's log when its leader goes may be applied all the same.
-func (c *control) log(term int, apply func()) {
+// propose appends a command to raft's log and applies it after a short delay. A command that is in the log when its leader
+// is lost is applied with a probability of one half.
+func (c *control) propose(term int, apply func()) {
 	c.sim.after(2*time.Millisecond+time.Duration(c.sim.random.Int64N(int64(15*time.Millisecond))), func() {
 		if c.term == term || c.sim.random.IntN(2) == 0 {
 			apply()
@@ -94,10 +95,10 @@
 	})
 }
 
-// present is who is present, as the controller of the tenants is to count them.
+// present returns the members, their services and the scope epoch that the tenant controller takes into account.
 func (c *control) present() tenants.Present {
 	p := tenants.Present{Epoch: c.sessions.ScopeEpoch, Members: c.sessions.List(), Services: c.sessions.ServicesByNode()}
-	if c.sim.hooks.forgets {
+	if c.sim.hooks.ignoreScopes {
 		p.Services = maps.Clone(p.Services)
 		for node := range p.Services {
 			p.Services[node] = []string{"none at all"}
@@ -112,11 +113,11 @@
 	if err != nil || len(changed) == 0 {
 		return
 	}
-	c.sim.applied(before, cmd, changed)
+	c.sim.checkCommand(before, cmd, changed)
 	c.publish()
 }
 
-// publish sends the newest intent to every node's agent.
+// publish builds the newest intent from the replicated state and sends it to every node's agent.
 func (c *control) publish() {
 	it := &intent{c.revision, maps.Clone(c.state.Directives), map[string]fleet.Tenant{}, map[string]fleet.QuotaLease{}}
 	for name, e := range c.tenants.Tenants {
@@ -127,23 +128,23 @@
 	}
 	c.intent = it
 	for i := range c.sim.nodes {
-		c.sim.link(i, func() { c.sim.nodes[i].hear(it) })
+		c.sim.deliver(i, func() { c.sim.nodes[i].receive(it) })
 	}
 }
 
-// report takes a node's report and answers it, if a leader hears it.
+// report handles a node's report and answers it. Without a leader the report is dropped.
 func (c *control) report(i int, r fleet.Report, answer func()) {
 	if c.term == 0 {
 		return
 	}
 	if r.Incarnation < c.sessions.NewestRuns[r.Node].Incarnation {
-		return // 409 older incarnation
+		return // a real leader answers 409 to an older incarnation
 	}
 	now := c.clock.read(c.sim.now)
 	if !c.sessions.Present(r.Member) {
-		share, _ := c.tenants.Item(fleet.KeyLease + "/" + r.Node) // or that it is removed
-		if !c.sim.hooks.rejoin && (!tenants.CaughtUp(&c.tenants, r) || r.Revision < max(share.Revision, c.tenants.Compacted())) {
-			return // it is answered as out, and says that it is not ready
+		lease, _ := c.tenants.Item(fleet.KeyLease + "/" + r.Node) // the node's quota lease, or its removal
+		if !c.sim.hooks.joinEarly && (!tenants.CaughtUp(&c.tenants, r) || r.Revision < max(lease.Revision, c.tenants.Compacted())) {
+			return // the node isn't a member until it has caught up; a real leader's answer tells it so
 		}
 		c.sessions.Apply(session.Command{Operation: session.Join, Member: r.Member, Services: r.Services})
 		delete(c.leases, r.Node)
@@ -154,5 +155,5 @@
 	if c.sim.hooks.observe != nil {
 		c.sim.hooks.observe(c, now, r)
 	}
-	c.sim.link(i, answer)
+	c.sim.deliver(i, answer)
 }
--- a/internal/fleet/sim/many.go
+++ b/internal/fleet/sim/many.go
@@ -9,7 +9,7 @@
 	"sync"
 )
 
-// Summary is what many runs gave together.
+// Summary holds the totals and quantiles over many runs.
 type Summary struct {
 	Runs             int      `json:"plays"`
 	Nodes            int      `json:"nodes"`
@@ -17,8 +17,8 @@
 	Spread           Quantile `json:"spread_ms"`
 	Onboard          Quantile `json:"onboard_ms"`
 	Undone           int      `json:"undone"`
-	Losses           int      `json:"losses"`  // of zones
-	Unnotified       int      `json:"unheard"` // of them, those that under 95 % of all nodes ever was notified of, down, deaf or stalled ones among them, or that ended before
+	Losses           int      `json:"losses"`  // zone losses
+	Unnotified       int      `json:"unheard"` // zone losses in which under 95 % of all nodes, down, deaf or stalled ones included, stopped in time
 	WarmingOverloads int      `json:"cold_falls"`
 	WrongEvacuations int      `json:"wrong_leaves"`
 	Steps            int      `json:"steps"`
@@ -26,10 +26,10 @@
 	Rejected         int      `json:"refused"`
 	Lost             int      `json:"lost"`
 	Retries          int      `json:"further"`
-	Breaches         []Result `json:"breaches,omitempty"` // by seed
+	Breaches         []Result `json:"breaches,omitempty"` // sorted by seed
 }
 
-// Quantile is a figure over all losses.
+// Quantile holds the minimum, the quantiles and the maximum of one measured time over all runs, in ms.
 type Quantile struct {
 	Min int64 `json:"Least"`
 	P50 int64
@@ -47,8 +47,8 @@
 	return Quantile{all[0], at(50), at(95), at(99), all[len(all)-1]}
 }
 
-// Many runs the plans of seeds from first on, so many at a time, and tells each breach as it comes. Where ctx ends, it
-// gives the summary of what was simulated by then.
+// Many runs the plans of consecutive seeds, beginning with first, on the given number of workers, and writes each breach
+// to tell as it occurs. When ctx ends, Many starts no further run and returns the summary of the runs so far.
 func Many(ctx context.Context, plan func(seed uint64) Plan, first uint64, seeds, workers int, tell io.Writer) Summary {
 	var sum Summary
 	var stop, spread, onboard []int64
--- a/internal/fleet/sim/module.go
+++ b/internal/fleet/sim/module.go
@@ -10,12 +10,12 @@
 	"meadowsill/policy"
 )
 
-// module is a node whose requests are decided by the module itself.
+// module runs a policy.Module that decides the requests of one node's process.
 type module struct {
 	node          *node
 	process       int
 	policy        *policy.Module
-	open          map[policy.RequestID]int // attempts so far
+	attempts      map[policy.RequestID]int // number of attempts started so far, by request
 	finished      map[policy.RequestID]bool
 	directedZones map[string]bool // zones that had a directive at the last update
 	synced        bool
@@ -23,12 +23,12 @@
 }
 
 const (
-	answerTime = 20 * time.Millisecond
-	patience   = 2 * time.Second
+	answerTime     = 20 * time.Millisecond
+	requestTimeout = 2 * time.Second
 )
 
-// decides starts a module for a node's run.
-func (n *node) decides() {
+// startModule creates the policy module of the node's new process and starts its arrivals.
+func (n *node) startModule() {
 	set := policy.Settings{
 		Nodes:                n.sim.plan.Nodes,
 		NodeIndex:            n.index,
@@ -46,66 +46,67 @@
 		SendsRetryAfter:      true,
 		MaxRetryAfter:        time.Second,
 		Fleet:                true,
-		Classes:              []policy.Class{{Name: "browse", PriorityWeight: 1, LatencyObjective: time.Second, Deadline: patience, Idempotency: policy.Idempotent}},
+		Classes:              []policy.Class{{Name: "browse", PriorityWeight: 1, LatencyObjective: time.Second, Deadline: requestTimeout, Idempotency: policy.Idempotent}},
 	}
-	d := &module{
+	m := &module{
 		node:          n,
 		process:       n.process,
 		policy:        policy.New(set, int64(n.sim.plan.Seed)*1000+int64(n.index)),
-		open:          map[policy.RequestID]int{},
+		attempts:      map[policy.RequestID]int{},
 		finished:      map[policy.RequestID]bool{},
 		directedZones: map[string]bool{},
 	}
-	n.module = d
+	n.module = m
 	var list []policy.Server
-	for z, y := range n.sim.zones {
+	for z, zoneName := range n.sim.zones {
 		for id := range n.sim.plan.Servers {
-			list = append(list, policy.Server{ID: policy.ServerID(1 + z*n.sim.plan.Servers + id), Name: fmt.Sprintf("%s-%d", y, id), Zone: y})
+			list = append(list, policy.Server{ID: policy.ServerID(1 + z*n.sim.plan.Servers + id), Name: fmt.Sprintf("%s-%d", zoneName, id), Zone: zoneName})
 		}
 	}
-	d.feed(policy.EndpointUpdate{Kind: policy.EndpointsComplete, Version: 1, Servers: list})
-	d.updateZones()
-	d.arrivals()
+	m.feed(policy.EndpointUpdate{Kind: policy.EndpointsComplete, Version: 1, Servers: list})
+	m.updateZones()
+	m.arrivals()
 }
 
-// soon feeds an event after so long, by the node's clock, unless its process has ended; one that stands still has it late.
-func (d *module) soon(after time.Duration, do func()) {
+// schedule calls do after the given time by the node's clock. If the process has ended by then, do is not called; while the
+// process is stalled, the call is delayed until the stall ends.
+func (m *module) schedule(after time.Duration, do func()) {
 	var then func()
 	then = func() {
-		switch wait := d.node.stalledUntil - d.node.sim.now; {
-		case d.node.process != d.process || d.node.down:
+		switch wait := m.node.stalledUntil - m.node.sim.now; {
+		case m.node.process != m.process || m.node.down:
 		case wait > 0:
-			d.node.sim.after(wait, then)
+			m.node.sim.after(wait, then)
 		default:
 			do()
 		}
 	}
-	d.node.sim.after(d.node.clock.lasts(after), then)
+	m.node.sim.after(m.node.clock.realDuration(after), then)
 }
 
-func (d *module) arrivals() {
-	d.soon(time.Duration(d.node.sim.random.ExpFloat64()/nodeDemand*float64(time.Second)), func() {
-		d.requests++
-		id := policy.RequestID(fmt.Sprint(d.requests))
-		d.feed(policy.RequestArrived{ID: id, Class: "browse", Timeout: patience})
-		d.soon(patience, func() { delete(d.open, id); delete(d.finished, id) })
-		d.arrivals()
+func (m *module) arrivals() {
+	m.schedule(time.Duration(m.node.sim.random.ExpFloat64()/nodeDemand*float64(time.Second)), func() {
+		m.requests++
+		id := policy.RequestID(fmt.Sprint(m.requests))
+		m.feed(policy.RequestArrived{ID: id, Class: "browse", Timeout: requestTimeout})
+		m.schedule(requestTimeout, func() { delete(m.attempts, id); delete(m.finished, id) })
+		m.arrivals()
 	})
 }
 
-func (d *module) feed(e policy.Event) {
-	s := d.node.sim
-	for _, a := range d.policy.Handle(d.node.clock.read(s.now), e) {
+func (m *module) feed(e policy.Event) {
+	s := m.node.sim
+	for _, a := range m.policy.Handle(m.node.clock.read(s.now), e) {
 		switch a := a.(type) {
 		case policy.Forward:
-			leg := d.open[a.ID]
-			d.open[a.ID]++
-			if leg > 0 {
+			attempt := m.attempts[a.ID]
+			m.attempts[a.ID]++
+			if attempt > 0 {
 				s.result.Retries++
 			}
 			at := int(a.Server) - 1
-			ended := policy.AttemptEnded{ID: a.ID, Attempt: leg, Server: a.Server, Elapsed: answerTime, Code: policy.OK}
-			if s.request(d.node, at/s.plan.Servers, at%s.plan.Servers) {
+			ended := policy.AttemptEnded{ID: a.ID, Attempt: attempt, Server: a.Server, Elapsed: answerTime, Code: policy.OK}
+			if s.request(m.node, at/s.plan.Servers, at%s.plan.Servers) {
 				s.result.Answered++
 			} else {
 				s.result.Lost++
@@ -113,73 +114,73 @@
 					ended.Elapsed = min(ended.Elapsed, a.Timeout)
 				}
 			}
-			d.soon(ended.Elapsed, func() {
-				d.finished[a.ID] = d.finished[a.ID] || ended.Code == policy.OK
-				ended.Answered = d.finished[a.ID]
-				d.feed(ended)
+			m.schedule(ended.Elapsed, func() {
+				m.finished[a.ID] = m.finished[a.ID] || ended.Code == policy.OK
+				ended.Answered = m.finished[a.ID]
+				m.feed(ended)
 			})
 		case policy.CancelAttempt:
-			d.soon(time.Millisecond, func() {
-				d.feed(policy.AttemptEnded{ID: a.ID, Attempt: a.Attempt, Code: policy.Cancelled, Answered: d.finished[a.ID]})
+			m.schedule(time.Millisecond, func() {
+				m.feed(policy.AttemptEnded{ID: a.ID, Attempt: a.Attempt, Code: policy.Cancelled, Answered: m.finished[a.ID]})
 			})
 		case policy.Reject:
 			s.result.Rejected++
-			d.finished[a.ID] = true
+			m.finished[a.ID] = true
 		case policy.Fail:
 			s.result.Rejected++
-			d.finished[a.ID] = true
+			m.finished[a.ID] = true
 		case policy.SetTimer:
-			d.soon(a.After, func() { d.feed(policy.TimerFired{Token: a.Token}) })
+			m.schedule(a.After, func() { m.feed(policy.TimerFired{Token: a.Token}) })
 		}
 	}
 }
 
-// updateZones returns the module what its node holds, with its age.
-func (d *module) updateZones() {
-	n := d.node
+// updateZones feeds the module the zone directives that its node holds, with the age of the node's intent.
+func (m *module) updateZones() {
+	n := m.node
 	age := n.clock.read(n.sim.now) - n.confirmedAt
-	for z, y := range n.sim.zones {
-		update := policy.ZoneDirective{Zone: y, Revision: n.intent.revision, IntentRevision: n.intent.revision, Serving: true, Share: 1, Floor: 1, Age: age}
-		e, every := n.intent.directives[n.keys[z][0]]
-		own, has := n.intent.directives[n.keys[z][1]]
-		if has && (!every || fleet.IsNarrower(e.Directive, own.Directive)) {
+	for z, zoneName := range n.sim.zones {
+		update := policy.ZoneDirective{Zone: zoneName, Revision: n.intent.revision, IntentRevision: n.intent.revision, Serving: true, Share: 1, Floor: 1, Age: age}
+		e, hasAll := n.intent.directives[n.keys[z][0]]
+		own, hasOwn := n.intent.directives[n.keys[z][1]]
+		if hasOwn && (!hasAll || fleet.IsNarrower(e.Directive, own.Directive)) {
 			e = own
 		}
-		if every || has {
-			h := fleet.AppliedZoneOf(e.Revision, e.Directive, n.name)
+		if hasAll || hasOwn {
+			applied := fleet.AppliedZoneOf(e.Revision, e.Directive, n.name)
 			update = policy.ZoneDirective{
-				Zone:           y,
+				Zone:           zoneName,
 				Revision:       e.Revision,
 				IntentRevision: n.intent.revision,
-				Share:          h.Share,
-				Floor:          h.Floor,
-				Rate:           h.Rate,
-				Trial:          h.Trial,
+				Share:          applied.Share,
+				Floor:          applied.Floor,
+				Rate:           applied.Rate,
+				Trial:          applied.Trial,
 				Age:            age,
-				ValidFor:       time.Duration(h.ValidMS) * time.Millisecond,
+				ValidFor:       time.Duration(applied.ValidMS) * time.Millisecond,
 			}
-		} else if !d.directedZones[y] {
+		} else if !m.directedZones[zoneName] {
 			continue
 		}
-		d.directedZones[y] = every || has
-		d.feed(update)
+		m.directedZones[zoneName] = hasAll || hasOwn
+		m.feed(update)
 	}
-	if !d.synced {
-		d.synced = true
-		d.feed(policy.FleetSynced{Revision: n.intent.revision})
+	if !m.synced {
+		m.synced = true
+		m.feed(policy.FleetSynced{Revision: n.intent.revision})
 	}
 }
 
-// window puts what the module saw into a report.
-func (d *module) window(r *fleet.Report) {
-	by := map[string]policy.ZoneWindow{}
-	for _, z := range d.policy.Window(d.node.clock.read(d.node.sim.now)).Zones {
-		by[z.Zone] = z
+// addEvidence adds the module's evidence about each zone to a report.
+func (m *module) addEvidence(r *fleet.Report) {
+	windows := map[string]policy.ZoneWindow{}
+	for _, z := range m.policy.Window(m.node.clock.read(m.node.sim.now)).Zones {
+		windows[z.Zone] = z
 	}
-	for _, y := range slices.Sorted(maps.Keys(by)) {
-		z := by[y]
+	for _, zoneName := range slices.Sorted(maps.Keys(windows)) {
+		z := windows[zoneName]
 		r.Zones = append(r.Zones, fleet.ZoneEvidence{
-			Zone:        y,
+			Zone:        zoneName,
 			Attempts:    z.Attempts,
 			Lost:        z.Lost,
 			Servers:     z.Servers,
--- a/internal/fleet/sim/node.go
+++ b/internal/fleet/sim/node.go
@@ -12,39 +12,39 @@
 
 const (
 	ttl            = 6 * time.Second
-	agentLeasePart = 0.96 // of ttl that the agent counts by its own clock
-	nodeDemand     = 8.0  // requests/s of a node
+	agentLeasePart = 0.96 // part of ttl for which the agent holds its session, by its own clock
+	nodeDemand     = 8.0  // requests/s that arrive at a node
 	tickInterval   = 100 * time.Millisecond
-	lossTimeout    = 200 * time.Millisecond // until an attempt without an answer has ended
-	avoidTime      = time.Second            // a server that lost two attempts running
+	lossTimeout    = 200 * time.Millisecond // after which an attempt without an answer ends
+	avoidTime      = time.Second            // for which a node avoids a server after two consecutive lost attempts
 )
 
-// node is a node and its agent: one process run after another on one machine.
+// node is a node and its agent: a series of processes on one machine, of which one runs at a time.
 type node struct {
 	sim          *Sim
 	index        int
 	name         string
 	zone         int
 	clock        clock
-	process      int // of the process; events of an older one are dropped
+	process      int // number of the current process; events of an earlier process are dropped
 	down         bool
 	incarnation  uint64
-	keys         [][2]string   // by zone: of its directives for all and for the node's zone
-	stalledUntil time.Duration // stands still until then
+	keys         [][2]string   // by zone: the keys of its directives for all nodes and for the nodes of this node's zone
+	stalledUntil time.Duration // real time at which the process's stall ends
 
 	intent      *intent
-	confirmedAt time.Duration // by its clock: when its intent was last confirmed
-	leasedUntil time.Duration // by its clock: its session is held until then
+	confirmedAt time.Duration // by the node's clock: when its intent was last confirmed
+	leasedUntil time.Duration // by the node's clock: until when it holds its session
 	sequence    uint64
 
-	module      *module // nil: the node's own simple way of sending
-	dueRequests float64
-	counts      []fleet.ZoneEvidence
-	touched     []map[int][2]int // by zone and server: attempts, lost
-	windowStart time.Duration    // by its clock: the window's begin
-	losing      []lostAttempt    // attempts that will turn out lost
-	avoided     map[[2]int]avoidedServer
-	paces       map[[2]int]pace
+	module        *module // nil: the node selects servers by choose instead
+	dueRequests   float64
+	counts        []fleet.ZoneEvidence
+	byServer      []map[int][2]int // by zone and server: attempts and lost attempts in the window
+	windowStart   time.Duration    // by the node's clock: start of the current window
+	pendingLosses []lostAttempt    // lost attempts that have not ended yet
+	avoided       map[[2]int]avoidedServer
+	buckets       map[[2]int]tokenBucket
 }
 
 type lostAttempt struct {
@@ -58,8 +58,8 @@
 	until    time.Duration
 }
 
-// pace is a server's budget at this node.
-type pace struct {
+// tokenBucket is a token bucket for the budget that a server has at this node.
+type tokenBucket struct {
 	tokens    float64
 	updatedAt float64
 }
@@ -75,7 +75,7 @@
 	return n
 }
 
-// start begins a new process run: it has what its agent's disk has, as old as can be.
+// start begins a new process. It holds the intent of the agent's disk copy, whose age it takes to be an hour.
 func (n *node) start() {
 	n.process++
 	n.incarnation++
@@ -84,24 +84,25 @@
 	n.leasedUntil = 0
 	now := n.clock.read(n.sim.now)
 	n.confirmedAt, n.windowStart = now-time.Hour, now
-	n.losing = nil
+	n.pendingLosses = nil
 	n.avoided = map[[2]int]avoidedServer{}
-	n.paces = map[[2]int]pace{}
+	n.buckets = map[[2]int]tokenBucket{}
 	n.clear()
 	if n.sim.plan.Module {
-		n.decides()
+		n.startModule()
 	}
-	n.every(tickInterval, n.traffic)
+	n.every(tickInterval, n.sendRequests)
 	n.every(250*time.Millisecond, n.report)
 	n.every(time.Second, n.poll)
 }
 
 func (n *node) clear() {
 	n.counts = make([]fleet.ZoneEvidence, n.sim.plan.Zones)
-	n.touched = make([]map[int][2]int, n.sim.plan.Zones)
+	n.byServer = make([]map[int][2]int, n.sim.plan.Zones)
 }
 
-// every does something each d by the node's clock while this run lasts and is not frozen.
+// every calls do at intervals of d by the node's clock, until the process ends; while the process is stalled, the calls
+// wait.
 func (n *node) every(d time.Duration, do func()) {
 	run := n.process
 	var next func()
@@ -114,13 +115,13 @@
 			return
 		}
 		do()
-		n.sim.after(n.clock.lasts(d), next)
+		n.sim.after(n.clock.realDuration(d), next)
 	}
 	n.sim.after(time.Duration(n.sim.random.Int64N(int64(d))), next)
 }
 
-// hear takes an answer of a replica: never an older one than it has.
-func (n *node) hear(it *intent) {
+// receive handles a replica's answer. The node ignores an intent that is older than its own.
+func (n *node) receive(it *intent) {
 	if n.down {
 		return
 	}
@@ -128,12 +129,12 @@
 		run := n.process
 		n.sim.after(wait, func() {
 			if n.process == run {
-				n.hear(it)
+				n.receive(it)
 			}
 		})
 		return
 	}
-	if it.revision < n.intent.revision && !n.sim.hooks.takeOld {
+	if it.revision < n.intent.revision && !n.sim.hooks.acceptOlder {
 		return
 	}
 	if it.revision < n.intent.revision {
@@ -143,14 +144,14 @@
 	if n.module != nil {
 		n.module.updateZones()
 	}
-	n.sim.heard(n)
+	n.sim.received(n)
 }
 
-// poll asks a replica whether there is anything new.
+// poll requests the newest intent from a replica.
 func (n *node) poll() {
-	n.sim.link(n.index, func() {
+	n.sim.deliver(n.index, func() {
 		it := n.sim.control.intent
-		n.sim.link(n.index, func() { n.hear(it) })
+		n.sim.deliver(n.index, func() { n.receive(it) })
 	})
 }
 
@@ -160,14 +161,14 @@
 	n.sequence++
 	r.Sequence = n.sequence
 	if n.module != nil {
-		n.module.window(&r)
+		n.module.addEvidence(&r)
 	}
 	for z, c := range n.counts {
 		if n.module != nil {
 			break
 		}
 		c.Zone, c.Listed = n.sim.zones[z], n.sim.plan.Servers
-		for _, t := range n.touched[z] {
+		for _, t := range n.byServer[z] {
 			c.Servers++
 			if t[0] == t[1] {
 				c.LostServers++
@@ -177,10 +178,10 @@
 	}
 	n.windowStart = now
 	n.clear()
-	n.lie(&r)
+	n.falsify(&r)
 	n.acknowledge(&r)
 	run := n.process
-	n.sim.link(n.index, func() {
+	n.sim.deliver(n.index, func() {
 		n.sim.control.report(n.index, r, func() {
 			if n.process == run && !n.down && n.sim.now >= n.stalledUntil {
 				n.leasedUntil = max(n.leasedUntil, now+time.Duration(n.sim.leasePart*float64(ttl)))
@@ -189,17 +190,17 @@
 	})
 }
 
-// lying reports whether a node is a liar now.
+// lying reports whether a Liar fault is active on the named node.
 func (s *Sim) lying(name string) bool {
 	return slices.ContainsFunc(s.nodes, func(n *node) bool {
-		return n.name == name && slices.ContainsFunc(s.plan.Faults, func(f Fault) bool { return f.Kind == Liar && f.isActive(s.now) && f.hits(n.index) })
+		return n.name == name && slices.ContainsFunc(s.plan.Faults, func(f Fault) bool { return f.Kind == Liar && f.isActive(s.now) && f.affects(n.index) })
 	})
 }
 
-// lie makes the report a liar's while its fault is on.
-func (n *node) lie(r *fleet.Report) {
+// falsify replaces evidence in the report by total loss while a Liar fault is active on the node.
+func (n *node) falsify(r *fleet.Report) {
 	for _, f := range n.sim.plan.Faults {
-		if f.Kind == Liar && f.isActive(n.sim.now) && f.hits(n.index) {
+		if f.Kind == Liar && f.isActive(n.sim.now) && f.affects(n.index) {
 			for z := range r.Zones {
 				if c := &r.Zones[z]; z == f.Zone || f.Probability > 0.5 {
 					*c = fleet.ZoneEvidence{Zone: c.Zone, Listed: c.Listed, Attempts: 1000, Lost: 1000, Servers: c.Listed, LostServers: c.Listed, Started: 1000}
@@ -213,36 +214,36 @@
 	return fleet.Member{Node: n.name, Zone: n.sim.zones[n.zone], Incarnation: n.incarnation}
 }
 
-// portion is what the node may do at a zone, and whether by a directive.
-func (n *node) portion(zone int) zones.NodeShare {
+// nodeShare returns the share and the rate that the node's directives grant it at a zone.
+func (n *node) nodeShare(zone int) zones.NodeShare {
 	if len(n.intent.directives) == 0 {
 		return zones.NodeShare{Share: 1}
 	}
-	past := n.clock.read(n.sim.now)-n.confirmedAt > n.sim.settings.DirectiveLifetime && !n.sim.hooks.ageless
+	expired := n.clock.read(n.sim.now)-n.confirmedAt > n.sim.settings.DirectiveLifetime && !n.sim.hooks.neverExpire
 	p := zones.NodeShare{Share: 1}
 	for _, key := range n.keys[zone] {
 		if e, ok := n.intent.directives[key]; ok {
-			p = zones.MergeShares(zones.NodeShareOf(e.Directive, n.name, past), p)
+			p = zones.MergeShares(zones.NodeShareOf(e.Directive, n.name, expired), p)
 		}
 	}
-	p.Rate *= n.sim.hooks.greed
+	p.Rate *= n.sim.hooks.rateFactor
 	return p
 }
 
-// traffic sends the requests of one tick.
-func (n *node) traffic() {
+// sendRequests ends the lost attempts that are due and sends the requests of one tick.
+func (n *node) sendRequests() {
 	s, now := n.sim, n.clock.read(n.sim.now)
-	n.losing = slices.DeleteFunc(n.losing, func(l lostAttempt) bool {
+	n.pendingLosses = slices.DeleteFunc(n.pendingLosses, func(l lostAttempt) bool {
 		if s.now < l.endsAt {
 			return false
 		}
-		n.ended(l.zone, l.id, false)
+		n.recordAttempt(l.zone, l.id, false)
 		return true
 	})
-	portions := make([]zones.NodeShare, s.plan.Zones)
-	for z := range portions {
-		portions[z] = n.portion(z)
-		s.stopped(n, z, portions[z].Share == 0)
+	shares := make([]zones.NodeShare, s.plan.Zones)
+	for z := range shares {
+		shares[z] = n.nodeShare(z)
+		s.recordStop(n, z, shares[z].Share == 0)
 	}
 	if n.module != nil {
 		s.node(n, now)
@@ -250,7 +251,7 @@
 	}
 	for n.dueRequests += nodeDemand * tickInterval.Seconds(); n.dueRequests >= 1; n.dueRequests-- {
 		for attempt := range 2 {
-			zone, id, ok := n.choose(portions, now, attempt)
+			zone, id, ok := n.choose(shares, now, attempt)
 			if !ok {
 				s.result.Rejected++
 				break
@@ -261,24 +262,25 @@
 			n.counts[zone].Started++
 			if s.request(n, zone, id) {
 				s.result.Answered++
-				n.ended(zone, id, true)
+				n.recordAttempt(zone, id, true)
 				break
 			}
-			n.losing = append(n.losing, lostAttempt{s.now + lossTimeout, zone, id})
+			n.pendingLosses = append(n.pendingLosses, lostAttempt{s.now + lossTimeout, zone, id})
 			s.result.Lost++
 		}
 	}
 	s.node(n, now)
 }
 
-// choose picks a server: of a zone on trial first, else by the zones' shares; none that lost two attempts running of
-// late, none whose budget is spent.
-func (n *node) choose(portions []zones.NodeShare, now time.Duration, attempt int) (zone, id int, ok bool) {
+// choose selects a server for an attempt. A first attempt goes to a zone on trial if that zone has budget left; otherwise
+// the zones' shares are the weights of a random choice, without servers that are avoided after two consecutive lost
+// attempts and servers whose budget is used up.
+func (n *node) choose(shares []zones.NodeShare, now time.Duration, attempt int) (zone, id int, ok bool) {
 	s := n.sim
 	total := 0.0
-	for z, p := range portions {
+	for z, p := range shares {
 		if p.Trial && attempt == 0 {
-			if id := s.random.IntN(s.plan.Servers); n.spend(z, id, p.Rate, now) {
+			if id := s.random.IntN(s.plan.Servers); n.takeToken(z, id, p.Rate, now) {
 				return z, id, true
 			}
 		}
@@ -286,12 +288,12 @@
 	}
 	for range 4 {
 		at := s.random.Float64() * total
-		for z, p := range portions {
+		for z, p := range shares {
 			if at -= p.Share; at >= 0 || p.Share == 0 {
 				continue
 			}
 			id := s.random.IntN(s.plan.Servers)
-			if now >= n.avoided[[2]int{z, id}].until && (p.Rate == 0 || n.spend(z, id, p.Rate, now)) {
+			if now >= n.avoided[[2]int{z, id}].until && (p.Rate == 0 || n.takeToken(z, id, p.Rate, now)) {
 				return z, id, true
 			}
 			break
@@ -300,30 +302,30 @@
 	return 0, 0, false
 }
 
-// spend takes one request from a server's budget at this node.
-func (n *node) spend(zone, id int, rate float64, now time.Duration) bool {
+// takeToken takes a token for one request from a server's bucket at this node and reports whether there was one.
+func (n *node) takeToken(zone, id int, rate float64, now time.Duration) bool {
 	key := [2]int{zone, id}
-	p, ok := n.paces[key]
+	p, ok := n.buckets[key]
 	at := now.Seconds()
 	if !ok {
-		p = pace{n.sim.random.Float64(), at}
+		p = tokenBucket{n.sim.random.Float64(), at}
 	}
-	p = pace{math.Min(1, p.tokens+rate*(at-p.updatedAt)), at}
-	took := p.tokens >= 1
-	if took {
+	p = tokenBucket{math.Min(1, p.tokens+rate*(at-p.updatedAt)), at}
+	taken := p.tokens >= 1
+	if taken {
 		p.tokens--
 	}
-	n.paces[key] = p
-	return took
+	n.buckets[key] = p
+	return taken
 }
 
-// ended counts an attempt that ended.
-func (n *node) ended(zone, id int, answered bool) {
+// recordAttempt records the outcome of an attempt in the window, and avoids a server after two consecutive lost attempts.
+func (n *node) recordAttempt(zone, id int, answered bool) {
 	c := &n.counts[zone]
-	if n.touched[zone] == nil {
-		n.touched[zone] = map[int][2]int{}
+	if n.byServer[zone] == nil {
+		n.byServer[zone] = map[int][2]int{}
 	}
-	t := n.touched[zone][id]
+	t := n.byServer[zone][id]
 	t[0]++
 	c.Attempts++
 	key := [2]int{zone, id}
@@ -339,5 +341,5 @@
 		}
 		n.avoided[key] = b
 	}
-	n.touched[zone][id] = t
+	n.byServer[zone][id] = t
 }
--- a/internal/fleet/sim/plan.go
+++ b/internal/fleet/sim/plan.go
@@ -1,7 +1,7 @@
 // Package sim runs the fleet's pure cores with hundreds of nodes in one process, on a seeded schedule of drops,
-// delays, reorders, duplicates, stalls, crashes, restarts, new leaders, lost zones and clocks that differ. The same
-// plan runs the same way every time. What it checks are the rules of docs/fleet.md as an observer sees them who
-// knows what really happened.
+// delays, reorders, duplicates, stalls, crashes, restarts, new leaders, lost zones and clocks that differ. Runs of the
+// same plan are identical. The simulator checks the rules of docs/fleet.md against the true state of all nodes and
+// servers, which no node knows.
 package sim
 
 import (
@@ -9,63 +9,63 @@
 	"time"
 )
 
-// Plan is one run.
+// Plan describes one run: its size, its traffic, its faults and the operator's changes.
 type Plan struct {
 	Seed     uint64        `json:"seed"`
 	Nodes    int           `json:"nodes"`
 	Zones    int           `json:"zones"`
-	Servers  int           `json:"servers"` // of a zone
+	Servers  int           `json:"servers"` // app servers in each zone
 	Duration time.Duration `json:"for"`
-	Loss     float64       `json:"loss"`             // of every message of the control plane, and of every attempt
-	Jitter   time.Duration `json:"jitter"`           // of a message's delay, at most
-	Module   bool          `json:"module"`           // requests are decided by the module, else in a simple way of the simulator's own
-	Alone    bool          `json:"alone"`            // the control plane gives no directives: each node evaluates for itself
-	Scopes   [][]string    `json:"scopes,omitempty"` // of the nodes, in turn: the services of each, none for every service
+	Loss     float64       `json:"loss"`             // probability that a message of the control plane or an attempt is lost
+	Jitter   time.Duration `json:"jitter"`           // maximum random part of a message's delay
+	Module   bool          `json:"module"`           // requests are decided by the policy module instead of the simulator's simple choice of servers
+	Alone    bool          `json:"alone"`            // the control plane issues no directives: each node evaluates zones by itself
+	Scopes   [][]string    `json:"scopes,omitempty"` // services of the nodes, assigned in turn; an empty list stands for every service
 	Faults   []Fault       `json:"faults"`
 	Changes  []Change      `json:"changes"`
 }
 
-// Change is what an operator does with a tenant: a new quota, or its removal.
+// Change is an operator's change of a tenant: a new quota or the tenant's removal.
 type Change struct {
 	Time     time.Duration `json:"at"`
 	Tenant   string        `json:"tenant"`
 	Service  string        `json:"service,omitempty"`
-	Rate     float64       `json:"rate"`   // requests/s; 0 removes it
-	Rejected bool          `json:"refuse"` // one node rejects it
+	Rate     float64       `json:"rate"`   // requests/s; 0 removes the tenant
+	Rejected bool          `json:"refuse"` // the first node rejects the change
 }
 
 // Kinds of faults.
 const (
-	ZoneLost  = "zone lost"  // its servers give no answer; at the end they have been restarted and are warming up
-	ZoneGray  = "zone gray"  // Probability of the attempts at it are lost
-	ZoneCut   = "zone cut"   // the nodes of From lose all attempts at it
-	Deaf      = "deaf"       // every Stride-th node hears and sends nothing of the control plane
-	Slow      = "slow"       // their messages take up to a second more, and overtake each other
-	Twice     = "twice"      // their messages come twice, the second late
-	Stall     = "stall"      // their processes stand still
-	Crash     = "crash"      // they are killed, and back at the end as new incarnations with their disk copies
-	Rolling   = "rolling"    // every node is restarted in its turn, each down for a second
+	ZoneLost  = "zone lost"  // the zone's servers give no answer; at the fault's end they restart and are warming up
+	ZoneGray  = "zone gray"  // attempts at the zone are lost with Probability
+	ZoneCut   = "zone cut"   // the nodes of zone From lose all attempts at the zone
+	Deaf      = "deaf"       // the messages between every Stride-th node and the control plane are lost
+	Slow      = "slow"       // messages of every Stride-th node take up to a second longer, and overtake each other
+	Twice     = "twice"      // messages of every Stride-th node arrive twice, the second one late
+	Stall     = "stall"      // the processes of every Stride-th node stall
+	Crash     = "crash"      // every Stride-th node is killed; at the fault's end it returns as a new incarnation with its disk copy
+	Rolling   = "rolling"    // all nodes are restarted one after another; each is down for a second
 	NewLeader = "new leader" // the leader is lost; another is elected at the end
-	Liar      = "liar"       // one node reports that one zone, or every one, fails
+	Liar      = "liar"       // one node reports that one zone, or every zone, fails
 )
 
-// Fault is one thing that happens.
+// Fault is one scheduled fault.
 type Fault struct {
 	Kind        string        `json:"kind"`
 	Start       time.Duration `json:"at"`
 	Duration    time.Duration `json:"for"`
 	Zone        int           `json:"zone"`
 	From        int           `json:"from"`
-	First       int           `json:"first"` // of the nodes that it is about
-	Stride      int           `json:"nth"`   // every so many nodes from First on
+	First       int           `json:"first"` // index of an affected node
+	Stride      int           `json:"nth"`   // distance between affected nodes, counted from First
 	Probability float64       `json:"p"`
 }
 
 func (f Fault) isActive(now time.Duration) bool { return f.Start <= now && now < f.Start+f.Duration }
 
-func (f Fault) hits(i int) bool { return i%max(f.Stride, 1) == f.First%max(f.Stride, 1) }
+func (f Fault) affects(i int) bool { return i%max(f.Stride, 1) == f.First%max(f.Stride, 1) }
 
-// Draw makes the plan of a seed: a zone is lost and returns, and up to six other faults come at any time.
+// Draw returns the random plan of a seed: one zone is lost and returns, and up to six other faults occur at random times.
 func Draw(seed uint64, nodes int) Plan {
 	r := rand.New(rand.NewPCG(seed, 0x5eed))
 	p := Plan{
@@ -112,16 +112,16 @@
 	return p
 }
 
-// drawScopes returns two plans of three scopes to some nodes, and to a tenant its service. It draws from a stream of its own, so
-// that a seed's faults are the same with and without.
+// drawScopes gives two of three plans scopes for some nodes and services for some tenants. It draws from its own random
+// stream, so that a seed's faults are the same with and without scopes.
 func (p *Plan) drawScopes() {
 	r := rand.New(rand.NewPCG(p.Seed, 0x5c09e))
 	if r.IntN(3) == 0 {
 		return
 	}
-	every := [][]string{nil, {"perfume"}, {"retail"}, {"perfume", "retail"}}
+	choices := [][]string{nil, {"perfume"}, {"retail"}, {"perfume", "retail"}}
 	for range 2 + r.IntN(4) {
-		p.Scopes = append(p.Scopes, every[r.IntN(len(every))])
+		p.Scopes = append(p.Scopes, choices[r.IntN(len(choices))])
 	}
 	services := map[string]string{"amouage": "perfume"}
 	if r.IntN(2) == 0 {
@@ -132,7 +132,7 @@
 	}
 }
 
-// Calm is the plan of a zone's loss and return with no other fault.
+// Calm returns a plan in which one zone is lost and returns, with no other fault.
 func Calm(seed uint64, nodes int) Plan {
 	p := Draw(seed, nodes)
 	p.Zones = 3
@@ -148,7 +148,7 @@
 	return p
 }
 
-// Unrest is a plan with no zone's fault: lost messages and attempts, jitter and rolling restarts.
+// Unrest returns a plan without zone faults: it has lost messages and attempts, jitter and rolling restarts.
 func Unrest(seed uint64, nodes int, length time.Duration) Plan {
 	p := Calm(seed, nodes)
 	p.Duration = length
--- a/internal/fleet/sim/queue.go
+++ b/internal/fleet/sim/queue.go
@@ -7,21 +7,21 @@
 	"time"
 )
 
-// clock is one machine's: it reads off + rate times the real time.
+// clock is the clock of one machine: it reads offset + rate times the real time.
 type clock struct {
-	off  time.Duration
-	rate float64
+	offset time.Duration
+	rate   float64
 }
 
 func (c clock) read(real time.Duration) time.Duration {
-	return c.off + time.Duration(c.rate*float64(real))
+	return c.offset + time.Duration(c.rate*float64(real))
 }
 
-// lasts is how long in real time a machine takes to count d.
-func (c clock) lasts(d time.Duration) time.Duration { return time.Duration(float64(d) / c.rate) }
+// realDuration returns the real time that passes while the clock advances by d.
+func (c clock) realDuration(d time.Duration) time.Duration { return time.Duration(float64(d) / c.rate) }
 
 func newClock(r *rand.Rand) clock {
-	return clock{off: time.Duration(r.Int64N(int64(10 * time.Second))), rate: 0.99 + 0.02*r.Float64()}
+	return clock{offset: time.Duration(r.Int64N(int64(10 * time.Second))), rate: 0.99 + 0.02*r.Float64()}
 }
 
 type event struct {
@@ -45,18 +45,19 @@
 	return e
 }
 
-// after does something d of real time from now.
+// after schedules do for d of real time from now.
 func (s *Sim) after(d time.Duration, do func()) {
 	s.events++
 	heap.Push(&s.queue, event{s.now + max(d, 0), s.events, do})
 }
 
-// link carries one message of node i's to or from the control plane: late, twice or never. Later ones may overtake it.
-func (s *Sim) link(i int, arrive func()) {
+// deliver delivers one message between node i and the control plane: delayed, duplicated or not at all. Later messages may
+// overtake it.
+func (s *Sim) deliver(i int, arrive func()) {
 	d := 500*time.Microsecond + time.Duration(s.random.Int64N(int64(s.plan.Jitter)+1))
 	lost := s.random.Float64() < s.plan.Loss
 	for _, f := range s.plan.Faults {
-		if !f.isActive(s.now) || !f.hits(i) {
+		if !f.isActive(s.now) || !f.affects(i) {
 			continue
 		}
 		switch f.Kind {
@@ -73,7 +74,7 @@
 	}
 }
 
-// Breach is a rule that was broken.
+// Breach is a violation of a rule.
 type Breach struct {
 	Rule   string        `json:"rule"`
 	Time   time.Duration `json:"at"`
@@ -82,7 +83,7 @@
 
 func (b *Breach) Error() string { return fmt.Sprintf("%s at %v: %s", b.Rule, b.Time, b.Detail) }
 
-// recordBreach notes the first breach, which ends the run.
+// recordBreach records the run's first breach, which ends the run.
 func (s *Sim) recordBreach(rule, format string, args ...any) {
 	if s.breach == nil {
 		s.breach = &Breach{rule, s.now, fmt.Sprintf(format, args...)}
--- a/internal/fleet/sim/rules.go
+++ b/internal/fleet/sim/rules.go
@@ -9,14 +9,14 @@
 	"meadowsill/internal/fleet/zones"
 )
 
-// bounds are what the page says, whatever the core in the run goes by.
+// bounds are the documented settings. The checks use them even where a run's cores have other settings.
 var bounds = zones.Default(1)
 
-// applied checks what a command did: Z1, Z2 and Z4.
-func (s *Sim) applied(before map[string]zones.Entry, cmd zones.Command, changed []string) {
+// checkCommand checks the effect of an applied command on the directives by rules Z1, Z2 and Z4.
+func (s *Sim) checkCommand(before map[string]zones.Entry, cmd zones.Command, changed []string) {
 	s.result.Steps++
 	after := s.control.state.Directives
-	for _, f := range s.plan.Faults { // what has been a reason for a zone to be left
+	for _, f := range s.plan.Faults { // faults that justify the evacuation of a zone
 		if f.Kind == ZoneLost || f.Kind == ZoneGray || f.Kind == ZoneCut {
 			if f.isActive(s.now) {
 				s.lastFault[f.Zone] = max(s.lastFault[f.Zone], s.now)
@@ -26,15 +26,15 @@
 		}
 	}
 	for _, key := range changed {
-		y, x, _ := zones.ParseKey(key)
-		zone := slices.Index(s.zones, y)
+		zoneName, nodeZone, _ := zones.ParseKey(key)
+		zone := slices.Index(s.zones, zoneName)
 		old, had := before[key]
 		e, has := after[key]
 		entered, known := s.phaseSince[key]
 		s.phaseSince[key] = s.now
-		s.directed[y] = true
+		s.directed[zoneName] = true
 		switch {
-		case !had && s.now-s.lastFault[zone] > 5*time.Second && !(x != "" && s.lied(zone)):
+		case !had && s.now-s.lastFault[zone] > 5*time.Second && !(nodeZone != "" && s.lied(zone)):
 			s.result.WrongEvacuations++
 			s.recordBreach("Z1", "%s left by %s, and nothing was wrong there: %v", key, e.Reason, cmd)
 		case !has:
@@ -53,7 +53,7 @@
 		}
 		if e.Phase == fleet.Evacuated {
 			delete(s.lowestShare, key)
-			s.enough(key)
+			s.checkCapacity(key)
 		}
 		if e.Phase == fleet.Recovering {
 			low, ok := s.lowestShare[key]
@@ -65,13 +65,14 @@
 	}
 }
 
-// lied reports whether a liar may have had its own zone leave.
+// lied reports whether a Liar fault may have caused a directive for the nodes of the liar's own zone, which is possible
+// with fewer than two nodes per zone.
 func (s *Sim) lied(zone int) bool {
 	return slices.ContainsFunc(s.plan.Faults, func(f Fault) bool { return f.Kind == Liar && f.Start <= s.now && s.plan.Nodes < 2*s.plan.Zones })
 }
 
-// enough checks Z2: the servers that stay, for the nodes of every zone.
-func (s *Sim) enough(key string) {
+// checkCapacity checks Z2: for the nodes of every zone, the remaining servers are at least the minimum part of all servers.
+func (s *Sim) checkCapacity(key string) {
 	for _, x := range s.zones {
 		stay := 0.0
 		for _, y := range s.zones {
@@ -89,7 +90,8 @@
 	}
 }
 
-// node checks what one node does at its tick: sessions, Z5, and with all the others Z3.
+// node checks one node at its tick: its session, Z5 and T1. At the first node's tick it also checks the rules about all
+// nodes together: Z3, T2 and T3.
 func (s *Sim) node(n *node, now time.Duration) {
 	if now < n.leasedUntil {
 		if !s.control.sessions.Present(n.member()) {
@@ -101,22 +103,22 @@
 			for _, key := range n.keys[z] {
 				e, ok := n.intent.directives[key]
 				low, returning := s.lowestShare[key]
-				if ok && returning && e.Phase == fleet.Recovering && e.Revision >= s.firstRevision[key] && n.portion(z).Share > low+1e-9 {
-					s.recordBreach("Z5", "%s has not heard for %v and has %g of %s, which had %g", n.name, now-n.confirmedAt, n.portion(z).Share, key, low)
+				if ok && returning && e.Phase == fleet.Recovering && e.Revision >= s.firstRevision[key] && n.nodeShare(z).Share > low+1e-9 {
+					s.recordBreach("Z5", "%s has not heard for %v and has %g of %s, which had %g", n.name, now-n.confirmedAt, n.nodeShare(z).Share, key, low)
 				}
 			}
 		}
 	}
-	s.serves(n)
+	s.checkServing(n)
 	if n.index == 0 {
-		s.budgets()
-		s.quotas()
+		s.checkBudgets()
+		s.checkQuotas()
 	}
 }
 
-// budgets checks Z3: what all running nodes may send to a server, by whatever each has heard, is within the largest
-// budget that any of them has heard.
-func (s *Sim) budgets() {
+// checkBudgets checks Z3: the rates at which all running nodes may send to a server, each by the directive that it holds, add
+// up to no more than the largest budget that any of them holds.
+func (s *Sim) checkBudgets() {
 	for z, y := range s.zones {
 		sum, maximum := 0.0, 0.0
 		for _, n := range s.nodes {
@@ -124,7 +126,7 @@
 			if n.down || !ok || e.Budget <= 0 {
 				continue
 			}
-			if p := n.portion(z); p.Share > 0 || p.Trial {
+			if p := n.nodeShare(z); p.Share > 0 || p.Trial {
 				sum, maximum = sum+p.Rate, math.Max(maximum, e.Budget)
 			}
 		}
--- a/internal/fleet/sim/servers.go
+++ b/internal/fleet/sim/servers.go
@@ -5,17 +5,18 @@
 	"time"
 )
 
-// server is an app server that falls when it gets more than the warming up rule allows.
+// server is an app server that goes down when, while warming up, it gets more requests than allowed permits.
 type server struct {
-	running bool
-	started time.Duration // warming up from then on; negative: warm ever since
-	fallen  time.Duration // down until then
-	arrived []time.Duration
+	running   bool
+	started   time.Duration // when warming up began; negative: warm from the beginning
+	downUntil time.Duration // until when the server is down after an overload
+	arrived   []time.Duration
 }
 
-const warmingInterval = time.Second // in which a warming server bears what it can
+const warmingInterval = time.Second // over which the arrivals at a server that is warming up are counted
 
-// allowed is what a server of a rate bears in warmingInterval, so long after its start.
+// allowed returns the number of requests that a server can handle in warmingInterval at the given time after its start:
+// the expected number plus three standard deviations of a Poisson process and three more requests.
 func (s *Sim) allowed(age time.Duration) float64 {
 	part := math.Min(1, s.settings.SlowStartMinCapacity+(1-s.settings.SlowStartMinCapacity)*age.Seconds()/s.settings.SlowStartWindow.Seconds())
 	n := part * s.capacity * warmingInterval.Seconds()
@@ -35,7 +36,7 @@
 			p = math.Max(p, f.Probability)
 		}
 	}
-	if p == 1 || s.random.Float64() < p || s.now < sv.fallen {
+	if p == 1 || s.random.Float64() < p || s.now < sv.downUntil {
 		return false
 	}
 	if age := s.now - sv.started; sv.started >= 0 && age < s.settings.SlowStartWindow {
@@ -48,16 +49,16 @@
 			if !s.alone(zone) {
 				s.recordBreach("cold", "server %d of zone %s got %d in a second, %v after its start", id, s.zones[zone], len(sv.arrived), age)
 			}
-			sv.fallen, sv.arrived = s.now+s.settings.SlowStartWindow, nil
-			s.lastFault[zone] = sv.fallen
+			sv.downUntil, sv.arrived = s.now+s.settings.SlowStartWindow, nil
+			s.lastFault[zone] = sv.downUntil
 			return false
 		}
 	}
 	return true
 }
 
-// alone reports whether some nodes may have been judging for themselves when a zone returned: then a warming up fall is no
-// breach of the directives.
+// alone reports whether some nodes may have evaluated the zone by themselves when it returned. An overload of a server
+// that is warming up is then no breach of the directives.
 func (s *Sim) alone(zone int) bool {
 	if s.plan.Alone || !s.directed[s.zones[zone]] {
 		return true
@@ -70,11 +71,11 @@
 	return len(s.plan.Faults) > 1
 }
 
-// restart makes a zone's servers warming up.
+// restart restarts a zone's servers, which are warming up from now on.
 func (s *Sim) restart(zone int) {
 	for _, sv := range s.servers[zone] {
 		sv.started = s.now
-		sv.fallen = 0
+		sv.downUntil = 0
 		sv.arrived = nil
 	}
 }
--- a/internal/fleet/sim/sim.go
+++ b/internal/fleet/sim/sim.go
@@ -11,7 +11,7 @@
 	"meadowsill/internal/fleet/zones"
 )
 
-// Sim is a run that goes on.
+// Sim is the state of one run.
 type Sim struct {
 	plan      Plan
 	settings  zones.Settings
@@ -22,37 +22,37 @@
 	zones     []string
 	nodes     []*node
 	servers   [][]*server
-	capacity  float64 // requests/s of a warm server
+	capacity  float64 // requests/s that a warm server can handle
 	leasePart float64
 	control   *control
 	hooks     hooks
 
 	breach        *Breach
 	result        Result
-	lastFault     []time.Duration // by zone: when it last gave reason to be left
-	directed      map[string]bool // zones that a directive was ever on
+	lastFault     []time.Duration // by zone: the last time at which a fault justified its evacuation
+	directed      map[string]bool // zones that have had a directive in this run
 	phaseSince    map[string]time.Duration
 	lowestShare   map[string]float64
 	firstRevision map[string]uint64
 	losses        []*loss
 
-	committed map[string]bool // uid, generation and digest
+	committed map[string]bool // committed generations by tenant, uid, number and digest
 	rollouts  []*rollout
 }
 
-// hooks are faults planted by tests.
+// hooks are faults in the fleet's cores that tests inject.
 type hooks struct {
-	command func(*zones.Command)
-	observe func(*control, time.Duration, fleet.Report)
-	takeOld bool
-	rejoin  bool // a run is present again before it has heard what was intended meanwhile
-	staged  bool // nodes serve by what is staged
-	forgets bool // the controller of the tenants counts no node with a scope
-	ageless bool
-	greed   float64 // what a node multiplies its rates by
+	command      func(*zones.Command)
+	observe      func(*control, time.Duration, fleet.Report)
+	acceptOlder  bool
+	joinEarly    bool // a process joins again before it has received the intent that it missed
+	serveStaged  bool // nodes serve tenants by the staged generation
+	ignoreScopes bool // the tenant controller counts no node that has a scope
+	neverExpire  bool
+	rateFactor   float64 // factor by which a node multiplies its rates
 }
 
-// loss is one zone's loss, as the nodes come to stop.
+// loss is the loss of one zone, with the time at which each node stopped sending to the zone.
 type loss struct {
 	zone      int
 	start     time.Duration
@@ -60,15 +60,15 @@
 	stoppedAt map[int]time.Duration
 }
 
-// Result is what a run gave. Times are in ms.
+// Result holds the figures of one run. Times are in ms.
 type Result struct {
 	Seed             uint64  `json:"seed"`
 	Breach           *Breach `json:"breach,omitempty"`
-	Stop95           []int64 `json:"stop95_ms,omitempty"` // from a zone's loss until 95 % of the running nodes had stopped
-	Spread           []int64 `json:"spread_ms,omitempty"` // from the first of them to the last
-	Unnotified       int     `json:"unheard"`             // losses for which that many never stopped
+	Stop95           []int64 `json:"stop95_ms,omitempty"` // from a zone's loss until 95 % of all nodes had stopped sending to the zone
+	Spread           []int64 `json:"spread_ms,omitempty"` // from the first of these nodes that stopped to the last
+	Unnotified       int     `json:"unheard"`             // losses in which fewer than 95 % of the nodes stopped
 	Returned         []int64 `json:"returned_ms,omitempty"`
-	Onboard          []int64 `json:"onboard_ms,omitempty"` // from a tenant's change to its being applied on every node present in its scope
+	Onboard          []int64 `json:"onboard_ms,omitempty"` // from a tenant's change until it is applied on every present node that serves the tenant
 	Undone           int     `json:"undone"`               // changes that were rolled back, rejected, or not applied by the end
 	WarmingOverloads int     `json:"cold_falls"`
 	WrongEvacuations int     `json:"wrong_leaves"`
@@ -80,10 +80,10 @@
 	Events           int     `json:"events"`
 }
 
-// Run runs a plan to its end or its first breach.
+// Run simulates a plan until its end or its first breach.
 func Run(p Plan) Result { return run(p, nil) }
 
-func run(p Plan, plant func(*Sim)) Result {
+func run(p Plan, inject func(*Sim)) Result {
 	s := &Sim{
 		plan:          p,
 		settings:      zones.Default(p.Nodes),
@@ -96,8 +96,8 @@
 		lastFault:     make([]time.Duration, p.Zones),
 		committed:     map[string]bool{},
 	}
-	s.hooks.greed = 1
-	s.settings.SlowStartWindow = 10 * time.Second // servers that are warming up for long, and hardly more than what is required of them
+	s.hooks.rateFactor = 1
+	s.settings.SlowStartWindow = 10 * time.Second // a long warming up, with servers of hardly more capacity than the demand
 	s.capacity = 1.3 * nodeDemand * float64(p.Nodes) / float64(p.Zones*p.Servers)
 	for z := range p.Zones {
 		s.zones = append(s.zones, fmt.Sprintf("z%d", z))
@@ -109,18 +109,18 @@
 		s.servers = append(s.servers, all)
 	}
 	s.control = &control{sim: s, intent: &intent{}}
-	if plant != nil {
-		plant(s)
+	if inject != nil {
+		inject(s)
 	}
 	for i := range p.Nodes {
 		s.newNode(i).start()
 	}
-	s.control.lead()
+	s.control.startTerm()
 	for _, f := range p.Faults {
-		s.after(f.Start, func() { s.begin(f) })
+		s.after(f.Start, func() { s.startFault(f) })
 	}
 	for _, c := range p.Changes {
-		s.after(c.Time, func() { s.operate(c, 0) })
+		s.after(c.Time, func() { s.applyChange(c, 0) })
 	}
 	for len(s.queue) > 0 && s.breach == nil {
 		e := heap.Pop(&s.queue).(event)
@@ -137,30 +137,30 @@
 		s.measure(l)
 	}
 	for _, r := range s.rollouts {
-		if r.done == 0 {
+		if r.appliedAt == 0 {
 			s.result.Undone++
 		} else {
-			s.result.Onboard = append(s.result.Onboard, (r.done - r.put).Milliseconds())
+			s.result.Onboard = append(s.result.Onboard, (r.appliedAt - r.proposedAt).Milliseconds())
 		}
 	}
 	return s.result
 }
 
-// begin starts a fault; what its end needs is done by then.
-func (s *Sim) begin(f Fault) {
+// startFault starts a fault and schedules the actions that are due at its end.
+func (s *Sim) startFault(f Fault) {
 	switch f.Kind {
 	case ZoneLost:
 		s.losses = append(s.losses, &loss{zone: f.Zone, start: s.now, end: s.now + f.Duration, stoppedAt: map[int]time.Duration{}})
 		s.after(f.Duration, func() { s.restart(f.Zone) })
 	case Stall:
 		for _, n := range s.nodes {
-			if f.hits(n.index) {
+			if f.affects(n.index) {
 				n.stalledUntil = max(n.stalledUntil, s.now+f.Duration)
 			}
 		}
 	case Crash:
 		for _, n := range s.nodes {
-			if f.hits(n.index) {
+			if f.affects(n.index) {
 				s.crash(n, f.Duration)
 			}
 		}
@@ -172,7 +172,7 @@
 		s.control.term = 0
 		s.after(f.Duration, func() {
 			if s.control.term == 0 {
-				s.control.lead()
+				s.control.startTerm()
 			}
 		})
 	}
@@ -187,7 +187,8 @@
 	s.after(down, n.start)
 }
 
-// measure adds a loss's figures: of the nodes that ran all through it.
+// measure adds the times of a loss to the result, or counts the loss as unnotified if fewer than 95 % of the nodes
+// stopped sending to the zone.
 func (s *Sim) measure(l *loss) {
 	var at []time.Duration
 	for _, t := range l.stoppedAt {
@@ -203,9 +204,9 @@
 	s.result.Spread = append(s.result.Spread, (at[need-1] - at[0]).Milliseconds())
 }
 
-// stopped notes that a node has stopped sending to a lost zone.
-func (s *Sim) stopped(n *node, zone int, has bool) {
-	if !has {
+// recordStop records when a node stops sending to a lost zone.
+func (s *Sim) recordStop(n *node, zone int, zeroShare bool) {
+	if !zeroShare {
 		return
 	}
 	for _, l := range s.losses {
--- a/internal/fleet/sim/sim_test.go
+++ b/internal/fleet/sim/sim_test.go
@@ -10,7 +10,8 @@
 	"meadowsill/internal/fleet/zones"
 )
 
-// TestSeeds: no play of fixed seeds breaks a rule, with the simulator's own way of sending and with the module's.
+// TestSeeds checks that no run of the fixed seeds breaks a rule, with the simulator's simple choice of servers and with
+// the policy module.
 func TestSeeds(t *testing.T) {
 	sum := Many(t.Context(), func(s uint64) Plan {
 		p := Draw(s, 30)
@@ -21,7 +22,7 @@
 		t.Errorf("seed %d: %v", r.Seed, r.Breach)
 	}
 	if sum.Steps < 100 || sum.Losses < 40 || sum.Onboard.P50 == 0 {
-		t.Errorf("nothing much was played: %+v", sum)
+		t.Errorf("the runs have too few steps, zone losses or rollouts: %+v", sum)
 	}
 	scoped := 0
 	for seed := uint64(1); seed <= 40; seed++ {
@@ -34,7 +35,7 @@
 	}
 }
 
-// TestCalm: a zone's loss and return with no other fault, by its figures.
+// TestCalm checks the figures of runs in which a zone is lost and returns with no other fault.
 func TestCalm(t *testing.T) {
 	for _, nodes := range []int{30, 100} {
 		sum := Many(t.Context(), func(s uint64) Plan { return Calm(s, nodes) }, 1, 5, 4, io.Discard)
@@ -44,7 +45,7 @@
 	}
 }
 
-// TestReplay: a plan runs the same way twice.
+// TestReplay checks that two runs of a plan are identical.
 func TestReplay(t *testing.T) {
 	for seed := range uint64(4) {
 		p := Draw(seed, 20)
@@ -55,8 +56,9 @@
 	}
 }
 
-// TestPlanted: each planted fault is found, by the rule that it breaks, and found again by its seed.
-func TestPlanted(t *testing.T) {
+// TestInjectedFaults checks that each injected fault is detected by the rule that it breaks, and again in a second run of the
+// seed.
+func TestInjectedFaults(t *testing.T) {
 	entry := func(f func(*zones.Entry)) func(*Sim) {
 		return func(s *Sim) {
 			s.hooks.command = func(c *zones.Command) {
@@ -67,12 +69,12 @@
 		}
 	}
 	for _, p := range []struct {
-		name  string
-		rule  string
-		from  uint64 // the seed to begin with, to save time
-		plant func(*Sim)
+		name   string
+		rule   string
+		from   uint64 // first seed to run; earlier seeds are left out to save time
+		inject func(*Sim)
 	}{
-		{"one node's vote counts for all", "Z1", 17, func(s *Sim) {
+		{"one node's evidence counts for all nodes", "Z1", 17, func(s *Sim) {
 			s.hooks.observe = func(c *control, now time.Duration, r fleet.Report) {
 				for _, n := range s.nodes {
 					if !s.lying(r.Node) {
@@ -83,22 +85,22 @@
 				}
 			}
 		}},
-		{"no panic threshold, and room for anything", "Z2", 26, func(s *Sim) { s.settings.MinServersPart, s.settings.CapacityFactor = 0, 1e3 }},
-		{"nodes take thrice their part", "Z3", 0, func(s *Sim) { s.hooks.greed = 3 }},
-		{"no hold-off", "Z4", 0, func(s *Sim) { s.settings.InitialBackoff = 100 * time.Millisecond }},
-		{"a step begins before the last was seen", "Z4", 0, func(s *Sim) { s.settings.MinStepTime, s.settings.MinStepAnswers, s.settings.SlowStartWindow = 0, 0, 0 }},
+		{"no minimum part of servers, and no capacity limit", "Z2", 26, func(s *Sim) { s.settings.MinServersPart, s.settings.CapacityFactor = 0, 1e3 }},
+		{"nodes send at three times their rate", "Z3", 0, func(s *Sim) { s.hooks.rateFactor = 3 }},
+		{"backoff too short", "Z4", 0, func(s *Sim) { s.settings.InitialBackoff = 100 * time.Millisecond }},
+		{"a step begins without evidence of the one before", "Z4", 0, func(s *Sim) { s.settings.MinStepTime, s.settings.MinStepAnswers, s.settings.SlowStartWindow = 0, 0, 0 }},
 		{"the floor is the newest share", "Z5", 15, entry(func(e *zones.Entry) {
 			if e.Step > 1 {
 				e.Floor = e.Share
 			}
 		})},
-		{"a directive never ages", "Z5", 15, func(s *Sim) { s.hooks.ageless = true }},
-		{"an agent takes older intent", "revision", 0, func(s *Sim) { s.hooks.takeOld = true }},
-		{"a node serves by what is staged", "T1", 0, func(s *Sim) { s.hooks.staged = true }},
-		{"the judge forgets nodes of the scope", "T5", 0, func(s *Sim) { s.hooks.forgets = true }},
-		{"a run is back before it has heard what changed", "T3", 0, func(s *Sim) { s.hooks.rejoin = true }},
-		{"an agent counts to the whole ttl and more", "session", 8, func(s *Sim) { s.leasePart = 1.15 }},
-		{"all of a cold zone at once", "cold", 52, entry(func(e *zones.Entry) {
+		{"a directive never expires", "Z5", 15, func(s *Sim) { s.hooks.neverExpire = true }},
+		{"an agent accepts an older intent", "revision", 0, func(s *Sim) { s.hooks.acceptOlder = true }},
+		{"a node serves by a staged generation", "T1", 0, func(s *Sim) { s.hooks.serveStaged = true }},
+		{"the tenant controller ignores nodes with a scope", "T5", 0, func(s *Sim) { s.hooks.ignoreScopes = true }},
+		{"a process joins again before it has the intent that it missed", "T3", 0, func(s *Sim) { s.hooks.joinEarly = true }},
+		{"an agent holds its session for longer than the ttl", "session", 8, func(s *Sim) { s.leasePart = 1.15 }},
+		{"full share for a zone whose servers are warming up", "cold", 52, entry(func(e *zones.Entry) {
 			if e.Step > 0 {
 				e.Share, e.Budget = 1, 50*e.Budget
 			}
@@ -110,22 +112,23 @@
 				if p.rule == "cold" {
 					plan = Calm(seed, 100)
 				}
-				r := run(plan, p.plant)
+				r := run(plan, p.inject)
 				if r.Breach == nil || r.Breach.Rule != p.rule {
 					continue
 				}
-				if again := run(plan, p.plant); !reflect.DeepEqual(r, again) {
-					t.Errorf("seed %d does not play the same again: %v, %v", seed, r.Breach, again.Breach)
+				if again := run(plan, p.inject); !reflect.DeepEqual(r, again) {
+					t.Errorf("two runs of seed %d differ: %v, %v", seed, r.Breach, again.Breach)
 				}
 				t.Logf("seed %d: %v", seed, r.Breach)
 				return
 			}
-			t.Errorf("not found by rule %s", p.rule)
+			t.Errorf("no run breaks rule %s", p.rule)
 		})
 	}
 }
 
-// TestUnrest: at 5 % loss and rolling restarts no zone is evacuated, nor cut off by the few nodes that lost twice running.
+// TestUnrest checks that no rule is broken and no zone is evacuated at 5 % loss with rolling restarts, where a few nodes
+// lose two attempts at a server in succession by chance.
 func TestUnrest(t *testing.T) {
 	sum := Many(t.Context(), func(s uint64) Plan {
 		p := Unrest(s, 30, time.Minute)
--- a/internal/fleet/sim/tenants.go
+++ b/internal/fleet/sim/tenants.go
@@ -12,29 +12,30 @@
 	"meadowsill/internal/fleet/tenants"
 )
 
-// rollout is one change of a tenant on its way.
+// rollout tracks one change of a tenant; appliedAt is 0 until the change is applied on every present node that serves the
+// tenant.
 type rollout struct {
-	name string
-	put  time.Duration
-	done time.Duration
-	// 0: not proposed yet
+	name       string
+	proposedAt time.Duration
+	appliedAt  time.Duration
+	// uid and gen identify the proposed generation, together with digest.
 	uid       uint64
 	gen       uint64
-	digest    string // a number that was rolled back is given again
+	digest    string // needed because the number of a generation that was rolled back is assigned again
 	committed bool
-	refuse    bool
-	heard     map[int]bool
+	rejected  bool
+	received  map[int]bool
 }
 
-// operate does what an operator wants, at the generation that there is; where the leader is away or a rollout is on it
-// attempts again a second later.
-func (s *Sim) operate(c Change, attempts int) {
+// applyChange proposes an operator's change against the tenant's current generation. Without a leader, or during another
+// rollout of the tenant, it tries again a second later, up to 20 times.
+func (s *Sim) applyChange(c Change, attempts int) {
 	if attempts > 20 {
 		return
 	}
-	again := func() { s.after(time.Second, func() { s.operate(c, attempts+1) }) }
+	retry := func() { s.after(time.Second, func() { s.applyChange(c, attempts+1) }) }
 	if s.control.term == 0 {
-		again()
+		retry()
 		return
 	}
 	cmd := tenants.Command{Operation: tenants.Put, Name: c.Tenant}
@@ -46,12 +47,13 @@
 	} else if cmd.Operation = tenants.Delete; cmd.Generation == 0 {
 		return
 	}
-	put := s.now
-	s.control.log(s.control.term, func() {
+	proposedAt := s.now
+	s.control.propose(s.control.term, func() {
 		if err := s.control.applyTenants(cmd); errors.Is(err, fleet.ErrConflict) {
-			again()
+			retry()
 		} else if e := s.control.tenants.Tenants[c.Tenant]; err == nil && c.Rate > 0 && e != nil && e.Staged != nil {
-			s.rollouts = append(s.rollouts, &rollout{name: c.Tenant, put: put, uid: e.UID, gen: e.Staged.Number, digest: e.Staged.Digest, refuse: c.Rejected, heard: map[int]bool{}})
+			s.rollouts = append(s.rollouts, &rollout{name: c.Tenant, proposedAt: proposedAt, uid: e.UID, gen: e.Staged.Number,
+				digest: e.Staged.Digest, rejected: c.Rejected, received: map[int]bool{}})
 		}
 	})
 }
@@ -60,7 +62,8 @@
 	return fmt.Sprint(name, " ", uid, " ", g.Number, " ", g.Digest)
 }
 
-// applyTenants changes the replicated tenants, and notes what is committed: T5, all present runs have staged it.
+// applyTenants applies a command to the replicated tenants and records a committed generation. It checks T5: all present
+// processes that serve the tenant have staged the generation.
 func (c *control) applyTenants(cmd tenants.Command) error {
 	s := c.sim
 	var staged *fleet.Generation
@@ -76,13 +79,13 @@
 		for _, r := range s.rollouts {
 			if r.name == cmd.Name && r.uid == e.UID && r.digest == staged.Digest && !r.committed {
 				r.committed = true
-				if r.refuse && c.counts(s.nodes[0], e.Service()) { // one that is not counts for no rollout
+				if r.rejected && c.counts(s.nodes[0], e.Service()) { // an absent node, or one out of scope, has no say
 					s.recordBreach("T5", "%s committed at %d, which %s refuses", r.name, r.gen, s.nodes[0].name)
 				}
 			}
 		}
 		for _, n := range s.nodes {
-			if c.sessions.Present(n.member()) && c.counts(n, e.Service()) && !n.down && !n.knows(cmd.Name, e.UID, staged.Digest) {
+			if c.sessions.Present(n.member()) && c.counts(n, e.Service()) && !n.down && !n.holds(cmd.Name, e.UID, staged.Digest) {
 				s.recordBreach("T5", "%s committed at %d, and %s has not staged it", cmd.Name, staged.Number, n.name)
 			}
 		}
@@ -93,13 +96,13 @@
 	return nil
 }
 
-// counts reports whether a run of a node is present that serves a service.
+// counts reports whether a process of the node is present and serves the service.
 func (c *control) counts(n *node, service string) bool {
 	_, present := c.sessions.Members[n.name]
 	return present && fleet.Serves(n.services(), service)
 }
 
-// services are those of the node's scope; none: every service.
+// services returns the services of the node's scope; an empty list stands for every service.
 func (n *node) services() []string {
 	if scopes := n.sim.plan.Scopes; len(scopes) > 0 {
 		return scopes[n.index%len(scopes)]
@@ -107,20 +110,20 @@
 	return nil
 }
 
-// knows reports whether the newest that a node holds of a tenant has the generation staged or committed.
-func (n *node) knows(name string, uid uint64, digest string) bool {
+// holds reports whether the node's intent has the generation of a tenant as staged or committed.
+func (n *node) holds(name string, uid uint64, digest string) bool {
 	t := n.intent.tenants[name]
 	return t.UID == uid && (t.Staged != nil && t.Staged.Digest == digest || t.Committed != nil && t.Committed.Digest == digest)
 }
 
-// rejects reports whether this node can't stage a generation: the first node, where the change says so.
-func (n *node) refuses(name string, uid uint64, digest string) bool {
+// rejects reports whether this node can't stage a generation: the first node rejects a generation whose change says so.
+func (n *node) rejects(name string, uid uint64, digest string) bool {
 	return n.index == 0 && slices.ContainsFunc(n.sim.rollouts, func(r *rollout) bool {
-		return r.refuse && r.name == name && r.uid == uid && r.digest == digest && !r.committed
+		return r.rejected && r.name == name && r.uid == uid && r.digest == digest && !r.committed
 	})
 }
 
-// acknowledge puts what the node holds of its tenants into a report.
+// acknowledge adds the node's staged, committed or rejected generation of each tenant to a report.
 func (n *node) acknowledge(r *fleet.Report) {
 	for _, name := range slices.Sorted(maps.Keys(n.intent.tenants)) {
 		t := n.intent.tenants[name]
@@ -128,7 +131,7 @@
 		if t.Committed != nil {
 			a.Committed, a.Digest = t.Committed.Number, t.Committed.Digest
 		}
-		if g := t.Staged; g != nil && n.refuses(name, t.UID, g.Digest) {
+		if g := t.Staged; g != nil && n.rejects(name, t.UID, g.Digest) {
 			a.RejectReason = "routes[0]: matches no server"
 		} else if g != nil {
 			a.Staged, a.Digest = g.Number, g.Digest
@@ -137,49 +140,50 @@
 	}
 }
 
-// heard notes how far a committed generation has come.
-func (s *Sim) heard(n *node) {
+// received records that a node holds the committed generations of its intent, and completes the rollouts that have reached
+// every present node that serves the tenant.
+func (s *Sim) received(n *node) {
 	for _, r := range s.rollouts {
 		t := n.intent.tenants[r.name]
-		if r.done > 0 || !r.committed || t.UID != r.uid || t.Committed == nil || t.Committed.Number < r.gen {
+		if r.appliedAt > 0 || !r.committed || t.UID != r.uid || t.Committed == nil || t.Committed.Number < r.gen {
 			continue
 		}
-		r.heard[n.index] = true
+		r.received[n.index] = true
 		all := true
 		for _, o := range s.nodes {
-			all = all && (r.heard[o.index] || !s.control.counts(o, t.Service()))
+			all = all && (r.received[o.index] || !s.control.counts(o, t.Service()))
 		}
 		if all {
-			r.done = s.now
+			r.appliedAt = s.now
 		}
 	}
 }
 
-// by is the generation by which a node serves a tenant's requests now, nil for none.
-func (n *node) by(name string) *fleet.Generation {
+// servingGeneration returns the generation by which a node serves a tenant's requests now, or nil if it serves none.
+func (n *node) servingGeneration(name string) *fleet.Generation {
 	t := n.intent.tenants[name]
 	switch {
 	case t.Removing:
 		return nil
-	case n.sim.hooks.staged && t.Staged != nil:
+	case n.sim.hooks.serveStaged && t.Staged != nil:
 		return t.Staged
 	}
 	return t.Committed
 }
 
-// serves checks T1: a node serves by nothing that was not committed.
-func (s *Sim) serves(n *node) {
+// checkServing checks T1: a node serves tenants only by committed generations.
+func (s *Sim) checkServing(n *node) {
 	for _, name := range slices.Sorted(maps.Keys(n.intent.tenants)) {
 		t := n.intent.tenants[name]
-		if g := n.by(name); g != nil && !s.committed[generation(name, t.UID, g)] {
+		if g := n.servingGeneration(name); g != nil && !s.committed[generation(name, t.UID, g)] {
 			s.recordBreach("T1", "%s serves %s by generation %d, which is not committed", n.name, name, g.Number)
 		}
 	}
 }
 
-// quotas checks T2, that present nodes serve by two adjacent generations at most, and T3, that what all running
-// processes may admit is within the largest quota that any of them goes by.
-func (s *Sim) quotas() {
+// checkQuotas checks T2 and T3. T2: present nodes serve a tenant by at most two adjacent generations. T3: the rates that all
+// running processes may admit add up to no more than the largest quota that is committed or that any of them serves by.
+func (s *Sim) checkQuotas() {
 	for _, name := range slices.Sorted(maps.Keys(s.control.tenants.Tenants)) {
 		e := s.control.tenants.Tenants[name]
 		lo := uint64(math.MaxUint64)
@@ -190,15 +194,15 @@
 			quota = e.Committed.Spec.Quota.Rate
 		}
 		for _, n := range s.nodes {
-			g := n.by(name)
+			g := n.servingGeneration(name)
 			if n.down || g == nil {
 				continue
 			}
 			quota = math.Max(quota, g.Spec.Quota.Rate)
 			sum += fleet.GuaranteedPart * g.Spec.Quota.Rate / float64(s.plan.Nodes)
 			now := n.clock.read(s.now)
-			if sh := n.intent.leases[n.name]; now < n.leasedUntil && sh.Incarnation == n.incarnation && n.intent.tenants[name].UID == e.UID {
-				sum += sh.Rates[name]
+			if lease := n.intent.leases[n.name]; now < n.leasedUntil && lease.Incarnation == n.incarnation && n.intent.tenants[name].UID == e.UID {
+				sum += lease.Rates[name]
 			}
 			if now < n.leasedUntil && s.control.sessions.Present(n.member()) && n.intent.tenants[name].UID == e.UID {
 				lo, hi = min(lo, g.Number), max(hi, g.Number)
