--- a/internal/fleet/sim/many.go
+++ b/internal/fleet/sim/many.go
@@ -48,8 +48,8 @@
 }
 
 // Many runs the plans of consecutive seeds, beginning with first, on the given number of workers, and writes each breach
-// to tell as it occurs. When ctx ends, Many starts no further run and returns the summary of the runs so far.
-func Many(ctx context.Context, plan func(seed uint64) Plan, first uint64, seeds, workers int, tell io.Writer) Summary {
+// to out as it occurs. When ctx ends, Many starts no further run and returns the summary of the runs so far.
+func Many(ctx context.Context, plan func(seed uint64) Plan, first uint64, seeds, workers int, out io.Writer) Summary {
 	var sum Summary
 	var stop, spread, onboard []int64
 	var mu sync.Mutex
@@ -78,7 +78,7 @@
 				sum.Retries += r.Retries
 				if r.Breach != nil {
 					sum.Breaches = append(sum.Breaches, r)
-					fmt.Fprintf(tell, "seed %d, %d nodes: %v\n", seed, p.Nodes, r.Breach)
+					fmt.Fprintf(out, "seed %d, %d nodes: %v\n", seed, p.Nodes, r.Breach)
 				}
 				mu.Unlock()
 			}
--- a/internal/fleet/sim/module.go
+++ b/internal/fleet/sim/module.go
@@ -104,9 +104,9 @@
 			if attempt > 0 {
 				s.result.Retries++
 			}
-			at := int(a.Server) - 1
+			index := int(a.Server) - 1
 			ended := policy.AttemptEnded{ID: a.ID, Attempt: attempt, Server: a.Server, Elapsed: answerTime, Code: policy.OK}
-			if s.request(m.node, at/s.plan.Servers, at%s.plan.Servers) {
+			if s.request(m.node, index/s.plan.Servers, index%s.plan.Servers) {
 				s.result.Answered++
 			} else {
 				s.result.Lost++
@@ -140,7 +140,8 @@
 	n := m.node
 	age := n.clock.read(n.sim.now) - n.confirmedAt
 	for z, zoneName := range n.sim.zones {
-		update := policy.ZoneDirective{Zone: zoneName, Revision: n.intent.revision, IntentRevision: n.intent.revision, Serving: true, Share: 1, Floor: 1, Age: age}
+		update := policy.ZoneDirective{Zone: zoneName, Revision: n.intent.revision, IntentRevision: n.intent.revision,
+			Serving: true, Share: 1, Floor: 1, Age: age}
 		e, hasAll := n.intent.directives[n.keys[z][0]]
 		own, hasOwn := n.intent.directives[n.keys[z][1]]
 		if hasOwn && (!hasAll || fleet.IsNarrower(e.Directive, own.Directive)) {
--- a/internal/fleet/sim/sim_test.go
+++ b/internal/fleet/sim/sim_test.go
@@ -88,7 +88,7 @@
 		{"no minimum part of servers, and no capacity limit", "Z2", 26, func(s *Sim) { s.settings.MinServersPart, s.settings.CapacityFactor = 0, 1e3 }},
 		{"nodes send at three times their rate", "Z3", 0, func(s *Sim) { s.hooks.rateFactor = 3 }},
 		{"backoff too short", "Z4", 0, func(s *Sim) { s.settings.InitialBackoff = 100 * time.Millisecond }},
-		{"a step begins without evidence of the one before", "Z4", 0, func(s *Sim) { s.settings.MinStepTime, s.settings.MinStepAnswers, s.settings.SlowStartWindow = 0, 0, 0 }},
+		{"steps without evidence", "Z4", 0, func(s *Sim) { s.settings.MinStepTime, s.settings.MinStepAnswers, s.settings.SlowStartWindow = 0, 0, 0 }},
 		{"the floor is the newest share", "Z5", 15, entry(func(e *zones.Entry) {
 			if e.Step > 1 {
 				e.Floor = e.Share
