--- a/internal/capacity/agentchecks.go
+++ b/internal/capacity/agentchecks.go
@@ -2,25 +2,25 @@
 
 import "meadowsill/internal/fleet"
 
-// calmReports is how many reports a second of a node are in its calm traffic, by which it was measured.
+// calmReports is the number of reports per second that the measured calm traffic of a node includes.
 const calmReports = 1.0
 
-// differenceBytesPerS is what a node's reports by difference add to its calm traffic.
+// differenceBytesPerS returns the bytes per second that a node's reports by difference add to its calm traffic.
 func differenceBytesPerS(p Plan, s Slopes) float64 {
 	rows := min(p.Input(ChangedRows), scopeTenants(p))
-	headers := 2 * answerHeaderBytes // of a report and of its answer
+	headers := 2 * answerHeaderBytes // those of a report and those of its answer
 	return reportsPerS*s.Get(DifferenceBytes).At(rows) + (reportsPerS-calmReports)*headers
 }
 
-// scopeChangesPerS are the changes of tenants of one node's scope.
+// scopeChangesPerS returns the changes per second of the tenants in one node's scope.
 func scopeChangesPerS(p Plan) float64 { return changesPerS(p) * scopeTenants(p) / p.Size.Tenants }
 
-// scopeCopyNanos is one change's work on a copy that is saved by difference.
+// scopeCopyNanos returns the time that one change takes for a copy that is saved by difference.
 func scopeCopyNanos(s Slopes, tenants float64) float64 {
 	return s.Get(CopyTakeChange).At(tenants) + s.Get(CopySave).At(tenants) + s.Get(CopyReadChange).At(tenants)
 }
 
-// completeCopyNanos is one change's work on a copy that was written in full.
+// completeCopyNanos returns the time that one change takes for a copy that is written in full.
 func completeCopyNanos(s Slopes, tenants float64) float64 {
 	return s.Get(CopyTakeChange).At(tenants) + s.Get(CopyEncode).At(tenants) + s.Get(CopyDecode).At(tenants) + s.Get(CopyReadChange).At(tenants)
 }
@@ -51,15 +51,15 @@
 		allowed:   func(p Plan, _ Slopes) float64 { return p.Allowed.NodeCorePercent },
 	},
 	{
-		role:      RoleAgent,
-		quantity:  "all calls, with reports of every tenant held",
-		formula:   "calm + 4 differences a second × min(changed rows, tenants in scope) × slope + headers of 3",
-		slopes:    []ID{DifferenceBytes, AgentBytes},
-		unit:      "B/s",
-		mechanism: FewerLoads,
-		reckoned:  "300 bytes of headers each way for the three reports a second that calm traffic does not have",
-		cost:      func(p Plan, s Slopes) float64 { return s.Get(AgentBytes).Value + differenceBytesPerS(p, s) },
-		allowed:   func(p Plan, _ Slopes) float64 { return p.Allowed.NodeBytesPerS },
+		role:        RoleAgent,
+		quantity:    "all calls, with reports of every tenant held",
+		formula:     "calm + 4 differences a second × min(changed rows, tenants in scope) × slope + headers of 3",
+		slopes:      []ID{DifferenceBytes, AgentBytes},
+		unit:        "B/s",
+		mechanism:   FewerLoads,
+		assumptions: "300 bytes of headers each way for the three reports a second that calm traffic does not have",
+		cost:        func(p Plan, s Slopes) float64 { return s.Get(AgentBytes).Value + differenceBytesPerS(p, s) },
+		allowed:     func(p Plan, _ Slopes) float64 { return p.Allowed.NodeBytesPerS },
 		past: &past{[]ID{ReportBytes, AgentBytes},
 			func(p Plan, s Slopes) float64 {
 				return s.Get(AgentBytes).Value + reportsPerS*s.Get(ReportBytes).At(p.Size.Tenants)
@@ -83,49 +83,49 @@
 			}},
 	},
 	{
-		role:      RoleAgent,
-		quantity:  "body of a whole report",
-		formula:   "tenants in scope × slope",
-		slopes:    []ID{ReportBytes},
-		unit:      "B",
-		mechanism: ScopedState,
-		why:       "the limit of a report",
-		cost:      func(p Plan, s Slopes) float64 { return s.Get(ReportBytes).At(scopeTenants(p)) },
-		allowed:   func(Plan, Slopes) float64 { return fleet.MaxReportBytes },
-		past:      &past{[]ID{ReportBytes}, func(p Plan, s Slopes) float64 { return s.Get(ReportBytes).At(p.Size.Tenants) }},
+		role:        RoleAgent,
+		quantity:    "body of a whole report",
+		formula:     "tenants in scope × slope",
+		slopes:      []ID{ReportBytes},
+		unit:        "B",
+		mechanism:   ScopedState,
+		boundReason: "the limit of a report",
+		cost:        func(p Plan, s Slopes) float64 { return s.Get(ReportBytes).At(scopeTenants(p)) },
+		allowed:     func(Plan, Slopes) float64 { return fleet.MaxReportBytes },
+		past:        &past{[]ID{ReportBytes}, func(p Plan, s Slopes) float64 { return s.Get(ReportBytes).At(p.Size.Tenants) }},
 	},
 	{
-		role:      RoleAgent,
-		quantity:  "services in a node's scope",
-		formula:   "services a node",
-		unit:      "services",
-		mechanism: ScopedState,
-		why:       "the limit of a scope",
-		cost:      func(p Plan, _ Slopes) float64 { return p.Input(ServicesPerNode) },
-		allowed:   func(Plan, Slopes) float64 { return fleet.MaxScopeServices },
+		role:        RoleAgent,
+		quantity:    "services in a node's scope",
+		formula:     "services a node",
+		unit:        "services",
+		mechanism:   ScopedState,
+		boundReason: "the limit of a scope",
+		cost:        func(p Plan, _ Slopes) float64 { return p.Input(ServicesPerNode) },
+		allowed:     func(Plan, Slopes) float64 { return fleet.MaxScopeServices },
 	},
 	{
-		role:      RoleAgent,
-		quantity:  "items of a whole intent",
-		formula:   "tenants in scope",
-		unit:      "items",
-		mechanism: ScopedState,
-		why:       "the decoder's limit; a new agent never comes up over it",
-		cost:      func(p Plan, _ Slopes) float64 { return scopeTenants(p) },
-		allowed:   func(Plan, Slopes) float64 { return rowsLimit },
-		past:      &past{nil, func(p Plan, _ Slopes) float64 { return p.Size.Tenants }},
+		role:        RoleAgent,
+		quantity:    "items of a whole intent",
+		formula:     "tenants in scope",
+		unit:        "items",
+		mechanism:   ScopedState,
+		boundReason: "the decoder's limit; a new agent never comes up over it",
+		cost:        func(p Plan, _ Slopes) float64 { return scopeTenants(p) },
+		allowed:     func(Plan, Slopes) float64 { return rowsLimit },
+		past:        &past{nil, func(p Plan, _ Slopes) float64 { return p.Size.Tenants }},
 	},
 	{
-		role:      RoleAgent,
-		quantity:  "bytes of a whole intent, and of the durable copy's base",
-		formula:   "tenants in scope × slope",
-		slopes:    []ID{CopyBytes},
-		unit:      "B",
-		mechanism: ScopedState,
-		why:       "the limit of an intent",
-		cost:      func(p Plan, s Slopes) float64 { return s.Get(CopyBytes).At(scopeTenants(p)) },
-		allowed:   func(Plan, Slopes) float64 { return fleet.MaxIntentBytes },
-		past:      &past{[]ID{CopyBytes}, func(p Plan, s Slopes) float64 { return s.Get(CopyBytes).At(p.Size.Tenants) }},
+		role:        RoleAgent,
+		quantity:    "bytes of a whole intent, and of the durable copy's base",
+		formula:     "tenants in scope × slope",
+		slopes:      []ID{CopyBytes},
+		unit:        "B",
+		mechanism:   ScopedState,
+		boundReason: "the limit of an intent",
+		cost:        func(p Plan, s Slopes) float64 { return s.Get(CopyBytes).At(scopeTenants(p)) },
+		allowed:     func(Plan, Slopes) float64 { return fleet.MaxIntentBytes },
+		past:        &past{[]ID{CopyBytes}, func(p Plan, s Slopes) float64 { return s.Get(CopyBytes).At(p.Size.Tenants) }},
 	},
 	{
 		role:      RoleAgent,
@@ -144,39 +144,39 @@
 			}},
 	},
 	{
-		role:      RoleAgent,
-		quantity:  "heap of the copy, and of the bodies while its base is written",
-		formula:   "tenants in scope × (heap + 2 × bytes)",
-		slopes:    []ID{CopyHeap, CopyBytes},
-		unit:      "MB",
-		mechanism: ScopedState,
-		reckoned:  "garbage is not counted",
-		cost:      func(p Plan, s Slopes) float64 { return copyHeapBytes(s, scopeTenants(p)) / bytesPerMB },
-		allowed:   func(p Plan, _ Slopes) float64 { return p.Allowed.NodeMemoryMB },
+		role:        RoleAgent,
+		quantity:    "heap of the copy, and of the bodies while its base is written",
+		formula:     "tenants in scope × (heap + 2 × bytes)",
+		slopes:      []ID{CopyHeap, CopyBytes},
+		unit:        "MB",
+		mechanism:   ScopedState,
+		assumptions: "garbage is not counted",
+		cost:        func(p Plan, s Slopes) float64 { return copyHeapBytes(s, scopeTenants(p)) / bytesPerMB },
+		allowed:     func(p Plan, _ Slopes) float64 { return p.Allowed.NodeMemoryMB },
 		past: &past{[]ID{CopyHeap, CopyBytes},
 			func(p Plan, s Slopes) float64 { return copyHeapBytes(s, p.Size.Tenants) / bytesPerMB }},
 	},
 	{
-		role:      RoleAgent,
-		quantity:  "changes of the list",
-		formula:   "changes of the list a second × (bytes of an entry + 300)",
-		slopes:    []ID{ListBytes},
-		unit:      "B/s",
-		mechanism: None,
-		reckoned:  "300 bytes of headers an answer; all failed and restarted machines taken as app servers",
+		role:        RoleAgent,
+		quantity:    "changes of the list",
+		formula:     "changes of the list a second × (bytes of an entry + 300)",
+		slopes:      []ID{ListBytes},
+		unit:        "B/s",
+		mechanism:   None,
+		assumptions: "300 bytes of headers an answer; all failed and restarted machines taken as app servers",
 		cost: func(p Plan, s Slopes) float64 {
 			return listChangesPerS(p) * (s.Get(ListBytes).Value + answerHeaderBytes)
 		},
 		allowed: func(p Plan, _ Slopes) float64 { return p.Allowed.NodeBytesPerS },
 	},
 	{
-		role:      RoleAgent,
-		quantity:  "the whole list at a start, at the rate allowed",
-		formula:   "servers × slope ÷ bytes a second",
-		slopes:    []ID{ListBytes},
-		unit:      "s",
-		mechanism: ListByService,
-		why:       "catch_up_ms",
+		role:        RoleAgent,
+		quantity:    "the whole list at a start, at the rate allowed",
+		formula:     "servers × slope ÷ bytes a second",
+		slopes:      []ID{ListBytes},
+		unit:        "s",
+		mechanism:   ListByService,
+		boundReason: "catch_up_ms",
 		cost: func(p Plan, s Slopes) float64 {
 			return s.Get(ListBytes).At(p.Size.Servers) / p.Allowed.NodeBytesPerS
 		},
--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -44,14 +44,15 @@
 	return in.Plan, in.Slopes
 }
 
-// The page's tables are what the committed plan and slopes give, so that page and figures can't part.
+// TestPageIsOfPlanAndSlopes checks that the page's tables are those that the committed inputs give, so that a change of the inputs
+// without the page fails.
 func TestPageIsOfPlanAndSlopes(t *testing.T) {
 	if err := Check(string(readFile(t, pagePath)), inputs(t)); err != nil {
 		t.Error(err)
 	}
 }
 
-// The check of the page fails on one digit that is altered in any table, and on an altered slope, plan or run.
+// TestAlteredFigureIsFound checks that Check fails on one altered digit in any table, and on an altered slope, plan or run.
 func TestAlteredFigureIsFound(t *testing.T) {
 	page := string(readFile(t, pagePath))
 	for _, table := range tables(inputs(t)) {
@@ -70,7 +71,7 @@
 			t.Errorf("%s: an altered digit: %v", table.name, err)
 		}
 	}
-	for name, alter := range map[string]func(in *Inputs){
+	for name, modify := range map[string]func(in *Inputs){
 		"slope":  func(in *Inputs) { in.Slopes.Slopes[0].Value *= 2 },
 		"before": func(in *Inputs) { in.Before.Slopes[0].Value *= 2 },
 		"plan":   func(in *Inputs) { in.Plan.Size.Nodes *= 2 },
@@ -78,14 +79,15 @@
 		"run":    func(in *Inputs) { in.DataPath.Runs[0].Node.P50 *= 2 },
 	} {
 		in := inputs(t)
-		alter(&in)
+		modify(&in)
 		if err := Check(page, in); !errors.Is(err, ErrInvalid) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: it is not found: %v", name, err)
+			t.Errorf("%s: Check does not find the altered input: %v", name, err)
 		}
 	}
 }
 
-// A page without a marker, with one twice, in the wrong order or with one of no table is refused by name.
+// TestMarkersAreChecked checks that Render rejects a page with a missing marker, a duplicate marker, markers in the wrong order or
+// the marker of an unknown table.
 func TestMarkersAreChecked(t *testing.T) {
 	page := string(readFile(t, pagePath))
 	begin, end := marker("missing")
@@ -129,8 +131,8 @@
 func TestBadSlopes(t *testing.T) {
 	_, good := committed(t)
 	for name, row := range map[string]struct {
-		spoil func(s *Slopes)
-		want  string
+		modify func(s *Slopes)
+		want   string
 	}{
 		"format":       {func(s *Slopes) { s.Format = 2 }, "format: 2"},
 		"no commit":    {func(s *Slopes) { s.Commit = "" }, "commit"},
@@ -148,7 +150,7 @@
 		"no command":   {func(s *Slopes) { s.Slopes[0].Command = "" }, "command"},
 	} {
 		bad := good.Merge(nil, good.Commit)
-		row.spoil(&bad)
+		row.modify(&bad)
 		raw, err := json.Marshal(bad)
 		if err != nil {
 			t.Fatal(err)
@@ -183,7 +185,7 @@
 	}
 }
 
-// Encode gives what ParseSlopes reads back.
+// TestSlopesRoundTrip checks that Encode writes the committed slopes as the file that they were parsed from.
 func TestSlopesRoundTrip(t *testing.T) {
 	_, slopes := committed(t)
 	raw, err := slopes.Encode()
@@ -195,21 +197,22 @@
 	}
 }
 
-// The part of the plan that a check holds to is where its cost is what is allowed, and no check that holds has one.
+// TestPartIsWhereTheAllowedIsReached checks that the cost of a failing check equals its allowed value at the row's part of the plan,
+// and that a check within its bound has the part 1.
 func TestPartIsWhereTheAllowedIsReached(t *testing.T) {
 	plan, slopes := committed(t)
 	broken := 0
 	for _, row := range Rows(plan, slopes) {
 		if row.IsWithinBound() {
 			if row.Part != 1 {
-				t.Errorf("%s holds, to %g", row.quantity, row.Part)
+				t.Errorf("%s is within its bound, with part %g, want 1", row.quantity, row.Part)
 			}
 			continue
 		}
 		broken++
 		scaled := plan.Scaled(row.Part)
 		if cost := row.cost(scaled, slopes); math.Abs(cost/row.Allowed-1) > 1e-6 {
-			t.Errorf("%s: at part %g it costs %g of %g", row.quantity, row.Part, cost, row.Allowed)
+			t.Errorf("%s: at part %g the cost is %g, want %g", row.quantity, row.Part, cost, row.Allowed)
 		}
 	}
 	missing := MissingFirst(Rows(plan, slopes))
@@ -217,29 +220,29 @@
 	for i, m := range missing {
 		counted += 1 + m.Others
 		if i > 0 && m.First.Part < missing[i-1].First.Part {
-			t.Errorf("%s stands after %s", m.Mechanism, missing[i-1].Mechanism)
+			t.Errorf("%s is listed after %s, which fails at a larger part of the plan", m.Mechanism, missing[i-1].Mechanism)
 		}
 		if m.Mechanism == None {
-			t.Errorf("%s does not hold, and no mechanism is named", m.First.quantity)
+			t.Errorf("%s exceeds its bound and has no mechanism", m.First.quantity)
 		}
 	}
 	if counted != broken {
-		t.Errorf("%d costs do not hold, %d stand in the list", broken, counted)
+		t.Errorf("%d costs exceed their bounds, and MissingFirst counts %d", broken, counted)
 	}
 }
 
-// A cost that wants a slope which no run has given is not run: it neither holds nor breaks.
+// TestNotRun checks that a cost whose slope was not measured counts as not run, and gets no verdict.
 func TestNotRun(t *testing.T) {
 	plan, slopes := committed(t)
 	emptied := slopes.Merge([]Slope{{ID: ReportBytes}}, slopes.Commit)
 	for _, row := range Rows(plan, emptied) {
 		if wants := slices.Contains(row.slopes, ReportBytes); row.NotRun != wants || wants && (row.IsWithinBound() || verdict(row, plan) != notRun) {
-			t.Errorf("%s: not run %v, wants %v", row.quantity, row.NotRun, wants)
+			t.Errorf("%s: not run %v, want %v", row.quantity, row.NotRun, wants)
 		}
 	}
 }
 
-// The decoders refuse one row more than the page says.
+// TestRowsLimitIsTheDecoders checks that fleet.DecodeIntent accepts rowsLimit items and rejects one more.
 func TestRowsLimitIsTheDecoders(t *testing.T) {
 	for _, n := range []int{rowsLimit, rowsLimit + 1} {
 		intent := fleet.Intent{Revision: 1, Full: true}
@@ -270,7 +273,7 @@
 	}
 }
 
-// A flat cost is the same at every size, however large.
+// TestFlatSlope checks that a flat cost is the same at every size, and that a slope without a sweep isn't flat.
 func TestFlatSlope(t *testing.T) {
 	flatCost := Slope{Value: 2, Largest: 100, Exponent: 0.05, Repeats: 3}
 	for _, size := range []float64{1, 100, 170_000} {
@@ -279,11 +282,12 @@
 		}
 	}
 	if page := (Slope{Value: 2, Repeats: 3}); page.Flat() || page.At(10) != 20 {
-		t.Errorf("a slope of a page is flat: %g at 10", page.At(10))
+		t.Errorf("a slope without a sweep is flat, or its cost at 10 is not 20: %g", page.At(10))
 	}
 }
 
-// The slopes of before are of another commit, have every id, and give the page's figures of before.
+// TestSlopesBefore checks that the earlier slopes must be of another commit and have every id, and that they give a row for each
+// current row.
 func TestSlopesBefore(t *testing.T) {
 	in := inputs(t)
 	raw := readFile(t, beforePath)
@@ -297,7 +301,7 @@
 	}
 	rows, past := Rows(in.Plan, in.Slopes), PastRows(in.Plan, in.Before)
 	if len(rows) != len(past) {
-		t.Fatalf("%d rows, %d of before", len(rows), len(past))
+		t.Fatalf("%d rows, and %d from before the mechanism", len(rows), len(past))
 	}
 	for i := range rows {
 		if rows[i].quantity != past[i].quantity || past[i].NotRun {
--- a/internal/capacity/catalog.go
+++ b/internal/capacity/catalog.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// Role is a part of the system that the page reckons for.
+// Role is a part of the system whose costs the page states.
 type Role string
 
 // The roles.
@@ -16,7 +16,7 @@
 	RoleOperator   Role = "operators' API"
 )
 
-// Unit is what a slope is measured in.
+// Unit is the unit of a slope's value.
 type Unit string
 
 // The units.
@@ -29,7 +29,8 @@
 	Seconds     Unit = "s"
 )
 
-// The slopes. Those of benchmarks are named by the catalog's rows; the others come from pages or sweeps of whole processes.
+// The slopes. The catalog's rows name the benchmarks that measure them; slopes without a benchmark come from pages or from sweeps
+// of whole processes.
 const (
 	ListReadChange   ID = "list.read.change"
 	ListReadComplete ID = "list.read.whole"
@@ -101,19 +102,19 @@
 	RegistrantBytes  ID = "registrant.bytes"
 )
 
-// benchmark is where a slope's figure stands in the output of go test -bench.
+// benchmark identifies a slope's figure in the output of go test -bench.
 type benchmark struct {
-	pkg    string // below the module
-	name   string // after "Capacity"
-	metric string // as benchfmt has it
+	pkg    string // package path within the module
+	name   string // the benchmark's name after "Capacity"
+	metric string // unit of the figure, as benchfmt names it
 }
 
-// definition is what is known of a slope before it is measured. One without a benchmark is taken from a page or a sweep.
+// definition describes a slope independently of its measurement. A slope without a benchmark is taken from a page or a sweep.
 type definition struct {
 	id        ID
 	role      Role
 	quantity  string
-	per       string // the size's name in the benchmark
+	per       string // name of the size in the benchmark
 	unit      Unit
 	benchmark benchmark
 }
@@ -126,7 +127,7 @@
 	return definition{id, role, quantity, per, Bytes, benchmark{pkg, name, metric}}
 }
 
-func taken(id ID, role Role, quantity, per string, unit Unit) definition {
+func external(id ID, role Role, quantity, per string, unit Unit) definition {
 	return definition{id: id, role: role, quantity: quantity, per: per, unit: unit}
 }
 
@@ -191,25 +192,25 @@
 	timed(FillServers, RoleNode, "digests of the list, for each report", perServer, "internal/fleet/drift", "FillServers"),
 	timed(ModuleLoad, RoleNode, "a module's load of all tenants", perTenant, "policy", "TenantsLoad"),
 
-	taken(AgentBytes, RoleAgent, "all calls to the replicas, calm, one tenant", perNode, BytesPerS),
-	taken(AgentCPU, RoleAgent, "processor time, calm, one tenant", perNode, CorePercent),
-	taken(LeaderBytes, RoleLeader, "agents and raft, calm, one tenant", perNode, BytesPerS),
-	taken(LeaderCPU, RoleLeader, "processor time, calm, one tenant", perNode, CorePercent),
-	taken(WatcherMemory, RoleFollower, "resident memory of a watch", "watcher", Bytes),
-	taken(Commits, RoleLeader, "commands committed, three replicas", "cluster", PerSecond),
-	taken(Failover, RoleLeader, "a leader's kill to the next write", "kill", Seconds),
-	taken(Rollout, RoleLeader, "PUT to in force on 50 nodes, one tenant", "rollout", Seconds),
-
-	taken(AgentRSSTenant, RoleAgent, "resident memory of an agent's process", perTenant, Bytes),
-	taken(AgentCPUTenant, RoleAgent, "processor time of an agent's process", perTenant, CorePercent),
-	taken(AgentBytesTenant, RoleAgent, "all calls of an agent", perTenant, BytesPerS),
-	taken(LeaderRSSTenant, RoleLeader, "resident memory of the leader's process", perTenant, Bytes),
-	taken(LeaderCPUNode, RoleLeader, "processor time of the leader's process", perNode, CorePercent),
-	taken(LeaderBytesNode, RoleLeader, "all bytes of the leader", perNode, BytesPerS),
-	taken(RegistrantBytes, RoleRegistrant, "all calls of a registrant", "registrant", BytesPerS),
+	external(AgentBytes, RoleAgent, "all calls to the replicas, calm, one tenant", perNode, BytesPerS),
+	external(AgentCPU, RoleAgent, "processor time, calm, one tenant", perNode, CorePercent),
+	external(LeaderBytes, RoleLeader, "agents and raft, calm, one tenant", perNode, BytesPerS),
+	external(LeaderCPU, RoleLeader, "processor time, calm, one tenant", perNode, CorePercent),
+	external(WatcherMemory, RoleFollower, "resident memory of a watch", "watcher", Bytes),
+	external(Commits, RoleLeader, "commands committed, three replicas", "cluster", PerSecond),
+	external(Failover, RoleLeader, "a leader's kill to the next write", "kill", Seconds),
+	external(Rollout, RoleLeader, "PUT to in force on 50 nodes, one tenant", "rollout", Seconds),
+
+	external(AgentRSSTenant, RoleAgent, "resident memory of an agent's process", perTenant, Bytes),
+	external(AgentCPUTenant, RoleAgent, "processor time of an agent's process", perTenant, CorePercent),
+	external(AgentBytesTenant, RoleAgent, "all calls of an agent", perTenant, BytesPerS),
+	external(LeaderRSSTenant, RoleLeader, "resident memory of the leader's process", perTenant, Bytes),
+	external(LeaderCPUNode, RoleLeader, "processor time of the leader's process", perNode, CorePercent),
+	external(LeaderBytesNode, RoleLeader, "all bytes of the leader", perNode, BytesPerS),
+	external(RegistrantBytes, RoleRegistrant, "all calls of a registrant", "registrant", BytesPerS),
 }
 
-func define(id ID) (definition, bool) {
+func findDefinition(id ID) (definition, bool) {
 	i := slices.IndexFunc(catalog, func(d definition) bool { return d.id == id })
 	if i < 0 {
 		return definition{}, false
--- a/internal/capacity/check.go
+++ b/internal/capacity/check.go
@@ -5,10 +5,10 @@
 	"slices"
 )
 
-// Mechanism is what carries a cost at the planned size, or is missing for it.
+// Mechanism is a part of the design that keeps a cost within its bound at the planned size, or would do so if it were built.
 type Mechanism string
 
-// The mechanisms that are missing, and none.
+// The mechanisms, built or missing; None stands for a cost that needs no mechanism.
 const (
 	None               Mechanism = "as it is"
 	ScopedState        Mechanism = "scoped state: indexed store and scoped watches (stage 1, built)"
@@ -23,44 +23,44 @@
 	ListByService      Mechanism = "a list by service"
 )
 
-// check is one cost against what is allowed. Its formula says what cost computes.
+// check compares one cost with its allowed value. formula describes in words what cost computes.
 type check struct {
-	role      Role
-	quantity  string
-	formula   string
-	slopes    []ID // that cost uses
-	unit      string
-	cost      func(p Plan, s Slopes) float64
-	allowed   func(p Plan, s Slopes) float64
-	why       string // of what is allowed, where the plan does not say it
-	reckoned  string // why a part of it is not measured; empty: all of it is
-	mechanism Mechanism
-	past      *past // what it was before the mechanism; nil: the same, by the slopes of then
+	role        Role
+	quantity    string
+	formula     string
+	slopes      []ID // slopes that cost uses
+	unit        string
+	cost        func(p Plan, s Slopes) float64
+	allowed     func(p Plan, s Slopes) float64
+	boundReason string // origin of the allowed value where the plan does not state it
+	assumptions string // assumptions for a part of the cost that is not measured; empty if all of it is measured
+	mechanism   Mechanism
+	past        *past // the cost before the mechanism; nil: the same formula with the earlier slopes
 }
 
-// past is a cost as it was before the mechanism.
+// past is a cost as it was computed before the mechanism.
 type past struct {
-	slopes []ID // that cost uses
+	slopes []ID // slopes that cost uses
 	cost   func(p Plan, s Slopes) float64
 }
 
-// Row is a check carried out.
+// Row is a check with its result.
 type Row struct {
 	check
 	Result  float64
 	Allowed float64
-	Part    float64 // of the planned size at which Allowed is reached; 1: it holds
-	NotRun  bool    // a slope of it was never measured: there is no result
+	Part    float64 // part of the planned size at which Allowed is reached; 1 if the cost is within it at the planned size
+	NotRun  bool    // there is no result because one of the slopes was never measured
 }
 
-// IsWithinBound says whether the cost is within what is allowed at the planned size.
+// IsWithinBound reports whether the cost at the planned size is measured and at most the allowed value.
 func (r Row) IsWithinBound() bool { return !r.NotRun && r.Result <= r.Allowed }
 
-// Rows carries out every check.
+// Rows runs every check.
 func Rows(plan Plan, slopes Slopes) []Row { return runChecks(allChecks(), plan, slopes) }
 
-// PastRows carries out every check by the costs and the slopes of before the mechanism, in the order of Rows. A cost that was not
-// measured then is not run.
+// PastRows runs every check with the costs and the slopes from before the mechanism, in the order of Rows. A cost without a
+// measurement from that time is not run.
 func PastRows(plan Plan, before Slopes) []Row {
 	checks := allChecks()
 	for i := range checks {
@@ -88,12 +88,12 @@
 	return out
 }
 
-const halvings = 60 // of the interval in which a part is looked for
+const bisections = 60 // bisection steps in the search for a part
 
-// largestWithinBounds is the part of the planned size up to which a cost is allowed.
+// largestWithinBounds returns the largest part of the planned size at which a cost is within its allowed value.
 func largestWithinBounds(c check, plan Plan, slopes Slopes) float64 {
 	low, high := 0.0, 1.0
-	for range halvings {
+	for range bisections {
 		middle := (low + high) / 2
 		scaled := plan.Scaled(middle)
 		if c.cost(scaled, slopes) <= c.allowed(scaled, slopes) {
@@ -105,14 +105,14 @@
 	return low
 }
 
-// Missing is a mechanism that is not there, and the check that breaks first for want of it.
+// Missing is a mechanism that is not built, with the check that fails first without it.
 type Missing struct {
 	Mechanism Mechanism
 	First     Row
-	Others    int // further checks that break for want of it
+	Others    int // number of further checks that fail without the mechanism
 }
 
-// MissingFirst gives the missing mechanisms, that whose first check breaks at the smallest part of the plan first.
+// MissingFirst returns the missing mechanisms, ordered by the part of the plan at which their first check fails.
 func MissingFirst(rows []Row) []Missing {
 	var out []Missing
 	for _, row := range rows {
--- a/internal/capacity/datapath.go
+++ b/internal/capacity/datapath.go
@@ -8,7 +8,7 @@
 	"slices"
 )
 
-// DataPath are the runs of fleetlab datapath: what a real node adds to a request.
+// DataPath holds the runs of fleetlab datapath, which measure the latency that a real node adds to a request.
 type DataPath struct {
 	Format  int           `json:"format"`
 	Commit  string        `json:"commit"`
@@ -16,20 +16,20 @@
 	Runs    []DataPathRun `json:"runs"`
 }
 
-// DataPathRun is one run: percentiles of complete requests, directly and through the node, in the same run.
+// DataPathRun holds the latency percentiles of complete requests, sent directly and through the node in the same run.
 type DataPathRun struct {
 	RequestsPerS float64     `json:"requests_per_s"`
 	ChangesPerS  float64     `json:"changes_per_s"`
 	Servers      int         `json:"servers"`
 	Seed         uint64      `json:"seed"`
-	LoadAverage  float64     `json:"load_average"` // of the machine's last minute, at the start
+	LoadAverage  float64     `json:"load_average"` // load average of the machine over the last minute before the run
 	Direct       Percentiles `json:"direct"`
 	Node         Percentiles `json:"node"`
 	Failed       int64       `json:"failed"`
 	Lost         int64       `json:"lost"`
 }
 
-// Percentiles are of Count requests, in ms.
+// Percentiles are latency percentiles of Count requests, in ms.
 type Percentiles struct {
 	Count int64   `json:"count"`
 	P50   float64 `json:"p50_ms"`
@@ -37,7 +37,7 @@
 	P999  float64 `json:"p999_ms"`
 }
 
-// ParseDataPath reads the runs. The error of a bad file is one line that names the key.
+// ParseDataPath parses the runs. The error for an invalid file is one line that names the key.
 func ParseDataPath(raw []byte) (DataPath, error) {
 	var out DataPath
 	decoder := json.NewDecoder(bytes.NewReader(raw))
@@ -64,13 +64,15 @@
 	return out, nil
 }
 
-// workMS is the stub's work on a request.
-const workMS = 5.0
+// stubWorkMS is the time in ms that the stub works on a request.
+const stubWorkMS = 5.0
 
-// isUndisturbed says whether a run can be evaluated: the direct call's own p99 leaves room for what is allowed to be seen.
-func (r DataPathRun) isUndisturbed(p Plan) bool { return r.Direct.P99 <= workMS+p.Allowed.AddedMS }
+// isUndisturbed reports whether a run can be evaluated: the p99 of the direct requests exceeds the stub's work by at most the
+// allowed latency, so that added latency of that size can be seen.
+func (r DataPathRun) isUndisturbed(p Plan) bool { return r.Direct.P99 <= stubWorkMS+p.Allowed.AddedMS }
 
-// dataPathTable gives, for each rate of requests and changes, the range over the repeats: those that can be evaluated by themselves.
+// dataPathTable returns the table with the range over the repeats for each rate of requests and changes. Repeats that can be
+// evaluated and those that can't have separate rows.
 func dataPathTable(p Plan, d DataPath) table {
 	out := table{name: "data path", head: []string{"requests a second", "changes of the list a second", "repeats, requests, load average",
 		"direct p50, p99, p99.9", "added at p50", "at p99", "at p99.9", "not served, direct", "allowed at p99", "verdict"}}
--- a/internal/capacity/doc.go
+++ b/internal/capacity/doc.go
@@ -1,4 +1,4 @@
-// Package capacity is the arithmetic of docs/CAPACITY.md: what each role of the control plane costs at the planned size, by
-// measured slopes, against what is allowed. It renders the page's tables, so that page and figures cannot part. It reads no clock, and no
-// file but by Files.Read.
+// Package capacity computes the figures of docs/CAPACITY.md: the cost of each role of the control plane at the planned size, from
+// measured slopes, compared with the allowed cost. It renders the page's tables, so that the page always agrees with the figures. It
+// reads no clock, and reads files only in Files.Read.
 package capacity
--- a/internal/capacity/inforce.go
+++ b/internal/capacity/inforce.go
@@ -3,41 +3,42 @@
 import "slices"
 
 const (
-	diskS   = 0.01 // a write that is synced: raft's log, the agent's copy
-	reportS = 0.25 // report_ms: a node's next report while its evidence changes
-	verifyS = 0.05 // the leader gathers reports so long before it confirms that it leads
-	stepS   = 0.1  // between two steps of the leader
+	diskS   = 0.01 // a synced write of raft's log or of the agent's copy
+	reportS = 0.25 // report_ms: time until a node's next report while its evidence changes
+	verifyS = 0.05 // time for which the leader collects reports before it confirms its leadership
+	stepS   = 0.1  // time between two steps of the leader
 	msPerS  = 1000.0
 )
 
 func roundTripS(p Plan) float64 { return p.Input(RoundTripMS) / msPerS }
 
-// scopeTenants is how many tenants a node holds that holds only those of its services.
+// scopeTenants returns the number of tenants that a node holds if it holds only those of its services.
 func scopeTenants(p Plan) float64 {
 	return min(p.Size.Tenants, p.Input(TenantsPerService)*p.Input(ServicesPerNode))
 }
 
-// scopeNodes is how many nodes serve one service.
+// scopeNodes returns the number of nodes that serve one service.
 func scopeNodes(p Plan) float64 {
 	return min(p.Size.Nodes, p.Size.Nodes*p.Input(ServicesPerNode)/p.Size.Services)
 }
 
-// reach is how far a change goes: how many tenants each node holds, and how many nodes are woken and waited for.
+// reach is the extent of a change: the number of tenants that each node holds, and the number of nodes that are notified and that
+// the rollout waits for.
 type reach struct {
 	tenants float64
 	nodes   float64
 }
 
-func everywhere(p Plan) reach { return reach{p.Size.Tenants, p.Size.Nodes} }
+func wholeFleet(p Plan) reach { return reach{p.Size.Tenants, p.Size.Nodes} }
 
 func inScope(p Plan) reach { return reach{scopeTenants(p), scopeNodes(p)} }
 
-// stage is one step of a change on its way into force, in seconds. A burst makes its per-change part come twice: a watch that
-// was answered before the last of the burst reads again.
+// stage is one step between the put of a change and its being in force, with its time in seconds. In a burst the stages with twice
+// set take place twice, because a watch that was answered before the burst's last change reads again.
 type stage struct {
 	name    string
 	seconds func(p Plan, s Slopes, r reach) float64
-	past    func(p Plan, s Slopes, r reach) float64 // as it was before the mechanism; nil: the same
+	past    func(p Plan, s Slopes, r reach) float64 // time before the mechanism; nil: the same
 	twice   bool
 }
 
@@ -45,7 +46,7 @@
 	return r.nodes / replicasToday * s.Get(IntentReadChange).At(r.tenants) / nanosPerS
 }
 
-// completeCopyS is the time of a copy that was written in full, copyS that of one saved by difference.
+// completeCopyS returns the time of a copy that is written in full; copyS returns that of a copy saved by difference.
 func completeCopyS(_ Plan, s Slopes, r reach) float64 {
 	return diskS + (s.Get(CopyTakeChange).At(r.tenants)+s.Get(CopyEncode).At(r.tenants)+s.Get(CopyDecode).At(r.tenants))/nanosPerS
 }
@@ -66,7 +67,7 @@
 	return reportS + (tenantNanos(s, r.tenants)+listNanos(p, s))/nanosPerS
 }
 
-// differenceReportS has the agent's decoding and difference too.
+// differenceReportS returns the time of a node's report including the agent's decoding and its difference.
 func differenceReportS(p Plan, s Slopes, r reach) float64 {
 	return nodeReportS(p, s, r) + (s.Get(ReportDecode).At(r.tenants)+s.Get(Difference).At(r.tenants))/nanosPerS
 }
@@ -79,7 +80,8 @@
 	return 1.5*roundTripS(p) + verifyS + r.nodes*completeReportNanos(s, r.tenants)/p.Input(Cores)/nanosPerS
 }
 
-// leaderStepS goes by every tenant, whatever the reach: the step is not scoped before stage 5.
+// leaderStepS returns the time until the leader's next step is done. It depends on all tenants, whatever the reach, because the
+// step is not scoped before stage 5.
 func leaderStepS(p Plan, s Slopes, _ reach) float64 {
 	return stepS + s.Get(Step).At(p.Size.Tenants)/nanosPerS
 }
@@ -101,7 +103,7 @@
 	{name: "the node reads it and serves by it", seconds: nodeReadS},
 }
 
-// pastStages are the steps as they were before the mechanism.
+// pastStages returns the stages with their times before the mechanism.
 func pastStages() []stage {
 	out := slices.Clone(stages)
 	for i := range out {
@@ -112,7 +114,7 @@
 	return out
 }
 
-// inForceS is the sum of stages.
+// inForceS returns the sum of the stages' times.
 func inForceS(stages []stage, p Plan, s Slopes, r reach, burst bool) float64 {
 	sum := 0.0
 	for _, st := range stages {
--- a/internal/capacity/inputs.go
+++ b/internal/capacity/inputs.go
@@ -5,15 +5,15 @@
 	"os"
 )
 
-// Inputs are all that the page is rendered from.
+// Inputs are all the data from which the page is rendered.
 type Inputs struct {
 	Plan     Plan
 	Slopes   Slopes
-	Before   Slopes // of the build before the mechanism
+	Before   Slopes // measured on the build before the current mechanisms
 	DataPath DataPath
 }
 
-// Files name the inputs. Commit, where it is not empty, is the only one whose slopes are taken.
+// Files holds the paths of the inputs. If Commit is not empty, slopes of any other commit are an error.
 type Files struct {
 	Plan     string
 	Slopes   string
@@ -22,7 +22,7 @@
 	Commit   string
 }
 
-// Read reads the inputs. An error is one line that names the file and the key.
+// Read reads the inputs. An error about their content is one line that names the file and the key.
 func (f Files) Read() (in Inputs, err error) {
 	text, err := os.ReadFile(f.Plan)
 	if err != nil {
@@ -53,14 +53,14 @@
 	return in, nil
 }
 
-// parseBefore reads the slopes of the build before, which must be of another commit than those of now.
-func parseBefore(raw []byte, now string) (Slopes, error) {
+// parseBefore parses the slopes of the earlier build, whose commit must differ from that of the current slopes.
+func parseBefore(raw []byte, currentCommit string) (Slopes, error) {
 	before, err := ParseSlopes(raw, "")
 	if err != nil {
 		return Slopes{}, err
 	}
-	if before.Commit == now {
-		return Slopes{}, invalid("slopes: commit: %q is that of the slopes of now", now)
+	if before.Commit == currentCommit {
+		return Slopes{}, invalid("slopes: commit: %q is that of the slopes of now", currentCommit)
 	}
 	return before, nil
 }
--- a/internal/capacity/measure.go
+++ b/internal/capacity/measure.go
@@ -16,18 +16,18 @@
 const (
 	modulePath      = "meadowsill/"
 	benchmarkPrefix = "Capacity"
-	fewestSizes     = 3 // that a fit is made from
+	minSizes        = 3 // minimum number of sizes for a fit
 	secondsPerNano  = 1e-9
 )
 
-// sample is one benchmark's figure at one size, in one repeat.
+// sample is the figure of a benchmark at one size in one repeat.
 type sample struct {
 	size  float64
 	value float64
 }
 
-// Measure reads the output of go test -bench and gives a slope for each benchmark of the catalog. All of them must be there, each
-// at three sizes or more. command is how the output was made; its %s stands for the package.
+// Measure reads the output of go test -bench and returns a slope for each benchmark of the catalog. Every benchmark must be present
+// with at least three sizes. command is the command that produced the output; its %s stands for the package.
 func Measure(output io.Reader, name, command string) ([]Slope, error) {
 	reader := benchfmt.NewReader(output, name)
 	samples := map[benchmark][]sample{}
@@ -72,14 +72,14 @@
 func collect(result *benchfmt.Result, samples map[benchmark][]sample) error {
 	pkg := strings.TrimPrefix(result.GetConfig("pkg"), modulePath)
 	base, parts := result.Name.Parts()
-	name, ours := strings.CutPrefix(string(base), benchmarkPrefix)
-	if !ours {
+	name, isCapacity := strings.CutPrefix(string(base), benchmarkPrefix)
+	if !isCapacity {
 		return nil
 	}
 	for _, part := range parts {
 		_, text, ok := strings.Cut(string(part), "=")
 		if !ok {
-			continue // the number of processors
+			continue // this part of the name is the number of processors
 		}
 		size, err := strconv.ParseFloat(text, 64)
 		if err != nil || size <= 0 {
@@ -93,8 +93,8 @@
 	return nil
 }
 
-// fit gives the cost for each unit of size, through the origin. Other work on the machine can only lengthen a time, so the value
-// comes of the least of each size over the repeats, the range of the fit of each repeat.
+// fit returns the cost per unit of size from a fit through the origin. Other work on the machine can only lengthen a time, so the
+// value is fitted to the minimum of the repeats at each size. The range covers the fits of the individual repeats.
 func fit(samples []sample) (Slope, error) {
 	sizes := []float64{}
 	for _, s := range samples {
@@ -103,10 +103,10 @@
 		}
 	}
 	slices.Sort(sizes)
-	if len(sizes) < fewestSizes {
-		return Slope{}, fmt.Errorf("%d sizes, a fit needs %d", len(sizes), fewestSizes)
+	if len(sizes) < minSizes {
+		return Slope{}, fmt.Errorf("%d sizes, a fit needs %d", len(sizes), minSizes)
 	}
-	values := make([][]float64, len(sizes)) // by size, by repeat
+	values := make([][]float64, len(sizes)) // by size and repeat
 	for i, size := range sizes {
 		for _, s := range samples {
 			if s.size == size {
@@ -138,7 +138,7 @@
 	return slope, nil
 }
 
-// exponent is that of the power law through the figures.
+// exponent returns the exponent of a power law that is fitted to the figures.
 func exponent(sizes, values []float64) float64 {
 	logSizes, logValues := make([]float64, len(sizes)), make([]float64, len(sizes))
 	for i := range sizes {
@@ -148,8 +148,9 @@
 	return beta
 }
 
-// perUnit is the slope of a line through the origin, each size weighted by its inverse: a relative error counts alike at all. A
-// superlinear cost has that of the largest size, from which its power law carries it on, and a flat one that of the dearest.
+// perUnit returns the slope of a line through the origin, with each size weighted by its inverse, so that a relative error counts
+// the same at all sizes. For a superlinear cost it returns the cost per unit at the largest size, from which Slope.At extrapolates
+// by the power law; for a flat cost it returns the highest cost divided by the largest size.
 func perUnit(sizes, values []float64, exponent float64) float64 {
 	last := len(sizes) - 1
 	switch {
@@ -166,7 +167,7 @@
 	return beta
 }
 
-// Merge puts measured slopes over those of the same ids.
+// Merge returns the slopes with the measured ones added, in place of slopes with the same ids.
 func (s Slopes) Merge(measured []Slope, commit string) Slopes {
 	out := Slopes{Format: Format, Commit: commit, Slopes: slices.Clone(s.Slopes)}
 	for _, slope := range measured {
--- a/internal/capacity/measure_test.go
+++ b/internal/capacity/measure_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// benchOutput is the output of every benchmark of the catalog, each with the cost of a size.
+// benchOutput returns output of every benchmark of the catalog, with the value that cost gives for each size and repeat.
 func benchOutput(cost func(size, repeat int) float64) string {
 	var b strings.Builder
 	for _, d := range catalog {
@@ -29,7 +29,8 @@
 	return b.String()
 }
 
-// A linear cost gives its slope, the range its repeats, and a superlinear one is carried on by its power law.
+// TestMeasure checks the slope and the range of a linear cost, the value of a flat cost, and the extrapolation of a superlinear cost
+// by its power law.
 func TestMeasure(t *testing.T) {
 	linear, err := Measure(strings.NewReader(benchOutput(func(size, repeat int) float64 { return float64(size * (10 + repeat)) })), "out", "run %s")
 	if err != nil {
--- a/internal/capacity/missed.go
+++ b/internal/capacity/missed.go
@@ -3,60 +3,66 @@
 import "math"
 
 const (
-	batchPart      = 0.1  // of the nodes that a release restarts at a time
-	batchS         = 30.0 // in which the nodes of a batch leave and come back
-	roundTripsEach = 5.0  // of a rollout: call, commit, way out, report, confirmation, commit, way out
-	daysPerWeek    = 7.0
-	daysPerYear    = 365.0
+	batchPart            = 0.1  // part of the nodes that a release restarts at a time
+	batchS               = 30.0 // time in which the nodes of a batch leave and return
+	roundTripsPerRollout = 5.0  // per rollout: call, commit, fan-out, report, confirmation, commit, fan-out
+	daysPerWeek          = 7.0
+	daysPerYear          = 365.0
 )
 
-// rolloutS is a rollout that nothing holds up, without the costs that grow with the plan: as measured on 50 nodes on one machine,
-// with the round trips between regions.
-func rolloutS(p Plan, s Slopes) float64 { return s.Get(Rollout).Value + roundTripsEach*roundTripS(p) }
+// rolloutS returns the time of a rollout without delays and without the costs that grow with the plan: the time measured on 50
+// nodes on one machine plus the round trips between regions.
+func rolloutS(p Plan, s Slopes) float64 {
+	return s.Get(Rollout).Value + roundTripsPerRollout*roundTripS(p)
+}
 
-// Miss is one cause for which changes are not in force in time.
+// Miss is one cause of changes that are not in force in time.
 type Miss struct {
 	Cause   string
-	PerDay  float64 // events
-	WindowS float64 // of each, in which a change that is put misses the bound
-	Part    float64 // of the changes put in it that do miss it
-	Changes float64 // a day
+	PerDay  float64 // events per day
+	WindowS float64 // time per event in which a change that is put may miss the bound
+	Part    float64 // part of the changes put in the window that miss the bound
+	Changes float64 // changes per day that miss the bound
 }
 
-// silentWindowS is the time of puts that a node held up which fell silent: those under way, and those after it that meet what is
-// left of its lease.
+// silentWindowS returns the length in seconds of the window in which changes are delayed by a node that falls silent: the rollouts
+// in progress at that time, and the changes put afterwards for which the rest of the node's lease and the rollout together exceed
+// the time allowed.
 func silentWindowS(p Plan, s Slopes) float64 {
 	r := rolloutS(p, s)
 	return r + max(0, leaseTTLS+r-p.Allowed.InForceS)
 }
 
-// releaseMiss is the part of the changes put during a rolling restart that miss the bound: each attempt to commit wants an epoch
-// that does not change between the leader's step and the commit.
-// nodes are those whose coming and going moves the epoch.
+// releaseMiss returns the part of the changes put during a rolling restart that miss the bound: each attempt to commit needs an
+// epoch that does not change between the leader's step and the commit. nodes is the number of nodes whose joins and leaves change
+// the epoch.
 func releaseMiss(p Plan, nodes float64) float64 {
 	changesOfEpoch := 2 * batchPart * nodes / batchS
 	attempt := stepS + roundTripS(p) + diskS
-	succeeds := math.Exp(-changesOfEpoch * attempt)
+	successProbability := math.Exp(-changesOfEpoch * attempt)
 	attempts := max(1, p.Allowed.InForceS/attempt)
-	return math.Pow(1-succeeds, attempts)
+	return math.Pow(1-successProbability, attempts)
 }
 
-// heldUp is the part of the changes that are of a scope of any of so many nodes, the scopes taken as drawn at random.
-func heldUp(p Plan, nodes float64) float64 {
+// delayedPart returns the part of the changes that are in the scope of at least one of the given number of nodes, for scopes that are
+// drawn at random.
+func delayedPart(p Plan, nodes float64) float64 {
 	return 1 - math.Pow(1-scopeTenants(p)/p.Size.Tenants, nodes)
 }
 
-// Misses gives the causes, by the rule that a rollout waits for the present nodes of its scope and that scope's epoch.
+// Misses returns the causes under the rule that a rollout waits for the present nodes of its scope and depends on the scope's epoch.
 func Misses(p Plan, s Slopes) []Miss {
-	return misses(p, s, func(nodes float64) float64 { return heldUp(p, nodes) }, scopeNodes(p))
+	return misses(p, s, func(nodes float64) float64 { return delayedPart(p, nodes) }, scopeNodes(p))
 }
 
-// PastMisses gives the causes by the rule of before, that a rollout waits for every present node and an unchanged epoch of all.
+// PastMisses returns the causes under the earlier rule that a rollout waits for every present node and depends on the epoch of all
+// nodes.
 func PastMisses(p Plan, s Slopes) []Miss {
 	return misses(p, s, func(float64) float64 { return 1 }, p.Size.Nodes)
 }
 
-// misses reckons with the part of the changes that so many failed nodes hold up, and the nodes that an epoch is of.
+// misses returns the causes. part gives the part of the changes that a number of failed nodes delays; epochNodes is the number of
+// nodes whose joins and leaves change an epoch.
 func misses(p Plan, s Slopes, part func(nodes float64) float64, epochNodes float64) []Miss {
 	window, nodePart := silentWindowS(p, s), p.Input(NodePart)
 	out := []Miss{
@@ -68,7 +74,7 @@
 	}
 	for i := range out {
 		m := &out[i]
-		m.Changes = p.Size.ChangesPerDay * m.PerDay * m.WindowS * m.Part / day
+		m.Changes = p.Size.ChangesPerDay * m.PerDay * m.WindowS * m.Part / secondsPerDay
 	}
 	return out
 }
--- a/internal/capacity/nodechecks.go
+++ b/internal/capacity/nodechecks.go
@@ -1,34 +1,36 @@
 package capacity
 
 const (
-	day               = 86_400.0 // s
+	secondsPerDay     = 86_400.0 // s
 	nanosPerMS        = 1e6
 	nanosPerS         = 1e9
 	bytesPerMB        = 1e6
 	bytesPerGB        = 1e9
 	percent           = 100.0
-	reportsPerS       = 4.0      // of a node with traffic, each report_ms; one without reports each second
+	reportsPerS       = 4.0      // of a node with traffic, one every report_ms; a node without traffic reports once a second
 	rowsLimit         = 16 << 10 // items of an intent, tenants of a report: fleet.DecodeIntent, fleet.DecodeReport
-	catchUpS          = 10.0     // catch_up_ms, after which a node says that it is ready whatever it holds
-	itemsPerChange    = 2.0      // revisions of an item in a rollout: staged, committed
-	listChanges       = 2.0      // of the list for each server that fails or restarts: gone, ready
-	answerHeaderBytes = 300.0    // of an answer to a watch
-	ticksPerS         = 40.0     // of the module's timer, each 25 ms
+	catchUpS          = 10.0     // catch_up_ms, after which a node reports ready whatever it holds
+	itemsPerChange    = 2.0      // revisions of an item in a rollout: staged and committed
+	listChanges       = 2.0      // changes of the list for each server that fails or restarts: gone and ready
+	answerHeaderBytes = 300.0    // headers of an answer to a watch
+	ticksPerS         = 40.0     // ticks of the module's timer, one every 25 ms
 )
 
-func changesPerS(p Plan) float64 { return p.Size.ChangesPerDay / day }
+func changesPerS(p Plan) float64 { return p.Size.ChangesPerDay / secondsPerDay }
 
-// listChangesPerS reckons with all failed and restarted machines as app servers.
+// listChangesPerS returns the changes of the list per second, on the assumption that all failed and restarted machines are app
+// servers.
 func listChangesPerS(p Plan) float64 {
-	return listChanges * (p.Failures.MachinesPerDay + p.Failures.RestartsPerDay) / day
+	return listChanges * (p.Failures.MachinesPerDay + p.Failures.RestartsPerDay) / secondsPerDay
 }
 
-// loopNanos is what a report takes of the node's loop, with so many tenants held.
+// loopNanos returns the time that a report takes in the node's event loop, for the given number of tenants.
 func loopNanos(p Plan, s Slopes, tenants float64) float64 {
 	return s.Get(ModuleWindow).At(tenants) + s.Get(ModuleApplied).At(tenants) + s.Get(ModuleAppliedList).At(p.Size.Servers)
 }
 
-// tenantNanos and listNanos are a node's work on one report, in the loop and outside it.
+// tenantNanos and listNanos return the times of a node's work on one report, inside and outside the event loop, for the tenants
+// and for the list.
 func tenantNanos(s Slopes, tenants float64) float64 {
 	return s.Get(ModuleWindow).At(tenants) + s.Get(ModuleApplied).At(tenants) + s.Get(FillTenants).At(tenants) + s.Get(ReportEncode).At(tenants)
 }
@@ -49,13 +51,13 @@
 		allowed:   func(p Plan, _ Slopes) float64 { return p.Allowed.AddedMS },
 	},
 	{
-		role:      RoleNode,
-		quantity:  "changes of the list, share of the loop",
-		formula:   "changes of the list a second × servers × slope",
-		slopes:    []ID{ModuleList},
-		unit:      "% of a core",
-		mechanism: ListByService,
-		reckoned:  "all failed and restarted machines taken as app servers, two changes each",
+		role:        RoleNode,
+		quantity:    "changes of the list, share of the loop",
+		formula:     "changes of the list a second × servers × slope",
+		slopes:      []ID{ModuleList},
+		unit:        "% of a core",
+		mechanism:   ListByService,
+		assumptions: "all failed and restarted machines taken as app servers, two changes each",
 		cost: func(p Plan, s Slopes) float64 {
 			return percent * listChangesPerS(p) * s.Get(ModuleList).At(p.Size.Servers) / nanosPerS
 		},
@@ -122,14 +124,14 @@
 		allowed:   func(p Plan, _ Slopes) float64 { return p.Allowed.NodeCorePercent },
 	},
 	{
-		role:      RoleNode,
-		quantity:  "load of a node's tenants at its start, in its loop",
-		formula:   "tenants in scope, by the power law",
-		slopes:    []ID{ModuleLoad},
-		unit:      "s",
-		mechanism: ScopedState,
-		why:       "catch_up_ms",
-		cost:      func(p Plan, s Slopes) float64 { return s.Get(ModuleLoad).At(scopeTenants(p)) / nanosPerS },
+		role:        RoleNode,
+		quantity:    "load of a node's tenants at its start, in its loop",
+		formula:     "tenants in scope, by the power law",
+		slopes:      []ID{ModuleLoad},
+		unit:        "s",
+		mechanism:   ScopedState,
+		boundReason: "catch_up_ms",
+		cost:        func(p Plan, s Slopes) float64 { return s.Get(ModuleLoad).At(scopeTenants(p)) / nanosPerS },
 		past: &past{[]ID{ModuleLoad},
 			func(p Plan, s Slopes) float64 { return s.Get(ModuleLoad).At(p.Size.Tenants) / nanosPerS }},
 		allowed: func(Plan, Slopes) float64 { return catchUpS },
--- a/internal/capacity/open.go
+++ b/internal/capacity/open.go
@@ -2,13 +2,13 @@
 
 import "fmt"
 
-const routeBytes = 50.0 // of a route in an item, over the one of the benchmarks' tenants
+const routeBytes = 50.0 // size of each route in an item beyond the one route that the benchmarks' tenants have
 
-// effect is what an open input decides, as a figure at one value of it.
+// effect is a figure that depends on an open input.
 type effect struct {
-	name   OpenName
-	on     string // what the figure is
-	figure func(p Plan, s Slopes) string
+	name       OpenName
+	figureName string // description of the figure, as the page has it
+	figure     func(p Plan, s Slopes) string
 }
 
 func scopeReportBytes(p Plan, s Slopes) string {
@@ -48,7 +48,7 @@
 	}},
 }
 
-// openTable gives what each open input decides at its value and at the ends of its range.
+// openTable returns the table of the figures that depend on each open input, at its value and at both ends of its range.
 func openTable(p Plan, s Slopes) table {
 	out := table{name: "open", head: []string{"input", "value (range)", "reason", "decides", "at low", "at the value", "at high"}}
 	for _, e := range effects {
@@ -57,7 +57,7 @@
 				continue
 			}
 			at := func(value float64) string { return e.figure(p.With(e.name, value), s) }
-			out.add(string(open.Name), fmt.Sprintf("%s (%s to %s)", plain(open.Value), plain(open.Low), plain(open.High)), open.Reason, e.on,
+			out.add(string(open.Name), fmt.Sprintf("%s (%s to %s)", plain(open.Value), plain(open.Low), plain(open.High)), open.Reason, e.figureName,
 				at(open.Low), at(open.Value), at(open.High))
 		}
 	}
--- a/internal/capacity/page.go
+++ b/internal/capacity/page.go
@@ -9,7 +9,7 @@
 	return "<!-- capacity:" + name + " -->", "<!-- /capacity:" + name + " -->"
 }
 
-// Print gives every table under its name.
+// Print returns every table, each below a heading with its name.
 func Print(in Inputs) string {
 	var b strings.Builder
 	for _, t := range tables(in) {
@@ -18,8 +18,8 @@
 	return b.String()
 }
 
-// Render puts every table in the place that its markers hold in the page. A table without its markers, or markers without a
-// table, are an error that names them; then the page is not changed.
+// Render returns the page with every table inserted between its markers. A table without markers and markers without a table
+// are errors that name the markers or count the tables.
 func Render(page string, in Inputs) (string, error) {
 	all := tables(in)
 	for _, t := range all {
@@ -40,7 +40,8 @@
 	return page, nil
 }
 
-// Check says whether the page has the tables that the inputs give. The error names the first line that differs.
+// Check returns an error if the page's tables differ from those that the inputs give. The error names the first line that
+// differs.
 func Check(page string, in Inputs) error {
 	want, err := Render(page, in)
 	if err != nil {
--- a/internal/capacity/plan.go
+++ b/internal/capacity/plan.go
@@ -9,14 +9,14 @@
 	"github.com/BurntSushi/toml"
 )
 
-// ErrInvalid is wrapped by the errors on a plan, on slopes and on a page. The text names the key.
+// ErrInvalid is wrapped by the errors about a plan, slopes, runs of the data path, benchmarks or a page. Their text names the key.
 var ErrInvalid = errors.New("invalid")
 
 func invalid(format string, args ...any) error {
 	return fmt.Errorf("%w: "+format, append([]any{ErrInvalid}, args...)...)
 }
 
-// Plan is the size to plan for, what is allowed at it, and what fails.
+// Plan holds the planned size, the costs allowed at that size, and the expected failures.
 type Plan struct {
 	Size     Size     `toml:"size"`
 	Allowed  Allowed  `toml:"allowed"`
@@ -24,7 +24,7 @@
 	Open     []Open   `toml:"open"`
 }
 
-// Size is the planned size.
+// Size is the planned size of the system.
 type Size struct {
 	Nodes          float64 `toml:"nodes"`
 	Servers        float64 `toml:"servers"`
@@ -38,7 +38,7 @@
 	ChangesAtBurst float64 `toml:"burst_changes"`
 }
 
-// Allowed is what the control plane may take.
+// Allowed holds the limits for the control plane's times and resources.
 type Allowed struct {
 	InForceS        float64 `toml:"in_force_s"`
 	AddedMS         float64 `toml:"added_ms"`
@@ -50,7 +50,7 @@
 	LockMS          float64 `toml:"lock_ms"`
 }
 
-// Failures are how often machines fail and what falls together.
+// Failures holds the frequency of failures and the number of machines that fail together.
 type Failures struct {
 	MachinesPerDay float64 `toml:"machines_per_day"`
 	RestartsPerDay float64 `toml:"restarts_per_day"`
@@ -60,10 +60,10 @@
 	RegionCutS     float64 `toml:"region_cut_s"`
 }
 
-// OpenName names an input that the plan leaves open.
+// OpenName is the name of an input that the plan leaves open.
 type OpenName string
 
-// The open inputs. A plan has each of them once.
+// The open inputs. A plan contains each of them once.
 const (
 	TenantsPerService OpenName = "tenants_per_service"
 	ServicesPerNode   OpenName = "services_per_node"
@@ -80,7 +80,7 @@
 var openNames = []OpenName{TenantsPerService, ServicesPerNode, ActiveTenants, ChangedRows, PeakOverMean, RoutesPerTenant, RoundTripMS,
 	NodePart, Cores, MemoryGB}
 
-// Open is an input that the plan leaves open: the value that the page reckons with, and the range it may lie in.
+// Open is an input that the plan leaves open: the value that the page's figures assume, and the range of possible values.
 type Open struct {
 	Name   OpenName `toml:"name"`
 	Value  float64  `toml:"value"`
@@ -89,10 +89,10 @@
 	Reason string   `toml:"reason"`
 }
 
-// planBound is above any number that a plan can mean.
+// planBound is the largest number in a plan, above any meaningful one.
 const planBound = 1e9
 
-// ParsePlan reads a plan. The error of a bad one is one line that names the key.
+// ParsePlan parses a plan. The error for an invalid plan is one line that names the key.
 func ParsePlan(text string) (Plan, error) {
 	var plan Plan
 	meta, err := toml.Decode(text, &plan)
@@ -113,7 +113,7 @@
 	return plan, nil
 }
 
-// planNumber is a number of the plan under its key.
+// planNumber is a number of the plan with its key.
 type planNumber struct {
 	key   string
 	value float64
@@ -154,7 +154,7 @@
 	}
 	if len(p.Open) > len(openNames) {
 		for _, open := range p.Open {
-			if !known(open.Name) {
+			if !isOpenName(open.Name) {
 				return invalid("plan: open: %q is unknown", open.Name)
 			}
 		}
@@ -162,21 +162,21 @@
 	return nil
 }
 
-func known(name OpenName) bool {
+func isOpenName(name OpenName) bool {
 	return slices.Contains(openNames, name)
 }
 
-// Input is the value of an open input.
+// Input returns the value of an open input.
 func (p *Plan) Input(name OpenName) float64 {
 	for _, open := range p.Open {
 		if open.Name == name {
 			return open.Value
 		}
 	}
-	return 0 // ParsePlan leaves none out
+	return 0 // not reached for a plan from ParsePlan, which has every open input
 }
 
-// With is the plan with another value of an open input.
+// With returns the plan with another value for an open input.
 func (p Plan) With(name OpenName, value float64) Plan {
 	open := make([]Open, len(p.Open))
 	copy(open, p.Open)
@@ -189,8 +189,8 @@
 	return p
 }
 
-// Scaled is the plan with its counts of nodes, servers, services, tenants, routes and requests at a part of the planned size.
-// What is allowed, regions, and how often things change or fail stay.
+// Scaled returns the plan with its numbers of nodes, servers, services, tenants, routes and requests multiplied by part. The
+// limits, the regions and zones, and the frequencies of changes and failures stay the same.
 func (p Plan) Scaled(part float64) Plan {
 	p.Size.Nodes *= part
 	p.Size.Servers *= part
--- a/internal/capacity/render.go
+++ b/internal/capacity/render.go
@@ -8,7 +8,7 @@
 	"strings"
 )
 
-// table is one table of the page, under the name that its markers have.
+// table is one table of the page; name is the name in its markers.
 type table struct {
 	name string
 	head []string
@@ -17,7 +17,7 @@
 
 func (t *table) add(cells ...string) { t.rows = append(t.rows, cells) }
 
-// markdown is the table as the page has it.
+// markdown returns the table in Markdown, as it stands in the page.
 func (t table) markdown() string {
 	var b strings.Builder
 	line := func(cells []string) { b.WriteString("| " + strings.Join(cells, " | ") + " |\n") }
@@ -30,11 +30,11 @@
 }
 
 const (
-	digits = 2    // significant ones of a figure
-	tiny   = 1e-6 // below it a figure is written as that bound
+	digits    = 2    // number of significant digits of a figure
+	minFigure = 1e-6 // a figure below this bound is written as "under" the bound
 )
 
-// plain writes a number as the plan has it.
+// plain formats a number without rounding, and an integer with separators for thousands.
 func plain(v float64) string {
 	text := strconv.FormatFloat(v, 'f', -1, 64)
 	complete, rest, _ := strings.Cut(text, ".")
@@ -54,12 +54,12 @@
 	return complete
 }
 
-// figure writes a number with two significant digits, or three where it is over 100.
+// figure formats a number with two significant digits, or with three from 100 on.
 func figure(v float64) string {
 	switch {
 	case v == 0:
 		return "0"
-	case math.Abs(v) < tiny:
+	case math.Abs(v) < minFigure:
 		return "under 0.000001"
 	}
 	precision := digits
@@ -70,7 +70,7 @@
 	return plain(math.Round(v*scale) / scale)
 }
 
-// prefix is a larger form of a unit, from a value on.
+// prefix is a larger unit that replaces a unit for values of at least from.
 type prefix struct {
 	unit   string
 	larger string
@@ -85,7 +85,7 @@
 	{"ms", "s", 1e4, 1e3}, {"s", "h", 7200, 3600},
 }
 
-// exact writes what is allowed: a count as it is, anything else as a figure.
+// exact formats an allowed value: numbers of items and entries without rounding, anything else as number does.
 func exact(v float64, unit string) string {
 	if unit == "items" || unit == "entries" {
 		return plain(v) + " " + unit
@@ -93,7 +93,7 @@
 	return number(v, unit)
 }
 
-// number writes a figure with its unit, in a larger one where that is easier to read.
+// number formats a figure with its unit, in a larger or smaller unit where that is easier to read.
 func number(v float64, unit string) string {
 	for _, p := range prefixes {
 		if p.unit == unit && math.Abs(v) >= p.from {
@@ -143,7 +143,7 @@
 	return "**does not hold**: to " + reached(r, p)
 }
 
-// reached is the part of the plan that a row holds to, with the counts that its formula names at that part.
+// reached returns the part of the plan up to which a row holds, with the sizes at that part of those counts that its formula names.
 func reached(r Row, p Plan) string {
 	var counts []string
 	for _, count := range []struct {
@@ -161,10 +161,10 @@
 	return text + ", " + strings.Join(counts, " and ")
 }
 
-// share writes a part as a percentage.
+// share formats a part as a percentage.
 func share(part float64) string { return figure(percent*part) + " %" }
 
-// before is a row's result before the mechanism, and how far it held.
+// before returns a row's result before the mechanism, and the part of the plan up to which the row held.
 func before(r Row) string {
 	if r.NotRun {
 		return notRun
@@ -176,7 +176,7 @@
 	return result + ", to " + share(r.Part)
 }
 
-// roleTable has the rows of a role. past are all rows as they were, in the same order.
+// roleTable returns the table of a role. past holds all rows from before the mechanism, in the same order as rows.
 func roleTable(role Role, rows, past []Row, p Plan) table {
 	out := table{name: "role " + string(role),
 		head: []string{"cost", "formula", "slopes", "before", "at the planned size", "allowed", "share used", "verdict", "carried by"}}
@@ -194,11 +194,11 @@
 		if row.NotRun {
 			result, used = notRun, ""
 		}
-		if row.reckoned != "" {
-			result += ", reckoned: " + row.reckoned
+		if row.assumptions != "" {
+			result += ", reckoned: " + row.assumptions
 		}
-		if row.why != "" {
-			allowed += ": " + row.why
+		if row.boundReason != "" {
+			allowed += ": " + row.boundReason
 		}
 		out.add(row.quantity, row.formula, strings.Join(ids, ", "), before(past[index]), result, allowed, used, verdict(row, p),
 			string(row.mechanism))
@@ -215,14 +215,14 @@
 	return out
 }
 
-func inForceTable(p Plan, now, then Slopes) table {
-	all, scoped := everywhere(p), inScope(p)
+func inForceTable(p Plan, current, previous Slopes) table {
+	all, scoped := wholeFleet(p), inScope(p)
 	old := pastStages()
 	out := table{name: "in force", head: []string{"step", "before: every tenant on every node", "in a burst",
 		fmt.Sprintf("now, in scope: %s tenants, %s nodes", figure(scoped.tenants), figure(scoped.nodes)), "in a burst"}}
 	for i, st := range stages {
-		out.add(st.name, number(old[i].at(p, then, all, false), "s"), number(old[i].at(p, then, all, true), "s"),
-			number(st.at(p, now, scoped, false), "s"), number(st.at(p, now, scoped, true), "s"))
+		out.add(st.name, number(old[i].at(p, previous, all, false), "s"), number(old[i].at(p, previous, all, true), "s"),
+			number(st.at(p, current, scoped, false), "s"), number(st.at(p, current, scoped, true), "s"))
 	}
 	bound := func(sum float64) string {
 		if sum > p.Allowed.InForceS {
@@ -230,15 +230,15 @@
 		}
 		return "**" + number(sum, "s") + ": holds**"
 	}
-	out.add(fmt.Sprintf("sum, %s s allowed", plain(p.Allowed.InForceS)), bound(inForceS(old, p, then, all, false)),
-		bound(inForceS(old, p, then, all, true)), bound(inForceS(stages, p, now, scoped, false)), bound(inForceS(stages, p, now, scoped, true)))
+	out.add(fmt.Sprintf("sum, %s s allowed", plain(p.Allowed.InForceS)), bound(inForceS(old, p, previous, all, false)),
+		bound(inForceS(old, p, previous, all, true)), bound(inForceS(stages, p, current, scoped, false)), bound(inForceS(stages, p, current, scoped, true)))
 	return out
 }
 
-func missedTable(p Plan, now, then Slopes) table {
+func missedTable(p Plan, current, previous Slopes) table {
 	out := table{name: "missed", head: []string{"cause", "a day", "window of puts", "part that missed before", "changes a day before",
 		"part that misses", "changes a day"}}
-	misses, past := Misses(p, now), PastMisses(p, then)
+	misses, past := Misses(p, current), PastMisses(p, previous)
 	for i, m := range misses {
 		out.add(m.Cause, figure(m.PerDay), number(m.WindowS, "s"), share(past[i].Part), figure(past[i].Changes), share(m.Part), figure(m.Changes))
 	}
@@ -254,7 +254,7 @@
 	out := table{name: "failures", head: []string{"event", "how often", "nodes, servers", "what is lost", "for how long", "commands of raft's log",
 		"list, to all nodes", "joins, the leader's lock"}}
 	for _, f := range failures(p) {
-		out.add(f.event, f.often, figure(f.nodes)+", "+figure(f.servers), f.lost, f.lasts, figure(f.commands()), number(f.listBytes(p, s), "B"),
+		out.add(f.event, f.frequency, figure(f.nodes)+", "+figure(f.servers), f.lost, f.duration, figure(f.commands()), number(f.listBytes(p, s), "B"),
 			number(f.joinLockS(p, s), "s"))
 	}
 	return out
@@ -263,12 +263,12 @@
 func startsTable(p Plan, s Slopes) table {
 	out := table{name: "starts", head: []string{"event", "bytes", "seconds", "set by", "what holds off the rush"}}
 	for _, st := range starts {
-		out.add(st.event, number(st.bytes(p, s), "B"), number(st.seconds(p, s), "s"), st.limit, st.holds)
+		out.add(st.event, number(st.bytes(p, s), "B"), number(st.seconds(p, s), "s"), st.limit, st.protection)
 	}
 	return out
 }
 
-// tables are all tables of the page.
+// tables returns all tables of the page.
 func tables(in Inputs) []table {
 	plan, slopes := in.Plan, in.Slopes
 	rows, past := Rows(plan, slopes), PastRows(plan, in.Before)
--- a/internal/capacity/slopes.go
+++ b/internal/capacity/slopes.go
@@ -10,18 +10,18 @@
 // Format is the format of a slopes file that this build reads and writes.
 const Format = 1
 
-// Slopes are the measured costs that the page reckons with.
+// Slopes are the measured costs from which the page's figures are computed.
 type Slopes struct {
 	Format int     `json:"format"`
-	Commit string  `json:"commit"` // of the code that was measured
+	Commit string  `json:"commit"` // commit of the measured code
 	Slopes []Slope `json:"slopes"`
 }
 
 // ID names one slope.
 type ID string
 
-// Slope is one cost: Value units of Quantity for each Per. Its range is over Repeats. A slope that no run has given yet has
-// no repeats and the value 0.
+// Slope is one cost: Value is the amount of Quantity in Unit for each Per; Low and High are its range over Repeats. A slope that
+// has not been measured has no repeats and the value 0.
 type Slope struct {
 	ID       ID      `json:"id"`
 	Role     Role    `json:"role"`
@@ -32,28 +32,29 @@
 	Low      float64 `json:"low"`
 	High     float64 `json:"high"`
 	Repeats  int     `json:"repeats"`
-	Command  string  `json:"command"`  // that measured it
-	Exponent float64 `json:"exponent"` // of a power law through the sizes; 0: not fitted
-	// Largest is the largest size measured; 0: not a sweep. A cost whose exponent is superlinear is carried on from there by its
-	// power law, one that is flat is that of the largest size at every size, any other goes by Value alone.
+	Command  string  `json:"command"`  // command that measured the slope
+	Exponent float64 `json:"exponent"` // exponent of a power law through the sizes; 0: not fitted
+	// Largest is the largest size measured; 0: not a sweep. Beyond Largest, a cost with a superlinear exponent is extrapolated by
+	// its power law. A flat cost is the same at every size as at Largest. Any other cost is Value times the size.
 	Largest float64 `json:"largest,omitempty"`
-	// Source is the page that gives a slope which no benchmark does; its commit is the page's.
+	// Source is the page that states a slope without a benchmark; the page names the slope's commit.
 	Source string `json:"source,omitempty"`
 }
 
-// superlinear is the exponent above which a cost is carried on by its power law.
+// superlinear is the exponent above which a cost is extrapolated by its power law.
 const superlinear = 1.1
 
-// flat is the exponent below which a cost does not go by the size: what is left is the depth of a tree, or noise.
+// flat is the exponent below which a cost counts as independent of the size: such growth comes from the depth of a tree or from
+// noise.
 const flat = 0.3
 
-// Measured says whether a run has given the slope.
+// Measured reports whether a run has measured the slope.
 func (s Slope) Measured() bool { return s.Repeats > 0 }
 
-// Flat says whether the cost does not go by the size.
+// Flat reports whether the cost is independent of the size.
 func (s Slope) Flat() bool { return s.Largest > 0 && s.Exponent < flat }
 
-// At is the cost at a size.
+// At returns the cost at a size.
 func (s Slope) At(size float64) float64 {
 	if s.Flat() {
 		return s.Value * s.Largest
@@ -64,8 +65,8 @@
 	return s.Value * size
 }
 
-// ParseSlopes reads a slopes file. commit, where it is not empty, is the only one that is taken. The error of a bad one is one
-// line that names the slope and the key.
+// ParseSlopes parses a slopes file that has every slope of the catalog. If commit is not empty, slopes of any other commit are an
+// error. The error for an invalid file is one line that names the slope and the key.
 func ParseSlopes(raw []byte, commit string) (Slopes, error) {
 	out, err := ParsePartial(raw)
 	if err != nil {
@@ -82,8 +83,8 @@
 	return out, nil
 }
 
-// ParsePartial reads a slopes file that may lack slopes which this build knows, as one of an older build does. Encode writes
-// them as not run.
+// ParsePartial parses a slopes file in which slopes of the catalog may be missing, as in a file of an older build. Encode writes the
+// missing slopes as not run.
 func ParsePartial(raw []byte) (Slopes, error) {
 	var out Slopes
 	decoder := json.NewDecoder(bytes.NewReader(raw))
@@ -111,7 +112,7 @@
 }
 
 func (s Slope) check() error {
-	definition, ok := define(s.ID)
+	definition, ok := findDefinition(s.ID)
 	if !ok {
 		return invalid("slopes: %s: is unknown", s.ID)
 	}
@@ -136,7 +137,7 @@
 	return nil
 }
 
-// Get is the slope of an id; the zero Slope where there is none.
+// Get returns the slope with an id, or the zero Slope if there is none.
 func (s Slopes) Get(id ID) Slope {
 	i := slices.IndexFunc(s.Slopes, func(slope Slope) bool { return slope.ID == id })
 	if i < 0 {
@@ -145,7 +146,7 @@
 	return s.Slopes[i]
 }
 
-// Encode is a slopes file, in the catalog's order.
+// Encode returns a slopes file in the catalog's order.
 func (s Slopes) Encode() ([]byte, error) {
 	out := Slopes{Format: Format, Commit: s.Commit}
 	for _, definition := range catalog {
