--- a/internal/fleet/sim/node.go
+++ b/internal/fleet/sim/node.go
@@ -75,7 +75,7 @@
 	return n
 }
 
-// start begins a new process. It holds the intent of the agent's disk copy, whose age it takes to be an hour.
+// start begins a new process. Its intent is that of the agent's disk copy with an age of an hour, so that directives have expired.
 func (n *node) start() {
 	n.process++
 	n.incarnation++
--- a/internal/fleet/sim/plan.go
+++ b/internal/fleet/sim/plan.go
@@ -36,17 +36,17 @@
 
 // Kinds of faults.
 const (
-	ZoneLost  = "zone lost"  // the zone's servers give no answer; at the fault's end they restart and are warming up
-	ZoneGray  = "zone gray"  // attempts at the zone are lost with Probability
-	ZoneCut   = "zone cut"   // the nodes of zone From lose all attempts at the zone
-	Deaf      = "deaf"       // the messages between every Stride-th node and the control plane are lost
-	Slow      = "slow"       // messages of every Stride-th node take up to a second longer, and overtake each other
-	Twice     = "twice"      // messages of every Stride-th node arrive twice, the second one late
-	Stall     = "stall"      // the processes of every Stride-th node stall
-	Crash     = "crash"      // every Stride-th node is killed; at the fault's end it returns as a new incarnation with its disk copy
-	Rolling   = "rolling"    // all nodes are restarted one after another; each is down for a second
-	NewLeader = "new leader" // the leader is lost; another is elected at the end
-	Liar      = "liar"       // one node reports that one zone, or every zone, fails
+	ZoneLost     = "zone lost"  // the zone's servers give no answer; at the fault's end they restart and are warming up
+	ZoneGray     = "zone gray"  // attempts at the zone are lost with Probability
+	ZoneCut      = "zone cut"   // the nodes of zone From lose all attempts at the zone
+	Disconnected = "deaf"       // the messages between every Stride-th node and the control plane are lost
+	Slow         = "slow"       // messages of every Stride-th node take up to a second longer, and overtake each other
+	Duplicated   = "twice"      // messages of every Stride-th node arrive twice, the second one late
+	Stall        = "stall"      // the processes of every Stride-th node stall
+	Crash        = "crash"      // every Stride-th node is killed; at the fault's end it returns as a new incarnation with its disk copy
+	Rolling      = "rolling"    // all nodes are restarted one after another; each is down for a second
+	NewLeader    = "new leader" // the leader is lost; another is elected at the end
+	Liar         = "liar"       // one node reports that one zone, or every zone, fails
 )
 
 // Fault is one scheduled fault.
@@ -78,7 +78,7 @@
 		Jitter:   time.Duration(1+r.IntN(50)) * time.Millisecond,
 	}
 	p.Faults = append(p.Faults, Fault{Kind: ZoneLost, Start: 6*time.Second + ms(r, 4000), Duration: time.Second + ms(r, 9000), Zone: r.IntN(p.Zones)})
-	kinds := []string{ZoneLost, ZoneGray, ZoneCut, Deaf, Slow, Twice, Stall, Crash, Rolling, NewLeader, Liar}
+	kinds := []string{ZoneLost, ZoneGray, ZoneCut, Disconnected, Slow, Duplicated, Stall, Crash, Rolling, NewLeader, Liar}
 	for range r.IntN(7) {
 		f := Fault{
 			Kind:        kinds[r.IntN(len(kinds))],
--- a/internal/fleet/sim/queue.go
+++ b/internal/fleet/sim/queue.go
@@ -61,11 +61,11 @@
 			continue
 		}
 		switch f.Kind {
-		case Deaf:
+		case Disconnected:
 			lost = true
 		case Slow:
 			d += time.Duration(s.random.Int64N(int64(time.Second)))
-		case Twice:
+		case Duplicated:
 			s.after(d+time.Duration(s.random.Int64N(int64(2*time.Second))), arrive)
 		}
 	}
